--- a/internal/control/controller/adapter_calls.go
+++ b/internal/control/controller/adapter_calls.go
@@ -18,175 +18,177 @@
 	"seamshunt/internal/units"
 )
 
-// Control is what an adapter's door does (design 13).
+// Control returns the calls that an adapter's HTTP handler makes (docs/design.md, section 13).
 func (c *Controller) Control() adapter.Control {
-	return adapter.Control{Read: c.newest, Put: c.put, Change: c.alter, Zone: c.evacuate}
+	return adapter.Control{Read: c.readConfig, Put: c.putConfig, Change: c.changeConfig, Zone: c.handleZoneRequest}
 }
 
-// compile reads a configuration in the format of the outside world.
-func (c *Controller) compile(data []byte) (*config.Config, []*resultcode.Fault) {
+// parseConfig parses a configuration in the adapter's format or, without an adapter, in the built-in one.
+func (c *Controller) parseConfig(data []byte) (*config.Config, []*resultcode.Fault) {
 	if c.adapter != nil {
 		return c.adapter.Config(data)
 	}
 	return config.Read(data)
 }
 
-// versions remembers what the newest number that was looked at holds, so that it is compiled once.
-type versions struct {
-	mu   sync.Mutex
-	num  units.Version
-	ver  uint64
-	warm map[string]time.Duration // by service
+// parsedConfig caches what is needed of the newest stored configuration, so that it is parsed once. storedVersion counts the
+// writes to the configuration's key; docVersion is the version that the document itself contains.
+type parsedConfig struct {
+	mu            sync.Mutex
+	storedVersion units.Version
+	docVersion    uint64
+	warmup        map[string]time.Duration // by service
 }
 
-// versionOf gives a stored configuration's own version, and how long each service's workers stay cold.
-func (c *Controller) versionOf(num units.Version, data []byte) (uint64, map[string]time.Duration) {
-	if num == 0 {
+// configDocVersion returns the document version of a stored configuration, and the warm-up time of each service's workers.
+func (c *Controller) configDocVersion(storedVersion units.Version, data []byte) (uint64, map[string]time.Duration) {
+	if storedVersion == 0 {
 		return 0, nil
 	}
-	t := &c.taken
-	t.mu.Lock()
-	ver, warm, known := t.ver, t.warm, t.num == num
-	t.mu.Unlock()
+	latest := &c.latestConfig
+	latest.mu.Lock()
+	docVersion, warmup, known := latest.docVersion, latest.warmup, latest.storedVersion == storedVersion
+	latest.mu.Unlock()
 	if known {
-		return ver, warm
+		return docVersion, warmup
 	}
-	x, _ := c.compile(data)
-	if x == nil {
+	cfg, _ := c.parseConfig(data)
+	if cfg == nil {
 		return 0, nil
 	}
-	return t.note(num, x)
+	return latest.store(storedVersion, cfg)
 }
 
-func (t *versions) note(num units.Version, x *config.Config) (uint64, map[string]time.Duration) {
-	warm := make(map[string]time.Duration, len(x.Services))
-	for n, s := range x.Services {
-		warm[n] = s.Warm
+func (p *parsedConfig) store(storedVersion units.Version, cfg *config.Config) (uint64, map[string]time.Duration) {
+	warmup := make(map[string]time.Duration, len(cfg.Services))
+	for name, service := range cfg.Services {
+		warmup[name] = service.Warm
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if num > t.num {
-		t.num, t.ver, t.warm = num, x.Version, warm
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if storedVersion > p.storedVersion {
+		p.storedVersion, p.docVersion, p.warmup = storedVersion, cfg.Version, warmup
 	}
-	return x.Version, warm
+	return cfg.Version, warmup
 }
 
-// newest is the configuration in force, confirmed with a majority.
-func (c *Controller) newest() ([]byte, uint64, resultcode.Code) {
-	ctx, done := answerTime(register.AnswerTimeout)
-	defer done()
-	r := c.Submit(ctx, register.Request{Key: keyConfig})
-	if r.Code != resultcode.OK {
-		return nil, 0, r.Code
+// readConfig returns the configuration in force, confirmed by a majority.
+func (c *Controller) readConfig() ([]byte, uint64, resultcode.Code) {
+	ctx, cancel := withAnswerTimeout(register.AnswerTimeout)
+	defer cancel()
+	result := c.Submit(ctx, register.Request{Key: keyConfig})
+	if result.Code != resultcode.OK {
+		return nil, 0, result.Code
 	}
-	if r.Version == 0 {
+	if result.Version == 0 {
 		return nil, 0, resultcode.NotFound
 	}
-	ver, _ := c.versionOf(r.Version, r.Data)
-	return r.Data, ver, resultcode.OK
+	docVersion, _ := c.configDocVersion(result.Version, result.Data)
+	return result.Data, docVersion, resultcode.OK
 }
 
-// base finds the configuration that a change builds on. What this node has heard will do when it is that one or newer:
-// versions only rise, and the owner checks the number when it writes. Else, and where nothing was heard of, the newest is
-// read with a majority.
-func (c *Controller) base(ctx context.Context, builds uint64) (num units.Version, data []byte, ver uint64, code resultcode.Code) {
-	num, data = c.heardOf(keyConfig)
-	ver, _ = c.versionOf(num, data)
-	if num > 0 && ver >= builds {
-		return num, data, ver, resultcode.OK
-	}
-	r := c.Submit(ctx, register.Request{Key: keyConfig})
-	if r.Code != resultcode.OK {
-		return 0, nil, 0, r.Code
-	}
-	ver, _ = c.versionOf(r.Version, r.Data)
-	return r.Version, r.Data, ver, resultcode.OK
+// baseConfig finds the configuration that a change builds on. The one known to this node is enough if its document
+// version is base or higher: document versions only rise, and the owner checks the stored version when it writes.
+// Otherwise, and if this node knows no configuration, the newest one is read from a majority.
+func (c *Controller) baseConfig(ctx context.Context, base uint64) (storedVersion units.Version, data []byte, docVersion uint64, code resultcode.Code) {
+	storedVersion, data = c.knownValue(keyConfig)
+	docVersion, _ = c.configDocVersion(storedVersion, data)
+	if storedVersion > 0 && docVersion >= base {
+		return storedVersion, data, docVersion, resultcode.OK
+	}
+	result := c.Submit(ctx, register.Request{Key: keyConfig})
+	if result.Code != resultcode.OK {
+		return 0, nil, 0, result.Code
+	}
+	docVersion, _ = c.configDocVersion(result.Version, result.Data)
+	return result.Version, result.Data, docVersion, resultcode.OK
 }
 
-// put takes a whole configuration.
-func (c *Controller) put(builds uint64, data []byte) (resultcode.Code, []*resultcode.Fault) {
-	next, fs := c.compile(data)
-	if len(fs) > 0 {
-		return fs[0].Code, fs
+// putConfig replaces the whole configuration.
+func (c *Controller) putConfig(base uint64, data []byte) (resultcode.Code, []*resultcode.Fault) {
+	next, faults := c.parseConfig(data)
+	if len(faults) > 0 {
+		return faults[0].Code, faults
 	}
-	return c.write(requestID("put", builds, data), builds, func([]byte) ([]byte, *config.Config, []*resultcode.Fault) { return data, next, nil })
+	return c.writeConfig(requestID("put", base, data), base, func([]byte) ([]byte, *config.Config, []*resultcode.Fault) { return data, next, nil })
 }
 
-// alter takes a change by item; what is stored is the whole.
-func (c *Controller) alter(builds uint64, change []byte) (resultcode.Code, []*resultcode.Fault) {
-	return c.write(requestID("change", builds, change), builds, func(old []byte) ([]byte, *config.Config, []*resultcode.Fault) {
-		data, fs := c.adapter.Change(old, change)
-		if len(fs) > 0 {
-			return nil, nil, fs
+// changeConfig applies a change of single items; the resulting whole configuration is stored.
+func (c *Controller) changeConfig(base uint64, change []byte) (resultcode.Code, []*resultcode.Fault) {
+	return c.writeConfig(requestID("change", base, change), base, func(old []byte) ([]byte, *config.Config, []*resultcode.Fault) {
+		data, faults := c.adapter.Change(old, change)
+		if len(faults) > 0 {
+			return nil, nil, faults
 		}
-		next, fs := c.compile(data)
-		return data, next, fs
+		next, faults := c.parseConfig(data)
+		return data, next, faults
 	})
 }
 
-// requestID names a change by what it says, so that it is known when it comes again, to whichever node.
-func requestID(kind string, builds uint64, data []byte) string {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d %s", kind, builds, data))
+// requestID derives a change's ID from its content, so that every node recognizes a repeated request.
+func requestID(kind string, base uint64, data []byte) string {
+	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d %s", kind, base, data))
 	return hex.EncodeToString(sum[:16])
 }
 
-// write makes a change under the version that it builds on. One that lost its race, or is refused, never comes into force:
-// it is written under the number whose version was looked at, or not at all.
-func (c *Controller) write(requestID string, builds uint64, whole func(old []byte) ([]byte, *config.Config, []*resultcode.Fault)) (resultcode.Code, []*resultcode.Fault) {
-	ctx, done := answerTime(register.AnswerTimeout)
-	defer done()
-	num, old, ver, code := c.base(ctx, builds)
+// writeConfig makes a change that builds on document version base. A change that lost a race or was refused never comes
+// into force: it is written on the stored version whose document version was checked, or not at all.
+func (c *Controller) writeConfig(requestID string, base uint64, build func(old []byte) ([]byte, *config.Config, []*resultcode.Fault)) (resultcode.Code, []*resultcode.Fault) {
+	ctx, cancel := withAnswerTimeout(register.AnswerTimeout)
+	defer cancel()
+	storedVersion, old, docVersion, code := c.baseConfig(ctx, base)
 	if code != resultcode.OK {
 		return code, nil
 	}
-	if ver != builds {
-		return c.outcome(ctx, requestID, lowestNumber(num, ver, builds)), nil
+	if docVersion != base {
+		return c.lookUpOutcome(ctx, requestID, lowestStoredVersion(storedVersion, docVersion, base)), nil
 	}
-	data, next, fs := whole(old)
-	if len(fs) > 0 {
-		return fs[0].Code, fs
+	data, next, faults := build(old)
+	if len(faults) > 0 {
+		return faults[0].Code, faults
 	}
-	if next.Version <= ver {
-		if num > 0 && bytes.Equal(data, old) {
-			return c.unchanged(ctx, num), nil
+	if next.Version <= docVersion {
+		if storedVersion > 0 && bytes.Equal(data, old) {
+			return c.confirmUnchanged(ctx, storedVersion), nil
 		}
-		return resultcode.InvalidConfig, []*resultcode.Fault{{Code: resultcode.InvalidConfig, Text: fmt.Sprintf("version %d is not above %d, which is in force", next.Version, ver)}}
+		return resultcode.InvalidConfig, []*resultcode.Fault{{Code: resultcode.InvalidConfig, Text: fmt.Sprintf("version %d is not above %d, which is in force", next.Version, docVersion)}}
 	}
-	r := c.record(ctx, register.Request{Key: keyConfig, ExpectedVersion: num, RequestID: requestID, Data: data})
-	if r.Code == resultcode.OK && r.Version == num+1 {
-		c.taken.note(r.Version, next)
+	result := c.writeAudited(ctx, register.Request{Key: keyConfig, ExpectedVersion: storedVersion, RequestID: requestID, Data: data})
+	if result.Code == resultcode.OK && result.Version == storedVersion+1 {
+		c.latestConfig.store(result.Version, next)
 	}
-	return r.Code, nil
+	return result.Code, nil
 }
 
-// lowestNumber bounds the number whose document bore the version builds, given that number num bears version ver: versions
-// rise by one at least with each number.
-func lowestNumber(num units.Version, ver, builds uint64) units.Version {
-	if builds >= ver {
-		return num
+// lowestStoredVersion returns a lower bound for the stored version of the document with version base, given that
+// storedVersion holds the document with version docVersion. Document versions rise by at least one with each stored
+// version.
+func lowestStoredVersion(storedVersion units.Version, docVersion, base uint64) units.Version {
+	if base >= docVersion {
+		return storedVersion
 	}
-	return num - min(num, units.Version(ver-builds))
+	return storedVersion - min(storedVersion, units.Version(docVersion-base))
 }
 
-// outcome asks whether a change was taken that builds on a version which is not in force: OK if it was; Conflict if it
-// was not; Forgotten if it may have been, but so many changes ago that its outcome is no longer kept.
-func (c *Controller) outcome(ctx context.Context, requestID string, lowest units.Version) resultcode.Code {
+// lookUpOutcome looks up the outcome of a change that builds on a version which is not in force. It returns OK if the
+// change was made, VersionConflict if it wasn't, and OutcomeExpired if it may have been made, but so many changes ago
+// that its outcome is no longer kept.
+func (c *Controller) lookUpOutcome(ctx context.Context, requestID string, lowest units.Version) resultcode.Code {
 	return c.Submit(ctx, register.Request{Key: keyConfig, Write: true, Lookup: true, ExpectedVersion: lowest, RequestID: requestID}).Code
 }
 
-// unchanged acknowledges an order that would leave the configuration as it is under a number, once a majority has
-// confirmed that this number is still in force.
-func (c *Controller) unchanged(ctx context.Context, num units.Version) resultcode.Code {
-	r := c.Submit(ctx, register.Request{Key: keyConfig})
-	if r.Code == resultcode.OK && r.Version != num {
+// confirmUnchanged acknowledges a request that would not change the configuration, once a majority has confirmed that
+// storedVersion is still in force.
+func (c *Controller) confirmUnchanged(ctx context.Context, storedVersion units.Version) resultcode.Code {
+	result := c.Submit(ctx, register.Request{Key: keyConfig})
+	if result.Code == resultcode.OK && result.Version != storedVersion {
 		return resultcode.VersionConflict
 	}
-	return r.Code
+	return result.Code
 }
 
-// checkZoneExists looks for a zone among those that the boot file names or, where it names none, that members are in. A
-// controller that is cut off, or has just started, may not know all members: it says that there is no such zone only while
-// a majority answers it.
+// checkZoneExists checks that a zone is listed in the settings or, if they list none, that it has members. A partitioned
+// or newly started controller may not know all members: it reports an unknown zone only while a majority answers it.
 func (c *Controller) checkZoneExists(ctx context.Context, zone string) resultcode.Code {
 	if len(c.Settings.Zones) > 0 {
 		if slices.Contains(c.Settings.Zones, zone) {
@@ -198,8 +200,8 @@
 	if slices.ContainsFunc(c.Members(), inZone) {
 		return resultcode.OK
 	}
-	if r := c.Submit(ctx, register.Request{Key: keyConfig}); r.Code != resultcode.OK {
-		return r.Code
+	if result := c.Submit(ctx, register.Request{Key: keyConfig}); result.Code != resultcode.OK {
+		return result.Code
 	}
 	return resultcode.UnknownZone
 }
--- a/internal/control/controller/adapter_calls_test.go
+++ b/internal/control/controller/adapter_calls_test.go
@@ -17,52 +17,52 @@
 	"seamshunt/internal/testutil"
 )
 
-// toyBook is an outside world whose configurations are {"v": VERSION, "x": TEXT}; a change gives a version and a text to
-// put behind the old one.
-func toyBook() *adapter.Adapter {
+// testAdapter returns an adapter whose configurations are {"v": VERSION, "x": TEXT}. A change has the same form; its text is
+// appended to the old one.
+func testAdapter() *adapter.Adapter {
 	read := func(data []byte) (uint64, string, []*resultcode.Fault) {
-		v, err := fastjson.ParseBytes(data)
-		if err != nil || v.GetUint64("v") == 0 {
+		doc, err := fastjson.ParseBytes(data)
+		if err != nil || doc.GetUint64("v") == 0 {
 			return 0, "", []*resultcode.Fault{{Code: resultcode.InvalidConfig, Text: "no version"}}
 		}
-		return v.GetUint64("v"), string(v.GetStringBytes("x")), nil
+		return doc.GetUint64("v"), string(doc.GetStringBytes("x")), nil
 	}
 	return &adapter.Adapter{
 		Config: func(data []byte) (*config.Config, []*resultcode.Fault) {
-			v, _, fs := read(data)
-			if len(fs) > 0 {
-				return nil, fs
+			version, _, faults := read(data)
+			if len(faults) > 0 {
+				return nil, faults
 			}
-			return &config.Config{Version: v, Services: map[string]*config.Service{"s": {Name: "s", Warm: 3 * time.Second}}}, nil
+			return &config.Config{Version: version, Services: map[string]*config.Service{"s": {Name: "s", Warm: 3 * time.Second}}}, nil
 		},
 		Change: func(old, change []byte) ([]byte, []*resultcode.Fault) {
-			_, was, _ := read(old)
-			v, x, fs := read(change)
-			return fmt.Appendf(nil, `{"v":%d,"x":%q}`, v, was+x), fs
+			_, oldText, _ := read(old)
+			version, text, faults := read(change)
+			return fmt.Appendf(nil, `{"v":%d,"x":%q}`, version, oldText+text), faults
 		},
 		Control: func(adapter.Control) fasthttp.RequestHandler {
-			return func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("the door's " + string(ctx.Path())) }
+			return func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("adapter's handler: " + string(ctx.Path())) }
 		},
 	}
 }
 
-// grownCore starts n controllers that are founded from seeds.
-func grownCore(t *testing.T, n int, book *adapter.Adapter) []*Controller {
+// startSeededControllers starts n controllers that bootstrap from seeds and waits until all know the whole quorum set.
+func startSeededControllers(t *testing.T, n int, siteAdapter *adapter.Adapter) []*Controller {
 	t.Helper()
-	var bs []*boot.Boot
+	var settingsList []*boot.Boot
 	var seeds []string
 	for i := range n {
-		b := &boot.Boot{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: t.TempDir(), Platform: testutil.Addr(t),
+		nodeSettings := &boot.Boot{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: t.TempDir(), Platform: testutil.Addr(t),
 			PollMs: 500, Reserve: 64 << 10, Grow: true, First: true, Counts: true, Zones: []string{"z0", "z9"}, LostMachines: (n - 1) / 2}
-		bs = append(bs, b)
+		settingsList = append(settingsList, nodeSettings)
 		if len(seeds) < 3 {
-			seeds = append(seeds, b.Addr)
+			seeds = append(seeds, nodeSettings.Addr)
 		}
 	}
-	var cs []*Controller
-	for _, b := range bs {
-		b.Seeds = seeds
-		c, err := New(b, book)
+	var controllers []*Controller
+	for _, nodeSettings := range settingsList {
+		nodeSettings.Seeds = seeds
+		c, err := New(nodeSettings, siteAdapter)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,55 +70,55 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(c.Drain)
-		cs = append(cs, c)
+		controllers = append(controllers, c)
 	}
-	members := n - 1 + n%2 // the largest odd number: one of an even number stands by
-	testutil.Until(t, "all know a whole set", func() bool {
+	members := n - 1 + n%2 // the quorum set has the largest odd size; of an even number of controllers one is a standby
+	testutil.Until(t, "all controllers know the whole quorum set", func() bool {
 		inSet := 0
-		for _, c := range cs {
-			v := c.voters()
-			if len(v.Members) != members || v.Joint() || v.Version != cs[0].voters().Version {
+		for _, c := range controllers {
+			quorum := c.quorumSet()
+			if len(quorum.Members) != members || quorum.Joint() || quorum.Version != controllers[0].quorumSet().Version {
 				return false
 			}
-			if v.Has(c.Self) {
+			if quorum.Has(c.Self) {
 				inSet++
 			}
 		}
 		return inSet == members
 	})
-	return cs
+	return controllers
 }
 
-// until a call gets through: the owner may just have moved.
-func sure(t *testing.T, f func() (resultcode.Code, []*resultcode.Fault)) resultcode.Code {
+// retryUntilClear repeats a call while its outcome is unknown: the owner of the key may just have changed.
+func retryUntilClear(t *testing.T, call func() (resultcode.Code, []*resultcode.Fault)) resultcode.Code {
 	t.Helper()
 	var code resultcode.Code
-	testutil.Until(t, "a clear answer", func() bool {
-		code, _ = f()
+	testutil.Until(t, "a clear outcome", func() bool {
+		code, _ = call()
 		return code != resultcode.CommitUnknown && code != resultcode.NoMajority
 	})
 	return code
 }
 
-// sureRead reads until a call gets through, as operators do after a 5xx.
-func sureRead(t *testing.T, c adapter.Control) (data []byte, version uint64, code resultcode.Code) {
+// readUntilClear repeats a read while it fails, as operators do after a 5xx.
+func readUntilClear(t *testing.T, c adapter.Control) (data []byte, version uint64, code resultcode.Code) {
 	t.Helper()
-	code = sure(t, func() (code resultcode.Code, _ []*resultcode.Fault) { data, version, code = c.Read(); return code, nil })
+	code = retryUntilClear(t, func() (code resultcode.Code, _ []*resultcode.Fault) { data, version, code = c.Read(); return code, nil })
 	return data, version, code
 }
 
-// An adapter's calls, at any of four nodes: versions rise, what was taken is known wherever it comes again, and what is
-// refused never comes into force.
+// TestControl makes an adapter's calls at any of four nodes: versions rise, an applied change is recognized at every node
+// when it is sent again, and a refused change never comes into force.
 func TestControl(t *testing.T) {
 	t.Parallel()
-	cs := grownCore(t, 4, toyBook())
-	at := func(i int) adapter.Control { return cs[i%4].Control() }
-	if _, _, code := sureRead(t, at(0)); code != resultcode.NotFound {
+	controllers := startSeededControllers(t, 4, testAdapter())
+	at := func(i int) adapter.Control { return controllers[i%4].Control() }
+	if _, _, code := readUntilClear(t, at(0)); code != resultcode.NotFound {
 		t.Errorf("read before anything was set: %d", code)
 	}
 	doc := func(v int, x string) []byte { return fmt.Appendf(nil, `{"v":%d,"x":%q}`, v, x) }
 	for i, x := range []struct {
-		builds uint64
+		base   uint64
 		data   []byte
 		change bool
 		want   resultcode.Code
@@ -133,7 +133,7 @@
 		{9, doc(12, "b"), false, resultcode.VersionConflict},
 		{5, doc(8, "b"), false, resultcode.OK},
 		{5, doc(8, "b"), false, resultcode.OK},
-		{0, doc(5, "a"), false, resultcode.OK}, // taken once, and known still
+		{0, doc(5, "a"), false, resultcode.OK}, // applied before, and still recognized
 		{5, doc(9, "c"), true, resultcode.VersionConflict},
 		{8, doc(8, "c"), true, resultcode.InvalidConfig},
 		{8, []byte(`{}`), true, resultcode.InvalidConfig},
@@ -147,44 +147,45 @@
 			if x.change {
 				do = at(i + k).Change
 			}
-			if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return do(x.builds, x.data) }); code != x.want {
-				t.Errorf("call %d at node %d, on %d %s: %d, want %d", i, (i+k)%4, x.builds, x.data, code, x.want)
+			if code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) { return do(x.base, x.data) }); code != x.want {
+				t.Errorf("call %d at node %d, on %d %s: %d, want %d", i, (i+k)%4, x.base, x.data, code, x.want)
 			}
 		}
 	}
 	for i := range 4 {
-		if data, v, code := sureRead(t, at(i)); code != resultcode.OK || v != 14 || string(data) != `{"v":14,"x":"bcd"}` {
+		if data, v, code := readUntilClear(t, at(i)); code != resultcode.OK || v != 14 || string(data) != `{"v":14,"x":"bcd"}` {
 			t.Errorf("read at %d: %d %d %s", i, code, v, data)
 		}
 	}
-	// What was taken is known still a hundred changes later, and what lost its race is refused still.
+	// After a hundred further changes an applied change is still recognized, and one that lost its race is still refused.
 	for v := 15; v < 115; v++ {
-		if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return at(v).Change(uint64(v-1), doc(v, "")) }); code != resultcode.OK {
+		if code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) { return at(v).Change(uint64(v-1), doc(v, "")) }); code != resultcode.OK {
 			t.Fatalf("change to %d: %d", v, code)
 		}
 	}
 	for i, x := range []struct {
-		builds uint64
-		data   []byte
-		want   resultcode.Code
+		base uint64
+		data []byte
+		want resultcode.Code
 	}{{0, doc(5, "a"), resultcode.OK}, {5, doc(8, "b"), resultcode.OK}, {0, doc(6, "b"), resultcode.VersionConflict}, {5, doc(8, "c"), resultcode.VersionConflict}} {
 		for k := range 4 {
-			if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return at(k).Put(x.builds, x.data) }); code != x.want {
-				t.Errorf("long ago %d, at node %d: %d, want %d", i, k, code, x.want)
+			if code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) { return at(k).Put(x.base, x.data) }); code != x.want {
+				t.Errorf("old change %d, at node %d: %d, want %d", i, k, code, x.want)
 			}
 		}
 	}
-	for _, p := range []struct{ path, want string }{{"/config", "the door's /config"}, {"/healthz", "up\n"}, {"/v1/zones/z0", ""}} {
-		if _, b := call(t, cs[0], "GET", p.path, ""); p.want != "" && string(b) != p.want || p.want == "" && !bytes.Contains(b, []byte(`"code":208`)) {
+	for _, p := range []struct{ path, want string }{{"/config", "adapter's handler: /config"}, {"/healthz", "up\n"}, {"/v1/zones/z0", ""}} {
+		if _, b := sendRequest(t, controllers[0], "GET", p.path, ""); p.want != "" && string(b) != p.want || p.want == "" && !bytes.Contains(b, []byte(`"code":208`)) {
 			t.Errorf("%s: %s", p.path, b)
 		}
 	}
 }
 
-// Two operators on one version, at two nodes at once: exactly one is told that it won, and its bytes are read back.
+// TestControlRaces has three operators change one version at three nodes at once: exactly one succeeds, and its bytes are
+// read back.
 func TestControlRaces(t *testing.T) {
 	t.Parallel()
-	cs := grownCore(t, 3, toyBook())
+	controllers := startSeededControllers(t, 3, testAdapter())
 	last := uint64(0)
 	for round := range 25 {
 		var wg sync.WaitGroup
@@ -192,40 +193,44 @@
 		for i := range 3 {
 			data[i] = fmt.Appendf(nil, `{"v":%d,"x":"%d"}`, last+1+uint64(i), i)
 			wg.Go(func() {
-				outcomes[i] = sure(t, func() (resultcode.Code, []*resultcode.Fault) { return cs[(i+round)%3].Control().Put(last, data[i]) })
+				outcomes[i] = retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) {
+					return controllers[(i+round)%3].Control().Put(last, data[i])
+				})
 			})
 		}
 		wg.Wait()
-		won := -1
+		winner := -1
 		for i, c := range outcomes {
-			if c == resultcode.OK && won < 0 {
-				won = i
+			if c == resultcode.OK && winner < 0 {
+				winner = i
 			} else if c != resultcode.VersionConflict {
 				t.Fatalf("round %d: %v", round, outcomes)
 			}
 		}
-		if won < 0 {
-			t.Fatalf("round %d: nobody won: %v", round, outcomes)
+		if winner < 0 {
+			t.Fatalf("round %d: no change succeeded: %v", round, outcomes)
 		}
-		got, v, code := sureRead(t, cs[round%3].Control())
-		if code != resultcode.OK || !bytes.Equal(got, data[won]) {
-			t.Fatalf("round %d: %d won, read back %d %s", round, won, code, got)
+		got, v, code := readUntilClear(t, controllers[round%3].Control())
+		if code != resultcode.OK || !bytes.Equal(got, data[winner]) {
+			t.Fatalf("round %d: %d won, read back %d %s", round, winner, code, got)
 		}
 		last = v
 	}
 }
 
-// A zone is set and taken back at any node, as often as it is asked; one that there is not is refused.
+// TestControlZones evacuates and readmits a zone at any node, also repeatedly. An unknown zone is refused.
 func TestControlZones(t *testing.T) {
 	t.Parallel()
-	cs := grownCore(t, 3, toyBook())
-	for i, out := range []bool{true, true, false, false, true, false} {
-		code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return cs[i%3].Control().Zone(nil, "z9", out), nil })
-		if _, b := call(t, cs[(i+1)%3], "GET", "/v1/zones/z9", ""); code != resultcode.OK || string(b) != fmt.Sprintf(`{"evacuated":%v}`, out) {
-			t.Errorf("set to %v: %d, read back %s", out, code, b)
+	controllers := startSeededControllers(t, 3, testAdapter())
+	for i, evacuated := range []bool{true, true, false, false, true, false} {
+		code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) {
+			return controllers[i%3].Control().Zone(nil, "z9", evacuated), nil
+		})
+		if _, b := sendRequest(t, controllers[(i+1)%3], "GET", "/v1/zones/z9", ""); code != resultcode.OK || string(b) != fmt.Sprintf(`{"evacuated":%v}`, evacuated) {
+			t.Errorf("set to %v: %d, read back %s", evacuated, code, b)
 		}
 	}
-	if code := cs[0].Control().Zone(nil, "z1", true); code != resultcode.UnknownZone {
-		t.Errorf("a zone that the boot file doesn't name: %d", code)
+	if code := controllers[0].Control().Zone(nil, "z1", true); code != resultcode.UnknownZone {
+		t.Errorf("a zone that the settings don't list: %d", code)
 	}
 }
--- a/internal/control/controller/audit.go
+++ b/internal/control/controller/audit.go
@@ -7,62 +7,63 @@
 	"seamshunt/internal/control/changelog"
 )
 
-// entry is one acknowledged change on its way into the audit record.
-type entry struct {
-	leaf changelog.Entry
-	done chan struct{}
+// auditEntry is one acknowledged change on its way into the audit record.
+type auditEntry struct {
+	record changelog.Entry
+	done   chan struct{}
 }
 
-// auditWait is how long an acknowledgement waits for its entry: a disk that stalls must not hold up a change that a
-// majority has. The entry is still written, in its order, when the disk comes back (design 10).
+// auditWait is how long an acknowledgement waits for its audit entry: a stalled disk must not hold up a change that a
+// majority has stored. The entry is still written, in order, when the disk recovers (docs/design.md, section 10).
 const auditWait = 150 * time.Millisecond
 
-// note hands an entry over and waits a little. One that can't be recorded is counted and never turns a change that
-// stands into one that does not.
-func (c *Controller) note(ctx context.Context, l changelog.Entry) {
-	e := entry{leaf: l, done: make(chan struct{})}
+// appendAudit queues an entry and waits for auditWait at most. An entry that can't be recorded is counted; it doesn't
+// change the result of the change, which is in force already.
+func (c *Controller) appendAudit(ctx context.Context, record changelog.Entry) {
+	entry := auditEntry{record: record, done: make(chan struct{})}
 	select {
-	case c.audit <- e:
+	case c.auditQueue <- entry:
 	default:
-		c.missed.Add(1)
+		c.auditMissed.Add(1)
 		return
 	}
-	t := time.NewTimer(auditWait)
-	defer t.Stop()
+	timer := time.NewTimer(auditWait)
+	defer timer.Stop()
 	select {
-	case <-e.done:
-	case <-t.C:
-	case <-ctx.Done(): // the answer's time is up
+	case <-entry.done:
+	case <-timer.C:
+	case <-ctx.Done(): // the call's deadline has passed
 	}
 }
 
-// recorder is the record's only user. It opens it with the first entry, since a sick disk may hold that up.
-func (c *Controller) recorder() {
-	var l *changelog.Log
+// auditLoop is the only user of the audit record. It opens the record at the first entry, since a failing disk may block
+// that.
+func (c *Controller) auditLoop() {
+	var auditLog *changelog.Log
 	for {
 		select {
 		case <-c.Tasks.Stopped():
-			if l != nil {
-				l.Close()
+			if auditLog != nil {
+				auditLog.Close()
 			}
 			return
-		case e := <-c.audit:
+		case entry := <-c.auditQueue:
 			var err error
-			if l == nil {
-				l, err = changelog.Open(c.Settings.Data, c.Settings.Name)
+			if auditLog == nil {
+				auditLog, err = changelog.Open(c.Settings.Data, c.Settings.Name)
 			}
 			if err == nil {
-				err = l.Add(e.leaf)
+				err = auditLog.Add(entry.record)
 			}
 			if err != nil {
-				if l != nil { // a failed sync is final for its file: the next entry opens it anew
-					l.Close()
+				if auditLog != nil { // a file can't be used after a failed sync: the next entry reopens it
+					auditLog.Close()
 				}
-				l = nil
-				c.missed.Add(1)
-				c.Log.WithError(err).Error("an acknowledged change is not in the audit record")
+				auditLog = nil
+				c.auditMissed.Add(1)
+				c.Log.WithError(err).Error("an acknowledged change is missing from the audit record")
 			}
-			close(e.done)
+			close(entry.done)
 		}
 	}
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller is the control plane: state on disk, operators, the platform, news (design 1, 2, 4, 5, 9).
+// Package controller runs a node of the control plane (docs/design.md, sections 1, 2, 4, 5 and 9).
 package controller
 
 import (
@@ -26,74 +26,74 @@
 	"seamshunt/internal/units"
 )
 
-const recSelf uint8 = 1
+const recordIdentity uint8 = 1
 
-// Controller is one process of the control plane.
+// Controller is one control-plane process: state on disk, operators' interface, polls of the platform, pushes of updates.
 type Controller struct {
 	*node.Base
-	replicaMu       sync.Mutex
-	replica         *register.Replica
-	claims          *idempotency.Registry // claims; under replicaMu, as what it says goes through the same queue
-	waits           map[uint64]chan register.Result
-	disk            disk
-	leaseMu         sync.Mutex
-	lease           *lease.Lease
-	tag             atomic.Uint64
-	plans           sync.Map // plan id to *plan
-	leaving         atomic.Bool
-	web             *fasthttp.Server
-	polled          poll
-	catalogMu       sync.Mutex // last in the lock order but for the disk queue
-	catalog         *discovery.Catalog
-	seeds           register.SeedBootstrap // where voters are founded from seeds and grow
-	planner         register.Planner       // which replicas the quorum set is to have
-	shortfall       shortfall              // what the set does not bear of what the settings ask for; under replicaMu
-	born            []string               // the seeds that the disk bears
-	heir            bool                   // a damaged file was set aside on this disk
-	audit           chan entry             // to the one writer of the audit record
-	missed          atomic.Uint64          // acknowledged changes that the audit record lacks
-	syncer          *antientropy.Syncer    // under replicaMu
-	adapter         *adapter.Adapter       // the outside world's names and formats; nil for the product's own
-	door            fasthttp.RequestHandler
-	taken           versions
-	zoneOrders      zoneOrders
-	abandonedOrders atomic.Uint64 // orders whose callers had left
-	kept            kept          // the wire to the platform
+	replicaMu         sync.Mutex
+	replica           *register.Replica
+	claims            *idempotency.Registry // guarded by replicaMu, since its writes go through the same disk queue
+	pendingResults    map[uint64]chan register.Result
+	disk              disk
+	leaseMu           sync.Mutex
+	lease             *lease.Lease
+	lastTag           atomic.Uint64
+	plans             sync.Map // *plan by plan ID
+	draining          atomic.Bool
+	httpServer        *fasthttp.Server
+	pollStatus        pollStatus
+	catalogMu         sync.Mutex // in the lock order only the disk queue comes after it
+	catalog           *discovery.Catalog
+	bootstrapSeeds    register.SeedBootstrap // used where the quorum set is bootstrapped from seeds and grows
+	planner           register.Planner       // chooses the members of the quorum set
+	shortfall         shortfall              // the required fault tolerance that the quorum set lacks; guarded by replicaMu
+	originalSeeds     []string               // the seeds of the very first start, as stored on this disk
+	damageSetAside    bool                   // this disk holds a damaged log that was set aside
+	auditQueue        chan auditEntry        // read by auditLoop, the only writer of the audit record
+	auditMissed       atomic.Uint64          // acknowledged changes that are missing from the audit record
+	syncer            *antientropy.Syncer    // guarded by replicaMu
+	adapter           *adapter.Adapter       // a site's names and formats; nil for the built-in interface
+	adapterHandler    fasthttp.RequestHandler
+	latestConfig      parsedConfig
+	zoneRequests      zoneRequestCounts
+	abandonedRequests atomic.Uint64  // requests whose clients had disconnected
+	platform          platformClient // keeps connections to the platform open
 }
 
-// New opens the disk, and with it learns who it is. The book, if any, is the outside world that it speaks with.
-func New(b *boot.Boot, book *adapter.Adapter) (*Controller, error) {
-	o, err := openDisk(b)
+// New opens the disk, which holds the node's identity, and builds the controller. siteAdapter may be nil.
+func New(nodeSettings *boot.Boot, siteAdapter *adapter.Adapter) (*Controller, error) {
+	opened, err := openDisk(nodeSettings)
 	if err != nil {
 		return nil, err
 	}
-	a, self := o.log, o.self
-	c := &Controller{Base: node.New(b, self, membership.Controller), waits: map[uint64]chan register.Result{}, planner: newPlanner(b), catalog: discovery.New(), adapter: book}
-	c.audit, c.heir = make(chan entry, 256), o.heir
-	c.disk.file = a
+	walLog, self := opened.log, opened.self
+	c := &Controller{Base: node.New(nodeSettings, self, membership.Controller), pendingResults: map[uint64]chan register.Result{}, planner: newPlanner(nodeSettings), catalog: discovery.New(), adapter: siteAdapter}
+	c.auditQueue, c.damageSetAside = make(chan auditEntry, 256), opened.setAside
+	c.disk.file = walLog
 	c.disk.wake = make(chan struct{}, 1)
 	c.replica = register.New(self, node.RandomID())
-	if err := c.replica.Load(a.Live()); err != nil {
+	if err := c.replica.Load(walLog.Live()); err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
-	c.polled.stoodStill = c.WasPausedSince
-	c.seeds, c.born = founding(b, a.Live()), born(a.Live())
-	c.SetFlag(membership.Counts, b.Counts || !b.Grow)
-	c.SetFlag(membership.First, b.Grow && c.seeds.Participates)
-	if book != nil && book.Control != nil {
-		c.door = book.Control(c.Control())
+	c.pollStatus.wasPausedSince = c.WasPausedSince
+	c.bootstrapSeeds, c.originalSeeds = bootstrapSeeds(nodeSettings, walLog.Live()), originalSeeds(walLog.Live())
+	c.SetFlag(membership.Counts, nodeSettings.Counts || !nodeSettings.Grow)
+	c.SetFlag(membership.First, nodeSettings.Grow && c.bootstrapSeeds.Participates)
+	if siteAdapter != nil && siteAdapter.Control != nil {
+		c.adapterHandler = siteAdapter.Control(c.Control())
 	}
-	c.claims = idempotency.LoadRegistry(self, c.Tasks.Now(), a.Live())
-	if o.damage != nil {
-		c.sayDamage(o.damage)
+	c.claims = idempotency.LoadRegistry(self, c.Tasks.Now(), walLog.Live())
+	if opened.damage != nil {
+		c.reportDamage(opened.damage)
 	}
-	if o.blank {
-		c.Log.Warn("a blank disk: this node has no vote yet")
+	if opened.uninitialized {
+		c.Log.Warn("the disk is uninitialized: this node has no vote yet")
 	}
-	c.tag.Store(uint64(node.RandomID()) >> 2)
-	c.lease = lease.New(self, "platform", func() []units.NodeID { return c.voters().Members }, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 1)))
+	c.lastTag.Store(uint64(node.RandomID()) >> 2)
+	c.lease = lease.New(self, "platform", func() []units.NodeID { return c.quorumSet().Members }, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 1)))
 	c.syncer = antientropy.New(self, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 2)))
-	c.PersistEffects = c.later
+	c.PersistEffects = c.queueEffects
 	c.MessageHandlers[message.KindAntiEntropy] = func(_ units.Time, n message.Message) {
 		c.replicaMu.Lock()
 		c.Deliver(c.syncer.Step(n, c.replica.States(), c.replica.Resend))
@@ -115,7 +115,7 @@
 		}
 		c.leaseMu.Unlock()
 	}
-	c.MessageHandlers[message.KindRegister] = c.step
+	c.MessageHandlers[message.KindRegister] = c.handleRegisterMessage
 	c.MessageHandlers[message.KindClaim] = func(now units.Time, n message.Message) {
 		c.replicaMu.Lock()
 		c.Deliver(c.claims.Step(now, n, c.replica.QuorumVersion()))
@@ -135,7 +135,7 @@
 	return c, nil
 }
 
-// Start opens everything and returns.
+// Start opens the listeners, starts the loops and returns.
 func (c *Controller) Start() error {
 	ln, err := listener.Listen(c.Settings.Web)
 	if err != nil {
@@ -145,105 +145,105 @@
 		ln.Close()
 		return err
 	}
-	c.web = &fasthttp.Server{Handler: c.serve, Name: "controller", MaxRequestBodySize: 16 << 20, NoDefaultDate: true, Logger: quiet{}, Concurrency: c.MaxClientConnections()}
-	c.Serve("operators", ln, func(ln net.Listener) error { return c.web.Serve(c.callersOf(ln)) })
-	c.Tasks.Go(c.writer)
-	c.Tasks.Go(c.recorder)
-	c.Tasks.Every(50*time.Millisecond, c.beat)
+	c.httpServer = &fasthttp.Server{Handler: c.serve, Name: "controller", MaxRequestBodySize: 16 << 20, NoDefaultDate: true, Logger: silentLogger{}, Concurrency: c.MaxClientConnections()}
+	c.Serve("operators", ln, func(ln net.Listener) error { return c.httpServer.Serve(c.trackSendTimes(ln)) })
+	c.Tasks.Go(c.diskLoop)
+	c.Tasks.Go(c.auditLoop)
+	c.Tasks.Every(50*time.Millisecond, c.tick)
 	for _, p := range c.Settings.Pools {
-		c.Tasks.Go(func() { c.poller(p) })
+		c.Tasks.Go(func() { c.pollLoop(p) })
 	}
 	return nil
 }
 
-type quiet struct{}
+type silentLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (silentLogger) Printf(string, ...any) {}
 
-func (c *Controller) voters() register.QuorumSet {
+func (c *Controller) quorumSet() register.QuorumSet {
 	c.replicaMu.Lock()
 	defer c.replicaMu.Unlock()
 	return c.replica.Quorum()
 }
 
-// step runs under the lock until its output is queued, so that the disk sees the order that the machine had.
-func (c *Controller) step(now units.Time, n message.Message) {
+// handleRegisterMessage holds replicaMu until its effects are queued, so that the disk sees them in the replica's order.
+func (c *Controller) handleRegisterMessage(now units.Time, n message.Message) {
 	c.replicaMu.Lock()
-	out := c.replica.Step(now, n)
-	news := c.drain()
-	c.Deliver(out)
+	effects := c.replica.Step(now, n)
+	chosen := c.collectResults()
+	c.Deliver(effects)
 	c.replicaMu.Unlock()
-	c.spread(now, news)
+	c.pushUpdates(now, chosen)
 }
 
-// drain passes results to those who wait and takes what was chosen; replicaMu is held.
-func (c *Controller) drain() []register.ChosenValue {
-	for _, r := range c.replica.Results {
-		if ch := c.waits[r.Tag]; ch != nil {
-			delete(c.waits, r.Tag)
-			ch <- r
+// collectResults passes results to waiting callers and returns the values that were chosen. replicaMu must be held.
+func (c *Controller) collectResults() []register.ChosenValue {
+	for _, result := range c.replica.Results {
+		if waiting := c.pendingResults[result.Tag]; waiting != nil {
+			delete(c.pendingResults, result.Tag)
+			waiting <- result
 		}
 	}
 	c.replica.Results = nil
-	news := c.replica.Chosen
+	chosen := c.replica.Chosen
 	c.replica.Chosen = nil
-	return news
+	return chosen
 }
 
-func (c *Controller) spread(now units.Time, news []register.ChosenValue) {
-	if len(news) == 0 {
+func (c *Controller) pushUpdates(now units.Time, updates []register.ChosenValue) {
+	if len(updates) == 0 {
 		return
 	}
-	var to []units.NodeID
+	var targets []units.NodeID
 	for _, m := range c.Members() {
 		if m.State <= membership.Suspect && m.Node != c.Self {
-			to = append(to, m.Node)
+			targets = append(targets, m.Node)
 		}
 	}
-	for _, x := range news {
+	for _, update := range updates {
 		c.FeedMu.Lock()
-		out := c.Feed.Spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: x.Data}, to)
+		effects := c.Feed.Spread(now, configpush.Item{Key: update.Key, Num: update.Version, Data: update.Data}, targets)
 		c.FeedMu.Unlock()
-		c.Deliver(out)
+		c.Deliver(effects)
 	}
 }
 
-// beat compares what is with what should be: owners, voters, founding, the duty.
-func (c *Controller) beat(now units.Time) {
-	all := c.Members()
+// tick runs the periodic work: disk health, key owners, the quorum set, bootstrap, catch-up and the platform lease.
+func (c *Controller) tick(now units.Time) {
+	members := c.Members()
 	unfit := c.disk.unfit(now)
-	low, full := c.tryDisk(now)
+	onReserve, full := c.probeDisk(now)
 	c.SetFlag(membership.Full, full)
-	c.SetFlag(membership.Draining, c.leaving.Load())
-	look := register.NewControllerView(all)
+	c.SetFlag(membership.Draining, c.draining.Load())
+	view := register.NewControllerView(members)
 	c.FeedMu.Lock()
-	told, fresh := c.Feed.Items[register.KeyQuorum], c.Feed.Fresh
+	quorumItem, updates := c.Feed.Items[register.KeyQuorum], c.Feed.Fresh
 	c.Feed.Fresh = nil
 	c.FeedMu.Unlock()
-	c.look(now, fresh)
+	c.takeWorkerLists(now, updates)
 	c.replicaMu.Lock()
 	unfit = unfit || !c.replica.ReachesMajority(now)
-	if told != nil {
-		c.Deliver(c.replica.LearnQuorum(told.Data))
-	}
-	c.replica.SetEligible(look.Eligible, look.Draining...)
-	c.voting(now, look)
-	out := c.replica.Tick(now)
-	c.claims.Low = low
-	out.Join(c.claims.Tick(now, c.replica.Quorum()))
+	if quorumItem != nil {
+		c.Deliver(c.replica.LearnQuorum(quorumItem.Data))
+	}
+	c.replica.SetEligible(view.Eligible, view.Draining...)
+	c.updateQuorum(now, view)
+	effects := c.replica.Tick(now)
+	c.claims.Low = onReserve
+	effects.Join(c.claims.Tick(now, c.replica.Quorum()))
 	c.syncer.SetHealthy(!unfit)
-	out.Join(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
+	effects.Join(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
 	voter := c.replica.Quorum().Has(c.Self)
-	seat := c.planner.SeatValidUntil(c.replica.LastMajorityContact(now))
-	news := c.drain()
-	c.Deliver(out)
+	seatUntil := c.planner.SeatValidUntil(c.replica.LastMajorityContact(now))
+	chosen := c.collectResults()
+	c.Deliver(effects)
 	c.replicaMu.Unlock()
 	c.SetFlag(membership.Voter, voter)
 	c.SetFlag(membership.Unfit, unfit)
-	c.spread(now, news)
+	c.pushUpdates(now, chosen)
 	c.leaseMu.Lock()
-	c.lease.SetSeatExpiry(seat)
-	d := c.lease.Tick(now, voter && !c.leaving.Load())
+	c.lease.SetSeatExpiry(seatUntil)
+	leaseEffects := c.lease.Tick(now, voter && !c.draining.Load())
 	c.leaseMu.Unlock()
-	c.Deliver(d)
+	c.Deliver(leaseEffects)
 }
--- a/internal/control/controller/damage_test.go
+++ b/internal/control/controller/damage_test.go
@@ -11,8 +11,8 @@
 	"seamshunt/internal/testutil"
 )
 
-// logged runs f with the standard error stream in a file, and gives what f wrote there.
-func logged(t *testing.T, f func()) string {
+// captureLog runs f with standard error redirected to a file and returns what f wrote there.
+func captureLog(t *testing.T, f func()) string {
 	t.Helper()
 	out, err := os.CreateTemp(t.TempDir(), "log")
 	if err != nil {
@@ -29,17 +29,20 @@
 	return string(b)
 }
 
-// A wrong checksum in the last record of a log that was answered for: the disk starts as a learner under another
-// identity, never votes, founds no new fleet, and says so in the log, in a metric and in the status; after one more start
-// it still is no founder.
-func TestDamagedDiskSaysSo(t *testing.T) {
+// TestDamagedDiskIsReported corrupts the checksum of a log's last record, which was acknowledged. The node must start as
+// a learner with a new identity, never vote, not bootstrap a new fleet, and report the damage in the log, in a metric and
+// in the status. After a further restart it still must not bootstrap.
+func TestDamagedDiskIsReported(t *testing.T) {
 	dir := t.TempDir()
-	c := alone(t, dir)
-	testutil.Until(t, "the first is taken", func() bool { code, _ := call(t, c, "PUT", "/v1/config?number=0", configText); return code == 200 })
-	if _, b := call(t, c, "GET", "/metrics", ""); !bytes.Contains(b, []byte("seamshunt_disk_damaged 0\n")) {
-		t.Error("a whole disk is said to be damaged")
+	c := startSingle(t, dir)
+	testutil.Until(t, "the first configuration is written", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
+		return code == 200
+	})
+	if _, b := sendRequest(t, c, "GET", "/metrics", ""); !bytes.Contains(b, []byte("seamshunt_disk_damaged 0\n")) {
+		t.Error("an intact disk is reported as damaged")
 	}
-	was := c.Self
+	originalID := c.Self
 	c.Drain()
 	path := filepath.Join(dir, "wal")
 	b, err := os.ReadFile(path)
@@ -50,9 +53,9 @@
 	if err := os.WriteFile(path, b, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	lines := logged(t, func() { c = alone(t, dir) })
+	lines := captureLog(t, func() { c = startSingle(t, dir) })
 	if !strings.Contains(lines, "the disk is damaged") || !strings.Contains(lines, "learner") {
-		t.Errorf("the log says %q", lines)
+		t.Errorf("the log has %q", lines)
 	}
 	check := func(damaged bool) {
 		t.Helper()
@@ -63,30 +66,30 @@
 				SetAside bool `json:"set_aside"`
 			}
 		}
-		_, b := call(t, c, "GET", "/status", "")
+		_, b := sendRequest(t, c, "GET", "/status", "")
 		if err := json.Unmarshal(b, &x); err != nil {
 			t.Fatal(err)
 		}
 		if !strings.HasPrefix(x.State, "learner") || (x.Disk.Damaged != "") != damaged || !x.Disk.SetAside {
-			t.Errorf("the status says %+v", x)
+			t.Errorf("the status has %+v", x)
 		}
 		want := "seamshunt_disk_damaged 0\n"
 		if damaged {
 			want = "seamshunt_disk_damaged 1\n"
 		}
-		if _, b := call(t, c, "GET", "/metrics", ""); !bytes.Contains(b, []byte(want)) {
+		if _, b := sendRequest(t, c, "GET", "/metrics", ""); !bytes.Contains(b, []byte(want)) {
 			t.Errorf("the metrics lack %q", want)
 		}
-		if code, b := call(t, c, "GET", "/v1/config", ""); code != 503 {
-			t.Errorf("a read is answered %d %s", code, b)
+		if code, b := sendRequest(t, c, "GET", "/v1/config", ""); code != 503 {
+			t.Errorf("a read got %d %s", code, b)
 		}
-		if c.Self == was || c.voters().Version != 0 {
-			t.Errorf("node %v, was %v; voters %v", c.Self, was, c.voters())
+		if c.Self == originalID || c.quorumSet().Version != 0 {
+			t.Errorf("node %v, was %v; voters %v", c.Self, originalID, c.quorumSet())
 		}
 	}
 	check(true)
 	c.Drain()
-	c = alone(t, dir)
+	c = startSingle(t, dir)
 	t.Cleanup(func() { c.Drain() })
 	check(false)
 }
--- a/internal/control/controller/disk.go
+++ b/internal/control/controller/disk.go
@@ -11,31 +11,31 @@
 	"seamshunt/internal/units"
 )
 
-// stallAt is how long one sync may last before this node hands its keys over.
-const stallAt = 500 * time.Millisecond
+// stallThreshold is how long one sync may take before this node gives up the ownership of its keys.
+const stallThreshold = 500 * time.Millisecond
 
-// disk is the queue before the one writer of the file.
+// disk is the log file with the queue of its only writer, diskLoop.
 type disk struct {
-	mu    sync.Mutex
-	file  *wal.Log
-	queue []message.Effects
-	wake  chan struct{}
-	since units.Time // when the write under way began; zero when idle
-	sick  bool
-	// damage is why the disk was set aside; nil for one that was whole
-	damage error
-	full   bool // a write found no room, not even in the reserve
-	low    bool // the disk gives no more room: the reserve is for operators' changes
-	tried  units.Time
-	slow   time.Duration
-	fault  func() error // planted by tests in place of the file's own
+	mu             sync.Mutex
+	file           *wal.Log
+	queue          []message.Effects
+	wake           chan struct{}
+	writeStartedAt units.Time // of the write in progress; zero when idle
+	failed         bool
+	// damage is why the log was set aside; nil if it was intact
+	damage            error
+	full              bool // a write found no space, not even in the reserve
+	onReserve         bool // the disk has no free space: the reserve is kept for operators' changes
+	lastProbeAt       units.Time
+	lastWriteDuration time.Duration
+	injectedFault     func() error // set by tests; called instead of appending to the file
 }
 
-// later queues writes and what must wait for them. It never blocks.
-func (c *Controller) later(out message.Effects) {
+// queueEffects queues writes and the messages that must wait until they are synced. It never blocks.
+func (c *Controller) queueEffects(effects message.Effects) {
 	d := &c.disk
 	d.mu.Lock()
-	d.queue = append(d.queue, message.Effects{Writes: out.Writes, AfterSync: out.AfterSync})
+	d.queue = append(d.queue, message.Effects{Writes: effects.Writes, AfterSync: effects.AfterSync})
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -43,8 +43,8 @@
 	}
 }
 
-// writer is the file's only user. It takes all that is queued, syncs once, and lets the replies go.
-func (c *Controller) writer() {
+// diskLoop is the only user of the file. It takes the whole queue, syncs once, and sends the messages that waited for it.
+func (c *Controller) diskLoop() {
 	d := &c.disk
 	for {
 		select {
@@ -56,109 +56,109 @@
 		d.mu.Lock()
 		batch := d.queue
 		d.queue = nil
-		d.since = c.Tasks.Now()
-		sick, fault := d.sick, d.fault
+		d.writeStartedAt = c.Tasks.Now()
+		failed, injectedFault := d.failed, d.injectedFault
 		d.mu.Unlock()
-		if sick {
-			continue // no reply ever leaves again: the node must be restarted
+		if failed {
+			continue // no message is sent any more: the node must be restarted
 		}
-		var rs []message.Record
-		for _, o := range batch {
-			rs = append(rs, o.Writes...)
+		var records []message.Record
+		for _, effects := range batch {
+			records = append(records, effects.Writes...)
 		}
 		var err error
-		if fault != nil && len(rs) > 0 {
-			err = fault()
+		if injectedFault != nil && len(records) > 0 {
+			err = injectedFault()
 		} else {
-			err = d.file.Append(rs)
+			err = d.file.Append(records)
 		}
 		d.mu.Lock()
-		d.low = d.file.Low()
-		d.slow = c.Tasks.Now().Sub(d.since)
-		d.since = 0
-		d.sick = d.sick || err != nil && !errors.Is(err, wal.ErrFull)
-		if len(rs) > 0 {
+		d.onReserve = d.file.Low()
+		d.lastWriteDuration = c.Tasks.Now().Sub(d.writeStartedAt)
+		d.writeStartedAt = 0
+		d.failed = d.failed || err != nil && !errors.Is(err, wal.ErrFull)
+		if len(records) > 0 {
 			d.full = errors.Is(err, wal.ErrFull)
 		}
 		d.mu.Unlock()
 		if err != nil {
-			c.Log.WithError(err).Error("the disk failed")
-			c.diskFailed(err)
+			c.Log.WithError(err).Error("writing to the disk failed")
+			c.recoverDisk(err)
 			continue
 		}
-		for _, o := range batch {
-			for _, n := range o.AfterSync {
+		for _, effects := range batch {
+			for _, n := range effects.AfterSync {
 				c.Transport.Send(n)
 			}
 		}
 	}
 }
 
-// diskFailed: what the machine believes is not what the disk holds. It is rebuilt from the disk alone.
-func (c *Controller) diskFailed(err error) {
+// recoverDisk rebuilds the replica from the disk after a failed write: the state in memory is ahead of the state on disk.
+func (c *Controller) recoverDisk(err error) {
 	if errors.Is(err, wal.ErrFull) {
-		c.reload(c.disk.file)
+		c.reloadReplica(c.disk.file)
 		return
 	}
 	c.disk.file.Close()
-	o, err := openDisk(c.Settings)
-	if o.damage != nil {
-		c.sayDamage(o.damage)
+	opened, err := openDisk(c.Settings)
+	if opened.damage != nil {
+		c.reportDamage(opened.damage)
 	}
-	if err == nil && !o.blank {
-		err = o.log.Renew()
+	if err == nil && !opened.uninitialized {
+		err = opened.log.Renew()
 	}
-	if err != nil || o.blank {
+	if err != nil || opened.uninitialized {
 		c.Log.Error("the disk can't be opened again: this node stops voting")
 		return
 	}
-	c.reload(o.log)
+	c.reloadReplica(opened.log)
 	c.disk.mu.Lock()
-	c.disk.file, c.disk.sick = o.log, false
+	c.disk.file, c.disk.failed = opened.log, false
 	c.disk.mu.Unlock()
 }
 
-// unfit says whether this disk is too slow, stalled, full or sick for owning keys.
+// unfit reports whether this disk is too slow, stalled, full or failed, so that this node must not own keys.
 func (d *disk) unfit(now units.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.sick || d.full || d.since > 0 && now.Sub(d.since) > stallAt || d.slow > stallAt
+	return d.failed || d.full || d.writeStartedAt > 0 && now.Sub(d.writeStartedAt) > stallThreshold || d.lastWriteDuration > stallThreshold
 }
 
-// tryDisk says whether the disk gives no more room, and whether its reserve is used up too. While it is so, or while the
-// last write was slow, the disk is tried once a second: by a small record where the reserve is used up or the disk was
-// slow, since nothing else may come (a core whose disks are all unfit has no owners, and so no writes).
-func (c *Controller) tryDisk(now units.Time) (low, full bool) {
+// probeDisk reports whether the disk has no free space and whether its reserve is used up too. In either case, and while
+// the last write was slow, it probes the disk once a second. Where the reserve is used up or the disk was slow it writes
+// a small record, since there may be no other writes: if the disks of all controllers are unfit, no key has an owner.
+func (c *Controller) probeDisk(now units.Time) (onReserve, full bool) {
 	d := &c.disk
 	d.mu.Lock()
-	low, full = d.low || d.full, d.full
-	slow := d.slow > stallAt && d.since == 0
-	try := (low || slow) && now.Sub(d.tried) > time.Second
-	if try {
-		d.tried = now
+	onReserve, full = d.onReserve || d.full, d.full
+	slow := d.lastWriteDuration > stallThreshold && d.writeStartedAt == 0
+	due := (onReserve || slow) && now.Sub(d.lastProbeAt) > time.Second
+	if due {
+		d.lastProbeAt = now
 	}
 	d.mu.Unlock()
-	if try && (full || slow) {
-		c.later(message.Effects{Writes: []message.Record{self(c.Self, c.born)}})
-	} else if try {
-		c.later(message.Effects{})
+	if due && (full || slow) {
+		c.queueEffects(message.Effects{Writes: []message.Record{identityRecord(c.Self, c.originalSeeds)}})
+	} else if due {
+		c.queueEffects(message.Effects{})
 	}
-	return low, full
+	return onReserve, full
 }
 
-// noRoom says whether so many voters' disks are full that no write can find a majority.
-func (c *Controller) noRoom() bool {
-	v := c.voters()
-	room, full := 0, 0
+// majorityFull reports whether so many voters' disks are full that no write can reach a majority.
+func (c *Controller) majorityFull() bool {
+	quorum := c.quorumSet()
+	withSpace, full := 0, 0
 	for _, m := range c.Members() {
-		if !v.Has(m.Node) || m.State > membership.Suspect {
+		if !quorum.Has(m.Node) || m.State > membership.Suspect {
 			continue
 		}
 		if m.Flags&membership.Full != 0 {
 			full++
 		} else {
-			room++
+			withSpace++
 		}
 	}
-	return full > 0 && room <= len(v.Members)/2
+	return full > 0 && withSpace <= len(quorum.Members)/2
 }
--- a/internal/control/controller/evacuation.go
+++ b/internal/control/controller/evacuation.go
@@ -15,101 +15,104 @@
 	"seamshunt/internal/units"
 )
 
-// evacuate has a zone evacuated, or takes that back.
+// handleZoneRequest evacuates a zone or readmits it.
 //
-// The call has no version and no id of its own, so what its caller knew has to follow from when it was sent. An order changes
-// a state only if this node had heard of that before the order can have been sent, and writes on that state's number: whatever
-// was acknowledged since has a newer one. Every acknowledgement is a write with a number of its own, also where the zone is as
-// wished already, so that an order which was given up before and is still on its way inside meets a newer number as well.
-// An order that comes too late for this is left open, never refused; its caller sends it again, as a new call.
-func (c *Controller) evacuate(caller net.Conn, zone string, out bool) resultcode.Code {
-	began := c.Tasks.Now()
-	o := &zoneOrder{key: node.ZonePrefix + zone, wanted: fmt.Appendf(nil, `{"evacuated":%v}`, out)}
-	code := c.setZone(caller, zone, o)
-	c.zoneOrders.count(code)
-	c.Log.WithFields(log.Fields{"zone": zone, "evacuated": out, "builds_on": o.num, "may_change": o.mayChange, "code": int(code),
-		"took": c.Tasks.Now().Sub(began)}).Warn("an order for a zone")
+// The call has neither a version nor an ID, so the state that its client knew follows only from when it was sent. A
+// request may change a state only if this node knew that state before the request can have been sent. It is written on
+// the stored version of that state, so it conflicts with any change acknowledged since. Every acknowledgement is a write
+// with a new stored version, even if the zone is in the desired state already: a request that its client gave up earlier
+// and that is still on its way inside the fleet then conflicts too. A request that is too late for this gets an unknown
+// outcome and is never refused; its client sends it again as a new call.
+func (c *Controller) handleZoneRequest(client net.Conn, zone string, evacuate bool) resultcode.Code {
+	startedAt := c.Tasks.Now()
+	request := &zoneRequest{key: node.ZonePrefix + zone, desired: fmt.Appendf(nil, `{"evacuated":%v}`, evacuate)}
+	code := c.applyZoneRequest(client, zone, request)
+	c.zoneRequests.count(code)
+	c.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuate, "builds_on": request.baseVersion, "may_change": request.mayChange, "code": int(code),
+		"took": c.Tasks.Now().Sub(startedAt)}).Warn("handled a request to evacuate or readmit a zone")
 	return code
 }
 
-// zoneOrder is an order for a zone, with the state that it is to be written on.
-type zoneOrder struct {
-	key       string
-	wanted    []byte
-	num       units.Version
-	state     []byte
-	mayChange bool // the caller can have known of that state
+// zoneRequest is a request to evacuate or readmit a zone, with the state that it is written on.
+type zoneRequest struct {
+	key         string
+	desired     []byte
+	baseVersion units.Version
+	baseState   []byte
+	mayChange   bool // the client can have known the base state
 }
 
-// setZone carries an order out.
-func (c *Controller) setZone(caller net.Conn, zone string, o *zoneOrder) resultcode.Code {
-	ctx, done := answerTime(register.AnswerTimeout)
-	defer done()
+// applyZoneRequest checks a request, finds its base state and writes it.
+func (c *Controller) applyZoneRequest(client net.Conn, zone string, request *zoneRequest) resultcode.Code {
+	ctx, cancel := withAnswerTimeout(register.AnswerTimeout)
+	defer cancel()
 	if code := c.checkZoneExists(ctx, zone); code != resultcode.OK {
 		return code
 	}
-	if code := c.zoneState(ctx, o, c.sentAfter(caller)); code != resultcode.OK {
+	if code := c.findBaseState(ctx, request, c.earliestSendTime(client)); code != resultcode.OK {
 		return code
 	}
-	return c.writeZone(ctx, o)
+	return c.writeZoneState(ctx, request)
 }
 
-// writeZone writes an order on the state that it names or, where another came first, on the newest if that is as wished.
-func (c *Controller) writeZone(ctx context.Context, o *zoneOrder) resultcode.Code {
+// writeZoneState writes a request on its base state or, after a conflict, on the newest state if that is the desired one
+// already.
+func (c *Controller) writeZoneState(ctx context.Context, request *zoneRequest) resultcode.Code {
 	for {
-		if !o.mayChange && !bytes.Equal(o.state, o.wanted) {
+		if !request.mayChange && !bytes.Equal(request.baseState, request.desired) {
 			return resultcode.CommitUnknown
 		}
-		r := c.record(ctx, register.Request{Key: o.key, ExpectedVersion: o.num, Data: o.wanted})
-		switch r.Code {
+		result := c.writeAudited(ctx, register.Request{Key: request.key, ExpectedVersion: request.baseVersion, Data: request.desired})
+		switch result.Code {
 		case resultcode.OK:
-			c.learn(configpush.Item{Key: o.key, Num: r.Version, Data: o.wanted})
+			c.recordUpdate(configpush.Item{Key: request.key, Num: result.Version, Data: request.desired})
 			return resultcode.OK
 		case resultcode.VersionConflict:
 		default:
-			return r.Code
+			return result.Code
 		}
-		if code := c.newestZoneState(ctx, o); code != resultcode.OK {
+		if code := c.readZoneState(ctx, request); code != resultcode.OK {
 			return code
 		}
-		o.mayChange = false
+		request.mayChange = false
 	}
 }
 
-// learn takes a state that is about to be acknowledged here, so that the caller's next order finds it known.
-func (c *Controller) learn(item configpush.Item) {
+// recordUpdate stores a state that is about to be acknowledged by this node, so that the client's next request finds it
+// known.
+func (c *Controller) recordUpdate(item configpush.Item) {
 	c.FeedMu.Lock()
 	defer c.FeedMu.Unlock()
 	item.Heard = c.Tasks.Now()
 	c.Feed.Take(item)
 }
 
-// zoneState finds the state that an order is to be written on, given a time before which it was not sent.
-func (c *Controller) zoneState(ctx context.Context, o *zoneOrder, sentAfter units.Time) resultcode.Code {
-	if item, ok := c.heard(o.key); ok {
-		o.num, o.state, o.mayChange = item.Num, item.Data, item.Heard <= sentAfter
+// findBaseState finds the state that a request is written on, given a lower bound for the request's send time.
+func (c *Controller) findBaseState(ctx context.Context, request *zoneRequest, earliestSendTime units.Time) resultcode.Code {
+	if item, ok := c.knownItem(request.key); ok {
+		request.baseVersion, request.baseState, request.mayChange = item.Num, item.Data, item.Heard <= earliestSendTime
 		return resultcode.OK
 	}
-	code := c.newestZoneState(ctx, o)
-	o.mayChange = o.num == 0
+	code := c.readZoneState(ctx, request)
+	request.mayChange = request.baseVersion == 0
 	return code
 }
 
-// newestZoneState reads the state that a majority confirms.
-func (c *Controller) newestZoneState(ctx context.Context, o *zoneOrder) resultcode.Code {
-	r := c.Submit(ctx, register.Request{Key: o.key})
-	o.num, o.state = r.Version, r.Data
-	return r.Code
+// readZoneState reads the state from a majority and makes it the request's base state.
+func (c *Controller) readZoneState(ctx context.Context, request *zoneRequest) resultcode.Code {
+	result := c.Submit(ctx, register.Request{Key: request.key})
+	request.baseVersion, request.baseState = result.Version, result.Data
+	return result.Code
 }
 
-// heardOf is a key's value as this node last had news of it: it was chosen, but a newer one may stand.
-func (c *Controller) heardOf(key string) (units.Version, []byte) {
-	item, _ := c.heard(key)
+// knownValue returns the newest value of a key that this node knows. It was chosen, but a newer one may be in force.
+func (c *Controller) knownValue(key string) (units.Version, []byte) {
+	item, _ := c.knownItem(key)
 	return item.Num, item.Data
 }
 
-// heard is the same with the time at which this node had it.
-func (c *Controller) heard(key string) (configpush.Item, bool) {
+// knownItem is knownValue with the time at which this node received the value.
+func (c *Controller) knownItem(key string) (configpush.Item, bool) {
 	c.FeedMu.Lock()
 	defer c.FeedMu.Unlock()
 	item := c.Feed.Items[key]
--- a/internal/control/controller/metrics.go
+++ b/internal/control/controller/metrics.go
@@ -12,19 +12,19 @@
 	"seamshunt/internal/units"
 )
 
-// metrics answers with Prometheus text.
-func (c *Controller) metrics(ctx *fasthttp.RequestCtx) {
+// serveMetrics responds in the Prometheus text format.
+func (c *Controller) serveMetrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; version=0.0.4")
 	c.writeQuorumMetrics(ctx)
 	c.writePlatformMetrics(ctx)
 	c.WriteZoneMetrics(ctx)
-	c.zoneOrders.write(ctx)
-	writeMetric(ctx, "abandoned_orders_total", c.abandonedOrders.Load())
+	c.zoneRequests.write(ctx)
+	writeMetric(ctx, "abandoned_orders_total", c.abandonedRequests.Load())
 	c.writeDiskMetrics(ctx, c.Tasks.Now())
 	writeMetric(ctx, "bad_frames_total", c.Transport.Bad.Load())
 	writeMetric(ctx, "bad_notes_total", c.Errors.Load())
 	writeMetric(ctx, "dropped_notes_total", c.DroppedMessages.Load())
-	writeMetric(ctx, "audit_missed_total", c.missed.Load())
+	writeMetric(ctx, "audit_missed_total", c.auditMissed.Load())
 }
 
 // writeMetric writes one metric without labels.
@@ -43,10 +43,10 @@
 }
 
 func (c *Controller) writePlatformMetrics(w io.Writer) {
-	c.polled.mu.Lock()
-	defer c.polled.mu.Unlock()
-	writeMetric(w, "platform_answers_total", c.polled.ok)
-	writeMetric(w, "platform_failures_total", c.polled.bad)
+	c.pollStatus.mu.Lock()
+	defer c.pollStatus.mu.Unlock()
+	writeMetric(w, "platform_answers_total", c.pollStatus.successes)
+	writeMetric(w, "platform_failures_total", c.pollStatus.failures)
 }
 
 func (c *Controller) writeDiskMetrics(w io.Writer, now units.Time) {
@@ -65,13 +65,13 @@
 	return 0
 }
 
-// zoneOrders counts operators' orders for zones by their result.
-type zoneOrders struct {
+// zoneRequestCounts counts requests to evacuate or readmit zones by result code.
+type zoneRequestCounts struct {
 	mu     sync.Mutex
 	byCode map[resultcode.Code]uint64
 }
 
-func (z *zoneOrders) count(code resultcode.Code) {
+func (z *zoneRequestCounts) count(code resultcode.Code) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.byCode == nil {
@@ -80,8 +80,8 @@
 	z.byCode[code]++
 }
 
-// write gives Prometheus text.
-func (z *zoneOrders) write(w io.Writer) {
+// write writes the counts in the Prometheus text format.
+func (z *zoneRequestCounts) write(w io.Writer) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	for _, code := range message.Keys(z.byCode) {
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -11,85 +11,87 @@
 	"seamshunt/internal/units"
 )
 
-// openedDisk is what a start found on the disk.
+// openedDisk is the state of the disk at a start.
 type openedDisk struct {
-	log    *wal.Log
-	self   units.NodeID
-	blank  bool  // self is new: it has no vote
-	damage error // why what was there is not trusted; it is set aside
-	heir   bool  // a damaged file was set aside here, at this start or before: a fleet stood, and this disk founds none
+	log           *wal.Log
+	self          units.NodeID
+	uninitialized bool  // self is a new identity, which has no vote
+	damage        error // why the log that was there can't be trusted; it is set aside
+	setAside      bool  // a damaged log was set aside at this start or before: a fleet exists, so this disk must not bootstrap one
 }
 
-// openDisk reads the wal; a blank or damaged one begins a new identity, which has no vote (design 2, 3).
-func openDisk(b *boot.Boot) (o openedDisk, err error) {
-	o.log, err = wal.Open(b.Data, int64(b.Reserve))
+// openDisk reads the log. A disk whose log is missing or damaged gets a new identity, which has no vote (docs/design.md,
+// sections 2 and 3).
+func openDisk(nodeSettings *boot.Boot) (opened openedDisk, err error) {
+	opened.log, err = wal.Open(nodeSettings.Data, int64(nodeSettings.Reserve))
 	if errors.Is(err, wal.ErrDamaged) {
-		o.damage = err
-		if err = wal.SetAside(b.Data); err == nil {
-			o.log, err = wal.Open(b.Data, int64(b.Reserve))
+		opened.damage = err
+		if err = wal.SetAside(nodeSettings.Data); err == nil {
+			opened.log, err = wal.Open(nodeSettings.Data, int64(nodeSettings.Reserve))
 		}
 	}
 	if err != nil {
-		return openedDisk{damage: o.damage}, err
+		return openedDisk{damage: opened.damage}, err
 	}
-	o.heir = wal.HasSetAside(b.Data)
-	for _, r := range o.log.Live() {
-		var h idHead
-		if r.Kind == recSelf && (message.Unpack(r.Data, &h, new([]byte)) == nil || message.Unpack(r.Data, &h) == nil) {
-			o.self = units.NodeID(h.ID)
-			return o, nil
+	opened.setAside = wal.HasSetAside(nodeSettings.Data)
+	for _, r := range opened.log.Live() {
+		var head identityHead
+		if r.Kind == recordIdentity && (message.Unpack(r.Data, &head, new([]byte)) == nil || message.Unpack(r.Data, &head) == nil) {
+			opened.self = units.NodeID(head.ID)
+			return opened, nil
 		}
 	}
-	o.self, o.blank = node.RandomID(), true
+	opened.self, opened.uninitialized = node.RandomID(), true
 	var seeds []string
-	if b.Grow && b.First && b.Counts && !o.heir {
-		seeds = b.Seeds
+	if nodeSettings.Grow && nodeSettings.First && nodeSettings.Counts && !opened.setAside {
+		seeds = nodeSettings.Seeds
 	}
-	return o, o.log.Append([]message.Record{self(o.self, seeds)})
+	return opened, opened.log.Append([]message.Record{identityRecord(opened.self, seeds)})
 }
 
-// sayDamage tells operators that this disk begins anew as a learner.
-func (c *Controller) sayDamage(damage error) {
+// reportDamage records and logs that this node starts as a learner because its disk was damaged.
+func (c *Controller) reportDamage(damage error) {
 	c.disk.mu.Lock()
 	c.disk.damage = damage
 	c.disk.mu.Unlock()
-	c.Log.WithError(damage).Error("the disk is damaged: it is set aside as wal.damaged, and this disk begins anew as a learner under a new identity")
+	c.Log.WithError(damage).Error("the disk is damaged: its log is renamed to wal.damaged, and this node starts as a learner with a new identity")
 }
 
-type idHead struct{ ID uint64 }
+type identityHead struct{ ID uint64 }
 
-// self is the record of a disk's identity. One that was blank at the system's very first start bears the seeds of that
-// start, so that a process which is killed before the founding still takes part in it (design 13).
-func self(id units.NodeID, seeds []string) message.Record {
-	l := make([][]byte, len(seeds))
+// identityRecord returns the record of a disk's identity. On a disk that was uninitialized at the very first start of the
+// system it holds the seeds of that start, so that a process that is killed before the bootstrap still takes part in it
+// after its restart (docs/design.md, section 13).
+func identityRecord(id units.NodeID, seeds []string) message.Record {
+	list := make([][]byte, len(seeds))
 	for i, s := range seeds {
-		l[i] = []byte(s)
+		list[i] = []byte(s)
 	}
-	return message.Record{Kind: recSelf, Data: message.Pack(idHead{uint64(id)}, message.PackList(l))}
+	return message.Record{Kind: recordIdentity, Data: message.Pack(identityHead{uint64(id)}, message.PackList(list))}
 }
 
-// born gives the seeds of the very first start, if this disk was there.
-func born(rs []message.Record) (seeds []string) {
-	for _, r := range rs {
-		var h idHead
+// originalSeeds returns the seeds of the system's very first start, if this disk took part in it.
+func originalSeeds(records []message.Record) (seeds []string) {
+	for _, r := range records {
+		var head identityHead
 		var list []byte
-		if r.Kind != recSelf || message.Unpack(r.Data, &h, &list) != nil {
+		if r.Kind != recordIdentity || message.Unpack(r.Data, &head, &list) != nil {
 			continue
 		}
-		l, _ := message.UnpackList(list)
-		for _, s := range l {
+		items, _ := message.UnpackList(list)
+		for _, s := range items {
 			seeds = append(seeds, string(s))
 		}
 	}
 	return seeds
 }
 
-// founding says how this node takes part in a founding from seeds. Without a disk that counts only this very process
-// can be of the first start.
-func founding(b *boot.Boot, rs []message.Record) register.SeedBootstrap {
-	s := register.SeedBootstrap{Addr: b.Addr, SeedAddrs: born(rs), Participates: len(born(rs)) > 0}
-	if !b.Counts {
-		s.SeedAddrs, s.Participates = b.Seeds, b.First
+// bootstrapSeeds returns how this node takes part in a bootstrap from seeds. A node whose disk doesn't count has nothing
+// stored of the first start: it belongs to it only if this process was started with that setting.
+func bootstrapSeeds(nodeSettings *boot.Boot, records []message.Record) register.SeedBootstrap {
+	seeds := register.SeedBootstrap{Addr: nodeSettings.Addr, SeedAddrs: originalSeeds(records), Participates: len(originalSeeds(records)) > 0}
+	if !nodeSettings.Counts {
+		seeds.SeedAddrs, seeds.Participates = nodeSettings.Seeds, nodeSettings.First
 	}
-	return s
+	return seeds
 }
--- a/internal/control/controller/outcome_test.go
+++ b/internal/control/controller/outcome_test.go
@@ -11,42 +11,44 @@
 	"seamshunt/internal/units"
 )
 
-// The bound is never above the number whose document bore the version, whatever steps the versions took.
-func TestLowestNumber(t *testing.T) {
+// TestLowestStoredVersion checks that the bound is never above the stored version of the document, whatever the gaps
+// between the document versions.
+func TestLowestStoredVersion(t *testing.T) {
 	versions := []uint64{0, 5, 6, 9, 10, 11, 40}
-	for now, ver := range versions {
-		for at, builds := range versions[:now+1] {
-			if got := lowestNumber(units.Version(now), ver, builds); got > units.Version(at) {
-				t.Errorf("version %d stands under number %d, seen from %d: bound %d", builds, at, now, got)
+	for now, docVersion := range versions {
+		for at, base := range versions[:now+1] {
+			if got := lowestStoredVersion(units.Version(now), docVersion, base); got > units.Version(at) {
+				t.Errorf("document version %d has stored version %d, seen from %d: bound %d", base, at, now, got)
 			}
 		}
 	}
-	if got := lowestNumber(3000, 3000, 2990); got != 2990 {
-		t.Errorf("versions that rise by one: bound %d, want 2990", got)
+	if got := lowestStoredVersion(3000, 3000, 2990); got != 2990 {
+		t.Errorf("document versions that rise by one: bound %d, want 2990", got)
 	}
-	if got := lowestNumber(7, 40, 50); got != 7 {
-		t.Errorf("a version that never was: bound %d, want 7", got)
+	if got := lowestStoredVersion(7, 40, 50); got != 7 {
+		t.Errorf("a document version that never existed: bound %d, want 7", got)
 	}
 }
 
-// An order for what is in force already is acknowledged by a majority only, not from what this node has heard.
+// TestUnchangedAsksAMajority checks that a request for the configuration in force is acknowledged only after a majority
+// has confirmed it, not from the node's local state.
 func TestUnchangedAsksAMajority(t *testing.T) {
 	t.Parallel()
-	c := grownCore(t, 1, toyBook())[0]
+	c := startSeededControllers(t, 1, testAdapter())[0]
 	doc := func(v int) []byte { return fmt.Appendf(nil, `{"v":%d,"x":"a"}`, v) }
-	put := func(builds uint64, v int) resultcode.Code {
-		return sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Put(builds, doc(v)) })
+	put := func(base uint64, v int) resultcode.Code {
+		return retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Put(base, doc(v)) })
 	}
 	if a, b := put(0, 1), put(1, 1); a != resultcode.OK || b != resultcode.OK {
-		t.Fatalf("taken %d, again %d", a, b)
+		t.Fatalf("first write %d, repeated %d", a, b)
 	}
-	if code := c.unchanged(context.Background(), 7); code != resultcode.VersionConflict {
-		t.Errorf("under another number: %d", code)
+	if code := c.confirmUnchanged(context.Background(), 7); code != resultcode.VersionConflict {
+		t.Errorf("on another stored version: %d", code)
 	}
 	var once sync.Once
 	held, writing := make(chan struct{}), make(chan struct{})
 	c.disk.mu.Lock()
-	c.disk.fault = func() error {
+	c.disk.injectedFault = func() error {
 		once.Do(func() { close(writing) })
 		<-held
 		return nil
@@ -54,7 +56,7 @@
 	c.disk.mu.Unlock()
 	t.Cleanup(func() { close(held) })
 	c.Tasks.Go(func() { c.Control().Put(1, doc(2)) })
-	testutil.Until(t, "the disk stands still", func() bool {
+	testutil.Until(t, "the disk stalls", func() bool {
 		select {
 		case <-writing:
 			return true
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -18,79 +18,79 @@
 	"seamshunt/internal/units"
 )
 
-// plan waits for an operator's confirmation on the node that made it; its id names that node.
+// plan is a proposed change. It is held for confirmation on the node that made it; its ID contains the ID of that node.
 type plan struct {
-	key  string
-	num  units.Version
-	data []byte
-	made units.Time
+	key         string
+	baseVersion units.Version
+	data        []byte
+	createdAt   units.Time
 }
 
-const planLife = 10 * time.Minute
+const planLifetime = 10 * time.Minute
 
-// passOnTimeout is how long an operator's call passed on to another node may take.
-const passOnTimeout = register.RequestTimeout + 2*time.Second
+// forwardTimeout limits an operator's call that is forwarded to another node.
+const forwardTimeout = register.RequestTimeout + 2*time.Second
 
-// propose works out what a configuration, or a zone's evacuation, would change; nothing is written.
-func (c *Controller) propose(ctx *fasthttp.RequestCtx) {
-	within, done := answerTime(register.RequestTimeout)
-	defer done()
+// servePlan responds with the effects that a configuration or a zone's evacuation would have. Nothing is written.
+func (c *Controller) servePlan(ctx *fasthttp.RequestCtx) {
+	callCtx, cancel := withAnswerTimeout(register.RequestTimeout)
+	defer cancel()
 	body := append([]byte(nil), ctx.PostBody()...)
-	p := &plan{key: keyConfig, data: body, made: c.Tasks.Now()}
+	p := &plan{key: keyConfig, data: body, createdAt: c.Tasks.Now()}
 	var next *config.Config
 	if zone := string(ctx.QueryArgs().Peek("zone")); zone != "" {
-		if f := c.checkZone(within, zone, body); f != nil {
-			c.fail(ctx, f)
+		if fault := c.checkZone(callCtx, zone, body); fault != nil {
+			c.respondFaults(ctx, fault)
 			return
 		}
 		p.key = "zone/" + zone
 	} else {
-		var fs []*resultcode.Fault
-		if next, fs = c.compile(body); len(fs) > 0 {
-			c.fail(ctx, fs...)
+		var faults []*resultcode.Fault
+		if next, faults = c.parseConfig(body); len(faults) > 0 {
+			c.respondFaults(ctx, faults...)
 			return
 		}
 	}
-	r := c.Submit(within, register.Request{Key: p.key})
-	if r.Code != resultcode.OK {
-		c.result(ctx, r)
+	result := c.Submit(callCtx, register.Request{Key: p.key})
+	if result.Code != resultcode.OK {
+		c.respond(ctx, result)
 		return
 	}
-	p.num = r.Version
-	var d config.Plan
+	p.baseVersion = result.Version
+	var diff config.Plan
 	if next != nil {
 		var old *config.Config
-		if r.Version > 0 {
-			old, _ = c.compile(r.Data)
+		if result.Version > 0 {
+			old, _ = c.parseConfig(result.Data)
 		}
-		d = config.Compare(old, next, c.known)
-		m, _, _ := c.seen(within)
-		d.Foresee(old, next, c.known, m)
+		diff = config.Compare(old, next, c.activeWorkers)
+		stats, _, _ := c.collectPromiseStats(callCtx)
+		diff.Foresee(old, next, c.activeWorkers, stats)
 	} else {
-		d = c.compareZone(within, strings.TrimPrefix(p.key, "zone/"), r.Data, body)
+		diff = c.compareZone(callCtx, strings.TrimPrefix(p.key, "zone/"), result.Data, body)
 	}
 	c.plans.Range(func(k, v any) bool {
-		if p.made.Sub(v.(*plan).made) > planLife {
+		if p.createdAt.Sub(v.(*plan).createdAt) > planLifetime {
 			c.plans.Delete(k)
 		}
 		return true
 	})
 	id := c.Self.String() + "-" + node.RandomID().String()
 	c.plans.Store(id, p)
-	c.showPlan(ctx, id, p, d)
+	c.respondPlan(ctx, id, p, diff)
 }
 
-func (c *Controller) showPlan(ctx *fasthttp.RequestCtx, id string, p *plan, d config.Plan) {
+func (c *Controller) respondPlan(ctx *fasthttp.RequestCtx, id string, p *plan, diff config.Plan) {
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
 	o.Set("plan", a.NewString(id))
 	o.Set("key", a.NewString(p.key))
-	o.Set("number", a.NewNumberInt(int(p.num)))
+	o.Set("number", a.NewNumberInt(int(p.baseVersion)))
 	for _, x := range []struct {
 		name string
 		l    []string
-	}{{"changes", d.Changes}, {"ceilings", d.Ceilings}, {"promises", d.Promises}, {"warnings", d.Warnings}} {
+	}{{"changes", diff.Changes}, {"ceilings", diff.Ceilings}, {"promises", diff.Promises}, {"warnings", diff.Warnings}} {
 		l := a.NewArray()
 		for i, s := range x.l {
 			l.SetArrayItem(i, a.NewString(s))
@@ -101,119 +101,120 @@
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-// known counts a pool's workers that are listed and not leaving.
-func (c *Controller) known(pool string) int {
-	k := 0
-	for _, w := range c.listed(pool) {
+// activeWorkers counts a pool's workers that are listed and not draining.
+func (c *Controller) activeWorkers(pool string) int {
+	count := 0
+	for _, w := range c.knownWorkers(pool) {
 		if !w.Leaving {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
 
-func (c *Controller) listed(pool string) []config.Worker {
+func (c *Controller) knownWorkers(pool string) []config.Worker {
 	c.catalogMu.Lock()
 	defer c.catalogMu.Unlock()
 	return c.catalog.List(pool)
 }
 
-func (c *Controller) compareZone(within context.Context, zone string, old, body []byte) (d config.Plan) {
-	was, is := fastjson.GetBool(old, "evacuated"), fastjson.GetBool(body, "evacuated")
-	if was == is {
-		d.Warnings = append(d.Warnings, "zone "+zone+" is so already")
+func (c *Controller) compareZone(callCtx context.Context, zone string, old, body []byte) (diff config.Plan) {
+	wasEvacuated, evacuate := fastjson.GetBool(old, "evacuated"), fastjson.GetBool(body, "evacuated")
+	if wasEvacuated == evacuate {
+		diff.Warnings = append(diff.Warnings, "zone "+zone+" is so already")
 	}
-	in, all := 0, 0
+	inZone, total := 0, 0
 	for _, p := range c.Settings.Pools {
-		for _, w := range c.listed(p) {
-			if w.Leaving || c.evacuated(w.Zone) && w.Zone != zone {
+		for _, w := range c.knownWorkers(p) {
+			if w.Leaving || c.zoneEvacuated(w.Zone) && w.Zone != zone {
 				continue
 			}
-			all++
+			total++
 			if w.Zone == zone {
-				in++
+				inZone++
 			}
 		}
 	}
-	if cfg := c.config(); is && cfg != nil {
-		m, _, _ := c.seen(within)
-		d.Foresee(cfg, cfg, func(pool string) (n int) {
-			for _, w := range c.listed(pool) {
-				if !w.Leaving && w.Zone != zone && !c.evacuated(w.Zone) {
-					n++
+	if cfg := c.knownConfig(); evacuate && cfg != nil {
+		stats, _, _ := c.collectPromiseStats(callCtx)
+		diff.Foresee(cfg, cfg, func(pool string) (count int) {
+			for _, w := range c.knownWorkers(pool) {
+				if !w.Leaving && w.Zone != zone && !c.zoneEvacuated(w.Zone) {
+					count++
 				}
 			}
-			return n
-		}, m)
+			return count
+		}, stats)
 	}
 	verb := "is taken back into service"
-	if is {
+	if evacuate {
 		verb = "gets nothing new"
-		if all-in < in {
-			d.Warnings = append(d.Warnings, "fewer workers would stay in service than leave it")
+		if total-inZone < inZone {
+			diff.Warnings = append(diff.Warnings, "fewer workers would stay in service than leave it")
 		}
 	}
-	d.Changes = append(d.Changes, "zone "+zone+" "+verb)
-	d.Ceilings = append(d.Ceilings, fmt.Sprintf("%d of %d workers in service are in zone %s", in, all, zone))
-	return d
+	diff.Changes = append(diff.Changes, "zone "+zone+" "+verb)
+	diff.Ceilings = append(diff.Ceilings, fmt.Sprintf("%d of %d workers in service are in zone %s", inZone, total, zone))
+	return diff
 }
 
-// config is the configuration that this node last heard of.
-func (c *Controller) config() *config.Config {
+// knownConfig returns the newest configuration that this node knows.
+func (c *Controller) knownConfig() *config.Config {
 	c.FeedMu.Lock()
-	it := c.Feed.Items[keyConfig]
+	item := c.Feed.Items[keyConfig]
 	c.FeedMu.Unlock()
-	if it == nil {
+	if item == nil {
 		return nil
 	}
-	x, _ := c.compile(it.Data)
-	return x
+	cfg, _ := c.parseConfig(item.Data)
+	return cfg
 }
 
-func (c *Controller) evacuated(zone string) bool {
+func (c *Controller) zoneEvacuated(zone string) bool {
 	c.FeedMu.Lock()
 	defer c.FeedMu.Unlock()
-	it := c.Feed.Items["zone/"+zone]
-	return it != nil && fastjson.GetBool(it.Data, "evacuated")
+	item := c.Feed.Items["zone/"+zone]
+	return item != nil && fastjson.GetBool(item.Data, "evacuated")
 }
 
-// confirm applies a plan if its number still stands. The node that made the plan is asked where it was another.
-func (c *Controller) confirm(ctx *fasthttp.RequestCtx) {
-	v, err := fastjson.ParseBytes(ctx.PostBody())
-	if err != nil || len(v.GetStringBytes("plan")) == 0 {
-		c.fail(ctx, &resultcode.Fault{Code: resultcode.InvalidOperation, Place: "$.plan", Text: "the plan's id is wanted"})
+// serveConfirm applies a plan if the stored version that it builds on is still in force. A plan that another node made is
+// forwarded to that node.
+func (c *Controller) serveConfirm(ctx *fasthttp.RequestCtx) {
+	body, err := fastjson.ParseBytes(ctx.PostBody())
+	if err != nil || len(body.GetStringBytes("plan")) == 0 {
+		c.respondFaults(ctx, &resultcode.Fault{Code: resultcode.InvalidOperation, Place: "$.plan", Text: "the plan's id is wanted"})
 		return
 	}
-	id := string(v.GetStringBytes("plan"))
+	id := string(body.GetStringBytes("plan"))
 	if x, ok := c.plans.Load(id); ok {
-		p := x.(*plan)
-		within, done := answerTime(register.RequestTimeout)
-		defer done()
-		c.change(within, ctx, register.Request{Key: p.key, ExpectedVersion: p.num, RequestID: id, Data: p.data})
+		stored := x.(*plan)
+		callCtx, cancel := withAnswerTimeout(register.RequestTimeout)
+		defer cancel()
+		c.writeAndRespond(callCtx, ctx, register.Request{Key: stored.key, ExpectedVersion: stored.baseVersion, RequestID: id, Data: stored.data})
 		return
 	}
-	node, _, named := strings.Cut(id, "-")
+	nodeID, _, hasNodeID := strings.Cut(id, "-")
 	for _, m := range c.Members() {
-		if m.Node.String() == node && m.Node != c.Self && m.State <= membership.Suspect && len(ctx.Request.Header.Peek("Passed-On")) == 0 {
-			c.passOn(ctx, m.Web)
+		if m.Node.String() == nodeID && m.Node != c.Self && m.State <= membership.Suspect && len(ctx.Request.Header.Peek("Passed-On")) == 0 {
+			c.forward(ctx, m.Web)
 			return
 		}
 	}
-	if named && node != c.Self.String() {
-		c.fail(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: "the node that made the plan is not in touch: send it again, or plan again if that node is gone"})
+	if hasNodeID && nodeID != c.Self.String() {
+		c.respondFaults(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: "the node that made the plan is not in touch: send it again, or plan again if that node is gone"})
 		return
 	}
-	c.fail(ctx, &resultcode.Fault{Code: resultcode.PlanNotFound, Text: "no such plan here, or it is too old; plan again"})
+	c.respondFaults(ctx, &resultcode.Fault{Code: resultcode.PlanNotFound, Text: "no such plan here, or it is too old; plan again"})
 }
 
-// passOn gives an operator's call to the controller it belongs to, once.
-func (c *Controller) passOn(ctx *fasthttp.RequestCtx, web string) {
-	code, b, _, err := transport.HTTP("POST", web, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, passOnTimeout)
+// forward sends an operator's call to the controller that holds its plan. A forwarded call isn't forwarded again.
+func (c *Controller) forward(ctx *fasthttp.RequestCtx, addr string) {
+	code, body, _, err := transport.HTTP("POST", addr, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, forwardTimeout)
 	if err != nil {
-		c.fail(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: texts[resultcode.CommitUnknown]})
+		c.respondFaults(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: faultTexts[resultcode.CommitUnknown]})
 		return
 	}
 	ctx.SetStatusCode(code)
 	ctx.SetContentType("application/json")
-	ctx.SetBody(b)
+	ctx.SetBody(body)
 }
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -16,49 +16,50 @@
 	"seamshunt/internal/units"
 )
 
-// reload rebuilds the machine from what the disk holds, and drops what the old one still wanted to say.
-func (c *Controller) reload(a *wal.Log) {
-	b := register.New(c.Self, node.RandomID())
-	if err := b.Load(a.Live()); err != nil {
-		c.Log.WithError(err).Error("the disk's records can't be read")
+// reloadReplica rebuilds the replica and the claims from the records on disk and discards the effects that are queued.
+func (c *Controller) reloadReplica(walLog *wal.Log) {
+	replica := register.New(c.Self, node.RandomID())
+	if err := replica.Load(walLog.Live()); err != nil {
+		c.Log.WithError(err).Error("the records on disk can't be loaded")
 		return
 	}
 	c.replicaMu.Lock()
 	defer c.replicaMu.Unlock()
-	c.replica, c.claims = b, idempotency.LoadRegistry(c.Self, c.Tasks.Now(), a.Live())
+	c.replica, c.claims = replica, idempotency.LoadRegistry(c.Self, c.Tasks.Now(), walLog.Live())
 	c.syncer.CatchUp()
 	c.disk.mu.Lock()
-	c.disk.queue = nil // what the old machine said rests on writes that the disk has not
+	c.disk.queue = nil // the queued messages depend on writes that aren't on disk
 	c.disk.mu.Unlock()
 }
 
-// poll is what the last questions to the platform gave.
-type poll struct {
-	mu   sync.Mutex
-	at   units.Time
-	ok   uint64
-	bad  uint64
-	last string
+// pollStatus holds the results of recent polls of the platform.
+type pollStatus struct {
+	mu        sync.Mutex
+	at        units.Time
+	successes uint64
+	failures  uint64
+	lastError string
 
-	stoodStill func(since units.Time) bool // whether this process did
+	wasPausedSince func(since units.Time) bool
 }
 
-// firstAsk is when a started node asks first. Until any list is known each asks once a gap, whatever its share: after
-// a full loss nobody can serve before one has (design 5).
-const firstAsk = 50 * time.Millisecond
+// firstPollDelay is the delay of the first poll after a start. While no list is known every controller polls once an
+// interval, whatever its share: after a loss of the whole fleet nothing is served until a list arrives (docs/design.md,
+// section 5).
+const firstPollDelay = 50 * time.Millisecond
 
-// poller asks the platform for one pool's workers, at this node's share of the fleet's rate (design 5). It wakes when
-// the next question can be due, and once a gap at the least, since its share may have changed.
-func (c *Controller) poller(pool string) {
-	gap := time.Duration(c.Settings.PollMs) * time.Millisecond
-	turn := discovery.Schedule{}
-	t := time.NewTimer(firstAsk)
-	defer t.Stop()
+// pollLoop polls the platform for one pool's workers at this node's share of the fleet's rate (docs/design.md, section
+// 5). It wakes up when the next poll can be due, and at least once an interval, since its share may have changed.
+func (c *Controller) pollLoop(pool string) {
+	interval := time.Duration(c.Settings.PollMs) * time.Millisecond
+	schedule := discovery.Schedule{}
+	timer := time.NewTimer(firstPollDelay)
+	defer timer.Stop()
 	for {
 		select {
 		case <-c.Tasks.Stopped():
 			return
-		case <-t.C:
+		case <-timer.C:
 		}
 		now := c.Tasks.Now()
 		c.leaseMu.Lock()
@@ -67,70 +68,70 @@
 		c.catalogMu.Lock()
 		known := len(c.catalog.List(pool)) > 0
 		c.catalogMu.Unlock()
-		if !c.leaving.Load() && (turn.Due(now, share, gap) || !known) {
-			c.ask(pool)
+		if !c.draining.Load() && (schedule.Due(now, share, interval) || !known) {
+			c.pollOnce(pool)
 		}
-		t.Reset(turn.Next(c.Tasks.Now(), share, gap))
+		timer.Reset(schedule.Next(c.Tasks.Now(), share, interval))
 	}
 }
 
-func (c *Controller) ask(pool string) {
+func (c *Controller) pollOnce(pool string) {
 	now := c.Tasks.Now()
 	c.catalogMu.Lock()
-	a := c.catalog.Ask(now, pool, c.Self, time.Now().UnixMilli())
+	query := c.catalog.Ask(now, pool, c.Self, time.Now().UnixMilli())
 	known := len(c.catalog.List(pool))
 	c.catalogMu.Unlock()
-	l, err := c.list(pool)
+	workers, err := c.fetchWorkers(pool)
 	switch {
 	case err != nil:
-	case len(l) == 0 && known > 0:
+	case len(workers) == 0 && known > 0:
 		err = errors.New("an empty list is not believed")
-	case c.polled.stoodStill(a.Began):
+	case c.pollStatus.wasPausedSince(query.Began):
 		err = errors.New("a list that waited while this process stood still is not believed")
 	}
-	c.polled.mu.Lock()
-	if c.polled.at, c.polled.last = c.Tasks.Now(), ""; err == nil {
-		c.polled.ok++
+	c.pollStatus.mu.Lock()
+	if c.pollStatus.at, c.pollStatus.lastError = c.Tasks.Now(), ""; err == nil {
+		c.pollStatus.successes++
 	} else {
-		c.polled.bad++
-		c.polled.last = err.Error()
+		c.pollStatus.failures++
+		c.pollStatus.lastError = err.Error()
 	}
-	c.polled.mu.Unlock()
+	c.pollStatus.mu.Unlock()
 	if err != nil {
-		c.Log.WithError(err).Warn("the platform gave no list")
+		c.Log.WithError(err).Warn("polling the platform for workers failed")
 		return
 	}
 	c.catalogMu.Lock()
-	data, news := c.catalog.Heard(a, l)
+	data, changed := c.catalog.Heard(query, workers)
 	c.catalogMu.Unlock()
-	if news {
-		c.spread(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: a.Num, Data: data}})
+	if changed {
+		c.pushUpdates(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: query.Num, Data: data}})
 	}
 }
 
-// yield leaves the duty to others when this node can't reach the platform at all.
-func (c *Controller) yield() {
+// yieldLease passes the platform lease to another controller. It is called when this node can't reach the platform.
+func (c *Controller) yieldLease() {
 	now := c.Tasks.Now()
 	c.leaseMu.Lock()
-	var out message.Effects
+	var effects message.Effects
 	if c.lease.Holds(now) {
-		out = c.lease.Yield(now)
+		effects = c.lease.Yield(now)
 	}
 	c.leaseMu.Unlock()
-	c.Deliver(out)
+	c.Deliver(effects)
 }
 
-// look takes the news that is about workers.
-func (c *Controller) look(now units.Time, fresh []configpush.Item) {
+// takeWorkerLists puts the worker lists among the updates into the catalog.
+func (c *Controller) takeWorkerLists(now units.Time, updates []configpush.Item) {
 	c.catalogMu.Lock()
 	defer c.catalogMu.Unlock()
-	for _, it := range fresh {
-		if !strings.HasPrefix(it.Key, discovery.Prefix) {
+	for _, item := range updates {
+		if !strings.HasPrefix(item.Key, discovery.Prefix) {
 			continue
 		}
-		if _, err := c.catalog.Take(now, it.Key, it.Num, it.Data); err != nil {
+		if _, err := c.catalog.Take(now, item.Key, item.Num, item.Data); err != nil {
 			c.Errors.Add(1)
-			c.Log.WithError(err).Error("a worker list can't be read here")
+			c.Log.WithError(err).Error("a worker list can't be decoded")
 		}
 	}
 }
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -15,97 +15,97 @@
 	"seamshunt/internal/resultcode"
 )
 
-// statusTimeout is how long a router's status is waited for.
+// statusTimeout limits the request for one router's status.
 const statusTimeout = time.Second
 
-// seen asks every live router how it kept its promises, all at once, while the call has time left; it gives the sums and
-// how many answered.
-func (c *Controller) seen(ctx context.Context) (m map[string]config.Seen, asked, answered int) {
+// collectPromiseStats requests the promise statistics of every live router in parallel, within the deadline of ctx. It
+// returns the sums and the numbers of routers that were asked and that answered.
+func (c *Controller) collectPromiseStats(ctx context.Context) (stats map[string]config.Seen, asked, answered int) {
 	type answer map[string]config.Seen
-	var webs []string
-	for _, x := range c.Members() {
-		if x.Role == membership.Router && x.State <= membership.Suspect {
-			webs = append(webs, x.Web)
+	var addrs []string
+	for _, member := range c.Members() {
+		if member.Role == membership.Router && member.State <= membership.Suspect {
+			addrs = append(addrs, member.Web)
 		}
 	}
-	ch := make(chan answer, len(webs))
-	limit := statusTimeout
-	if end, ok := ctx.Deadline(); ok {
-		limit = min(limit, time.Until(end))
+	answers := make(chan answer, len(addrs))
+	timeout := statusTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		timeout = min(timeout, time.Until(deadline))
 	}
-	for _, w := range webs {
+	for _, addr := range addrs {
 		c.Tasks.Go(func() {
-			code, b, _, err := transport.HTTP("GET", w, "/status", nil, nil, limit)
+			code, body, _, err := transport.HTTP("GET", addr, "/status", nil, nil, timeout)
 			if err != nil || code != 200 {
-				ch <- nil
+				answers <- nil
 				return
 			}
-			ch <- readSeen(b)
+			answers <- parsePromiseStats(body)
 		})
 	}
-	m = map[string]config.Seen{}
-	for range webs {
-		a := <-ch
-		if a == nil {
+	stats = map[string]config.Seen{}
+	for range addrs {
+		answer := <-answers
+		if answer == nil {
 			continue
 		}
 		answered++
-		for k, s := range a {
-			x := m[k]
-			x.Add(s)
-			m[k] = x
+		for k, promise := range answer {
+			sum := stats[k]
+			sum.Add(promise)
+			stats[k] = sum
 		}
 	}
-	return m, len(webs), answered
+	return stats, len(addrs), answered
 }
 
-func readSeen(b []byte) map[string]config.Seen {
-	v, err := fastjson.ParseBytes(b)
+func parsePromiseStats(body []byte) map[string]config.Seen {
+	doc, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil
 	}
-	m := map[string]config.Seen{}
-	o := v.GetObject("promises")
-	if o == nil {
-		return m
+	stats := map[string]config.Seen{}
+	promises := doc.GetObject("promises")
+	if promises == nil {
+		return stats
 	}
-	span := func(x *fastjson.Value, name string) time.Duration {
+	duration := func(x *fastjson.Value, name string) time.Duration {
 		return time.Duration(x.GetInt64(name)) * time.Millisecond
 	}
-	o.Visit(func(k []byte, x *fastjson.Value) {
-		m[string(k)] = config.Seen{Promise: string(x.GetStringBytes("promise")), Service: string(x.GetStringBytes("service")),
+	promises.Visit(func(k []byte, x *fastjson.Value) {
+		stats[string(k)] = config.Seen{Promise: string(x.GetStringBytes("promise")), Service: string(x.GetStringBytes("service")),
 			Asked: x.GetInt("asked"), Kept: x.GetInt("first_kept"), Missed: x.GetInt("first_missed"), OnTime: x.GetInt("on_time"),
 			Refused: x.GetInt("refused"), Again: x.GetInt("again"), Ended: x.GetInt("ended"), PerSecond: x.GetFloat64("per_second"),
-			Waited: span(x, "refused_after_ms"), Held: span(x, "held_ms"), First95: span(x, "first_ms_95th")}
+			Waited: duration(x, "refused_after_ms"), Held: duration(x, "held_ms"), First95: duration(x, "first_ms_95th")}
 	})
-	return m
+	return stats
 }
 
-// promises tells operators how each promise is kept over the whole fleet.
-func (c *Controller) promises(ctx *fasthttp.RequestCtx) {
-	within, done := answerTime(register.RequestTimeout)
-	defer done()
-	m, asked, answered := c.seen(within)
+// servePromises reports how each promise is kept over the whole fleet.
+func (c *Controller) servePromises(ctx *fasthttp.RequestCtx) {
+	callCtx, cancel := withAnswerTimeout(register.RequestTimeout)
+	defer cancel()
+	stats, asked, answered := c.collectPromiseStats(callCtx)
 	var a fastjson.Arena
-	o, l := a.NewObject(), a.NewObject()
+	o, list := a.NewObject(), a.NewObject()
 	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
 	o.Set("routers", a.NewNumberInt(asked))
 	o.Set("routers_answered", a.NewNumberInt(answered))
-	for _, k := range message.Keys(m) {
-		s := m[k]
+	for _, k := range message.Keys(stats) {
+		promise := stats[k]
 		x := a.NewObject()
-		x.Set("promise", a.NewString(s.Promise))
-		x.Set("asked", a.NewNumberInt(s.Asked))
-		x.Set("per_second", a.NewNumberFloat64(s.PerSecond))
-		x.Set("first_words_kept_percent", a.NewNumberFloat64(config.Share(s.Kept, s.Kept+s.Missed)))
-		x.Set("first_ms_95th", a.NewNumberInt(int(s.First95.Milliseconds())))
-		x.Set("on_time_percent", a.NewNumberFloat64(config.Share(s.OnTime, s.Asked)))
-		x.Set("refused", a.NewNumberInt(s.Refused))
-		x.Set("refused_after_ms", a.NewNumberInt(int(s.Waited.Milliseconds())))
-		x.Set("further_tries_percent", a.NewNumberFloat64(100*float64(s.Again)/float64(max(1, s.Asked))))
-		l.Set(k, x)
+		x.Set("promise", a.NewString(promise.Promise))
+		x.Set("asked", a.NewNumberInt(promise.Asked))
+		x.Set("per_second", a.NewNumberFloat64(promise.PerSecond))
+		x.Set("first_words_kept_percent", a.NewNumberFloat64(config.Share(promise.Kept, promise.Kept+promise.Missed)))
+		x.Set("first_ms_95th", a.NewNumberInt(int(promise.First95.Milliseconds())))
+		x.Set("on_time_percent", a.NewNumberFloat64(config.Share(promise.OnTime, promise.Asked)))
+		x.Set("refused", a.NewNumberInt(promise.Refused))
+		x.Set("refused_after_ms", a.NewNumberInt(int(promise.Waited.Milliseconds())))
+		x.Set("further_tries_percent", a.NewNumberFloat64(100*float64(promise.Again)/float64(max(1, promise.Asked))))
+		list.Set(k, x)
 	}
-	o.Set("mappings", l)
+	o.Set("mappings", list)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -8,46 +8,48 @@
 	"seamshunt/internal/units"
 )
 
-// voting founds the first set of voters, and has it changed when it should be another; replicaMu is held.
-func (c *Controller) voting(now units.Time, look register.ControllerView) {
+// updateQuorum bootstraps the first quorum set and requests changes to the members that the planner wants. replicaMu must
+// be held.
+func (c *Controller) updateQuorum(now units.Time, view register.ControllerView) {
 	if c.Settings.Grow {
-		c.replica.BootstrapFromSeeds(c.seeds.Proposal(now, look))
+		c.replica.BootstrapFromSeeds(c.bootstrapSeeds.Proposal(now, view))
 	} else {
-		look.FleetExists = look.FleetExists || c.heir
-		c.replica.BootstrapFixed(c.Settings.Founders, look)
+		view.FleetExists = view.FleetExists || c.damageSetAside
+		c.replica.BootstrapFixed(c.Settings.Founders, view)
 	}
-	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
-	c.checkTolerance(now, look)
+	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), view))
+	c.checkTolerance(now, view)
 }
 
-// shortfall is what the quorum set does not bear of what the settings name.
+// shortfall describes the fault tolerance that the settings require and the quorum set lacks.
 type shortfall struct {
-	text  string     // empty: it bears all
-	since units.Time // when the text became this one
-	told  bool
+	text     string     // empty if nothing is lacking
+	since    units.Time // when the text last changed
+	reported bool
 }
 
-// shortfallAfter is how long a set may fall short before it is said: a change of members may be under way (start).
-const shortfallAfter = 5 * time.Second
+// shortfallReportDelay is how long a shortfall must last before it is logged: at a start a change of members may be in
+// progress.
+const shortfallReportDelay = 5 * time.Second
 
-// checkTolerance notes what the set does not bear, and logs it once it has stood for a while. Such a set is served all the
-// same. replicaMu is held.
-func (c *Controller) checkTolerance(now units.Time, look register.ControllerView) {
+// checkTolerance updates the shortfall and logs it once after shortfallReportDelay. A quorum set with a shortfall serves
+// requests as usual. replicaMu must be held.
+func (c *Controller) checkTolerance(now units.Time, view register.ControllerView) {
 	wanted := register.Tolerance{Machines: c.Settings.LostMachines, Zones: c.Settings.LostZones}
-	text := wanted.Shortfall(c.replica.Quorum(), look)
+	text := wanted.Shortfall(c.replica.Quorum(), view)
 	if text != c.shortfall.text {
 		c.shortfall = shortfall{text: text, since: now}
 	}
-	if text != "" && !c.shortfall.told && now.Sub(c.shortfall.since) >= shortfallAfter {
-		c.shortfall.told = true
-		c.Log.WithField("cause", text).Warn("the quorum set bears less than the settings ask for")
+	if text != "" && !c.shortfall.reported && now.Sub(c.shortfall.since) >= shortfallReportDelay {
+		c.shortfall.reported = true
+		c.Log.WithField("cause", text).Warn("the quorum set tolerates fewer faults than the settings require")
 	}
 }
 
-// newPlanner gives the planner of the quorum set that a boot file asks for.
-func newPlanner(b *boot.Boot) register.Planner {
-	if !b.Grow {
-		return register.Planner{FixedSize: b.Founders, ReplaceAfter: register.ReplaceFixedAfter}
+// newPlanner returns the planner of the quorum set for a node's settings.
+func newPlanner(nodeSettings *boot.Boot) register.Planner {
+	if !nodeSettings.Grow {
+		return register.Planner{FixedSize: nodeSettings.Founders, ReplaceAfter: register.ReplaceFixedAfter}
 	}
-	return register.Planner{MinSize: 2*b.LostMachines + 1, ReplaceAfter: register.ReplaceAfter}
+	return register.Planner{MinSize: 2*nodeSettings.LostMachines + 1, ReplaceAfter: register.ReplaceAfter}
 }
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -14,8 +14,9 @@
 	"seamshunt/internal/testutil"
 )
 
-// With the disk full, an evacuation and configurations of usual size are still taken, from the reserve, and are read
-// back after a start from that disk; once the reserve is used up the answer is 515, and with room again writes go on.
+// TestChangesOnAFullDisk checks that a full disk still takes an evacuation and configurations of usual size, from its
+// reserve, and that they are read back after a restart. When the reserve is used up the answer is 515; with free space
+// writes succeed again.
 func TestChangesOnAFullDisk(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -29,15 +30,18 @@
 			return room(f, off, n)
 		}
 	}
-	c := alone(t, dir, fill)
-	testutil.Until(t, "the first is taken", func() bool { code, _ := call(t, c, "PUT", "/v1/config?number=0", configText); return code == 200 })
+	c := startSingle(t, dir, fill)
+	testutil.Until(t, "the first configuration is written", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
+		return code == 200
+	})
 	full.Store(true)
 	text := func(n int) string { return configText + strings.Repeat(" ", 2000+n) }
-	if code, b := call(t, c, "PUT", "/v1/zones/z?number=0", `{"evacuated":true}`); code != 200 {
+	if code, b := sendRequest(t, c, "PUT", "/v1/zones/z?number=0", `{"evacuated":true}`); code != 200 {
 		t.Fatalf("an evacuation on a full disk: %d %s", code, b)
 	}
 	put := func(n int) int {
-		code, b := call(t, c, "PUT", fmt.Sprintf("/v1/config?number=%d", n), text(n))
+		code, b := sendRequest(t, c, "PUT", fmt.Sprintf("/v1/config?number=%d", n), text(n))
 		if code != 200 && code != 502 && !bytes.Contains(b, []byte(`"code":515`)) {
 			t.Fatalf("change %d: %d %s", n, code, b)
 		}
@@ -49,34 +53,36 @@
 		}
 	}
 	c.Drain()
-	c = alone(t, dir, fill)
+	c = startSingle(t, dir, fill)
 	t.Cleanup(func() { c.Drain() })
-	testutil.Until(t, "it is read back", func() bool { code, _ := call(t, c, "GET", "/v1/config", ""); return code == 200 })
-	if _, b := call(t, c, "GET", "/v1/config", ""); string(b) != text(20) {
+	testutil.Until(t, "the configuration is read back", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
+	if _, b := sendRequest(t, c, "GET", "/v1/config", ""); string(b) != text(20) {
 		t.Errorf("read back %d bytes, %d sent", len(b), len(text(20)))
 	}
-	// Nothing is left of the reserve, not even for a rewrite: a configuration larger than what is old.
+	// A configuration that is larger than all obsolete records: the reserve has no space left for it, not even by a
+	// compaction.
 	large := configText + strings.Repeat(" ", 400<<10)
-	if code, b := call(t, c, "PUT", "/v1/config?number=21", large); code != 502 {
+	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=21", large); code != 502 {
 		t.Errorf("larger than the reserve: %d %s", code, b)
 	}
-	testutil.Until(t, "it says so", func() bool {
-		code, b := call(t, c, "PUT", "/v1/config?number=21", large)
+	testutil.Until(t, "the disk is reported as full", func() bool {
+		code, b := sendRequest(t, c, "PUT", "/v1/config?number=21", large)
 		return code == 503 && bytes.Contains(b, []byte(`"code":515`))
 	})
 	full.Store(false)
-	testutil.Until(t, "writes go on", func() bool {
-		code, _ := call(t, c, "PUT", "/v1/config?number=21", text(21))
+	testutil.Until(t, "writes succeed again", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=21", text(21))
 		return code == 200 || code == 409
 	})
 }
 
-// A first start that lacks a machine says so, and goes on as soon as a blank disk stands anywhere.
-func TestFoundingSaysWhatItWaitsFor(t *testing.T) {
+// TestBootstrapReportsMissingMembers checks that a first start with too few machines reports it, and completes as soon as an
+// uninitialized disk appears at any address.
+func TestBootstrapReportsMissingMembers(t *testing.T) {
 	t.Parallel()
 	var seed string
 	start := func(dir string) *Controller {
-		return alone(t, dir, func(c *Controller) {
+		return startSingle(t, dir, func(c *Controller) {
 			c.Settings.Founders, c.planner.FixedSize = 2, 2
 			if seed == "" {
 				seed = c.Settings.Addr
@@ -85,20 +91,20 @@
 	}
 	c := start(t.TempDir())
 	t.Cleanup(c.Drain)
-	says := func(want string) func() bool {
+	reports := func(want string) func() bool {
 		return func() bool {
-			_, b := call(t, c, "GET", "/status", "")
+			_, b := sendRequest(t, c, "GET", "/status", "")
 			return bytes.Contains(b, []byte(want))
 		}
 	}
-	testutil.Until(t, "it says that one is missing", says("founding: 1 of 2 blank disks seen"))
-	if code, b := call(t, c, "PUT", "/v1/config?number=0", configText); code != 503 || !bytes.Contains(b, []byte(`"code":514`)) {
-		t.Errorf("a change before the founding: %d %s", code, b)
+	testutil.Until(t, "the status reports a missing member", reports("founding: 1 of 2 blank disks seen"))
+	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=0", configText); code != 503 || !bytes.Contains(b, []byte(`"code":514`)) {
+		t.Errorf("a change before the bootstrap: %d %s", code, b)
 	}
-	late := alone(t, t.TempDir(), func(x *Controller) {
+	late := startSingle(t, t.TempDir(), func(x *Controller) {
 		x.Settings.Founders, x.planner.FixedSize = 2, 2
 		x.Gossip = membership.New(membership.Member{Node: x.Self, Inc: 1, Role: membership.Controller, Addr: x.Settings.Addr, Web: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
-	testutil.Until(t, "both are voters", says(`"state":"voter"`))
+	testutil.Until(t, "both are voters", reports(`"state":"voter"`))
 }
--- a/internal/control/controller/shortfall_test.go
+++ b/internal/control/controller/shortfall_test.go
@@ -7,18 +7,22 @@
 	"seamshunt/internal/testutil"
 )
 
-// Settings that ask for more than the disks there are can bear are served all the same, and said in status and metrics.
-func TestShortfallIsSaid(t *testing.T) {
+// TestShortfallIsReported checks that a fleet with too few disks for its settings serves requests as usual, and that its
+// status and metrics report the shortfall.
+func TestShortfallIsReported(t *testing.T) {
 	t.Parallel()
-	c := alone(t, t.TempDir(), func(c *Controller) { c.Settings.LostMachines = 1 })
+	c := startSingle(t, t.TempDir(), func(c *Controller) { c.Settings.LostMachines = 1 })
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first is taken", func() bool { code, _ := call(t, c, "PUT", "/v1/config?number=0", configText); return code == 200 })
-	says := func(path, text string) func() bool {
+	testutil.Until(t, "the first configuration is written", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
+		return code == 200
+	})
+	contains := func(path, text string) func() bool {
 		return func() bool {
-			_, b := call(t, c, "GET", path, "")
+			_, b := sendRequest(t, c, "GET", path, "")
 			return bytes.Contains(b, []byte(text))
 		}
 	}
-	testutil.Until(t, "status says it", says("/status", `"voters_fall_short":"1 members bear the loss of 0, not of 1: 3 disks that count are wanted"`))
-	testutil.Until(t, "metrics say it", says("/metrics", "seamshunt_voters_fall_short 1"))
+	testutil.Until(t, "the status reports it", contains("/status", `"voters_fall_short":"1 members bear the loss of 0, not of 1: 3 disks that count are wanted"`))
+	testutil.Until(t, "the metrics report it", contains("/metrics", "seamshunt_voters_fall_short 1"))
 }
--- a/internal/control/controller/stall_test.go
+++ b/internal/control/controller/stall_test.go
@@ -9,19 +9,22 @@
 	"seamshunt/internal/testutil"
 )
 
-// A stalled disk blocks neither the wires nor the loops nor the operators' door: the node says that it is unfit,
-// and is itself again once the disk moves.
+// TestStalledDiskBlocksNothing checks that a stalled disk blocks neither connections nor loops nor the operators'
+// interface: the node reports itself as unfit, and recovers with the disk.
 func TestStalledDiskBlocksNothing(t *testing.T) {
 	t.Parallel()
-	c := alone(t, t.TempDir())
+	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first is taken", func() bool { code, _ := call(t, c, "PUT", "/v1/config?number=0", configText); return code == 200 })
+	testutil.Until(t, "the first configuration is written", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
+		return code == 200
+	})
 	held := make(chan struct{})
 	c.disk.mu.Lock()
-	c.disk.fault = func() error { <-held; return nil }
+	c.disk.injectedFault = func() error { <-held; return nil }
 	c.disk.mu.Unlock()
-	if code, b := call(t, c, "PUT", "/v1/config?number=1", configText+" "); code != 502 {
-		t.Errorf("a write that the disk never takes: %d %s", code, b)
+	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+" "); code != 502 {
+		t.Errorf("a write that the disk doesn't complete: %d %s", code, b)
 	}
 	unfit := func() bool {
 		var x struct {
@@ -31,7 +34,7 @@
 				Unfit bool
 			}
 		}
-		code, b := call(t, c, "GET", "/status", "")
+		code, b := sendRequest(t, c, "GET", "/status", "")
 		if code != 200 || json.Unmarshal(b, &x) != nil {
 			t.Fatalf("no status: %d %s", code, b)
 		}
@@ -42,53 +45,57 @@
 		}
 		return false
 	}
-	testutil.Until(t, "it says that it is unfit", unfit)
+	testutil.Until(t, "the node reports itself as unfit", unfit)
 	c.disk.mu.Lock()
-	c.disk.fault = nil
+	c.disk.injectedFault = nil
 	c.disk.mu.Unlock()
 	close(held)
 	testutil.Until(t, "it is fit again", func() bool { return !unfit() })
-	testutil.Until(t, "writes go on", func() bool {
-		code, _ := call(t, c, "PUT", "/v1/config?number=1", configText+" ")
+	testutil.Until(t, "writes succeed again", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+" ")
 		return code == 200 || code == 409
 	})
 }
 
-// After a failed sync the machine is rebuilt from what the file holds: nothing unsynced is believed or answered.
-func TestFailedSyncIsForgotten(t *testing.T) {
+// TestFailedSyncIsDiscarded checks that the replica is rebuilt from the file after a failed sync, and that nothing
+// unsynced is kept or acknowledged.
+func TestFailedSyncIsDiscarded(t *testing.T) {
 	t.Parallel()
-	c := alone(t, t.TempDir())
+	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first is taken", func() bool { code, _ := call(t, c, "PUT", "/v1/config?number=0", configText); return code == 200 })
+	testutil.Until(t, "the first configuration is written", func() bool {
+		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
+		return code == 200
+	})
 	c.disk.mu.Lock()
-	c.disk.fault = func() error {
+	c.disk.injectedFault = func() error {
 		c.disk.mu.Lock()
-		c.disk.fault = nil // once
+		c.disk.injectedFault = nil // once
 		c.disk.mu.Unlock()
-		return fmt.Errorf("%w: planted", wal.ErrSick)
+		return fmt.Errorf("%w: injected", wal.ErrSick)
 	}
 	c.disk.mu.Unlock()
-	code, _ := call(t, c, "PUT", "/v1/config?number=1", configText+"   ")
-	testutil.Until(t, "it reads again", func() bool { code, _ := call(t, c, "GET", "/v1/config", ""); return code == 200 })
-	_, b := call(t, c, "GET", "/v1/config", "")
+	code, _ := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+"   ")
+	testutil.Until(t, "reads succeed again", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
+	_, b := sendRequest(t, c, "GET", "/v1/config", "")
 	if code == 200 && string(b) != configText+"   " || code != 200 && string(b) != configText && string(b) != configText+"   " {
 		t.Errorf("answered %d, read back %q", code, b)
 	}
 }
 
-// A node that is unfit because its last sync was slow owns no keys, so that nothing may come to be written. It tries its
-// disk all the same, and is fit again.
-func TestSlowSyncIsTriedAgain(t *testing.T) {
+// TestSlowDiskIsProbedAgain covers a node that is unfit because its last sync was slow. It owns no keys, so there may be
+// no writes; it must probe its disk all the same and recover.
+func TestSlowDiskIsProbedAgain(t *testing.T) {
 	t.Parallel()
-	c := alone(t, t.TempDir())
+	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "it founds itself", func() bool { code, _ := call(t, c, "GET", "/v1/config", ""); return code == 404 })
+	testutil.Until(t, "the bootstrap is done", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 404 })
 	slow := func() {
 		c.disk.mu.Lock()
-		c.disk.slow = 2 * stallAt
+		c.disk.lastWriteDuration = 2 * stallThreshold
 		c.disk.mu.Unlock()
 	}
-	testutil.Until(t, "it owns nothing", func() bool {
+	testutil.Until(t, "it owns no keys", func() bool {
 		slow()
 		c.replicaMu.Lock()
 		defer c.replicaMu.Unlock()
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/units"
 )
 
-// status tells operators all there is to know of this node.
-func (c *Controller) status(ctx *fasthttp.RequestCtx) {
+// serveStatus reports the state of this node and its view of the fleet.
+func (c *Controller) serveStatus(ctx *fasthttp.RequestCtx) {
 	now := c.Tasks.Now()
 	var a fastjson.Arena
 	o := a.NewObject()
@@ -22,81 +22,81 @@
 	o.Set("name", a.NewString(c.Settings.Name))
 	o.Set("zone", a.NewString(c.Settings.Zone))
 	c.replicaMu.Lock()
-	v := c.replica.Quorum()
-	vs := a.NewArray()
-	for i, n := range v.Members {
-		vs.SetArrayItem(i, a.NewString(n.String()))
+	quorum := c.replica.Quorum()
+	voters := a.NewArray()
+	for i, n := range quorum.Members {
+		voters.SetArrayItem(i, a.NewString(n.String()))
 	}
-	short := c.shortfall.text
+	shortfall := c.shortfall.text
 	keys := a.NewObject()
-	for k, s := range c.replica.States() {
+	for k, state := range c.replica.States() {
 		x := a.NewObject()
 		x.Set("owner", a.NewString(c.replica.Owner(k).String()))
-		x.Set("number_here", a.NewNumberInt(int(s.Version)))
-		x.Set("epoch", a.NewNumberInt(int(s.Promised.Number)))
+		x.Set("number_here", a.NewNumberInt(int(state.Version)))
+		x.Set("epoch", a.NewNumberInt(int(state.Promised.Number)))
 		keys.Set(k, x)
 	}
 	c.replicaMu.Unlock()
-	c.showContact(&a, o, now)
+	c.writeMajorityContact(&a, o, now)
 	members := c.Members()
-	o.Set("state", a.NewString(c.state(v, members)))
-	o.Set("voters_version", a.NewNumberInt(int(v.Version)))
-	o.Set("voters", vs)
-	o.Set("voters_fall_short", a.NewString(short))
+	o.Set("state", a.NewString(c.describeState(quorum, members)))
+	o.Set("voters_version", a.NewNumberInt(int(quorum.Version)))
+	o.Set("voters", voters)
+	o.Set("voters_fall_short", a.NewString(shortfall))
 	o.Set("keys", keys)
-	news := a.NewObject()
+	updates := a.NewObject()
 	c.FeedMu.Lock()
-	for k, it := range c.Feed.Items {
+	for k, item := range c.Feed.Items {
 		x := a.NewObject()
-		x.Set("number", a.NewNumberInt(int(it.Num)))
-		at, all := 0, 0
+		x.Set("number", a.NewNumberInt(int(item.Num)))
+		upToDate, total := 0, 0
 		for _, m := range members {
 			if m.Role == membership.Router && m.State <= membership.Suspect {
-				all++
-				if c.Feed.Acks[k][m.Node] >= it.Num || m.News == c.Feed.Sum {
-					at++
+				total++
+				if c.Feed.Acks[k][m.Node] >= item.Num || m.News == c.Feed.Sum {
+					upToDate++
 				}
 			}
 		}
-		x.Set("routers_at_it", a.NewNumberInt(at))
-		x.Set("routers", a.NewNumberInt(all))
-		news.Set(k, x)
+		x.Set("routers_at_it", a.NewNumberInt(upToDate))
+		x.Set("routers", a.NewNumberInt(total))
+		updates.Set(k, x)
 	}
 	c.FeedMu.Unlock()
-	o.Set("news", news)
+	o.Set("news", updates)
 	c.leaseMu.Lock()
 	o.Set("platform_duty_here", jsonBool(&a, c.lease.Holds(now)))
 	o.Set("platform_duty", a.NewString(c.lease.Holder(now).String()))
 	c.leaseMu.Unlock()
-	c.polled.mu.Lock()
-	o.Set("platform_answers", a.NewNumberInt(int(c.polled.ok)))
-	o.Set("platform_failures", a.NewNumberInt(int(c.polled.bad)))
-	o.Set("platform_last_fault", a.NewString(c.polled.last))
-	c.polled.mu.Unlock()
+	c.pollStatus.mu.Lock()
+	o.Set("platform_answers", a.NewNumberInt(int(c.pollStatus.successes)))
+	o.Set("platform_failures", a.NewNumberInt(int(c.pollStatus.failures)))
+	o.Set("platform_last_fault", a.NewString(c.pollStatus.lastError))
+	c.pollStatus.mu.Unlock()
 	c.disk.mu.Lock()
-	d := a.NewObject()
-	d.Set("sick", jsonBool(&a, c.disk.sick))
-	d.Set("full", jsonBool(&a, c.disk.full))
-	d.Set("set_aside", jsonBool(&a, c.heir))
-	d.Set("on_reserve", jsonBool(&a, c.disk.low))
+	disk := a.NewObject()
+	disk.Set("sick", jsonBool(&a, c.disk.failed))
+	disk.Set("full", jsonBool(&a, c.disk.full))
+	disk.Set("set_aside", jsonBool(&a, c.damageSetAside))
+	disk.Set("on_reserve", jsonBool(&a, c.disk.onReserve))
 	if c.disk.damage != nil {
-		d.Set("damaged", a.NewString(c.disk.damage.Error()))
+		disk.Set("damaged", a.NewString(c.disk.damage.Error()))
 	}
-	d.Set("last_sync_ms", a.NewNumberInt(int(c.disk.slow/time.Millisecond)))
+	disk.Set("last_sync_ms", a.NewNumberInt(int(c.disk.lastWriteDuration/time.Millisecond)))
 	c.disk.mu.Unlock()
-	o.Set("disk", d)
-	ms := a.NewArray()
+	o.Set("disk", disk)
+	memberList := a.NewArray()
 	for i, m := range members {
-		ms.SetArrayItem(i, router.MemberJSON(&a, m))
+		memberList.SetArrayItem(i, router.MemberJSON(&a, m))
 	}
-	o.Set("members", ms)
+	o.Set("members", memberList)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-// showContact says how long ago a majority of the voters last answered: all else in the status is what this node holds,
-// and no newer than that.
-func (c *Controller) showContact(a *fastjson.Arena, o *fastjson.Value, now units.Time) {
+// writeMajorityContact adds how long ago a majority of the voters last answered. The rest of the status is this node's
+// local state, which may be as old as that.
+func (c *Controller) writeMajorityContact(a *fastjson.Arena, o *fastjson.Value, now units.Time) {
 	c.replicaMu.Lock()
 	reaches := c.replica.ReachesMajority(now)
 	silence, known := c.replica.TimeSinceMajorityContact(now)
@@ -107,41 +107,41 @@
 	}
 }
 
-// state names what this node's disk is to the fleet, in words for operators.
-func (c *Controller) state(v register.QuorumSet, members []membership.Member) string {
-	look := register.NewControllerView(members)
+// describeState describes the role of this node's disk in the fleet, for operators.
+func (c *Controller) describeState(quorum register.QuorumSet, members []membership.Member) string {
+	view := register.NewControllerView(members)
 	switch {
-	case v.Has(c.Self):
+	case quorum.Has(c.Self):
 		return "voter"
 	case c.Settings.Grow:
-		return c.grows(v, look)
-	case v.Version > 0 || look.FleetExists || c.heir:
+		return c.describeSeedState(quorum, view)
+	case quorum.Version > 0 || view.FleetExists || c.damageSetAside:
 		return "learner: it joins once a voter has been gone for 5 s, or one is missing"
-	case len(look.Uninitialized) > c.Settings.Founders:
-		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Uninitialized), c.Settings.Founders)
+	case len(view.Uninitialized) > c.Settings.Founders:
+		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(view.Uninitialized), c.Settings.Founders)
 	}
-	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Uninitialized), c.Settings.Founders)
+	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(view.Uninitialized), c.Settings.Founders)
 }
 
-// grows is the same where voters are founded from seeds (design 13).
-func (c *Controller) grows(v register.QuorumSet, look register.ControllerView) string {
+// describeSeedState is describeState for fleets that are bootstrapped from seeds (docs/design.md, section 13).
+func (c *Controller) describeSeedState(quorum register.QuorumSet, view register.ControllerView) string {
 	switch {
 	case !c.Settings.Counts:
 		return "its disk does not count: it never votes"
-	case v.Version > 0 || look.FleetExists:
+	case quorum.Version > 0 || view.FleetExists:
 		return "learner: it joins the voters"
-	case !c.seeds.Participates:
+	case !c.bootstrapSeeds.Participates:
 		return "blank, and not of the first start: it waits to hear of the fleet"
 	}
 	seen := 0
-	for _, a := range c.seeds.SeedAddrs {
-		for _, m := range look.Controllers {
+	for _, a := range c.bootstrapSeeds.SeedAddrs {
+		for _, m := range view.Controllers {
 			if m.Addr == a {
 				seen++
 			}
 		}
 	}
-	return fmt.Sprintf("founding: %d of %d seeds seen", seen, len(c.seeds.SeedAddrs))
+	return fmt.Sprintf("founding: %d of %d seeds seen", seen, len(c.bootstrapSeeds.SeedAddrs))
 }
 
 func jsonBool(a *fastjson.Arena, b bool) *fastjson.Value {
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -15,94 +15,94 @@
 	"seamshunt/internal/resultcode"
 )
 
-// answerTime gives the time that one operator's call has, from now until its answer: register.AnswerTimeout through an
-// adapter, whose callers leave after a second, and register.RequestTimeout on the product's own interface, whose commands
-// wait for ten.
-func answerTime(limit time.Duration) (context.Context, context.CancelFunc) {
+// withAnswerTimeout returns the context of one operator's call, which starts now. The limit is register.AnswerTimeout for
+// calls through an adapter, whose clients disconnect after 1 s, and register.RequestTimeout on the built-in interface,
+// whose commands wait for 10 s.
+func withAnswerTimeout(limit time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), limit)
 }
 
-// Submit carries a request to its key's owner and waits for the result until the call's time is up. A controller that
-// knows that it does not reach a majority answers so at once, and sends nothing.
-func (c *Controller) Submit(ctx context.Context, a register.Request) register.Result {
-	if a.Write && !a.Lookup && c.noRoom() {
+// Submit sends a request to the owner of its key and waits for the result until ctx is done. A controller that knows that it
+// can't reach a majority returns that at once and sends nothing.
+func (c *Controller) Submit(ctx context.Context, request register.Request) register.Result {
+	if request.Write && !request.Lookup && c.majorityFull() {
 		return register.Result{Code: resultcode.DiskFull}
 	}
-	if a.Write && a.RequestID == "" {
-		a.RequestID = node.RandomID().String() // so that it may be sent on when its key changes owners
+	if request.Write && request.RequestID == "" {
+		request.RequestID = node.RandomID().String() // lets the request be resent when its key changes owners
 	}
-	a.Tag = c.tag.Add(1)
-	ch := make(chan register.Result, 1)
+	request.Tag = c.lastTag.Add(1)
+	results := make(chan register.Result, 1)
 	now := c.Tasks.Now()
 	c.replicaMu.Lock()
 	if !c.replica.ReachesMajority(now) {
 		c.replicaMu.Unlock()
 		return register.Result{Code: resultcode.NoMajority}
 	}
-	c.waits[a.Tag] = ch
-	out := c.replica.Submit(now, a)
-	c.drain()
-	c.Deliver(out)
+	c.pendingResults[request.Tag] = results
+	effects := c.replica.Submit(now, request)
+	c.collectResults()
+	c.Deliver(effects)
 	c.replicaMu.Unlock()
 	select {
-	case r := <-ch:
-		return r
+	case result := <-results:
+		return result
 	case <-ctx.Done():
 	}
 	c.replicaMu.Lock()
-	delete(c.waits, a.Tag)
+	delete(c.pendingResults, request.Tag)
 	c.replicaMu.Unlock()
-	return register.Result{Code: a.TimeoutCode()}
+	return register.Result{Code: request.TimeoutCode()}
 }
 
-// Spans of leaving (start values).
+// Durations of a shutdown.
 const (
-	handOver      = 500 * time.Millisecond
-	leaveWithin   = 3 * time.Second // how long a leaving member waits until the set can do without it
-	leaveLookEach = 50 * time.Millisecond
+	handoverTime            = 500 * time.Millisecond
+	leaveQuorumTimeout      = 3 * time.Second // limit of the wait for the removal from the quorum set
+	leaveQuorumPollInterval = 50 * time.Millisecond
 )
 
-// leaveQuorum waits until this node is out of the quorum set, where the set can do without it: what only this disk and few
-// others hold is on a majority of the next set before this one ends.
+// leaveQuorum waits until this node is removed from the quorum set, if the set can spare it. By then, values that only
+// this disk and a few others hold have been copied to a majority of the next set.
 func (c *Controller) leaveQuorum() {
-	until := c.Tasks.Now().Add(min(leaveWithin, c.Settings.Bounds.Grace/2))
-	for c.Tasks.Now() < until && c.givesUpSeat() {
-		c.Tasks.Sleep(leaveLookEach)
+	deadline := c.Tasks.Now().Add(min(leaveQuorumTimeout, c.Settings.Bounds.Grace/2))
+	for c.Tasks.Now() < deadline && c.isBeingRemoved() {
+		c.Tasks.Sleep(leaveQuorumPollInterval)
 	}
 }
 
-func (c *Controller) givesUpSeat() bool {
+func (c *Controller) isBeingRemoved() bool {
 	c.replicaMu.Lock()
 	defer c.replicaMu.Unlock()
 	return c.replica.IsBeingRemoved()
 }
 
-// Drain hands keys and duty over, then leaves.
+// Drain hands over the keys and the platform lease and then stops this node.
 func (c *Controller) Drain() {
-	c.leaving.Store(true)
+	c.draining.Store(true)
 	c.leaseMu.Lock()
 	c.lease.Resign()
 	c.leaseMu.Unlock()
 	c.SetFlag(membership.Draining, true)
-	c.Tasks.Sleep(handOver) // the others take the keys over under higher epochs
+	c.Tasks.Sleep(handoverTime) // the other controllers take over the keys with higher epochs
 	c.leaveQuorum()
 	c.StopServing()
-	_ = c.web.Shutdown()
+	_ = c.httpServer.Shutdown()
 	c.Leave()
 }
 
-// change makes an operator's change, and has it in the audit record before it is acknowledged (design 10).
-func (c *Controller) change(within context.Context, ctx *fasthttp.RequestCtx, a register.Request) {
-	c.result(ctx, c.record(within, a))
+// writeAndRespond makes an operator's change and records it for audit before it responds (docs/design.md, section 10).
+func (c *Controller) writeAndRespond(callCtx context.Context, ctx *fasthttp.RequestCtx, request register.Request) {
+	c.respond(ctx, c.writeAudited(callCtx, request))
 }
 
-// record is the same for whoever answers otherwise.
-func (c *Controller) record(ctx context.Context, a register.Request) register.Result {
-	a.Write = true
-	r := c.Submit(ctx, a)
-	if r.Code == resultcode.OK {
-		sum := sha256.Sum256(a.Data)
-		c.note(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: a.Key, Number: uint64(r.Version), Plan: a.RequestID, SHA256: hex.EncodeToString(sum[:])})
+// writeAudited makes a change and records it for audit before it returns. The caller responds.
+func (c *Controller) writeAudited(ctx context.Context, request register.Request) register.Result {
+	request.Write = true
+	result := c.Submit(ctx, request)
+	if result.Code == resultcode.OK {
+		sum := sha256.Sum256(request.Data)
+		c.appendAudit(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: request.Key, Number: uint64(result.Version), Plan: request.RequestID, SHA256: hex.EncodeToString(sum[:])})
 	}
-	return r
+	return result
 }
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -16,83 +16,84 @@
 	"seamshunt/internal/shield"
 )
 
-// allPools stands for one list of all services' workers, which a book reads.
+// allPools is the pool name under which an adapter lists the workers of all services at once.
 const allPools = "*"
 
-// longAgo is the age of a worker that its list says is warm.
-const longAgo = time.Hour
+// warmWorkerAge is the age given to a worker whose list reports no remaining warm-up time.
+const warmWorkerAge = time.Hour
 
-// list asks for a pool's workers. A node that can't reach the platform at all gives the duty up.
-func (c *Controller) list(pool string) ([]config.Worker, error) {
+// fetchWorkers requests a pool's workers from the platform. A node that can't reach the platform gives up the platform
+// lease.
+func (c *Controller) fetchWorkers(pool string) ([]config.Worker, error) {
 	if c.adapter != nil && pool == allPools {
-		return c.listAll()
+		return c.fetchAllWorkers()
 	}
-	code, b, _, err := transport.HTTP("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
+	code, body, _, err := transport.HTTP("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
 	if err != nil {
-		c.yield()
+		c.yieldLease()
 		return nil, err
 	}
 	if code != 200 {
 		return nil, fmt.Errorf("status %d", code)
 	}
-	l, err := config.ReadWorkers(b)
-	if err == nil && len(l) == 0 {
+	workers, err := config.ReadWorkers(body)
+	if err == nil && len(workers) == 0 {
 		err = errors.New("an empty list is not believed")
 	}
-	return l, err
+	return workers, err
 }
 
-// listAll asks as the book wants it. Such a list says how much longer a worker is cold, not how old it is: its age comes
-// from how long its service's workers are cold, as the configuration has it (design 13).
-func (c *Controller) listAll() ([]config.Worker, error) {
-	away := false
-	l, err := c.adapter.Workers(func(path string) (int, []byte, error) {
-		code, b, err := c.kept.get(c.Settings.Platform, path)
-		away = away || err != nil
-		return code, b, err
+// fetchAllWorkers requests all workers through the adapter. Such a list has the remaining warm-up time of a worker, not
+// its age: the age is computed from the configured warm-up time of the worker's service (docs/design.md, section 13).
+func (c *Controller) fetchAllWorkers() ([]config.Worker, error) {
+	unreachable := false
+	workers, err := c.adapter.Workers(func(path string) (int, []byte, error) {
+		code, body, err := c.platform.get(c.Settings.Platform, path)
+		unreachable = unreachable || err != nil
+		return code, body, err
 	})
-	if away {
-		c.yield()
+	if unreachable {
+		c.yieldLease()
 	}
-	var warm map[string]time.Duration
-	for i := range l {
-		w := &l[i]
-		if w.Age = longAgo; w.Cold > 0 {
-			if warm == nil {
-				num, data := c.heardOf(keyConfig)
-				_, warm = c.versionOf(num, data)
+	var warmup map[string]time.Duration
+	for i := range workers {
+		w := &workers[i]
+		if w.Age = warmWorkerAge; w.Cold > 0 {
+			if warmup == nil {
+				storedVersion, data := c.knownValue(keyConfig)
+				_, warmup = c.configDocVersion(storedVersion, data)
 			}
-			w.Age = max(0, warm[w.Service]-w.Cold)
+			w.Age = max(0, warmup[w.Service]-w.Cold)
 		}
 	}
-	return l, err
+	return workers, err
 }
 
-// kept is a wire to the platform that is held between questions, since each new one costs.
-type kept struct {
-	mu sync.Mutex
-	cl *fasthttp.HostClient
+// platformClient keeps connections to the platform open between polls, to save the cost of new ones.
+type platformClient struct {
+	mu   sync.Mutex
+	http *fasthttp.HostClient
 }
 
-const askFor = time.Second
+const platformTimeout = time.Second
 
-// get asks for one path. A held wire that the platform has closed meanwhile shows so by ending before an answer: then
-// the question is put once more, on a new one.
-func (k *kept) get(addr, path string) (int, []byte, error) {
-	k.mu.Lock()
-	if k.cl == nil {
-		k.cl = &fasthttp.HostClient{Addr: addr, MaxConns: 4, MaxIdleConnDuration: 30 * time.Second, MaxIdemponentCallAttempts: 2, MaxResponseBodySize: 16 << 20,
-			Dial: func(a string) (net.Conn, error) { return shield.Dial(a, askFor) },
+// get requests one path. If the platform has closed an idle connection, that connection ends before an answer; the
+// request is then retried once on a new connection.
+func (p *platformClient) get(addr, path string) (int, []byte, error) {
+	p.mu.Lock()
+	if p.http == nil {
+		p.http = &fasthttp.HostClient{Addr: addr, MaxConns: 4, MaxIdleConnDuration: 30 * time.Second, MaxIdemponentCallAttempts: 2, MaxResponseBodySize: 16 << 20,
+			Dial: func(a string) (net.Conn, error) { return shield.Dial(a, platformTimeout) },
 			RetryIfErr: func(_ *fasthttp.Request, n int, err error) (bool, bool) {
 				return false, n < 2 && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE))
 			}}
 	}
-	k.mu.Unlock()
+	p.mu.Unlock()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + addr + path)
-	if err := k.cl.DoTimeout(req, resp, askFor); err != nil {
+	if err := p.http.DoTimeout(req, resp, platformTimeout); err != nil {
 		return 0, nil, err
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
