--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,5 @@
-// Package node is what both programs stand on: goroutines, connections, membership and news (design 1, 4, 5).
+// Package node holds what routers and controllers share: goroutines, connections, membership and pushed updates
+// (docs/design.md, sections 1, 4 and 5).
 package node
 
 import (
@@ -24,8 +25,8 @@
 	"seamshunt/internal/units"
 )
 
-// Base holds the shared tables. Lock order: membership, configpush, control state, rules, admission queue, capacity ledger,
-// idempotency claimant, disk queue, wires.
+// Base is the shared part of a router and a controller. Lock order: membership, configpush, control state, rules,
+// admission queue, capacity ledger, idempotency claimant, disk queue, transport.
 type Base struct {
 	Settings  *boot.Boot
 	Self      units.NodeID
@@ -39,56 +40,56 @@
 	FeedMu   sync.Mutex
 	Feed     *configpush.Feed
 
-	MessageHandlers map[message.Kind]func(units.Time, message.Message) // by range of kinds, for the program's own machines
-	OnResume        func(units.Time)                                   // after a freeze
-	OnPeersEnded    func(units.Time, []units.NodeID)                   // processes found to have ended
-	OnChange        func()                                             // news came, or membership changed
-	PersistEffects  func(message.Effects)                              // disk work; nil on a router
-	DroppedMessages atomic.Uint64
-	open            atomic.Bool // the wires stand
-	Errors          atomic.Uint64
-	freezes         freezes
-	stopping        atomic.Bool // servers end because they are to
-	pace            tasks.Loop
-	ver             atomic.Uint64 // of membership's table, as last seen
-	since           atomic.Int64  // when that changed
+	MessageHandlers     map[message.Kind]func(units.Time, message.Message) // of the program itself, by the first kind of each range of 16
+	OnResume            func(units.Time)                                   // called after a pause of the process
+	OnPeersEnded        func(units.Time, []units.NodeID)                   // called with peers whose processes were found to have ended
+	OnChange            func()                                             // called after an update or a change of membership
+	PersistEffects      func(message.Effects)                              // queues writes and the messages that wait for them; nil on a router
+	DroppedMessages     atomic.Uint64
+	transportOpen       atomic.Bool // Transport is set
+	Errors              atomic.Uint64
+	pauses              pauseDetector
+	stopping            atomic.Bool // servers are expected to end
+	tickLoop            tasks.Loop
+	membershipVersion   atomic.Uint64 // version of the membership table, as last seen
+	membershipChangedAt atomic.Int64  // when membershipVersion last changed
 }
 
-// RandomID gives a fresh id.
+// RandomID returns a new random ID.
 func RandomID() units.NodeID {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return units.NodeID(binary.LittleEndian.Uint64(b[:]) | 1)
 }
 
-// New builds the tables; Start brings them to life.
-func New(b *boot.Boot, self units.NodeID, role membership.Role) *Base {
-	t := &Base{Settings: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
+// New returns the shared part of a process. It does nothing before Start.
+func New(nodeSettings *boot.Boot, self units.NodeID, role membership.Role) *Base {
+	t := &Base{Settings: nodeSettings, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
-	me := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, Web: b.Web, Zone: b.Zone}
-	t.Gossip = membership.New(me, b.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
+	member := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: nodeSettings.Addr, Web: nodeSettings.Web, Zone: nodeSettings.Zone}
+	t.Gossip = membership.New(member, nodeSettings.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
 	return t
 }
 
-// Start opens the wires and begins the common loops.
+// Start opens the transport and starts the tick loop.
 func (t *Base) Start() error {
-	tel, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Take: t.take, Refused: t.refused,
+	opened, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Take: t.receive, Refused: t.peerRefused,
 		Ended: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
-	t.Transport = tel
-	t.freezes.start(t.Tasks.Now(), t.Settings.Bounds.CatchUp)
-	t.open.Store(true)
-	t.pace.Start(t.Tasks, often, t.beat)
+	t.Transport = opened
+	t.pauses.start(t.Tasks.Now(), t.Settings.Bounds.CatchUp)
+	t.transportOpen.Store(true)
+	t.tickLoop.Start(t.Tasks, activeInterval, t.tick)
 	return nil
 }
 
-// beat is all that goes by the clock; it gives how long the next may wait.
-func (t *Base) beat(now units.Time) time.Duration {
-	if gap := t.freezes.beat(now); gap > 0 && t.OnResume != nil {
-		t.Log.WithField("gap", gap).Error("woke from a freeze: nothing held before is trusted")
+// tick does all periodic work and returns the interval to the next tick.
+func (t *Base) tick(now units.Time) time.Duration {
+	if gap := t.pauses.tick(now); gap > 0 && t.OnResume != nil {
+		t.Log.WithField("gap", gap).Error("the process resumed after a pause: state from before it is not trusted")
 		t.OnResume(now)
 	}
 	t.FeedMu.Lock()
@@ -96,120 +97,120 @@
 	t.FeedMu.Unlock()
 	t.GossipMu.Lock()
 	t.Gossip.News = sum
-	out := t.Gossip.Tick(now)
-	all, ver, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.Asking(now)
+	effects := t.Gossip.Tick(now)
+	members, version, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.Asking(now)
 	t.GossipMu.Unlock()
-	if t.saw(now, ver) {
-		for _, m := range all {
+	if t.updateMembershipVersion(now, version) {
+		for _, m := range members {
 			t.Transport.Learn(m.Node, m.Addr)
 		}
 	}
 	t.FeedMu.Lock()
-	out.Join(t.Feed.Beat(now, all, t.Self))
+	effects.Join(t.Feed.Beat(now, members, t.Self))
 	t.FeedMu.Unlock()
-	t.Deliver(out)
+	t.Deliver(effects)
 	if asking || !t.MembershipStable(now) {
-		return often
+		return activeInterval
 	}
 	return IdleInterval
 }
 
-// take is called on the wires' loop and only passes the note to a goroutine of the group. One that comes before the wires stand here is
-// lost, as on any net.
-func (t *Base) take(n message.Message) {
-	if !t.open.Load() || !t.Tasks.Do(func() { t.step(n) }) {
+// receive is called on the transport's loop and only passes the message to a goroutine of the group. A message that
+// arrives before the transport is set is lost, as messages may be on any network.
+func (t *Base) receive(n message.Message) {
+	if !t.transportOpen.Load() || !t.Tasks.Do(func() { t.handle(n) }) {
 		t.DroppedMessages.Add(1)
 	}
 }
 
-func (t *Base) step(n message.Message) {
+func (t *Base) handle(n message.Message) {
 	now := t.Tasks.Now()
 	switch n.Kind &^ 15 {
 	case message.KindMembership:
 		t.GossipMu.Lock()
-		out := t.Gossip.Step(now, n)
+		effects := t.Gossip.Step(now, n)
 		m, ok := t.Gossip.Get(n.From)
-		ver := t.Gossip.Version()
+		version := t.Gossip.Version()
 		t.GossipMu.Unlock()
 		if ok {
 			t.Transport.Learn(m.Node, m.Addr)
 		}
-		t.Deliver(out)
-		if ver != t.ver.Load() {
-			t.pace.By(often)
+		t.Deliver(effects)
+		if version != t.membershipVersion.Load() {
+			t.tickLoop.By(activeInterval)
 		}
 	case message.KindConfigPush:
 		t.FeedMu.Lock()
-		out := t.Feed.Step(now, n)
-		fresh := len(t.Feed.Fresh) > 0
+		effects := t.Feed.Step(now, n)
+		updated := len(t.Feed.Fresh) > 0
 		t.FeedMu.Unlock()
-		t.Deliver(out)
-		if fresh {
-			t.moved()
+		t.Deliver(effects)
+		if updated {
+			t.notifyChange()
 		}
 	default:
-		if f := t.MessageHandlers[n.Kind&^15]; f != nil {
-			f(now, n)
+		if handler := t.MessageHandlers[n.Kind&^15]; handler != nil {
+			handler(now, n)
 		}
 	}
 }
 
-// Deliver sends what a step gave out and looks at its errors once.
-func (t *Base) Deliver(out message.Effects) {
-	for _, n := range out.Messages {
+// Deliver sends the messages of a step, queues its writes, and counts and logs its errors.
+func (t *Base) Deliver(effects message.Effects) {
+	for _, n := range effects.Messages {
 		t.Transport.Send(n)
 	}
-	if t.PersistEffects != nil && len(out.Writes)+len(out.AfterSync) > 0 {
-		t.PersistEffects(out)
+	if t.PersistEffects != nil && len(effects.Writes)+len(effects.AfterSync) > 0 {
+		t.PersistEffects(effects)
 	} else {
-		for _, n := range out.AfterSync {
+		for _, n := range effects.AfterSync {
 			t.Transport.Send(n)
 		}
 	}
-	for _, err := range out.Errs {
+	for _, err := range effects.Errs {
 		t.Errors.Add(1)
-		t.Log.WithError(err).Warn("bad note")
+		t.Log.WithError(err).Warn("invalid message")
 	}
 }
 
-func (t *Base) refused(addr string) {
+func (t *Base) peerRefused(addr string) {
 	now := t.Tasks.Now()
 	t.GossipMu.Lock()
-	l := t.Gossip.Refused(now, addr)
+	ended := t.Gossip.Refused(now, addr)
 	t.GossipMu.Unlock()
-	if len(l) > 0 && t.OnPeersEnded != nil {
-		t.OnPeersEnded(now, l)
+	if len(ended) > 0 && t.OnPeersEnded != nil {
+		t.OnPeersEnded(now, ended)
 	}
 }
 
-// Reload takes a boot file that has changed: only the seeds may be others.
-func (t *Base) Reload(b *boot.Boot) {
+// Reload applies changed settings. Only the seeds can change while a process runs.
+func (t *Base) Reload(newSettings *boot.Boot) {
 	t.GossipMu.Lock()
-	t.Gossip.Seeds(b.Seeds)
+	t.Gossip.Seeds(newSettings.Seeds)
 	t.GossipMu.Unlock()
 }
 
-// SetFlag sets what this node says of itself.
+// SetFlag sets or clears a flag of this node in the membership table.
 func (t *Base) SetFlag(f uint16, on bool) {
 	t.GossipMu.Lock()
 	t.Gossip.Flag(f, on)
 	t.GossipMu.Unlock()
 }
 
-// Members lists all members.
+// Members returns all members.
 func (t *Base) Members() []membership.Member {
 	t.GossipMu.Lock()
 	defer t.GossipMu.Unlock()
 	return t.Gossip.All()
 }
 
-// Leave tells the others and closes the wires.
+// Leave tells the other members that this node leaves, closes the transport and stops the goroutines.
 func (t *Base) Leave() {
 	t.GossipMu.Lock()
-	out := t.Gossip.Leave()
+	effects := t.Gossip.Leave()
 	t.GossipMu.Unlock()
-	t.Deliver(out)
-	t.Tasks.Sleep(100 * time.Millisecond) // lets the goodbye leave the machine
+	t.Deliver(effects)
+	t.Tasks.Sleep(100 * time.Millisecond) // lets the leave messages be sent
 	t.Transport.Close()
-	t.Tasks.Stop(400 * time.Millisecond) // a dial under way may hang as the wires close; the grace does not wait for it
+	t.Tasks.Stop(400 * time.Millisecond) // a pending dial may hang when the transport closes; the shutdown doesn't wait for it
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -7,10 +7,10 @@
 	"seamshunt/internal/listener"
 )
 
-var errServerEnded = errors.New("node: it stopped accepting connections")
+var errServerEnded = errors.New("node: the server stopped accepting connections")
 
-// Serve has a server answer on a listener until StopServing is called. One that ends before is logged, and started again on a new
-// listener at the same address.
+// Serve runs a server on a listener until StopServing is called. If the server ends before that, the error is logged and
+// the server is restarted on a new listener at the same address.
 func (t *Base) Serve(name string, ln net.Listener, serve func(net.Listener) error) {
 	addr := ln.Addr().String()
 	run := func() error {
@@ -30,21 +30,21 @@
 		return errors.Join(errServerEnded, err)
 	}
 	t.Tasks.Supervise(run, func(err error) {
-		t.Log.WithError(err).WithField("server", name).Error("a server ended; it is started again")
+		t.Log.WithError(err).WithField("server", name).Error("a server ended unexpectedly; restarting it")
 	})
 }
 
-// StopServing says that servers end from now on because they are to.
+// StopServing makes Serve treat the end of a server as expected from now on.
 func (t *Base) StopServing() { t.stopping.Store(true) }
 
-// connectionsUnbounded is how many connections callers may hold where nobody said how many descriptors there are.
-const connectionsUnbounded = 65536
+// defaultMaxConnections limits clients' connections if the number of file descriptors is unknown.
+const defaultMaxConnections = 65536
 
-// MaxClientConnections gives how many connections callers may hold: half of the descriptors. The rest is for other nodes, workers, the
-// platform and files; without them a process would neither hear of changes nor reach a worker.
+// MaxClientConnections returns the limit of clients' connections: half of the file descriptors. The rest is for other
+// nodes, workers, the platform and files; without them a process would neither receive updates nor reach a worker.
 func (t *Base) MaxClientConnections() int {
 	if t.Settings.Files == 0 {
-		return connectionsUnbounded
+		return defaultMaxConnections
 	}
 	return max(1, t.Settings.Files/2)
 }
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -12,7 +12,7 @@
 	"seamshunt/internal/testutil"
 )
 
-// A server that ends is started again at the same address, until it is to end.
+// TestServerThatEndsIsStartedAgain checks that a server is restarted at the same address until StopServing is called.
 func TestServerThatEndsIsStartedAgain(t *testing.T) {
 	b := New(&boot.Boot{Name: "n"}, 1, membership.Router)
 	defer b.Tasks.Stop(time.Second)
@@ -28,7 +28,7 @@
 	})
 	for _, cause := range []error{nil, errors.New("broken"), nil} {
 		if ln := <-serving; ln.Addr().String() != addr {
-			t.Errorf("it serves at %v, want %s", ln.Addr(), addr)
+			t.Errorf("the server listens at %v, want %s", ln.Addr(), addr)
 		}
 		result <- cause
 	}
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -10,13 +10,13 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// ZonePrefix begins the key of every zone's state among the numbered values.
+// ZonePrefix is the prefix of the keys of zone states.
 const ZonePrefix = "zone/"
 
-// ZoneEvacuated reads a zone's state.
+// ZoneEvacuated reports whether a zone's state is evacuated.
 func ZoneEvacuated(state []byte) bool { return fastjson.GetBool(state, "evacuated") }
 
-// WriteZoneMetrics writes what this process holds of each zone's state, as Prometheus text.
+// WriteZoneMetrics writes each zone's state as known to this process, in the Prometheus text format.
 func (t *Base) WriteZoneMetrics(w io.Writer) {
 	t.FeedMu.Lock()
 	defer t.FeedMu.Unlock()
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/cluster/membership"
 )
 
-// The metrics tell each zone's state with its number, and no other value's.
+// TestZoneMetrics checks that the metrics have each zone's state with its version, and no other values.
 func TestZoneMetrics(t *testing.T) {
 	b := New(&boot.Boot{Name: "n"}, 1, membership.Router)
 	b.Feed.Take(configpush.Item{Key: "config", Num: 3, Data: []byte(`{}`)})
