--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -12,20 +12,22 @@
 
 func main() {
 	const name = "controller"
-	dump := func(d console.Daemon) { d.(*controller.Controller).LogRing.Dump() }
+	dump := func(daemon console.Daemon) { daemon.(*controller.Controller).LogRing.Dump() }
 	root := console.Root(name, "the control plane: state on disk, operators, the platform, news")
 	root.AddCommand(
-		console.Run(name, func(b *boot.Boot) (console.Daemon, error) { return controller.New(b, nil) }, dump),
+		console.Run(name, func(nodeSettings *boot.Boot) (console.Daemon, error) { return controller.New(nodeSettings, nil) }, dump),
 		console.Serve(func() (*boot.Boot, error) { return platform.Boot(os.Getenv(platform.SettingsEnv), name) },
-			func(b *boot.Boot) (console.Daemon, error) {
-				return controller.New(b, platform.New(os.Getenv(platform.SettingsEnv), name))
+			func(nodeSettings *boot.Boot) (console.Daemon, error) {
+				return controller.New(nodeSettings, platform.New(os.Getenv(platform.SettingsEnv), name))
 			},
-			func(d console.Daemon, b *boot.Boot) { d.(*controller.Controller).Reload(b) }, dump),
+			func(daemon console.Daemon, nodeSettings *boot.Boot) {
+				daemon.(*controller.Controller).Reload(nodeSettings)
+			}, dump),
 		console.Check(name, &console.Look{Flag: "settings", What: "a settings file", At: func(path string) error {
 			_, err := platform.Boot(path, name)
 			return err
 		}},
 			&console.Look{Flag: "deploy", What: "a deploy file", At: platform.Deploy}))
-	root.AddCommand(calls()...)
+	root.AddCommand(operatorCommands()...)
 	console.Main(root)
 }
--- a/cmd/controller/verify.go
+++ b/cmd/controller/verify.go
@@ -12,37 +12,37 @@
 	"seamshunt/internal/control/changelog"
 )
 
-// verifyCmd checks a data folder's audit record.
+// verifyCmd returns the command that checks the audit record in a data folder.
 func verifyCmd() *cobra.Command {
-	var dir, key, older string
-	c := &cobra.Command{Use: "verify", Short: "check the audit record in a data folder", Args: cobra.NoArgs}
-	c.RunE = func(*cobra.Command, []string) error {
-		if key == "" {
-			key = filepath.Join(dir, "audit.pub")
+	var dir, keyFile, olderFile string
+	cmd := &cobra.Command{Use: "verify", Short: "check the audit record in a data folder", Args: cobra.NoArgs}
+	cmd.RunE = func(*cobra.Command, []string) error {
+		if keyFile == "" {
+			keyFile = filepath.Join(dir, "audit.pub")
 		}
-		k, err := os.ReadFile(key)
+		verifierKey, err := os.ReadFile(keyFile)
 		if err != nil {
 			return err
 		}
 		if _, err := os.Stat(filepath.Join(dir, "audit.checkpoint")); err != nil {
 			return err
 		}
-		var old []byte
-		if older != "" {
-			if old, err = os.ReadFile(older); err != nil {
+		var olderCheckpoint []byte
+		if olderFile != "" {
+			if olderCheckpoint, err = os.ReadFile(olderFile); err != nil {
 				return err
 			}
 		}
-		n, err := changelog.Verify(dir, strings.TrimSpace(string(k)), old)
+		entries, err := changelog.Verify(dir, strings.TrimSpace(string(verifierKey)), olderCheckpoint)
 		if err != nil {
 			return fmt.Errorf("%w: %w", console.ErrPromise, err)
 		}
-		fmt.Printf("good: %d entries\n", n)
+		fmt.Printf("good: %d entries\n", entries)
 		return nil
 	}
-	c.Flags().StringVar(&dir, "dir", "", "the data folder")
-	c.Flags().StringVar(&key, "key", "", "a file with the verifier key; audit.pub in the folder unless given")
-	c.Flags().StringVar(&older, "older", "", "an older checkpoint, which the record must have grown from")
-	_ = c.MarkFlagRequired("dir")
-	return c
+	cmd.Flags().StringVar(&dir, "dir", "", "the data folder")
+	cmd.Flags().StringVar(&keyFile, "key", "", "a file with the verifier key; audit.pub in the folder unless given")
+	cmd.Flags().StringVar(&olderFile, "older", "", "an older checkpoint, which the record must have grown from")
+	_ = cmd.MarkFlagRequired("dir")
+	return cmd
 }
