--- a/cmd/controller/commands.go
+++ b/cmd/controller/commands.go
@@ -15,7 +15,7 @@
 
 // callController sends a request to a running controller. It returns the answer's body and its Number header.
 func callController(addr, method, path string, body []byte) ([]byte, string, error) {
-	code, answer, number, err := transport.HTTP(method, addr, path, body, nil, 10*time.Second)
+	code, answer, number, err := transport.HTTPRequest(method, addr, path, body, nil, 10*time.Second)
 	if err != nil {
 		return nil, "", fmt.Errorf("%s: %w", addr, err)
 	}
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -78,8 +78,8 @@
 	}
 	c.pollStatus.wasPausedSince = c.WasPausedSince
 	c.bootstrapSeeds, c.originalSeeds = bootstrapSeeds(nodeSettings, walLog.Live()), originalSeeds(walLog.Live())
-	c.SetFlag(membership.Counts, nodeSettings.Counts || !nodeSettings.Grow)
-	c.SetFlag(membership.First, nodeSettings.Grow && c.bootstrapSeeds.Participates)
+	c.SetFlag(membership.MayVote, nodeSettings.Counts || !nodeSettings.Grow)
+	c.SetFlag(membership.Bootstrap, nodeSettings.Grow && c.bootstrapSeeds.Participates)
 	if siteAdapter != nil && siteAdapter.Control != nil {
 		c.adapterHandler = siteAdapter.Control(c.Control())
 	}
@@ -127,7 +127,7 @@
 		c.leaseMu.Unlock()
 		c.Deliver(out)
 	}
-	c.Feed.Stored = func() map[string]units.Version {
+	c.Feed.StoredVersions = func() map[string]units.Version {
 		c.replicaMu.Lock()
 		defer c.replicaMu.Unlock()
 		return c.replica.KnownVersions()
@@ -202,7 +202,7 @@
 	}
 	for _, update := range updates {
 		c.FeedMu.Lock()
-		effects := c.Feed.Spread(now, configpush.Item{Key: update.Key, Num: update.Version, Data: update.Data}, targets)
+		effects := c.Feed.Publish(now, configpush.Item{Key: update.Key, Version: update.Version, Data: update.Data}, targets)
 		c.FeedMu.Unlock()
 		c.Deliver(effects)
 	}
@@ -213,12 +213,12 @@
 	members := c.Members()
 	unfit := c.disk.unfit(now)
 	onReserve, full := c.probeDisk(now)
-	c.SetFlag(membership.Full, full)
+	c.SetFlag(membership.DiskFull, full)
 	c.SetFlag(membership.Draining, c.draining.Load())
 	view := register.NewControllerView(members)
 	c.FeedMu.Lock()
-	quorumItem, updates := c.Feed.Items[register.KeyQuorum], c.Feed.Fresh
-	c.Feed.Fresh = nil
+	quorumItem, updates := c.Feed.Items[register.KeyQuorum], c.Feed.Changes
+	c.Feed.Changes = nil
 	c.FeedMu.Unlock()
 	c.takeWorkerLists(now, updates)
 	c.replicaMu.Lock()
@@ -229,17 +229,17 @@
 	c.replica.SetEligible(view.Eligible, view.Draining...)
 	c.updateQuorum(now, view)
 	effects := c.replica.Tick(now)
-	c.claims.Low = onReserve
-	effects.Join(c.claims.Tick(now, c.replica.Quorum()))
+	c.claims.DiskFull = onReserve
+	effects.Append(c.claims.Tick(now, c.replica.Quorum()))
 	c.syncer.SetHealthy(!unfit)
-	effects.Join(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
+	effects.Append(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
 	voter := c.replica.Quorum().Has(c.Self)
 	seatUntil := c.planner.SeatValidUntil(c.replica.LastMajorityContact(now))
 	chosen := c.collectResults()
 	c.Deliver(effects)
 	c.replicaMu.Unlock()
 	c.SetFlag(membership.Voter, voter)
-	c.SetFlag(membership.Unfit, unfit)
+	c.SetFlag(membership.DiskUnfit, unfit)
 	c.pushUpdates(now, chosen)
 	c.leaseMu.Lock()
 	c.lease.SetSeatExpiry(seatUntil)
--- a/internal/control/controller/delayed_request_test.go
+++ b/internal/control/controller/delayed_request_test.go
@@ -192,7 +192,7 @@
 // probeHealth requests /healthz on a new connection and waits for the answer.
 func probeHealth(t *testing.T, addr string) {
 	t.Helper()
-	if code, _, _, err := transport.HTTP("GET", addr, "/healthz", nil, nil, 10*time.Second); err != nil || code != 200 {
+	if code, _, _, err := transport.HTTPRequest("GET", addr, "/healthz", nil, nil, 10*time.Second); err != nil || code != 200 {
 		t.Fatalf("%d %v", code, err)
 	}
 }
--- a/internal/control/controller/evacuation.go
+++ b/internal/control/controller/evacuation.go
@@ -65,7 +65,7 @@
 		result := c.writeAudited(ctx, register.Request{Key: request.key, ExpectedVersion: request.baseVersion, Data: request.desired})
 		switch result.Code {
 		case resultcode.OK:
-			c.recordUpdate(configpush.Item{Key: request.key, Num: result.Version, Data: request.desired})
+			c.recordUpdate(configpush.Item{Key: request.key, Version: result.Version, Data: request.desired})
 			return resultcode.OK
 		case resultcode.VersionConflict:
 		default:
@@ -83,14 +83,14 @@
 func (c *Controller) recordUpdate(item configpush.Item) {
 	c.FeedMu.Lock()
 	defer c.FeedMu.Unlock()
-	item.Heard = c.Tasks.Now()
-	c.Feed.Take(item)
+	item.ReceivedAt = c.Tasks.Now()
+	c.Feed.Apply(item)
 }
 
 // findBaseState finds the state that a request is written on, given a lower bound for the request's send time.
 func (c *Controller) findBaseState(ctx context.Context, request *zoneRequest, earliestSendTime units.Time) resultcode.Code {
 	if item, ok := c.knownItem(request.key); ok {
-		request.baseVersion, request.baseState, request.mayChange = item.Num, item.Data, item.Heard <= earliestSendTime
+		request.baseVersion, request.baseState, request.mayChange = item.Version, item.Data, item.ReceivedAt <= earliestSendTime
 		return resultcode.OK
 	}
 	code := c.readZoneState(ctx, request)
@@ -108,7 +108,7 @@
 // knownValue returns the newest value of a key that this node knows. It was chosen, but a newer one may be in force.
 func (c *Controller) knownValue(key string) (units.Version, []byte) {
 	item, _ := c.knownItem(key)
-	return item.Num, item.Data
+	return item.Version, item.Data
 }
 
 // knownItem is knownValue with the time at which this node received the value.
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -196,7 +196,7 @@
 	nodeID, _, hasNodeID := strings.Cut(id, "-")
 	for _, m := range c.Members() {
 		if m.Node.String() == nodeID && m.Node != c.Self && m.State <= membership.Suspect && len(ctx.Request.Header.Peek("Passed-On")) == 0 {
-			c.forward(ctx, m.Web)
+			c.forward(ctx, m.HTTPAddr)
 			return
 		}
 	}
@@ -209,7 +209,7 @@
 
 // forward sends an operator's call to the controller that holds its plan. A forwarded call isn't forwarded again.
 func (c *Controller) forward(ctx *fasthttp.RequestCtx, addr string) {
-	code, body, _, err := transport.HTTP("POST", addr, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, forwardTimeout)
+	code, body, _, err := transport.HTTPRequest("POST", addr, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, forwardTimeout)
 	if err != nil {
 		c.respondFaults(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: faultTexts[resultcode.CommitUnknown]})
 		return
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -78,7 +78,7 @@
 func (c *Controller) pollOnce(pool string) {
 	now := c.Tasks.Now()
 	c.catalogMu.Lock()
-	query := c.catalog.Ask(now, pool, c.Self, time.Now().UnixMilli())
+	query := c.catalog.NewQuery(now, pool, c.Self, time.Now().UnixMilli())
 	known := len(c.catalog.List(pool))
 	c.catalogMu.Unlock()
 	workers, err := c.fetchWorkers(pool)
@@ -86,7 +86,7 @@
 	case err != nil:
 	case len(workers) == 0 && known > 0:
 		err = errors.New("an empty list is not believed")
-	case c.pollStatus.wasPausedSince(query.Began):
+	case c.pollStatus.wasPausedSince(query.StartedAt):
 		err = errors.New("a list that waited while this process stood still is not believed")
 	}
 	c.pollStatus.mu.Lock()
@@ -102,10 +102,10 @@
 		return
 	}
 	c.catalogMu.Lock()
-	data, changed := c.catalog.Heard(query, workers)
+	data, changed := c.catalog.RecordAnswer(query, workers)
 	c.catalogMu.Unlock()
 	if changed {
-		c.pushUpdates(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: query.Num, Data: data}})
+		c.pushUpdates(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: query.Version, Data: data}})
 	}
 }
 
@@ -126,10 +126,10 @@
 	c.catalogMu.Lock()
 	defer c.catalogMu.Unlock()
 	for _, item := range updates {
-		if !strings.HasPrefix(item.Key, discovery.Prefix) {
+		if !strings.HasPrefix(item.Key, discovery.KeyPrefix) {
 			continue
 		}
-		if _, err := c.catalog.Take(now, item.Key, item.Num, item.Data); err != nil {
+		if _, err := c.catalog.Apply(now, item.Key, item.Version, item.Data); err != nil {
 			c.Errors.Add(1)
 			c.Log.WithError(err).Error("a worker list can't be decoded")
 		}
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -25,7 +25,7 @@
 	var addrs []string
 	for _, member := range c.Members() {
 		if member.Role == membership.Router && member.State <= membership.Suspect {
-			addrs = append(addrs, member.Web)
+			addrs = append(addrs, member.HTTPAddr)
 		}
 	}
 	answers := make(chan answer, len(addrs))
@@ -35,7 +35,7 @@
 	}
 	for _, addr := range addrs {
 		c.Tasks.Go(func() {
-			code, body, _, err := transport.HTTP("GET", addr, "/status", nil, nil, timeout)
+			code, body, _, err := transport.HTTPRequest("GET", addr, "/status", nil, nil, timeout)
 			if err != nil || code != 200 {
 				answers <- nil
 				return
@@ -91,7 +91,7 @@
 	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
 	o.Set("routers", a.NewNumberInt(asked))
 	o.Set("routers_answered", a.NewNumberInt(answered))
-	for _, k := range message.Keys(stats) {
+	for _, k := range message.SortedKeys(stats) {
 		promise := stats[k]
 		x := a.NewObject()
 		x.Set("promise", a.NewString(promise.Promise))
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -103,7 +103,7 @@
 	}
 	late := startSingle(t, t.TempDir(), func(x *Controller) {
 		x.Settings.Founders, x.planner.FixedSize = 2, 2
-		x.Gossip = membership.New(membership.Member{Node: x.Self, Inc: 1, Role: membership.Controller, Addr: x.Settings.Addr, Web: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
+		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
 	testutil.Until(t, "both are voters", reports(`"state":"voter"`))
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -48,12 +48,12 @@
 	c.FeedMu.Lock()
 	for k, item := range c.Feed.Items {
 		x := a.NewObject()
-		x.Set("number", a.NewNumberInt(int(item.Num)))
+		x.Set("number", a.NewNumberInt(int(item.Version)))
 		upToDate, total := 0, 0
 		for _, m := range members {
 			if m.Role == membership.Router && m.State <= membership.Suspect {
 				total++
-				if c.Feed.Acks[k][m.Node] >= item.Num || m.News == c.Feed.Sum {
+				if c.Feed.Acks[k][m.Node] >= item.Version || m.FeedDigest == c.Feed.Digest {
 					upToDate++
 				}
 			}
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -28,7 +28,7 @@
 	if c.adapter != nil && pool == allPools {
 		return c.fetchAllWorkers()
 	}
-	code, body, _, err := transport.HTTP("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
+	code, body, _, err := transport.HTTPRequest("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
 	if err != nil {
 		c.yieldLease()
 		return nil, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,15 +67,15 @@
 	t := &Base{Settings: nodeSettings, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
-	member := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: nodeSettings.Addr, Web: nodeSettings.Web, Zone: nodeSettings.Zone}
+	member := membership.Member{Node: self, Incarnation: uint64(time.Now().UnixMilli()), Role: role, Addr: nodeSettings.Addr, HTTPAddr: nodeSettings.Web, Zone: nodeSettings.Zone}
 	t.Gossip = membership.New(member, nodeSettings.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
 	return t
 }
 
 // Start opens the transport and starts the tick loop.
 func (t *Base) Start() error {
-	opened, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Take: t.receive, Refused: t.peerRefused,
-		Ended: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
+	opened, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Receive: t.receive, ConnectionRefused: t.peerRefused,
+		ListenerFailed: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
@@ -93,20 +93,20 @@
 		t.OnResume(now)
 	}
 	t.FeedMu.Lock()
-	sum := t.Feed.Sum
+	sum := t.Feed.Digest
 	t.FeedMu.Unlock()
 	t.GossipMu.Lock()
-	t.Gossip.News = sum
+	t.Gossip.FeedDigest = sum
 	effects := t.Gossip.Tick(now)
-	members, version, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.Asking(now)
+	members, version, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.ProbePending(now)
 	t.GossipMu.Unlock()
 	if t.updateMembershipVersion(now, version) {
 		for _, m := range members {
-			t.Transport.Learn(m.Node, m.Addr)
+			t.Transport.SetAddr(m.Node, m.Addr)
 		}
 	}
 	t.FeedMu.Lock()
-	effects.Join(t.Feed.Beat(now, members, t.Self))
+	effects.Append(t.Feed.PushAndPull(now, members, t.Self))
 	t.FeedMu.Unlock()
 	t.Deliver(effects)
 	if asking || !t.MembershipStable(now) {
@@ -133,7 +133,7 @@
 		version := t.Gossip.Version()
 		t.GossipMu.Unlock()
 		if ok {
-			t.Transport.Learn(m.Node, m.Addr)
+			t.Transport.SetAddr(m.Node, m.Addr)
 		}
 		t.Deliver(effects)
 		if version != t.membershipVersion.Load() {
@@ -142,7 +142,7 @@
 	case message.KindConfigPush:
 		t.FeedMu.Lock()
 		effects := t.Feed.Step(now, n)
-		updated := len(t.Feed.Fresh) > 0
+		updated := len(t.Feed.Changes) > 0
 		t.FeedMu.Unlock()
 		t.Deliver(effects)
 		if updated {
@@ -167,7 +167,7 @@
 			t.Transport.Send(n)
 		}
 	}
-	for _, err := range effects.Errs {
+	for _, err := range effects.Errors {
 		t.Errors.Add(1)
 		t.Log.WithError(err).Warn("invalid message")
 	}
@@ -176,7 +176,7 @@
 func (t *Base) peerRefused(addr string) {
 	now := t.Tasks.Now()
 	t.GossipMu.Lock()
-	ended := t.Gossip.Refused(now, addr)
+	ended := t.Gossip.ConnectionRefused(now, addr)
 	t.GossipMu.Unlock()
 	if len(ended) > 0 && t.OnPeersEnded != nil {
 		t.OnPeersEnded(now, ended)
@@ -186,14 +186,14 @@
 // Reload applies changed settings. Only the seeds can change while a process runs.
 func (t *Base) Reload(newSettings *boot.Boot) {
 	t.GossipMu.Lock()
-	t.Gossip.Seeds(newSettings.Seeds)
+	t.Gossip.SetSeeds(newSettings.Seeds)
 	t.GossipMu.Unlock()
 }
 
 // SetFlag sets or clears a flag of this node in the membership table.
 func (t *Base) SetFlag(f uint16, on bool) {
 	t.GossipMu.Lock()
-	t.Gossip.Flag(f, on)
+	t.Gossip.SetFlag(f, on)
 	t.GossipMu.Unlock()
 }
 
