--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command controller is the control plane.
+// Command controller runs a control-plane process and has the operators' commands.
 package main
 
 import (
--- a/internal/control/controller/disk_test.go
+++ b/internal/control/controller/disk_test.go
@@ -124,11 +124,11 @@
 		t.Fatal(err)
 	}
 	first.log.Close()
-	again, err := openDisk(nodeSettings)
-	if err != nil || again.uninitialized || again.damage != nil || again.self != first.self {
-		t.Fatal(again.self, again.uninitialized, again.damage, err)
+	reopened, err := openDisk(nodeSettings)
+	if err != nil || reopened.uninitialized || reopened.damage != nil || reopened.self != first.self {
+		t.Fatal(reopened.self, reopened.uninitialized, reopened.damage, err)
 	}
-	again.log.Close()
+	reopened.log.Close()
 	path := filepath.Join(dir, "wal")
 	x, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/control/controller/linearizability_test.go
+++ b/internal/control/controller/linearizability_test.go
@@ -56,10 +56,10 @@
 	next := base + 1 + uint64(o.rng.IntN(3))
 	text := fmt.Sprint(serial)
 	change := linearizability.Call{Kind: linearizability.Write, From: o.now(), Builds: base, Position: next, Data: fmt.Sprintf(`{"v":%d,"x":%q}`, next, text)}
-	taken, refused := false, false
+	acknowledged, refused := false, false
 	for range 30 {
 		code, _ := o.pick().Control().Put(base, []byte(change.Data))
-		taken, refused = taken || code == resultcode.OK, refused || code == resultcode.VersionConflict
+		acknowledged, refused = acknowledged || code == resultcode.OK, refused || code == resultcode.VersionConflict
 		if isClear := code == resultcode.OK || code == resultcode.VersionConflict; isClear && o.rng.Float64() >= o.lossProbability {
 			change.To, change.Outcome = o.now(), linearizability.Refused
 			if code == resultcode.OK {
@@ -68,7 +68,7 @@
 			break
 		}
 	}
-	if taken && refused {
+	if acknowledged && refused {
 		o.t.Errorf("the change from %d to %d was both acknowledged and refused", base, next)
 	}
 	o.recordCall(change)
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -28,8 +28,7 @@
 	reported bool
 }
 
-// shortfallReportDelay is how long a shortfall must last before it is logged: at a start a change of members may be in
-// progress.
+// shortfallReportDelay is how long a shortfall must last before it is logged: a change of members may be in progress.
 const shortfallReportDelay = 5 * time.Second
 
 // checkTolerance updates the shortfall and logs it once after shortfallReportDelay. A quorum set with a shortfall serves
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 // Start opens the transport and starts the tick loop.
 func (t *Base) Start() error {
 	opened, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Receive: t.receive, ConnectionRefused: t.peerRefused,
-		ListenerFailed: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
+		ListenerFailed: func(err error) { t.Log.WithError(err).Error("the listener for other nodes failed; reopening it") }})
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -15,11 +15,11 @@
 	addr := ln.Addr().String()
 	run := func() error {
 		if ln == nil {
-			again, err := listener.Listen(addr)
+			reopened, err := listener.Listen(addr)
 			if err != nil {
 				return err
 			}
-			ln = again
+			ln = reopened
 		}
 		err := serve(ln)
 		ln.Close()
