--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -7,7 +7,7 @@
 	"seamshunt/internal/units"
 )
 
-// KeyQuorum is the key whose value is the set of voters itself.
+// KeyQuorum is the key whose value is the quorum set itself.
 const KeyQuorum = "voters"
 
 func (b *Replica) state(key string) *State {
@@ -19,140 +19,145 @@
 	return s
 }
 
-// errOtherSystem is a message of replicas that were founded apart from this one's.
-var errOtherSystem = errors.New("register: a message of another system")
+// errOtherSystem reports a message from replicas that were bootstrapped separately from this one.
+var errOtherSystem = errors.New("register: message belongs to another system")
 
-// errNotMember is a message that only a member of the quorum set may send.
+// errNotMember reports a message that only a member of the quorum set may send, from a node that is not one.
 var errNotMember = errors.New("register: the sender is not a member of the quorum set")
 
-// adopt takes a newer quorum set from any message and keeps it on disk. It says whether the message is one of this
-// system; what is not changes nothing.
-func (b *Replica) adopt(q QuorumSet, out *message.Effects) bool {
-	if b.quorum.Version > 0 && q.Version > 0 && q.SystemID != b.quorum.SystemID {
+// adoptQuorum adopts a newer quorum set, which any message may carry, and persists it. It reports whether the message
+// belongs to this system; a message of another system changes nothing.
+func (b *Replica) adoptQuorum(set QuorumSet, out *message.Effects) bool {
+	if b.quorum.Version > 0 && set.Version > 0 && set.SystemID != b.quorum.SystemID {
 		out.Fail(errOtherSystem)
 		return false
 	}
-	if q.Version <= b.quorum.Version {
+	if set.Version <= b.quorum.Version {
 		return true
 	}
-	b.quorum = q
-	b.reach.born, b.reach.sent = 0, 0 // whether it reaches these is to be seen
-	out.Writes = append(out.Writes, message.Record{Kind: RecordQuorum, Data: q.Pack()})
-	for _, o := range b.owned {
-		o.drop()
+	b.quorum = set
+	b.reachability.trackedSince, b.reachability.pingedAt = 0, 0 // it is not known yet whether the new members can be reached
+	out.Writes = append(out.Writes, message.Record{Kind: RecordQuorum, Data: set.Pack()})
+	for _, o := range b.ownerships {
+		o.reset()
 	}
 	return true
 }
 
-// LearnQuorum adopts a set of voters that was spread to all nodes, if it is newer; body is a packed QuorumSet.
+// LearnQuorum adopts a quorum set that was distributed to all nodes, if it is newer. body is a packed QuorumSet.
 func (b *Replica) LearnQuorum(body []byte) (out message.Effects) {
-	v, err := UnpackQuorumSet(body)
+	set, err := UnpackQuorumSet(body)
 	out.Fail(err)
 	if err == nil {
-		b.adopt(v, &out) // what is of another system is counted and changes nothing
+		b.adoptQuorum(set, &out) // a set of another system is recorded as an error and changes nothing
 	}
 	return out
 }
 
-// barred says whether a message under an older set of voters must not be served (design 2).
-func (b *Replica) barred(key string, ver units.Num) bool {
-	if ver < b.quorum.Version {
+// isOutdated reports whether a request must be refused because it was sent under an older quorum set (docs/design.md,
+// section 2).
+func (b *Replica) isOutdated(key string, version units.Num) bool {
+	if version < b.quorum.Version {
 		return true
 	}
-	return key != KeyQuorum && ver < b.state(KeyQuorum).Version
+	return key != KeyQuorum && version < b.state(KeyQuorum).Version
 }
 
-// QuorumVersion returns the version of the newest set of voters that this node knows of, adopted or only accepted.
+// QuorumVersion returns the version of the newest quorum set that this node knows of, whether adopted or only
+// accepted.
 func (b *Replica) QuorumVersion() units.Num { return max(b.quorum.Version, b.state(KeyQuorum).Version) }
 
-// voter serves Prepare, Accept and Confirm; every reply goes through the disk's queue, in order.
-func (b *Replica) voter(n message.Message, h head, key string, ver units.Num, body []byte, out *message.Effects) {
-	r := h
-	r.Ok = 0
-	if b.barred(key, ver) {
-		out.SendAfterSync(n.From, Stale, b.pack(r, key, nil))
+// handleVoterRequest serves Prepare, Accept and Confirm. Every reply waits for the disk queue, so replies leave in
+// order.
+func (b *Replica) handleVoterRequest(msg message.Message, h header, key string, version units.Num, body []byte, out *message.Effects) {
+	reply := h
+	reply.OK = 0
+	if b.isOutdated(key, version) {
+		out.SendAfterSync(msg.From, Stale, b.pack(reply, key, nil))
 		return
 	}
-	if !b.mayVote(key, n.Kind) {
+	if !b.mayVote(key, msg.Kind) {
 		return
 	}
-	if b.quorum.Version > 0 && !b.quorum.Has(n.From) {
+	if b.quorum.Version > 0 && !b.quorum.Has(msg.From) {
 		out.Fail(errNotMember)
 		return
 	}
-	if n.Kind == Accept {
-		if err := checkBody(key, units.Num(h.Num), body); err != nil {
+	if msg.Kind == Accept {
+		if err := checkBody(key, units.Num(h.Version), body); err != nil {
 			out.Fail(err)
 			return
 		}
 	}
-	s := b.state(key)
-	e := h.epoch()
-	if e.Less(s.Promised) {
-		r.HN, r.HBy = s.Promised.N, uint64(s.Promised.By)
-		out.SendAfterSync(n.From, n.Kind+1, b.pack(r, key, nil))
+	state := b.state(key)
+	epoch := h.epoch()
+	if epoch.Less(state.Promised) {
+		reply.HigherNumber, reply.HigherNode = state.Promised.N, uint64(state.Promised.By)
+		out.SendAfterSync(msg.From, msg.Kind+1, b.pack(reply, key, nil))
 		return
 	}
-	r.Ok = 1
-	switch n.Kind {
+	reply.OK = 1
+	switch msg.Kind {
 	case Prepare:
-		if s.Promised != e {
-			s.Promised = e
-			out.Writes = append(out.Writes, b.savePromise(key, s))
+		if state.Promised != epoch {
+			state.Promised = epoch
+			out.Writes = append(out.Writes, b.promiseRecord(key, state))
 		}
-		r.HN, r.HBy, r.Seq, r.Num = s.Accepted.N, uint64(s.Accepted.By), s.Seq, uint64(s.Version)
-		out.SendAfterSync(n.From, Promise, b.pack(r, key, s.Body))
+		reply.HigherNumber, reply.HigherNode, reply.Seq, reply.Version = state.Accepted.N, uint64(state.Accepted.By), state.Seq, uint64(state.Version)
+		out.SendAfterSync(msg.From, Promise, b.pack(reply, key, state.Body))
 	case Accept:
-		x := State{Promised: e, Accepted: e, Seq: h.Seq, Version: units.Num(h.Num), Body: body}
-		if x.newer(s) {
-			*s = x
-			out.Writes = append(out.Writes, b.saveAccept(key, s))
-		} else if s.Accepted != e || s.Seq != h.Seq {
-			return // an older one of the same epoch, late: its write has long been answered or overtaken
+		accepted := State{Promised: epoch, Accepted: epoch, Seq: h.Seq, Version: units.Num(h.Version), Body: body}
+		if accepted.newer(state) {
+			*state = accepted
+			out.Writes = append(out.Writes, b.acceptRecord(key, state))
+		} else if state.Accepted != epoch || state.Seq != h.Seq {
+			return // a late, older Accept of the same epoch: its write has already been answered or superseded
 		}
-		out.SendAfterSync(n.From, Accepted, b.pack(r, key, nil))
+		out.SendAfterSync(msg.From, Accepted, b.pack(reply, key, nil))
 	case Confirm:
-		if s.Promised != e {
-			r.Ok = 0
+		if state.Promised != epoch {
+			reply.OK = 0
 		}
-		out.SendAfterSync(n.From, Confirmed, b.pack(r, key, nil))
+		out.SendAfterSync(msg.From, Confirmed, b.pack(reply, key, nil))
 	}
 }
 
-// mayVote: a member of the set votes; a learner only accepts the change of voters that takes it in.
-func (b *Replica) mayVote(key string, k message.Kind) bool {
-	return b.quorum.Has(b.self) || key == KeyQuorum && k == Accept
+// mayVote reports whether this replica may vote on a key. Members vote on every key; a non-member may only accept the
+// quorum set that admits it.
+func (b *Replica) mayVote(key string, kind message.Kind) bool {
+	return b.quorum.Has(b.self) || key == KeyQuorum && kind == Accept
 }
 
-// StoredVersions gives this disk's accepted numbers, for a starting router's vouching (design 4).
+// StoredVersions returns the accepted version of each key on this disk. A starting router asks for them to confirm
+// that its own state is current (docs/design.md, section 4).
 func (b *Replica) StoredVersions() map[string]units.Num {
-	m := map[string]units.Num{}
-	for k, s := range b.states {
+	versions := map[string]units.Num{}
+	for key, s := range b.states {
 		if s.Version > 0 {
-			m[k] = s.Version
+			versions[key] = s.Version
 		}
 	}
-	return m
+	return versions
 }
 
-// KnownVersions gives what a vouching disk answers with: its stored numbers and, for the quorum's key, the newest quorum set
-// that this node knows of, which may have come with a message before its value was accepted here.
+// KnownVersions returns StoredVersions, with KeyQuorum raised to the newest quorum set that this node knows of. A
+// message may have carried that set before its value was accepted here.
 func (b *Replica) KnownVersions() map[string]units.Num {
-	numbers := b.StoredVersions()
-	if v := b.QuorumVersion(); v > 0 {
-		numbers[KeyQuorum] = v
+	versions := b.StoredVersions()
+	if version := b.QuorumVersion(); version > 0 {
+		versions[KeyQuorum] = version
 	}
-	return numbers
+	return versions
 }
 
-// Resend sends a key's accepted value to another voter as its owner's Accept once more: a voter that has since promised a
-// higher epoch refuses it, as it would a late one.
+// Resend repeats a key's accepted value to another voter as the owner's Accept. A voter that has since promised a
+// higher epoch refuses it, as it would refuse a delayed Accept.
 func (b *Replica) Resend(to units.Node, key string) (out message.Effects) {
 	s := b.states[key]
 	if s == nil || s.Accepted == (units.Epoch{}) {
 		return out
 	}
-	h := head{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Version)}
+	h := header{EpochNumber: s.Accepted.N, EpochNode: uint64(s.Accepted.By), Seq: s.Seq, Version: uint64(s.Version)}
 	out.SendAfterSync(to, Accept, b.pack(h, key, s.Body))
 	return out
 }
--- a/internal/control/register/cluster_test.go
+++ b/internal/control/register/cluster_test.go
@@ -9,59 +9,59 @@
 	"seamshunt/internal/units"
 )
 
-// cluster is three voters whose messages arrive at once and in order.
-type cluster struct {
+// testCluster is three voters whose messages are delivered at once and in order.
+type testCluster struct {
 	replicas map[units.Node]*Replica
 	now      units.Time
 	tag      uint64
 	errs     []error
 }
 
-func newCluster() *cluster {
-	c := &cluster{replicas: map[units.Node]*Replica{}, now: units.Time(time.Second)}
+func newTestCluster() *testCluster {
+	c := &testCluster{replicas: map[units.Node]*Replica{}, now: units.Time(time.Second)}
 	for n := units.Node(1); n <= 3; n++ {
 		c.replicas[n] = New(n, n+100)
-		c.replicas[n].adopt(QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}, &message.Effects{})
+		c.replicas[n].adoptQuorum(QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}, &message.Effects{})
 	}
 	return c
 }
 
-func (c *cluster) deliver(from units.Node, out message.Effects) {
+func (c *testCluster) deliver(from units.Node, out message.Effects) {
 	c.errs = append(c.errs, out.Errs...)
-	for _, n := range append(out.Messages, out.AfterSync...) {
-		if n.From = from; c.replicas[n.To] != nil {
-			c.deliver(n.To, c.replicas[n.To].Step(c.now, n))
+	for _, msg := range append(out.Messages, out.AfterSync...) {
+		if msg.From = from; c.replicas[msg.To] != nil {
+			c.deliver(msg.To, c.replicas[msg.To].Step(c.now, msg))
 		}
 	}
 }
 
-// believe has one replica take another, or itself, for the owner of every key.
-func (c *cluster) believe(by, owner units.Node) {
+// setOwner makes one replica regard owner, which may be itself, as the owner of every key.
+func (c *testCluster) setOwner(by, owner units.Node) {
 	c.replicas[by].SetEligible([]units.Node{owner})
 }
 
-// ask makes a write or a lookup by way of one replica and gives its result; the zero one if none comes.
-func (c *cluster) ask(at units.Node, a Request) Result {
+// submit makes a write or a lookup through one node and returns its result, or the zero Result if there is none.
+func (c *testCluster) submit(node units.Node, request Request) Result {
 	c.tag++
-	a.Tag, a.Key, a.Write = c.tag, "config", true
-	c.deliver(at, c.replicas[at].Submit(c.now, a))
+	request.Tag, request.Key, request.Write = c.tag, "config", true
+	c.deliver(node, c.replicas[node].Submit(c.now, request))
 	for range 5 {
-		for _, r := range c.replicas[at].Results {
+		for _, r := range c.replicas[node].Results {
 			if r.Tag == c.tag {
-				c.replicas[at].Results = nil
+				c.replicas[node].Results = nil
 				return r
 			}
 		}
 		c.now = c.now.Add(400 * time.Millisecond)
-		c.deliver(at, c.replicas[at].Tick(c.now))
+		c.deliver(node, c.replicas[node].Tick(c.now))
 	}
 	return Result{}
 }
 
-// want asks and compares.
-func (c *cluster) want(t *testing.T, what string, at units.Node, a Request, code codes.Code, num units.Num) {
+// expectResult submits a request and compares its result.
+func (c *testCluster) expectResult(t *testing.T, what string, node units.Node, request Request, code codes.Code, version units.Num) {
 	t.Helper()
-	if r := c.ask(at, a); r.Code != code || r.Version != num {
-		t.Errorf("%s: %d, number %d; want %d, number %d", what, r.Code, r.Version, code, num)
+	if r := c.submit(node, request); r.Code != code || r.Version != version {
+		t.Errorf("%s: code %d, version %d; want code %d, version %d", what, r.Code, r.Version, code, version)
 	}
 }
--- /dev/null
+++ b/internal/control/register/controllerview.go
@@ -0,0 +1,108 @@
+package register
+
+import (
+	"slices"
+
+	"seamshunt/internal/cluster/membership"
+	"seamshunt/internal/units"
+)
+
+// ControllerView is the state of the controllers according to membership, as owner selection, bootstrap and the
+// planner use it. A voting disk is a controller's disk that may hold a voting seat.
+type ControllerView struct {
+	// Eligible controllers may own keys. Suspects are excluded: a change of owner costs a round, waiting costs seconds.
+	Eligible      []units.Node
+	Draining      []units.Node        // would be eligible but are draining
+	Uninitialized []units.Node        // alive and without a vote
+	FleetExists   bool                // some node knows of a running fleet
+	Controllers   []membership.Member // the live controllers
+	Replaced      map[units.Node]bool // controllers whose address a newer one has taken over: their disks are lost
+	left          map[units.Node]bool // controllers that have announced their departure
+	diskless      bool                // no controller has a voting disk; then all of them may vote (docs/design.md, section 13)
+}
+
+// NewControllerView derives the view from the members that this node knows of.
+func NewControllerView(members []membership.Member) (view ControllerView) {
+	view.Replaced, view.left, view.diskless = findReplaced(members), map[units.Node]bool{}, true
+	for _, m := range members {
+		live := m.State <= membership.Suspect && !view.Replaced[m.Node]
+		if m.Role != membership.Controller {
+			view.FleetExists = view.FleetExists || live && m.Flags&membership.Ready != 0
+			continue
+		}
+		view.diskless = view.diskless && m.Flags&membership.Counts == 0
+		view.left[m.Node] = m.State == membership.Left
+		if live {
+			view.Controllers = append(view.Controllers, m)
+		}
+		if usable(m) && live {
+			view.Eligible = append(view.Eligible, m.Node)
+		} else if live && m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == membership.Draining {
+			view.Draining = append(view.Draining, m.Node)
+		}
+		if m.Flags&membership.Voter != 0 {
+			view.FleetExists = true
+		} else if live {
+			view.Uninitialized = append(view.Uninitialized, m.Node)
+		}
+	}
+	return view
+}
+
+func usable(m membership.Member) bool {
+	return m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == 0
+}
+
+// findReplaced returns the controllers whose address now belongs to a newer controller. One address runs one process,
+// and a newer process starts with a higher incarnation.
+func findReplaced(members []membership.Member) map[units.Node]bool {
+	newestAt := map[string]membership.Member{}
+	for _, m := range members {
+		if newest, ok := newestAt[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || newest.Inc < m.Inc) {
+			newestAt[m.Addr] = m
+		}
+	}
+	replaced := map[units.Node]bool{}
+	for _, m := range members {
+		newest, ok := newestAt[m.Addr]
+		if ok && m.Role == membership.Controller && newest.Node != m.Node && (m.State > membership.Suspect || m.Inc < newest.Inc) {
+			replaced[m.Node] = true
+		}
+	}
+	return replaced
+}
+
+// nonMembers returns the usable controllers with a voting disk that are not in the quorum set.
+func (v ControllerView) nonMembers(q QuorumSet) []membership.Member {
+	return slices.DeleteFunc(slices.Clone(v.Controllers), func(m membership.Member) bool {
+		return q.Has(m.Node) || !v.diskCounts(m) || !usable(m)
+	})
+}
+
+// diskCounts reports whether a controller has a voting disk, or is treated as if it had because none has.
+func (v ControllerView) diskCounts(m membership.Member) bool {
+	return v.diskless || m.Flags&membership.Counts != 0
+}
+
+// zoneOf returns the zone of a live controller, or an empty string if it is unknown.
+func (v ControllerView) zoneOf(n units.Node) string {
+	for _, m := range v.Controllers {
+		if m.Node == n {
+			return m.Zone
+		}
+	}
+	return ""
+}
+
+// isLeaving reports whether a controller is draining or has left.
+func (v ControllerView) isLeaving(n units.Node) bool {
+	if v.left[n] {
+		return true
+	}
+	for _, m := range v.Controllers {
+		if m.Node == n {
+			return m.Flags&membership.Draining != 0
+		}
+	}
+	return false
+}
--- a/internal/control/register/dropped_test.go
+++ b/internal/control/register/dropped_owner_test.go
@@ -9,24 +9,25 @@
 	"seamshunt/internal/units"
 )
 
-// An owner that may no longer own a key answers the write that is under way, too: its caller must not wait in silence.
-func TestDroppedOwnerAnswersTheWriteUnderWay(t *testing.T) {
+// An owner that may no longer own a key also answers the write in progress. Without the answer its client would wait
+// until the request times out.
+func TestDroppedOwnerAnswersPendingWrite(t *testing.T) {
 	b := New(1, 7)
 	b.quorum = QuorumSet{Version: 1, Members: []units.Node{1}}
 	b.SetEligible([]units.Node{1})
 	now := units.Time(time.Second)
-	deliver := func(out message.Effects) { // to itself, but for the accept that is held back
+	deliver := func(out message.Effects) { // to itself, except for the Accept of the write
 		for queue := append(out.Messages, out.AfterSync...); len(queue) > 0; queue = queue[1:] {
-			if n := queue[0]; n.Kind != Accept || b.owned["k"].by == nil {
-				n.From = 1
-				next := b.Step(now, n)
+			if msg := queue[0]; msg.Kind != Accept || b.ownerships["k"].proposalRequest == nil {
+				msg.From = 1
+				next := b.Step(now, msg)
 				queue = append(append(queue, next.Messages...), next.AfterSync...)
 			}
 		}
 	}
 	deliver(b.Submit(now, Request{Tag: 1, Key: "k", Write: true, Data: []byte("x")}))
-	if o := b.owned["k"]; o == nil || o.by == nil {
-		t.Fatal("no write is under way")
+	if o := b.ownerships["k"]; o == nil || o.proposalRequest == nil {
+		t.Fatal("no write is in progress")
 	}
 	b.SetEligible(nil)
 	deliver(b.Tick(now.Add(time.Second)))
--- a/internal/control/register/messages.go
+++ b/internal/control/register/messages.go
@@ -6,7 +6,7 @@
 	"seamshunt/internal/units"
 )
 
-// The notes of control state (design 2).
+// Kinds of messages between replicas (docs/design.md, section 2).
 const (
 	Prepare = message.KindRegister + iota
 	Promise
@@ -25,18 +25,19 @@
 	Pong
 )
 
-type head struct {
-	N, By   uint64
-	Seq     uint64
-	Num     uint64
-	Tag     uint64
-	HN, HBy uint64 // the higher epoch that a refusal names
-	Code    uint16
-	Ok      uint8
-	Write   operation
+// header begins every message except Ping and Pong. Its fields are encoded in this order.
+type header struct {
+	EpochNumber, EpochNode   uint64
+	Seq                      uint64
+	Version                  uint64
+	Tag                      uint64
+	HigherNumber, HigherNode uint64 // refusal: the higher epoch promised; Promise: the epoch of the accepted value
+	Code                     uint16
+	OK                       uint8
+	Operation                operation
 }
 
-// operation is what a forwarded request does.
+// operation is the kind of a forwarded request.
 type operation uint8
 
 const (
@@ -45,8 +46,13 @@
 	opLookup
 )
 
-func (h head) epoch() units.Epoch  { return units.Epoch{N: h.N, By: units.Node(h.By)} }
-func (h head) higher() units.Epoch { return units.Epoch{N: h.HN, By: units.Node(h.HBy)} }
+func (h header) epoch() units.Epoch {
+	return units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}
+}
+
+func (h header) higher() units.Epoch {
+	return units.Epoch{N: h.HigherNumber, By: units.Node(h.HigherNode)}
+}
 
 // State is an acceptor's state of one key.
 type State struct {
@@ -54,14 +60,14 @@
 	Accepted units.Epoch
 	Seq      uint64
 	Version  units.Num
-	Body     []byte // as laid out by packBody; empty before the first write
+	Body     []byte // encoded by packBody; empty before the first write
 }
 
 func (s *State) newer(o *State) bool {
 	return o.Accepted.Less(s.Accepted) || s.Accepted == o.Accepted && s.Seq > o.Seq
 }
 
-// Records of the wal that belong to control state.
+// Kinds of the write-ahead log's records that the register writes.
 const (
 	RecordPromise uint8 = 2 + iota
 	RecordAccept
@@ -69,37 +75,37 @@
 	RecordBootstrapVote
 )
 
-type slotHead struct{ N, By, Seq, Num uint64 }
+type recordHeader struct{ EpochNumber, EpochNode, Seq, Version uint64 }
 
-func (b *Replica) savePromise(key string, s *State) message.Record {
-	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(slotHead{N: s.Promised.N, By: uint64(s.Promised.By)})}
+func (b *Replica) promiseRecord(key string, s *State) message.Record {
+	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(recordHeader{EpochNumber: s.Promised.N, EpochNode: uint64(s.Promised.By)})}
 }
 
-func (b *Replica) saveAccept(key string, s *State) message.Record {
-	h := slotHead{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Version)}
+func (b *Replica) acceptRecord(key string, s *State) message.Record {
+	h := recordHeader{EpochNumber: s.Accepted.N, EpochNode: uint64(s.Accepted.By), Seq: s.Seq, Version: uint64(s.Version)}
 	return message.Record{Kind: RecordAccept, Key: key, Data: message.Pack(h, s.Body)}
 }
 
-// Load takes the records read back from the disk.
-func (b *Replica) Load(rs []message.Record) error {
-	for _, r := range rs {
-		var h slotHead
+// Load restores the replica from the records of its disk.
+func (b *Replica) Load(records []message.Record) error {
+	for _, record := range records {
+		var h recordHeader
 		var err error
-		switch r.Kind {
+		switch record.Kind {
 		case RecordPromise:
-			err = message.Unpack(r.Data, &h)
-			b.state(r.Key).Promised = maxEpoch(b.state(r.Key).Promised, units.Epoch{N: h.N, By: units.Node(h.By)})
+			err = message.Unpack(record.Data, &h)
+			b.state(record.Key).Promised = maxEpoch(b.state(record.Key).Promised, units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)})
 		case RecordAccept:
-			s := b.state(r.Key)
-			if err = message.Unpack(r.Data, &h, &s.Body); err == nil {
-				err = checkBody(r.Key, units.Num(h.Num), s.Body)
+			state := b.state(record.Key)
+			if err = message.Unpack(record.Data, &h, &state.Body); err == nil {
+				err = checkBody(record.Key, units.Num(h.Version), state.Body)
 			}
-			s.Accepted, s.Seq, s.Version = units.Epoch{N: h.N, By: units.Node(h.By)}, h.Seq, units.Num(h.Num)
-			s.Promised = maxEpoch(s.Promised, s.Accepted)
+			state.Accepted, state.Seq, state.Version = units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}, h.Seq, units.Num(h.Version)
+			state.Promised = maxEpoch(state.Promised, state.Accepted)
 		case RecordQuorum:
-			b.quorum, err = UnpackQuorumSet(r.Data)
+			b.quorum, err = UnpackQuorumSet(record.Data)
 		case RecordBootstrapVote:
-			b.vote = r.Data
+			b.bootstrapVote = record.Data
 		}
 		if err != nil {
 			return err
@@ -115,23 +121,23 @@
 	return a
 }
 
-// Request is a read or a conditional write of one key, by an operator or a duty.
+// Request is a read or a conditional write of one key, made by an operator or by one of the controllers' own duties.
 type Request struct {
 	Tag             uint64
 	From            units.Node
 	Key             string
 	Write           bool
-	Lookup          bool      // with Write: only asks for its outcome; it would have built on the number Expect or a later one
-	ExpectedVersion units.Num // the number it builds on; AnyNumber for whatever stands
+	Lookup          bool      // with Write: only queries the outcome of a write based on ExpectedVersion or later
+	ExpectedVersion units.Num // the version that the write is based on; AnyVersion for an unconditional write
 	RequestID       string
 	Data            []byte
-	sure            bool // the owner has confirmed its epoch since this came
+	epochConfirmed  bool // the owner has confirmed its epoch since the request arrived
 }
 
-// AnyVersion as Request.Expect makes a write that doesn't depend on the current number.
+// AnyVersion as Request.ExpectedVersion makes a write unconditional.
 const AnyVersion = ^units.Num(0)
 
-// Result answers the Request of the same Tag.
+// Result is the answer to the Request with the same Tag.
 type Result struct {
 	Tag     uint64
 	Code    codes.Code
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -11,9 +11,9 @@
 	"seamshunt/internal/units"
 )
 
-// pick draws a number below n, each alike: rapid's ranges prefer small numbers.
+// pick draws a number below n, all with the same probability; rapid's ranges prefer small numbers.
 func (r *randomRun) pick(n int) int {
-	const spareBits = 3 // beyond those that n needs, against the remainder's bias
+	const spareBits = 3 // bits beyond those that n needs, to reduce the bias of the remainder
 	number := rapid.Custom(func(t *rapid.T) int {
 		drawn := 0
 		for range bits.Len(uint(n)) + spareBits {
@@ -27,13 +27,13 @@
 	return number.Draw(r.T, "pick") % n
 }
 
-func (r *randomRun) any() *modelNode { return r.nodes[r.pick(len(r.nodes))] }
+func (r *randomRun) anyNode() *modelNode { return r.nodes[r.pick(len(r.nodes))] }
 
-func (r *randomRun) key() string { return []string{"a", "a", "b"}[r.pick(3)] }
+func (r *randomRun) anyKey() string { return []string{"a", "a", "b"}[r.pick(3)] }
 
 func (r *randomRun) deliverAny() {
-	if len(r.bag) > 0 {
-		m := r.take(r.pick(len(r.bag)))
+	if len(r.inFlight) > 0 {
+		m := r.removeMessage(r.pick(len(r.inFlight)))
 		r.deliver(m)
 	}
 }
@@ -41,51 +41,51 @@
 func (r *randomRun) deliverSome() { r.deliverOldest(1 + r.pick(30)) }
 
 func (r *randomRun) dropAny() {
-	if len(r.bag) > 0 {
-		r.take(r.pick(len(r.bag)))
+	if len(r.inFlight) > 0 {
+		r.removeMessage(r.pick(len(r.inFlight)))
 	}
 }
 
 func (r *randomRun) duplicateAny() {
-	if len(r.bag) > 0 {
-		r.bag = append(r.bag, r.bag[r.pick(len(r.bag))])
+	if len(r.inFlight) > 0 {
+		r.inFlight = append(r.inFlight, r.inFlight[r.pick(len(r.inFlight))])
 	}
 }
 
 func (r *randomRun) tickAny() {
 	r.now = r.now.Add(50 * time.Millisecond)
-	r.tick(r.any())
+	r.tick(r.anyNode())
 }
 
 func (r *randomRun) tickAll() {
-	r.round([]time.Duration{resend, resend, time.Second, idle}[r.pick(4)])
+	r.tickAllAfter([]time.Duration{resendInterval, resendInterval, time.Second, idleConfirmInterval}[r.pick(4)])
 }
 
-func (r *randomRun) syncAny() { r.syncOne(r.any()) }
+func (r *randomRun) syncAny() { r.syncOne(r.anyNode()) }
 
 func (r *randomRun) crashAny() {
-	n := r.any()
-	r.crash(n, r.pick(len(n.queue)+1))
+	n := r.anyNode()
+	r.crash(n, r.pick(len(n.syncQueue)+1))
 }
 
-func (r *randomRun) restartAny() { r.start(r.any()) }
+func (r *randomRun) restartAny() { r.start(r.anyNode()) }
 
-// loseAny destroys a disk where a majority of every set that may matter survives without it.
-func (r *randomRun) loseAny() {
-	n := r.any()
+// loseAnyDisk destroys a disk if a majority of every relevant set survives without it.
+func (r *randomRun) loseAnyDisk() {
+	n := r.anyNode()
 	if r.pick(4) != 0 {
 		return
 	}
-	for _, members := range r.relevant() {
-		if !majorityOf(members, func(id units.Node) bool { return id != n.id && !r.node(id).lost }) {
+	for _, members := range r.relevantSets() {
+		if !isMajority(members, func(id units.Node) bool { return id != n.id && !r.node(id).lost }) {
 			return
 		}
 	}
-	r.lose(n)
+	r.loseDisk(n)
 }
 
-// relevant gives the sets in force or proposed since.
-func (r *randomRun) relevant() [][]units.Node {
+// relevantSets returns the sets that are in force, or that have been proposed since and may still take effect.
+func (r *randomRun) relevantSets() [][]units.Node {
 	var sets [][]units.Node
 	for _, p := range r.proposed {
 		if p.version+2 >= r.checker.current {
@@ -93,8 +93,8 @@
 		}
 	}
 	for _, n := range r.nodes {
-		if n.wanted != nil {
-			sets = append(sets, n.wanted)
+		if n.targetMembers != nil {
+			sets = append(sets, n.targetMembers)
 		}
 	}
 	for version, set := range r.checker.sets {
@@ -108,76 +108,77 @@
 	return sets
 }
 
-// agree has all believe in the same one or two nodes, which may be down.
-func (r *randomRun) agree() {
-	eligible := []units.Node{r.any().id, r.any().id}
-	for _, n := range r.live() {
-		r.believe(n, eligible...)
+// agreeOnOwners makes all nodes regard the same one or two nodes, which may be down, as eligible owners.
+func (r *randomRun) agreeOnOwners() {
+	eligible := []units.Node{r.anyNode().id, r.anyNode().id}
+	for _, n := range r.liveNodes() {
+		r.setEligible(n, eligible...)
 	}
 }
 
-// calm lets all agree on some node, with messages delivered for a few rounds.
-func (r *randomRun) calm() {
-	r.agree()
+// stabilize makes all nodes agree on the owners, and delivers messages for a few rounds.
+func (r *randomRun) stabilize() {
+	r.agreeOnOwners()
 	for range 1 + r.pick(4) {
-		r.settle()
+		r.tickAndDeliver()
 	}
 }
 
-// disagree has one node believe in owners of its own.
-func (r *randomRun) disagree() {
-	n := r.any()
+// disagreeOnOwners gives one node its own view of the eligible owners.
+func (r *randomRun) disagreeOnOwners() {
+	n := r.anyNode()
 	eligible := []units.Node{n.id}
 	if r.pick(2) == 0 {
-		eligible = append(eligible, r.any().id)
+		eligible = append(eligible, r.anyNode().id)
 	}
-	r.believe(n, eligible...)
+	r.setEligible(n, eligible...)
 }
 
 func (r *randomRun) writeAny() {
-	clients, key := r.checker.clients, r.key()
-	if clients.writes[key] >= maxWrites {
+	clients, key := r.checker.clients, r.anyKey()
+	if clients.writeCounts[key] >= maxWrites {
 		return
 	}
-	expect := clients.acked[key]
+	expect := clients.acknowledgedVersion[key]
 	if r.pick(3) == 0 {
 		expect = AnyVersion
 	}
-	if n := r.any(); n.replica != nil {
-		r.written = append(r.written, clients.write(n, key, expect))
+	if n := r.anyNode(); n.replica != nil {
+		r.submittedIDs = append(r.submittedIDs, clients.write(n, key, expect))
 	}
 }
 
-func (r *randomRun) rewriteAny() {
-	if len(r.written) > 0 {
-		r.checker.clients.rewrite(r.any(), r.written[r.pick(len(r.written))])
+func (r *randomRun) resubmitAny() {
+	if len(r.submittedIDs) > 0 {
+		r.checker.clients.resubmit(r.anyNode(), r.submittedIDs[r.pick(len(r.submittedIDs))])
 	}
 }
 
-func (r *randomRun) readAny() { r.checker.clients.read(r.any(), r.key()) }
+func (r *randomRun) readAny() { r.checker.clients.read(r.anyNode(), r.anyKey()) }
 
-// changeAny proposes a set to a node that believes to own the quorum set's key, and lets some rounds pass.
-func (r *randomRun) changeAny() {
-	n := r.any()
+// changeMembersAny requests a change of members from a node that considers itself the owner of KeyQuorum, and lets some
+// rounds pass.
+func (r *randomRun) changeMembersAny() {
+	n := r.anyNode()
 	if n.replica == nil || n.replica.Owner(KeyQuorum) != n.id {
 		return
 	}
 	members := r.nextMembers(n.replica.quorum.Members)
-	if len(members) < 2 || !majorityOf(members, func(id units.Node) bool { return !r.node(id).lost }) {
+	if len(members) < 2 || !isMajority(members, func(id units.Node) bool { return !r.node(id).lost }) {
 		return
 	}
 	r.proposed = append(r.proposed, proposal{members, r.checker.current})
 	r.changeMembers(n, members)
 	for range r.pick(5) {
-		r.settle()
+		r.tickAndDeliver()
 	}
 }
 
-// nextMembers draws a set with one member more, one fewer or one replaced; a lost one goes first.
+// nextMembers draws a set with one member added, removed or replaced; a lost member is removed first.
 func (r *randomRun) nextMembers(members []units.Node) []units.Node {
 	members = slices.Clone(members)
 	kind := r.pick(3)
-	if added := r.any(); kind != 1 && !slices.Contains(members, added.id) && !added.lost {
+	if added := r.anyNode(); kind != 1 && !slices.Contains(members, added.id) && !added.lost {
 		members = append(members, added.id)
 	}
 	if kind == 0 {
@@ -190,15 +191,15 @@
 	return slices.Delete(members, dropped, dropped+1)
 }
 
-// learnAny tells a node of a set that has been in force, as the news does, perhaps late.
+// learnAny gives a node a set that has been in force, as an update from the controllers does, possibly late.
 func (r *randomRun) learnAny() {
 	sets := message.Keys(r.checker.sets)
 	set := r.checker.sets[sets[r.pick(len(sets))]]
-	r.perform(r.any(), 0, func(x *Replica) message.Effects { return x.LearnQuorum(set.Pack()) })
+	r.perform(r.anyNode(), 0, func(x *Replica) message.Effects { return x.LearnQuorum(set.Pack()) })
 }
 
-// resendAny has a node repeat a value to another, as repair does.
+// resendAny makes a node resend a value to another, as repair does.
 func (r *randomRun) resendAny() {
-	from, to := r.any(), r.any()
+	from, to := r.anyNode(), r.anyNode()
 	r.resend(from, to, []string{"a", "b", KeyQuorum}[r.pick(3)])
 }
--- a/internal/control/register/model_api_test.go
+++ b/internal/control/register/model_api_test.go
@@ -7,24 +7,24 @@
 	"seamshunt/internal/units"
 )
 
-// What the model needs of the package's interface for changes of the quorum set stands here alone.
+// The model uses the package's API for changes of the quorum set only through the functions of this file.
 
-// firstQuorumSet gives the set that a founding makes of members.
-func firstQuorumSet(members []units.Node) QuorumSet { return foundingSet(members) }
+// initialQuorumSet returns the set that a bootstrap with these members writes.
+func initialQuorumSet(members []units.Node) QuorumSet { return bootstrapSet(members) }
 
-// wantMembers asks a replica for another set.
-func wantMembers(r *Replica, _ units.Time, members []units.Node) { r.ChangeMembers(members) }
+// requestMembers requests a change of members from a replica.
+func requestMembers(r *Replica, _ units.Time, members []units.Node) { r.ChangeMembers(members) }
 
-// incoming gives the members that a joint set is on its way to.
+// incoming returns the incoming members of a joint set.
 func incoming(q QuorumSet) []units.Node { return q.Incoming }
 
-// expectedError says whether a replica may meet an error on messages that are well formed.
+// expectedError reports whether a replica may return this error for well-formed messages.
 func expectedError(err error) bool { return errors.Is(err, errNotMember) }
 
-// keysToRead gives the keys that a change of the set is to have read back before it is decided.
+// keysToRead returns the keys that have to be read back before a change of the set is completed.
 func keysToRead(r *Replica) []string {
-	if r.transfer == nil {
+	if r.keyTransfer == nil {
 		return nil
 	}
-	return message.Keys(r.transfer.readTags)
+	return message.Keys(r.keyTransfer.readTags)
 }
--- a/internal/control/register/model_checker_test.go
+++ b/internal/control/register/model_checker_test.go
@@ -9,38 +9,38 @@
 	"seamshunt/internal/units"
 )
 
-// epochUse names an epoch of one key; no two runs of processes may use the same.
+// epochUse is an epoch of one key; no two process starts may use the same one.
 type epochUse struct {
 	key   string
 	epoch units.Epoch
 }
 
-// voter names one acceptor's state of one key.
-type voter struct {
+// acceptorKey identifies one acceptor's state of one key.
+type acceptorKey struct {
 	node units.Node
 	key  string
 }
 
-// modelChecker watches everything that leaves a replica or becomes durable, and keeps the first violation.
+// modelChecker checks everything that a replica sends or writes durably, and keeps the first violation.
 type modelChecker struct {
-	cluster   *modelCluster
-	violation string
-	epochs    map[epochUse]units.Node         // the run that prepared it
-	promised  map[voter]units.Epoch           // the highest epoch that an acceptor's replies have promised
-	served    map[units.Node]units.Num        // the newest set under which an acceptor's replies have voted on a key
-	sets      map[units.Num]QuorumSet         // every set that a node has taken over
-	current   units.Num                       // the newest of them
-	decided   units.Num                       // the newest set under which a key was decided
-	values    map[string]map[units.Num]string // chosen values of each key
-	highest   map[string]units.Num            // the highest chosen number of each key
-	clients   *modelClients
+	cluster         *modelCluster
+	violation       string
+	epochRuns       map[epochUse]units.Node         // the process start that prepared each epoch
+	promised        map[acceptorKey]units.Epoch     // the highest epoch that each acceptor's replies have promised
+	lastVoteVersion map[units.Node]units.Num        // the newest set under which each acceptor's replies have voted on a key
+	sets            map[units.Num]QuorumSet         // every set that a node has adopted
+	current         units.Num                       // the newest of them
+	decidedVersion  units.Num                       // the newest set under which a value was chosen
+	chosenValues    map[string]map[units.Num]string // chosen values by key and version
+	highestChosen   map[string]units.Num            // the highest chosen version of each key
+	clients         *modelClients
 }
 
 func newModelChecker(c *modelCluster, first QuorumSet) *modelChecker {
 	return &modelChecker{
-		cluster: c, epochs: map[epochUse]units.Node{}, promised: map[voter]units.Epoch{}, served: map[units.Node]units.Num{},
-		sets: map[units.Num]QuorumSet{first.Version: first}, current: first.Version, decided: first.Version,
-		values: map[string]map[units.Num]string{}, highest: map[string]units.Num{}, clients: newModelClients(c),
+		cluster: c, epochRuns: map[epochUse]units.Node{}, promised: map[acceptorKey]units.Epoch{}, lastVoteVersion: map[units.Node]units.Num{},
+		sets: map[units.Num]QuorumSet{first.Version: first}, current: first.Version, decidedVersion: first.Version,
+		chosenValues: map[string]map[units.Num]string{}, highestChosen: map[string]units.Num{}, clients: newModelClients(c),
 	}
 }
 
@@ -51,13 +51,14 @@
 	}
 }
 
-// decides says whether the nodes that hold something decide in a set; a joint set needs both of its halves.
-func decides(set QuorumSet, holds func(units.Node) bool) bool {
+// hasQuorum reports whether the nodes for which holds is true are a majority of a set; a joint set needs both
+// majorities.
+func hasQuorum(set QuorumSet, holds func(units.Node) bool) bool {
 	next := incoming(set)
-	return majorityOf(set.Members, holds) && (len(next) == 0 || majorityOf(next, holds))
+	return isMajority(set.Members, holds) && (len(next) == 0 || isMajority(next, holds))
 }
 
-func majorityOf(members []units.Node, holds func(units.Node) bool) bool {
+func isMajority(members []units.Node, holds func(units.Node) bool) bool {
 	count := 0
 	for _, n := range members {
 		if holds(n) {
@@ -67,8 +68,8 @@
 	return 2*count > len(members)
 }
 
-// sent checks a message at the moment that it leaves a node.
-func (k *modelChecker) sent(n *modelNode, m message.Message, request units.Num) {
+// checkSent checks a message when it leaves a node.
+func (k *modelChecker) checkSent(n *modelNode, m message.Message, request units.Num) {
 	switch m.Kind {
 	case Prepare, Promise, Accepted, Confirmed, Reply:
 	default:
@@ -77,25 +78,25 @@
 	switch d := decode(m); m.Kind {
 	case Prepare:
 		use := epochUse{d.key, d.head.epoch()}
-		if run, ok := k.epochs[use]; ok && run != n.run {
-			k.fail("epoch %v of %q is used by two runs", use.epoch, use.key)
+		if run, ok := k.epochRuns[use]; ok && run != n.run {
+			k.fail("epoch %v of %q is used by two process starts", use.epoch, use.key)
 		}
-		k.epochs[use] = n.run
+		k.epochRuns[use] = n.run
 	case Promise, Accepted, Confirmed:
-		if d.head.Ok == 1 {
-			k.voted(n, m.Kind, d, request)
+		if d.head.OK == 1 {
+			k.checkVote(n, m.Kind, d, request)
 		}
 	case Reply:
-		k.clients.replied(n, d, k.decided)
+		k.clients.checkReply(n, d, k.decidedVersion)
 		if clientOperation := k.clients.operations[d.head.Tag]; clientOperation != nil && !clientOperation.write && codes.Code(d.head.Code) == codes.OK {
-			k.decidedUnder(n.replica.quorum.Version)
+			k.recordDecision(n.replica.quorum.Version)
 		}
 	}
 }
 
-// prepared checks that an owner writes only in an epoch that its set has durably promised. A repeated value leaves after
-// a sync and isn't meant: it may be older than the set.
-func (k *modelChecker) prepared(m message.Message) {
+// checkAccept checks that an owner writes only in an epoch that its set has durably promised. A value resent by
+// repair leaves after a sync and is not checked here, since it may be older than the set.
+func (k *modelChecker) checkAccept(m message.Message) {
 	if m.Kind != Accept {
 		return
 	}
@@ -103,12 +104,12 @@
 	promised := func(id units.Node) bool {
 		return k.everDurable(id, d.key, func(s State) bool { return !s.Promised.Less(d.head.epoch()) })
 	}
-	if !decides(d.set, promised) {
+	if !hasQuorum(d.set, promised) {
 		k.fail("a write on %q in epoch %v that set %d hasn't promised", d.key, d.head.epoch(), d.set.Version)
 	}
 }
 
-// everDurable says whether a node's durable state of a key, or that of its lost disk, is as asked for.
+// everDurable reports whether the condition holds for a node's durable state of a key, or for that of its lost disk.
 func (k *modelChecker) everDurable(id units.Node, key string, is func(State) bool) bool {
 	n := k.cluster.node(id)
 	if n == nil {
@@ -120,10 +121,10 @@
 	return is(n.disk.states[key])
 }
 
-// voted checks an acceptor's positive reply: what it says is durable, and no reply that left earlier forbids it.
-func (k *modelChecker) voted(n *modelNode, kind message.Kind, d decoded, request units.Num) {
+// checkVote checks an acceptor's positive reply: what it confirms is durable, and no earlier reply forbids it.
+func (k *modelChecker) checkVote(n *modelNode, kind message.Kind, d decoded, request units.Num) {
 	epoch := d.head.epoch()
-	v, s := voter{n.id, d.key}, n.disk.states[d.key]
+	v, s := acceptorKey{n.id, d.key}, n.disk.states[d.key]
 	if epoch.Less(k.promised[v]) {
 		k.fail("node %d voted on %q in epoch %v after it had promised %v", n.id, d.key, epoch, k.promised[v])
 	}
@@ -137,65 +138,67 @@
 	if d.key == KeyQuorum {
 		return
 	}
-	if request < k.served[n.id] {
-		k.fail("node %d voted on %q under set %d after set %d", n.id, d.key, request, k.served[n.id])
+	if request < k.lastVoteVersion[n.id] {
+		k.fail("node %d voted on %q under set %d after set %d", n.id, d.key, request, k.lastVoteVersion[n.id])
 	}
-	k.served[n.id] = request
+	k.lastVoteVersion[n.id] = request
 }
 
 func (s State) newerThan(o State) bool { return s.newer(&o) }
 
-// drain takes the values that a node's replica believes chosen, and the answers to its clients.
-func (k *modelChecker) drain(n *modelNode) {
-	k.adopted(n.replica.quorum)
+// collectOutputs checks the values that a node's replica reports as chosen, and the answers to its clients.
+func (k *modelChecker) collectOutputs(n *modelNode) {
+	k.checkQuorumSet(n.replica.quorum)
 	for _, v := range n.replica.Chosen {
 		if v.Key == KeyQuorum {
 			set, err := UnpackQuorumSet(v.Data)
 			if set.Version = v.Version; err != nil {
 				k.fail("quorum set %d: %v", v.Version, err)
 			}
-			k.adopted(set)
+			k.checkQuorumSet(set)
 			continue
 		}
-		k.decidedUnder(n.replica.quorum.Version)
-		k.chosen(v.Key, v.Version, string(v.Data))
+		k.recordDecision(n.replica.quorum.Version)
+		k.checkChosen(v.Key, v.Version, string(v.Data))
 	}
 	for _, r := range n.replica.Results {
-		k.clients.answered(n, r)
+		k.clients.checkResult(n, r)
 	}
 	n.replica.Chosen, n.replica.Results = nil, nil
 }
 
-func (k *modelChecker) decidedUnder(version units.Num) { k.decided = max(k.decided, version) }
+func (k *modelChecker) recordDecision(version units.Num) {
+	k.decidedVersion = max(k.decidedVersion, version)
+}
 
-// chosen checks a value that a majority is said to have accepted.
-func (k *modelChecker) chosen(key string, num units.Num, data string) {
-	if num == 0 {
+// checkChosen checks a value that a majority is reported to have accepted.
+func (k *modelChecker) checkChosen(key string, version units.Num, data string) {
+	if version == 0 {
 		return
 	}
-	if k.values[key] == nil {
-		k.values[key] = map[units.Num]string{}
+	if k.chosenValues[key] == nil {
+		k.chosenValues[key] = map[units.Num]string{}
 	}
-	if old, ok := k.values[key][num]; ok && old != data {
-		k.fail("number %d of %q is both %q and %q", num, key, old, data)
+	if old, ok := k.chosenValues[key][version]; ok && old != data {
+		k.fail("version %d of %q is both %q and %q", version, key, old, data)
 	}
-	for other, old := range k.values[key] {
-		if old == data && other != num {
-			k.fail("the write %q on %q was made twice, as %d and %d", data, key, other, num)
+	for other, old := range k.chosenValues[key] {
+		if old == data && other != version {
+			k.fail("the write %q on %q was applied twice, as version %d and %d", data, key, other, version)
 		}
 	}
 	if k.clients.refused[data] {
-		k.fail("the write %q on %q was refused and is chosen as %d", data, key, num)
+		k.fail("the write %q on %q was refused but is chosen as version %d", data, key, version)
 	}
-	k.values[key][num] = data
-	if num > k.highest[key] {
-		k.highest[key] = num
-		k.durableChanged()
+	k.chosenValues[key][version] = data
+	if version > k.highestChosen[key] {
+		k.highestChosen[key] = version
+		k.checkDurability()
 	}
 }
 
-// adopted checks a quorum set that a node has taken over.
-func (k *modelChecker) adopted(set QuorumSet) {
+// checkQuorumSet checks a quorum set that a node has adopted.
+func (k *modelChecker) checkQuorumSet(set QuorumSet) {
 	if set.Version == 0 {
 		return
 	}
@@ -210,27 +213,27 @@
 	if !known {
 		k.fail("set %d was decided without set %d", set.Version, set.Version-1)
 	}
-	holds := func(id units.Node) bool { // or did so until its disk was lost
+	holds := func(id units.Node) bool { // or held it until its disk was lost
 		return k.everDurable(id, KeyQuorum, func(s State) bool { return s.Version >= set.Version })
 	}
-	if !decides(previous, holds) || !decides(set, holds) {
+	if !hasQuorum(previous, holds) || !hasQuorum(set, holds) {
 		k.fail("set %d is in force without majorities of %+v and %+v", set.Version, previous, set)
 	}
 	k.current = max(k.current, set.Version)
-	k.durableChanged()
+	k.checkDurability()
 }
 
-// durableChanged checks that every majority of the current set that may still be gathered holds each chosen value or a
-// newer one.
-func (k *modelChecker) durableChanged() {
+// checkDurability checks that every majority of the current set that can still be formed contains each chosen value
+// or a newer one.
+func (k *modelChecker) checkDurability() {
 	set := k.sets[k.current]
-	for key, num := range k.highest {
+	for key, num := range k.highestChosen {
 		lacks := func(id units.Node) bool {
 			n := k.cluster.node(id)
 			return n != nil && !n.lost && n.disk.states[key].Version < num
 		}
-		if decides(set, lacks) {
-			k.fail("a majority of %+v lacks number %d of %q", set, num, key)
+		if hasQuorum(set, lacks) {
+			k.fail("a majority of %+v lacks version %d of %q", set, num, key)
 		}
 	}
 }
--- a/internal/control/register/model_clients_test.go
+++ b/internal/control/register/model_clients_test.go
@@ -10,50 +10,50 @@
 
 // clientOperation is a client's call on one key.
 type clientOperation struct {
-	key       string
-	write     bool
-	requestID string
-	floor     units.Num // the highest number that had been acknowledged when the call began
-	decided   units.Num // the newest set under which a key had been decided by then
+	key            string
+	write          bool
+	requestID      string
+	minVersion     units.Num // the highest version that had been acknowledged when the call began
+	decidedVersion units.Num // the newest set under which a value had been chosen when the call began
 }
 
-// modelClients makes calls and checks their answers against the order in which calls began and ended.
+// modelClients makes calls and checks that their answers agree with the order in which calls began and ended.
 type modelClients struct {
-	cluster    *modelCluster
-	operations map[uint64]*clientOperation
-	requests   map[string]Request          // the first call of each request id
-	first      map[string]*clientOperation // the same
-	refused    map[string]bool             // request ids that were answered with a conflict
-	acked      map[string]units.Num        // the highest acknowledged number of each key
-	tag        uint64
-	writes     map[string]int
-	reads      int // that were answered
+	cluster             *modelCluster
+	operations          map[uint64]*clientOperation
+	firstRequests       map[string]Request          // the first request of each request id
+	firstOperations     map[string]*clientOperation // the first call of each request id
+	refused             map[string]bool             // request ids that were answered with a conflict
+	acknowledgedVersion map[string]units.Num        // the highest acknowledged version of each key
+	tag                 uint64
+	writeCounts         map[string]int
+	answeredReads       int
 }
 
 func newModelClients(c *modelCluster) *modelClients {
 	return &modelClients{
-		cluster: c, operations: map[uint64]*clientOperation{}, requests: map[string]Request{}, first: map[string]*clientOperation{},
-		refused: map[string]bool{}, acked: map[string]units.Num{}, writes: map[string]int{},
+		cluster: c, operations: map[uint64]*clientOperation{}, firstRequests: map[string]Request{}, firstOperations: map[string]*clientOperation{},
+		refused: map[string]bool{}, acknowledgedVersion: map[string]units.Num{}, writeCounts: map[string]int{},
 	}
 }
 
-// read begins a confirmed read at a node.
+// read starts a confirmed read at a node.
 func (l *modelClients) read(n *modelNode, key string) uint64 {
 	return l.submit(n, Request{Key: key})
 }
 
-// write begins a write of a fresh value that names itself; its request id is the same.
+// write starts a write at a node. Its value is unique, and its request id is the same as its value.
 func (l *modelClients) write(n *modelNode, key string, expect units.Num) string {
-	l.writes[key]++
-	id := fmt.Sprintf("%s-%d", key, l.writes[key])
+	l.writeCounts[key]++
+	id := fmt.Sprintf("%s-%d", key, l.writeCounts[key])
 	request := Request{Key: key, Write: true, ExpectedVersion: expect, RequestID: id, Data: []byte(id)}
-	l.requests[id] = request
+	l.firstRequests[id] = request
 	l.submit(n, request)
 	return id
 }
 
-// rewrite sends a write again under its request id, perhaps at another node.
-func (l *modelClients) rewrite(n *modelNode, id string) { l.submit(n, l.requests[id]) }
+// resubmit sends a write again under its request id, possibly through another node.
+func (l *modelClients) resubmit(n *modelNode, id string) { l.submit(n, l.firstRequests[id]) }
 
 func (l *modelClients) submit(n *modelNode, r Request) uint64 {
 	if n.replica == nil {
@@ -61,12 +61,12 @@
 	}
 	l.tag++
 	r.Tag = l.tag
-	o := &clientOperation{key: r.Key, write: r.Write, requestID: r.RequestID, floor: l.acked[r.Key], decided: l.cluster.checker.decided}
+	o := &clientOperation{key: r.Key, write: r.Write, requestID: r.RequestID, minVersion: l.acknowledgedVersion[r.Key], decidedVersion: l.cluster.checker.decidedVersion}
 	if r.Write {
-		if l.first[r.RequestID] == nil {
-			l.first[r.RequestID] = o
+		if l.firstOperations[r.RequestID] == nil {
+			l.firstOperations[r.RequestID] = o
 		}
-		o = l.first[r.RequestID]
+		o = l.firstOperations[r.RequestID]
 	}
 	l.operations[r.Tag] = o
 	detail := fmt.Sprintf("key %q write %v id %q tag %d", r.Key, r.Write, r.RequestID, r.Tag)
@@ -75,46 +75,46 @@
 	return r.Tag
 }
 
-// replied checks the set under which an owner acknowledges.
-func (l *modelClients) replied(owner *modelNode, d decoded, decided units.Num) {
+// checkReply checks the quorum set under which an owner acknowledges a call.
+func (l *modelClients) checkReply(owner *modelNode, d decoded, decided units.Num) {
 	o := l.operations[d.head.Tag]
 	if o == nil || codes.Code(d.head.Code) != codes.OK {
 		return
 	}
-	if version := owner.replica.quorum.Version; version < o.decided {
+	if version := owner.replica.quorum.Version; version < o.decidedVersion {
 		l.cluster.checker.fail("node %d acknowledged call %d under set %d though set %d had decided before it began (now %d)",
-			owner.id, d.head.Tag, version, o.decided, decided)
+			owner.id, d.head.Tag, version, o.decidedVersion, decided)
 	}
 }
 
-// answered checks an answer that a client gets.
-func (l *modelClients) answered(n *modelNode, r Result) {
+// checkResult checks an answer that a client receives.
+func (l *modelClients) checkResult(n *modelNode, r Result) {
 	checker, o := l.cluster.checker, l.operations[r.Tag]
 	if o == nil {
 		return
 	}
-	detail := fmt.Sprintf("tag %d code %v num %d data %q", r.Tag, r.Code, int64(r.Version), r.Data)
+	detail := fmt.Sprintf("tag %d code %v version %d data %q", r.Tag, r.Code, int64(r.Version), r.Data)
 	l.cluster.record(modelEvent{action: "answer", node: n.id, detail: detail})
 	switch {
 	case r.Code == codes.Conflict && o.write:
 		l.refused[o.requestID] = true
-		for num, data := range checker.values[o.key] {
+		for num, data := range checker.chosenValues[o.key] {
 			if data == o.requestID {
-				checker.fail("the write %q was chosen as %d and is refused", data, num)
+				checker.fail("the write %q was chosen as version %d but is refused", data, num)
 			}
 		}
 	case r.Code == codes.OK && o.write:
-		if r.Version <= o.floor {
-			checker.fail("the write %q got number %d though %d was acknowledged before it began", o.requestID, r.Version, o.floor)
+		if r.Version <= o.minVersion {
+			checker.fail("the write %q got version %d though %d was acknowledged before it began", o.requestID, r.Version, o.minVersion)
 		}
-		checker.chosen(o.key, r.Version, o.requestID)
-		l.acked[o.key] = max(l.acked[o.key], r.Version)
+		checker.checkChosen(o.key, r.Version, o.requestID)
+		l.acknowledgedVersion[o.key] = max(l.acknowledgedVersion[o.key], r.Version)
 	case r.Code == codes.OK:
-		if r.Version < o.floor {
-			checker.fail("a read of %q got number %d though %d was acknowledged before it began", o.key, r.Version, o.floor)
+		if r.Version < o.minVersion {
+			checker.fail("a read of %q got version %d though %d was acknowledged before it began", o.key, r.Version, o.minVersion)
 		}
-		checker.chosen(o.key, r.Version, string(r.Data))
-		l.acked[o.key] = max(l.acked[o.key], r.Version)
-		l.reads++
+		checker.checkChosen(o.key, r.Version, string(r.Data))
+		l.acknowledgedVersion[o.key] = max(l.acknowledgedVersion[o.key], r.Version)
+		l.answeredReads++
 	}
 }
--- a/internal/control/register/model_cluster_test.go
+++ b/internal/control/register/model_cluster_test.go
@@ -10,44 +10,44 @@
 
 // modelNode is one replica with its disk. The replica is nil while the process is down.
 type modelNode struct {
-	id       units.Node
-	replica  *Replica
-	run      units.Node
-	queue    []diskBatch
-	disk     modelDisk
-	wanted   []units.Node // the members that the process was last asked to change to
-	lostDisk modelDisk    // what a lost disk held
-	lost     bool         // the disk is gone for good: no process ever votes under this id again
+	id            units.Node
+	replica       *Replica
+	run           units.Node
+	syncQueue     []diskBatch
+	disk          modelDisk
+	targetMembers []units.Node // the members that the process was last asked to change to
+	lostDisk      modelDisk    // contents of the disk when it was lost
+	lost          bool         // the disk is lost for good: no process ever votes under this id again
 }
 
-// diskBatch is what one step gave to the disk: its messages leave once its writes are synced.
+// diskBatch is the output of one step that waits for the disk: its messages leave once its writes are synced.
 type diskBatch struct {
 	writes   []message.Record
 	messages []message.Message
 	request  units.Num // version of the set under which the answered request was sent
 }
 
-// modelCluster is a network of replicas that delivers, loses and doubles messages as it is told.
+// modelCluster is a network of replicas in which the test decides which messages are delivered, lost or duplicated.
 type modelCluster struct {
-	now     units.Time
-	nodes   []*modelNode
-	bag     []message.Message
-	runs    units.Node // the last run id given out
-	checker *modelChecker
-	events  []modelEvent
+	now      units.Time
+	nodes    []*modelNode
+	inFlight []message.Message
+	lastRun  units.Node // the last run id that was assigned
+	checker  *modelChecker
+	events   []modelEvent
 }
 
-// usualEvents is the room for the events of a run.
+// usualEvents is the initial capacity for the events of a run.
 const usualEvents = 500
 
-// newModelCluster starts replicas 1 to members as the first set, and spares beside them.
+// newModelCluster starts replicas 1 to members as the first quorum set, and spares further replicas.
 func newModelCluster(members, spares int) *modelCluster {
-	var founders []units.Node
+	var initialMembers []units.Node
 	for id := range members {
-		founders = append(founders, units.Node(id+1))
+		initialMembers = append(initialMembers, units.Node(id+1))
 	}
-	first := firstQuorumSet(founders)
-	c := &modelCluster{now: units.Time(time.Second), runs: 1000, events: make([]modelEvent, 0, usualEvents)}
+	first := initialQuorumSet(initialMembers)
+	c := &modelCluster{now: units.Time(time.Second), lastRun: 1000, events: make([]modelEvent, 0, usualEvents)}
 	c.checker = newModelChecker(c, first)
 	for id := range members + spares {
 		n := &modelNode{id: units.Node(id + 1), disk: newModelDisk()}
@@ -67,53 +67,53 @@
 	return c.nodes[id-1]
 }
 
-// live gives the nodes whose process runs.
-func (c *modelCluster) live() []*modelNode {
+// liveNodes returns the nodes whose process is running.
+func (c *modelCluster) liveNodes() []*modelNode {
 	return slices.DeleteFunc(slices.Clone(c.nodes), func(n *modelNode) bool { return n.replica == nil })
 }
 
-// start begins a process that reads back what its disk holds.
+// start starts a process that loads the contents of its disk.
 func (c *modelCluster) start(n *modelNode) {
 	if n.lost || n.replica != nil {
 		return
 	}
-	c.runs++
-	n.run = c.runs
+	c.lastRun++
+	n.run = c.lastRun
 	n.replica = New(n.id, n.run)
-	if err := n.replica.Load(n.disk.records()); err != nil {
+	if err := n.replica.Load(n.disk.compactedRecords()); err != nil {
 		c.checker.fail("load of node %d: %v", n.id, err)
 	}
 	c.record(modelEvent{action: "start", node: n.id})
 }
 
-// crash ends a process. Of the batches that were not synced, the first survive and the rest are gone; none of their
-// messages leaves.
+// crash ends a process. Of the unsynced batches, the first survive are written and the rest are lost; none of their
+// messages is sent.
 func (c *modelCluster) crash(n *modelNode, survive int) {
 	if n.replica == nil {
 		return
 	}
-	for i, b := range n.queue {
+	for i, b := range n.syncQueue {
 		if i < survive {
 			n.disk.write(b.writes...)
 		}
 	}
-	n.queue, n.replica, n.wanted = nil, nil, nil
+	n.syncQueue, n.replica, n.targetMembers = nil, nil, nil
 	c.record(modelEvent{action: "crash", node: n.id})
-	c.checker.durableChanged()
+	c.checker.checkDurability()
 }
 
-// lose ends a process and destroys its disk.
-func (c *modelCluster) lose(n *modelNode) {
+// loseDisk ends a process and destroys its disk.
+func (c *modelCluster) loseDisk(n *modelNode) {
 	if n.lost {
 		return
 	}
 	c.crash(n, 0)
 	n.lost, n.lostDisk, n.disk = true, n.disk, newModelDisk()
 	c.record(modelEvent{action: "lose disk", node: n.id})
-	c.checker.durableChanged()
+	c.checker.checkDurability()
 }
 
-// perform runs one step of a replica and takes what it gives out.
+// perform runs one step of a replica and processes its effects.
 func (c *modelCluster) perform(n *modelNode, request units.Num, step func(*Replica) message.Effects) {
 	if n.replica == nil {
 		return
@@ -125,65 +125,65 @@
 		}
 	}
 	if len(out.Writes)+len(out.AfterSync) > 0 {
-		n.queue = append(n.queue, diskBatch{out.Writes, out.AfterSync, request})
+		n.syncQueue = append(n.syncQueue, diskBatch{out.Writes, out.AfterSync, request})
 	}
-	c.checker.drain(n)
+	c.checker.collectOutputs(n)
 	for _, m := range out.Messages {
-		c.checker.prepared(m)
-		c.leave(n, m, request)
+		c.checker.checkAccept(m)
+		c.sendMessage(n, m, request)
 	}
 }
 
-// leave puts a message on the network.
-func (c *modelCluster) leave(n *modelNode, m message.Message, request units.Num) {
+// sendMessage puts a message on the network.
+func (c *modelCluster) sendMessage(n *modelNode, m message.Message, request units.Num) {
 	m.From = n.id
-	c.checker.sent(n, m, request)
-	// Calls between replicas change nothing that is checked here, and would multiply the orders.
+	c.checker.checkSent(n, m, request)
+	// Pings and pongs change nothing that is checked here, and would multiply the number of schedules.
 	if m.Kind != Ping && m.Kind != Pong && c.node(m.To) != nil {
-		c.bag = append(c.bag, m)
+		c.inFlight = append(c.inFlight, m)
 	}
 }
 
-// syncOne makes the oldest batch durable, then lets its messages leave.
+// syncOne makes the oldest batch durable, then sends its messages.
 func (c *modelCluster) syncOne(n *modelNode) {
-	if len(n.queue) == 0 {
+	if len(n.syncQueue) == 0 {
 		return
 	}
-	b := n.queue[0]
-	n.queue = n.queue[1:]
+	b := n.syncQueue[0]
+	n.syncQueue = n.syncQueue[1:]
 	n.disk.write(b.writes...)
 	if len(b.writes) > 0 {
-		c.checker.durableChanged()
+		c.checker.checkDurability()
 	}
 	for _, m := range b.messages {
-		c.leave(n, m, b.request)
+		c.sendMessage(n, m, b.request)
 	}
 }
 
 func (c *modelCluster) sync(n *modelNode) {
-	for len(n.queue) > 0 {
+	for len(n.syncQueue) > 0 {
 		c.syncOne(n)
 	}
 }
 
-// take removes a message from the network.
-func (c *modelCluster) take(i int) message.Message {
-	m := c.bag[i]
-	c.bag = slices.Delete(c.bag, i, i+1)
+// removeMessage takes a message off the network.
+func (c *modelCluster) removeMessage(i int) message.Message {
+	m := c.inFlight[i]
+	c.inFlight = slices.Delete(c.inFlight, i, i+1)
 	return m
 }
 
-// deliver gives a message to its receiver, whose disk isn't synced yet.
+// deliver delivers a message to its receiver and leaves the receiver's writes unsynced.
 func (c *modelCluster) deliver(m message.Message) {
 	n := c.node(m.To)
 	c.record(modelEvent{action: "deliver", node: m.To, message: m})
 	c.perform(n, requestVersion(m), func(r *Replica) message.Effects { return r.Step(c.now, m) })
 }
 
-// deliverOldest delivers the first messages in order, with synced disks.
+// deliverOldest delivers the oldest messages in order, and syncs the receivers' disks.
 func (c *modelCluster) deliverOldest(count int) {
-	for ; count > 0 && len(c.bag) > 0; count-- {
-		m := c.take(0)
+	for ; count > 0 && len(c.inFlight) > 0; count-- {
+		m := c.removeMessage(0)
 		c.deliver(m)
 		c.sync(c.node(m.To))
 	}
@@ -197,35 +197,35 @@
 	c.perform(n, 0, func(r *Replica) message.Effects { return r.Tick(c.now) })
 }
 
-// round lets some time pass and ticks every live node, with synced disks.
-func (c *modelCluster) round(span time.Duration) {
-	c.now = c.now.Add(span)
-	for _, n := range c.live() {
+// tickAllAfter advances the clock, ticks every live node and syncs its disk.
+func (c *modelCluster) tickAllAfter(elapsed time.Duration) {
+	c.now = c.now.Add(elapsed)
+	for _, n := range c.liveNodes() {
 		c.tick(n)
 		c.sync(n)
 	}
 }
 
-// believe tells a node who may own keys.
-func (c *modelCluster) believe(n *modelNode, eligible ...units.Node) {
+// setEligible sets a node's view of who may own keys.
+func (c *modelCluster) setEligible(n *modelNode, eligible ...units.Node) {
 	if n.replica == nil {
 		return
 	}
-	c.record(modelEvent{action: "believe", node: n.id, nodes: eligible})
+	c.record(modelEvent{action: "set eligible", node: n.id, nodes: eligible})
 	n.replica.SetEligible(eligible)
 }
 
-// changeMembers asks a node for another quorum set.
+// changeMembers requests a change of members from a node.
 func (c *modelCluster) changeMembers(n *modelNode, members []units.Node) {
 	if n.replica == nil {
 		return
 	}
 	c.record(modelEvent{action: "change members", node: n.id, nodes: members})
-	n.wanted = members
-	wantMembers(n.replica, c.now, members)
+	n.targetMembers = members
+	requestMembers(n.replica, c.now, members)
 }
 
-// resend has a node repeat its accepted value of a key to another, as repair does.
+// resend makes a node resend its accepted value of a key to another, as repair does.
 func (c *modelCluster) resend(n, to *modelNode, key string) {
 	c.perform(n, 0, func(r *Replica) message.Effects { return r.Resend(to.id, key) })
 }
--- a/internal/control/register/model_disk_test.go
+++ b/internal/control/register/model_disk_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// modelDisk is a log of synced records. It decodes them on its own, so that the checks don't rest on Load.
+// modelDisk is a log of synced records. It decodes the records itself, so that the checks do not depend on Load.
 type modelDisk struct {
 	log    []message.Record
 	states map[string]State
@@ -25,12 +25,12 @@
 		switch r.Kind {
 		case RecordPromise:
 			h, _ := decodeRecord(r)
-			s.Promised = units.Epoch{N: h.N, By: units.Node(h.By)}
+			s.Promised = units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}
 		case RecordAccept:
 			h, body := decodeRecord(r)
-			s.Accepted = units.Epoch{N: h.N, By: units.Node(h.By)}
+			s.Accepted = units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}
 			s.Promised = maxEpoch(s.Promised, s.Accepted)
-			s.Seq, s.Version, s.Body = h.Seq, units.Num(h.Num), body
+			s.Seq, s.Version, s.Body = h.Seq, units.Num(h.Version), body
 		case RecordQuorum:
 			d.quorum, _ = UnpackQuorumSet(r.Data)
 			continue
@@ -41,7 +41,7 @@
 	}
 }
 
-func decodeRecord(r message.Record) (h slotHead, body []byte) {
+func decodeRecord(r message.Record) (h recordHeader, body []byte) {
 	var err error
 	if r.Kind == RecordAccept {
 		err = message.Unpack(r.Data, &h, &body)
@@ -54,8 +54,8 @@
 	return h, body
 }
 
-// records gives the log as a rewrite leaves it: the last record of each kind and key.
-func (d *modelDisk) records() []message.Record {
+// compactedRecords returns the log as compaction leaves it: the last record of each kind and key.
+func (d *modelDisk) compactedRecords() []message.Record {
 	type place struct {
 		kind uint8
 		key  string
@@ -73,9 +73,9 @@
 	return slices.Clone(kept)
 }
 
-// decoded is a message between replicas, as far as the checks look at it.
+// decoded contains the parts of a message between replicas that the checks use.
 type decoded struct {
-	head head
+	head header
 	set  QuorumSet
 	key  string
 	body []byte
@@ -91,7 +91,8 @@
 	return d
 }
 
-// requestVersion gives the version of the set under which an acceptor is asked, zero for other messages.
+// requestVersion returns the version of the quorum set under which an acceptor request was sent, or zero for other
+// messages.
 func requestVersion(m message.Message) units.Num {
 	if m.Kind != Prepare && m.Kind != Accept && m.Kind != Confirm {
 		return 0
@@ -122,14 +123,14 @@
 		return text
 	}
 	d := decode(e.message)
-	return fmt.Sprintf("%s%s from %d key %q epoch %d.%d seq %d num %d ok %d code %d tag %x set %d data %q", text,
-		kindNames[e.message.Kind], e.message.From, d.key, d.head.N, d.head.By, d.head.Seq, int64(d.head.Num), d.head.Ok,
+	return fmt.Sprintf("%s%s from %d key %q epoch %d.%d seq %d version %d ok %d code %d tag %x set %d data %q", text,
+		kindNames[e.message.Kind], e.message.From, d.key, d.head.EpochNumber, d.head.EpochNode, d.head.Seq, int64(d.head.Version), d.head.OK,
 		d.head.Code, d.head.Tag, d.set.Version, Data(d.body))
 }
 
 func (c *modelCluster) record(e modelEvent) { c.events = append(c.events, e) }
 
-// trace gives all events so far, one a line.
+// trace returns all events so far, one per line.
 func (c *modelCluster) trace() string {
 	lines := make([]string, len(c.events))
 	for i, e := range c.events {
--- a/internal/control/register/model_explore_test.go
+++ b/internal/control/register/model_explore_test.go
@@ -1,44 +1,44 @@
 package register
 
-// explorer enumerates schedules. A run asks choose for a number below n; zero is the ordinary course and anything else a
-// deviation. Of the first depth choices of a run at most budget deviate, and every such run is tried.
+// explorer enumerates schedules. A run asks choose for a number below n; zero is the default and any other number a
+// deviation. At most budget of the first depth choices of a run deviate, and every such run is made.
 type explorer struct {
-	depth, budget int
-	path, width   []int
-	at, spent     int
+	depth, budget            int
+	choices, alternatives    []int
+	position, deviationsUsed int
 }
 
 func (e *explorer) choose(n int) int {
-	if e.at >= e.depth || n <= 1 || e.spent >= e.budget {
+	if e.position >= e.depth || n <= 1 || e.deviationsUsed >= e.budget {
 		return 0
 	}
-	if e.at == len(e.path) {
-		e.path, e.width = append(e.path, 0), append(e.width, n)
+	if e.position == len(e.choices) {
+		e.choices, e.alternatives = append(e.choices, 0), append(e.alternatives, n)
 	}
-	choice := e.path[e.at]
-	e.at++
+	choice := e.choices[e.position]
+	e.position++
 	if choice != 0 {
-		e.spent++
+		e.deviationsUsed++
 	}
 	return choice
 }
 
-// next moves on to the following schedule, and says whether there is one.
+// next advances to the following schedule, and reports whether there is one.
 func (e *explorer) next() bool {
-	e.path, e.width = e.path[:e.at], e.width[:e.at]
-	e.at, e.spent = 0, 0
-	for len(e.path) > 0 {
-		last := len(e.path) - 1
-		if e.path[last] < e.width[last]-1 {
-			e.path[last]++
+	e.choices, e.alternatives = e.choices[:e.position], e.alternatives[:e.position]
+	e.position, e.deviationsUsed = 0, 0
+	for len(e.choices) > 0 {
+		last := len(e.choices) - 1
+		if e.choices[last] < e.alternatives[last]-1 {
+			e.choices[last]++
 			return true
 		}
-		e.path, e.width = e.path[:last], e.width[:last]
+		e.choices, e.alternatives = e.choices[:last], e.alternatives[:last]
 	}
 	return false
 }
 
-// explore runs every schedule until one returns false, and counts them.
+// explore runs every schedule until run returns false, and returns the number of schedules run.
 func explore(depth, budget int, run func(choose func(int) int) bool) int {
 	e := &explorer{depth: depth, budget: budget}
 	for count := 1; ; count++ {
--- a/internal/control/register/model_input_test.go
+++ b/internal/control/register/model_input_test.go
@@ -10,20 +10,20 @@
 	"seamshunt/internal/units"
 )
 
-// A message that is cut short or too long changes nothing and is reported.
+// A message that is truncated or too long changes nothing and is reported as an error.
 func TestModelMalformed(t *testing.T) {
-	for _, m := range captured() {
+	for _, m := range captureMessages() {
 		n := busyCluster().node(m.To)
 		for length := range len(m.Body) {
 			short := m
 			short.Body = m.Body[:length]
-			if out := unchanged(t, n, short, fmt.Sprintf("cut to %d bytes", length)); len(out.Errs) == 0 {
-				t.Fatalf("%v cut to %d bytes is not reported", kindNames[m.Kind], length)
+			if out := stepUnchanged(t, n, short, fmt.Sprintf("truncated to %d bytes", length)); len(out.Errs) == 0 {
+				t.Fatalf("%v truncated to %d bytes is not reported", kindNames[m.Kind], length)
 			}
 		}
 		long := m
 		long.Body = append(append([]byte{}, m.Body...), 0)
-		if out := unchanged(t, n, long, "a byte too long"); len(out.Errs) == 0 {
+		if out := stepUnchanged(t, n, long, "one byte too long"); len(out.Errs) == 0 {
 			t.Errorf("%v with a byte too many is not reported", kindNames[m.Kind])
 		}
 		if t.Failed() {
@@ -32,26 +32,26 @@
 	}
 }
 
-// A request or an answer under an older set changes nothing, and the answer to a request says so.
+// An acceptor request under an older quorum set changes nothing, and is answered with Stale.
 func TestModelOlderSet(t *testing.T) {
 	c := newModelCluster(3, 1)
-	believeAll(1)(c)
-	c.settle()
-	c.settle()
-	changeAt(1, nextSet...)(c)
+	setOwnersEverywhere(1)(c)
+	c.tickAndDeliver()
+	c.tickAndDeliver()
+	changeMembersAt(1, nextSet...)(c)
 	for range 6 {
-		c.settle()
+		c.tickAndDeliver()
 	}
 	if c.checker.current < 2 {
 		t.Fatal("the set did not change")
 	}
 	old := c.checker.sets[1]
-	for _, n := range c.live() {
+	for _, n := range c.liveNodes() {
 		for _, kind := range []message.Kind{Prepare, Accept, Confirm} {
 			for _, key := range []string{"a", KeyQuorum} {
-				h := head{N: 900, By: 900, Seq: 9, Num: 9}
+				h := header{EpochNumber: 900, EpochNode: 900, Seq: 9, Version: 9}
 				m := message.Message{From: 2, To: n.id, Kind: kind, Body: message.Pack(h, old.Pack(), []byte(key), nil)}
-				out := unchanged(t, n, m, "an older set")
+				out := stepUnchanged(t, n, m, "an older set")
 				for _, reply := range append(out.Messages, out.AfterSync...) {
 					if reply.Kind != Stale {
 						t.Errorf("node %d answers %v under an older set with %v", n.id, kindNames[kind], modelEvent{message: reply})
@@ -62,128 +62,128 @@
 	}
 }
 
-// Votes and refusals of a node outside the set change nothing, whatever they claim.
+// Votes and refusals of a node outside the set change nothing, whatever they contain.
 func TestModelForeignVotes(t *testing.T) {
-	const stranger = 99
+	const nonMember = 99
 	for _, kind := range []message.Kind{Promise, Accepted, Confirmed} {
 		for _, ok := range []uint8{0, 1} {
 			for _, phaseBudget := range []int{0, 1, 4, 8, 12} {
 				c := newModelCluster(3, 1)
-				believeAll(1)(c)
-				c.settle()
+				setOwnersEverywhere(1)(c)
+				c.tickAndDeliver()
 				writeAt(1)(c)
 				readAt(1)(c)
 				c.deliverOldest(phaseBudget)
 				n := c.node(1)
-				for key, o := range n.replica.owned {
-					h := head{N: o.epoch.N, By: uint64(o.epoch.By), Seq: 77, Num: 77, Tag: o.tag, HN: o.epoch.N - 1, HBy: 5, Ok: ok}
+				for key, o := range n.replica.ownerships {
+					h := header{EpochNumber: o.epoch.N, EpochNode: uint64(o.epoch.By), Seq: 77, Version: 77, Tag: o.confirmTag, HigherNumber: o.epoch.N - 1, HigherNode: 5, OK: ok}
 					if kind == Accepted {
-						h.Seq = o.next.Seq
+						h.Seq = o.proposal.Seq
 					}
 					body := packBody(nil, []byte("forged"))
-					m := message.Message{From: stranger, To: 1, Kind: kind, Body: message.Pack(h, n.replica.quorum.Pack(), []byte(key), body)}
-					unchanged(t, n, m, fmt.Sprintf("a stranger's %v (ok %d)", kindNames[kind], ok))
+					m := message.Message{From: nonMember, To: 1, Kind: kind, Body: message.Pack(h, n.replica.quorum.Pack(), []byte(key), body)}
+					stepUnchanged(t, n, m, fmt.Sprintf("%v of a non-member (ok %d)", kindNames[kind], ok))
 				}
 			}
 		}
 	}
 }
 
-// An epoch that a stranger names doesn't use up the epochs of the set.
+// An epoch named by a non-member does not raise the highest epoch, and so does not use up the members' epochs.
 func TestModelForeignEpoch(t *testing.T) {
-	const stranger, last = 99, ^uint64(0)
+	const nonMember, last = 99, ^uint64(0)
 	for _, kind := range []message.Kind{Prepare, Promise, Accept, Accepted, Confirm, Confirmed, Stale, Forward, KeyList} {
 		c := newModelCluster(3, 1)
-		believeAll(1)(c)
-		c.settle()
+		setOwnersEverywhere(1)(c)
+		c.tickAndDeliver()
 		n := c.node(1)
 		before := n.replica.highestEpoch
-		h := head{N: last, By: stranger, HN: last, HBy: stranger}
-		m := message.Message{From: stranger, To: 1, Kind: kind, Body: message.Pack(h, n.replica.quorum.Pack(), []byte("a"), nil)}
+		h := header{EpochNumber: last, EpochNode: nonMember, HigherNumber: last, HigherNode: nonMember}
+		m := message.Message{From: nonMember, To: 1, Kind: kind, Body: message.Pack(h, n.replica.quorum.Pack(), []byte("a"), nil)}
 		n.replica.Step(c.now, m)
 		if after := n.replica.highestEpoch; after != before {
-			t.Errorf("a stranger's %v raised the highest epoch from %d to %d", kindNames[kind], before, after)
+			t.Errorf("%v of a non-member raised the highest epoch from %d to %d", kindNames[kind], before, after)
 		}
 	}
 }
 
-// The key list of a stranger adds no key to those that a change reads back.
+// The key list of a non-member adds no key to those that a change of the set reads back.
 func TestModelForeignKeyList(t *testing.T) {
-	const stranger = 99
+	const nonMember = 99
 	c := newModelCluster(3, 1)
-	believeAll(1)(c)
-	c.settle()
+	setOwnersEverywhere(1)(c)
+	c.tickAndDeliver()
 	writeAt(1)(c)
-	c.settle()
-	changeAt(1, nextSet...)(c)
+	c.tickAndDeliver()
+	changeMembersAt(1, nextSet...)(c)
 	seen := false
 	for range 3 {
-		c.round(resend + 1)
-		for len(c.bag) > 0 {
+		c.tickAllAfter(resendInterval + 1)
+		for len(c.inFlight) > 0 {
 			n := c.node(1)
-			list := message.PackList([][]byte{[]byte("a stranger's key")})
-			m := message.Message{From: stranger, To: 1, Kind: KeyList, Body: message.Pack(head{}, n.replica.quorum.Pack(), nil, list)}
-			unchanged(t, n, m, "a stranger's keys")
+			list := message.PackList([][]byte{[]byte("a non-member's key")})
+			m := message.Message{From: nonMember, To: 1, Kind: KeyList, Body: message.Pack(header{}, n.replica.quorum.Pack(), nil, list)}
+			stepUnchanged(t, n, m, "a non-member's keys")
 			seen = seen || len(keysToRead(n.replica)) > 0
 			c.deliverOldest(1)
 		}
 	}
 	if !seen {
-		t.Error("no change of the set was under way")
+		t.Error("no change of the set was in progress")
 	}
 }
 
-// An answer to a request of an earlier run, on another key but under the same tag, is not taken for this run's.
+// An answer to a request of an earlier run, for another key but with the same tag, is not taken for this run's.
 func TestModelReplyOfEarlierRun(t *testing.T) {
 	const tag = 7
 	c := newModelCluster(3, 0)
-	believeAll(1)(c)
-	c.settle()
+	setOwnersEverywhere(1)(c)
+	c.tickAndDeliver()
 	r := c.node(2).replica
 	r.Submit(c.now, Request{Tag: tag, Key: "b"})
 	reply := func(key string) message.Message {
-		h := head{Tag: tag, Code: uint16(codes.OK), Num: 3}
+		h := header{Tag: tag, Code: uint16(codes.OK), Version: 3}
 		return message.Message{From: 1, To: 2, Kind: Reply, Body: message.Pack(h, r.quorum.Pack(), []byte(key), []byte(key))}
 	}
 	if r.Step(c.now, reply("a")); len(r.Results) != 0 {
-		t.Errorf("the answer on another key was taken: %+v", r.Results)
+		t.Errorf("the answer for another key was delivered: %+v", r.Results)
 	}
 	if r.Step(c.now, reply("b")); len(r.Results) != 1 || string(r.Results[0].Data) != "b" {
-		t.Errorf("the answer was not taken: %+v", r.Results)
+		t.Errorf("the answer was not delivered: %+v", r.Results)
 	}
 }
 
-// A value that can't be read is neither accepted nor loaded.
+// A malformed value is neither accepted nor loaded.
 func TestModelMalformedValue(t *testing.T) {
 	for _, body := range [][]byte{{1}, []byte("no value of a register"), make([]byte, 13)} {
 		n := busyCluster().node(1)
-		h := head{N: 900, By: 900, Seq: 1, Num: 9}
+		h := header{EpochNumber: 900, EpochNode: 900, Seq: 1, Version: 9}
 		m := message.Message{From: 2, To: 1, Kind: Accept, Body: message.Pack(h, n.replica.quorum.Pack(), []byte("a"), body)}
-		if out := unchanged(t, n, m, "a malformed value"); len(out.Errs) == 0 {
+		if out := stepUnchanged(t, n, m, "a malformed value"); len(out.Errs) == 0 {
 			t.Errorf("the malformed value %q is not reported", body)
 		}
-		record := message.Record{Kind: RecordAccept, Key: "a", Data: message.Pack(slotHead{N: 1, By: 1, Seq: 1, Num: 1}, body)}
+		record := message.Record{Kind: RecordAccept, Key: "a", Data: message.Pack(recordHeader{EpochNumber: 1, EpochNode: 1, Seq: 1, Version: 1}, body)}
 		if err := New(1, 1).Load([]message.Record{record}); err == nil {
-			t.Errorf("a record of the malformed value %q is loaded", body)
+			t.Errorf("a record with the malformed value %q is loaded", body)
 		}
 	}
 }
 
-// A set that no replica writes is not taken over.
+// A set that no replica writes is not adopted.
 func TestModelImpossibleSets(t *testing.T) {
-	current := firstQuorumSet([]units.Node{1, 2, 3})
+	current := initialQuorumSet([]units.Node{1, 2, 3})
 	empty, doubled, zero := current, current, current
 	empty.Version, empty.Members = 50, nil
 	doubled.Version, doubled.Members = 50, []units.Node{4, 4, 4}
 	zero.Version, zero.Members = 50, []units.Node{0, 2, 3}
 	for name, set := range map[string]QuorumSet{"empty": empty, "doubled": doubled, "zero": zero} {
 		n := busyCluster().node(1)
-		m := message.Message{From: 2, To: 1, Kind: Reply, Body: message.Pack(head{}, set.Pack(), []byte(""), nil)}
-		if out := unchanged(t, n, m, name+" set in a message"); len(out.Errs) == 0 {
+		m := message.Message{From: 2, To: 1, Kind: Reply, Body: message.Pack(header{}, set.Pack(), []byte(""), nil)}
+		if out := stepUnchanged(t, n, m, name+" set in a message"); len(out.Errs) == 0 {
 			t.Errorf("%s set in a message is not reported", name)
 		}
-		before := stateFingerprint(n.replica)
-		if out := n.replica.LearnQuorum(set.Pack()); len(out.Errs) == 0 || !reflect.DeepEqual(before, stateFingerprint(n.replica)) {
+		before := snapshotReplica(n.replica)
+		if out := n.replica.LearnQuorum(set.Pack()); len(out.Errs) == 0 || !reflect.DeepEqual(before, snapshotReplica(n.replica)) {
 			t.Errorf("%s set learned: %+v", name, out)
 		}
 	}
--- a/internal/control/register/model_random_test.go
+++ b/internal/control/register/model_random_test.go
@@ -11,29 +11,29 @@
 	"seamshunt/internal/units"
 )
 
-var modelSteps = flag.Int("model.steps", 300, "actions of a random run")
+var modelSteps = flag.Int("model.steps", 300, "number of actions of a random run")
 
-// maxBag bounds the messages on their way in a random run; the oldest are lost beyond it.
-const maxBag = 80
+// maxInFlight limits the undelivered messages of a random run; beyond it the oldest are lost.
+const maxInFlight = 80
 
-// maxWrites bounds the writes on one key, below the number of outcomes that a register keeps for resent writes.
+// maxWrites limits the writes on one key, below the number of outcomes that a register keeps for resent writes.
 const maxWrites = 12
 
 // randomRun draws the actions of one run.
 type randomRun struct {
 	*rapid.T
 	*modelCluster
-	proposed []proposal
-	written  []string // request ids
+	proposed     []proposal
+	submittedIDs []string // request ids
 }
 
-// proposal is a set that somebody was asked to change to, and the version in force at that time.
+// proposal is a set that a node was asked to change to, and the version in force at that time.
 type proposal struct {
 	members []units.Node
 	version units.Num
 }
 
-// action is something that a random run may do; weight says how often.
+// action is a possible step of a random run; weight is its relative frequency.
 type action struct {
 	weight int
 	do     func(*randomRun)
@@ -49,22 +49,22 @@
 	{3, (*randomRun).syncAny},
 	{2, (*randomRun).crashAny},
 	{3, (*randomRun).restartAny},
-	{1, (*randomRun).loseAny},
-	{2, (*randomRun).calm},
-	{2, (*randomRun).agree},
-	{3, (*randomRun).disagree},
+	{1, (*randomRun).loseAnyDisk},
+	{2, (*randomRun).stabilize},
+	{2, (*randomRun).agreeOnOwners},
+	{3, (*randomRun).disagreeOnOwners},
 	{3, (*randomRun).writeAny},
 	{3, (*randomRun).readAny},
-	{2, (*randomRun).rewriteAny},
-	{8, (*randomRun).changeAny},
+	{2, (*randomRun).resubmitAny},
+	{8, (*randomRun).changeMembersAny},
 	{1, (*randomRun).resendAny},
 	{1, (*randomRun).learnAny},
 }
 
-// Random runs at several sizes keep the invariants, and a healed cluster answers.
+// Random runs with several cluster sizes keep the invariants, and a healed cluster answers.
 func TestModelRandom(t *testing.T) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
-		if err := flag.Set("rapid.seed", "16"); err != nil { // the same verdict each time, unless another seed is asked for
+		if err := flag.Set("rapid.seed", "16"); err != nil { // reproducible unless another seed is given
 			t.Fatal(err)
 		}
 	}
@@ -80,13 +80,13 @@
 	}
 }
 
-// coverage counts what random runs brought about.
+// coverage counts what random runs have exercised.
 type coverage struct{ runs, acknowledged, changes, reads, lost int }
 
 func (v *coverage) add(c *modelCluster) {
 	v.runs++
-	v.acknowledged += c.checker.clients.acknowledged()
-	v.reads += c.checker.clients.reads
+	v.acknowledged += c.checker.clients.acknowledgedWrites()
+	v.reads += c.checker.clients.answeredReads
 	v.changes += int(c.checker.current) - 1
 	for _, n := range c.nodes {
 		if n.lost {
@@ -95,11 +95,11 @@
 	}
 }
 
-// check fails where random runs bring about too little to mean anything.
+// check fails if the random runs exercised too little for a meaningful result.
 func (v *coverage) check(t *testing.T) {
 	t.Logf("%+v", *v)
 	if v.acknowledged < v.runs || v.reads < v.runs || 4*v.changes < v.runs || 4*v.lost < v.runs {
-		t.Errorf("too little was tried: %+v", *v)
+		t.Errorf("insufficient coverage: %+v", *v)
 	}
 }
 
@@ -109,12 +109,12 @@
 	for _, a := range actions {
 		choices = append(choices, slices.Repeat([]func(*randomRun){a.do}, a.weight)...)
 	}
-	r.agree()
-	r.settle()
+	r.agreeOnOwners()
+	r.tickAndDeliver()
 	for range *modelSteps {
 		choices[r.pick(len(choices))](r)
-		for len(r.bag) > maxBag {
-			r.take(0)
+		for len(r.inFlight) > maxInFlight {
+			r.removeMessage(0)
 		}
 		if r.checker.violation != "" {
 			break
--- a/internal/control/register/model_schedule_test.go
+++ b/internal/control/register/model_schedule_test.go
@@ -8,32 +8,32 @@
 	"seamshunt/internal/units"
 )
 
-// What may happen to the oldest message of the network in place of its delivery.
+// What may happen to the oldest undelivered message.
 const (
-	deliverIt = iota
-	dropIt
-	duplicateIt
-	deferIt
-	crashBeforeSync // the receiver takes it and goes down with what it wrote unsynced
-	crashAfterSync  // the receiver takes it, answers and goes down
-	triggerNow      // the scenario's next step comes before it
-	deviations
+	deliverMessage = iota
+	dropMessage
+	duplicateMessage
+	deferMessage
+	crashBeforeSync // the receiver processes it and crashes before its writes are synced
+	crashAfterSync  // the receiver processes it, syncs, answers and crashes
+	startNextStep   // the scenario's next step runs before its delivery
+	deviationCount
 )
 
-// scenario is a list of steps that are taken one after the other, each once the network is quiet, or earlier.
+// scenario is a list of steps. Each runs when no messages are left to deliver, or earlier if a schedule deviates.
 type scenario struct {
-	name    string
-	members int
-	spares  int
-	changes bool // the set changes in the ordinary course
-	calm    int  // steps that are played without deviations
-	steps   []func(*modelCluster)
+	name             string
+	members          int
+	spares           int
+	expectsSetChange bool // the quorum set changes in the default schedule
+	undisturbedSteps int  // number of first steps that run without deviations
+	steps            []func(*modelCluster)
 }
 
-// quietRounds is how many rounds of ticks pass before a scenario's next step.
+// quietRounds is the number of rounds of ticks before a scenario's next step.
 const quietRounds = 2
 
-// run plays a scenario under the given choices, then heals the cluster and has it read.
+// run runs a scenario with the given choices, then heals the cluster and reads each key.
 func (s scenario) run(choose func(int) int) *modelCluster {
 	c := newModelCluster(s.members, s.spares)
 	steps, rounds := s.steps, 0
@@ -43,15 +43,15 @@
 	}
 	for c.checker.violation == "" {
 		switch {
-		case len(c.bag) > 0:
-			if choice := s.deviation(choose, len(steps)); choice == triggerNow && len(steps) > 0 {
+		case len(c.inFlight) > 0:
+			if choice := s.deviation(choose, len(steps)); choice == startNextStep && len(steps) > 0 {
 				trigger()
 			} else {
 				c.deviate(choice)
 			}
 		case rounds < quietRounds:
 			rounds++
-			c.round(resend + 100*time.Millisecond)
+			c.tickAllAfter(resendInterval + 100*time.Millisecond)
 		case len(steps) > 0:
 			trigger()
 		default:
@@ -62,24 +62,24 @@
 	return c
 }
 
-// deviation asks for what is to happen to the oldest message, once the calm steps are over.
+// deviation chooses what happens to the oldest message, once the undisturbed steps are over.
 func (s scenario) deviation(choose func(int) int, left int) int {
-	if len(s.steps)-left < s.calm {
-		return deliverIt
+	if len(s.steps)-left < s.undisturbedSteps {
+		return deliverMessage
 	}
-	return choose(deviations)
+	return choose(deviationCount)
 }
 
-// deviate does with the oldest message what was chosen.
+// deviate applies a choice to the oldest message.
 func (c *modelCluster) deviate(choice int) {
-	m := c.take(0)
+	m := c.removeMessage(0)
 	n := c.node(m.To)
 	switch choice {
-	case dropIt:
+	case dropMessage:
 		c.record(modelEvent{action: "drop", message: m})
-	case deferIt:
+	case deferMessage:
 		c.record(modelEvent{action: "defer", message: m})
-		c.bag = append(c.bag, m)
+		c.inFlight = append(c.inFlight, m)
 	case crashBeforeSync:
 		c.deliver(m)
 		c.crash(n, 0)
@@ -89,16 +89,16 @@
 		c.sync(n)
 	}
 	switch choice {
-	case duplicateIt:
+	case duplicateMessage:
 		c.record(modelEvent{action: "duplicate", message: m})
-		c.bag = append(c.bag, m)
+		c.inFlight = append(c.inFlight, m)
 	case crashAfterSync:
 		c.crash(n, 0)
 		c.start(n)
 	}
 }
 
-// heal restarts every node that still has its disk, lets all agree on the owners, and reads each key.
+// heal restarts every node that still has its disk, makes all nodes agree on the owners, and reads each key.
 func (c *modelCluster) heal() {
 	c.record(modelEvent{action: "heal"})
 	var alive []units.Node
@@ -108,22 +108,22 @@
 			alive = append(alive, n.id)
 		}
 	}
-	for _, n := range c.live() {
-		c.believe(n, alive...)
+	for _, n := range c.liveNodes() {
+		c.setEligible(n, alive...)
 		c.changeMembers(n, nil)
 	}
 	for range 2 {
-		c.settle()
+		c.tickAndDeliver()
 	}
-	for _, key := range message.Keys(c.checker.clients.writes) {
+	for _, key := range message.Keys(c.checker.clients.writeCounts) {
 		c.mustRead(key)
 	}
 }
 
-// settle ticks all and delivers everything that comes of it.
-func (c *modelCluster) settle() {
-	c.round(resend + 100*time.Millisecond)
-	for budget := 2000; len(c.bag) > 0 && budget > 0; budget-- {
+// tickAndDeliver ticks all nodes and delivers all resulting messages.
+func (c *modelCluster) tickAndDeliver() {
+	c.tickAllAfter(resendInterval + 100*time.Millisecond)
+	for budget := 2000; len(c.inFlight) > 0 && budget > 0; budget-- {
 		c.deliverOldest(1)
 	}
 }
@@ -135,53 +135,53 @@
 	if i < 0 {
 		return
 	}
-	answered := c.checker.clients.reads
+	answered := c.checker.clients.answeredReads
 	for range 10 {
 		c.checker.clients.read(c.nodes[i], key)
-		c.settle()
-		if c.checker.clients.reads > answered || c.checker.violation != "" {
+		c.tickAndDeliver()
+		if c.checker.clients.answeredReads > answered || c.checker.violation != "" {
 			return
 		}
 	}
 	c.checker.fail("a healed cluster answers no read of %q under %+v", key, set)
 }
 
-// The steps of scenarios.
+// Steps of scenarios.
 
-func believeAll(owners ...units.Node) func(*modelCluster) {
+func setOwnersEverywhere(owners ...units.Node) func(*modelCluster) {
 	return func(c *modelCluster) {
-		for _, n := range c.live() {
-			c.believe(n, owners...)
+		for _, n := range c.liveNodes() {
+			c.setEligible(n, owners...)
 		}
 	}
 }
 
-func believeAt(node, owner units.Node) func(*modelCluster) {
-	return func(c *modelCluster) { c.believe(c.node(node), owner) }
+func setOwnerAt(node, owner units.Node) func(*modelCluster) {
+	return func(c *modelCluster) { c.setEligible(c.node(node), owner) }
 }
 
-// writeAt builds on the newest number that any client knows of: nobody builds on one that doesn't stand yet.
+// writeAt writes on the newest version that any client knows of, as no client can know of a later one.
 func writeAt(node units.Node) func(*modelCluster) {
 	return func(c *modelCluster) {
 		clients := c.checker.clients
-		clients.write(c.node(node), "a", clients.acked["a"])
+		clients.write(c.node(node), "a", clients.acknowledgedVersion["a"])
 	}
 }
 
-func rewriteAt(node units.Node, id string) func(*modelCluster) {
-	return func(c *modelCluster) { c.checker.clients.rewrite(c.node(node), id) }
+func resubmitAt(node units.Node, id string) func(*modelCluster) {
+	return func(c *modelCluster) { c.checker.clients.resubmit(c.node(node), id) }
 }
 
 func readAt(node units.Node) func(*modelCluster) {
 	return func(c *modelCluster) { c.checker.clients.read(c.node(node), "a") }
 }
 
-func changeAt(node units.Node, members ...units.Node) func(*modelCluster) {
+func changeMembersAt(node units.Node, members ...units.Node) func(*modelCluster) {
 	return func(c *modelCluster) { c.changeMembers(c.node(node), members) }
 }
 
-func loseDisk(node units.Node) func(*modelCluster) {
-	return func(c *modelCluster) { c.lose(c.node(node)) }
+func loseDiskOf(node units.Node) func(*modelCluster) {
+	return func(c *modelCluster) { c.loseDisk(c.node(node)) }
 }
 
 func crashAt(node units.Node) func(*modelCluster) {
@@ -200,10 +200,10 @@
 	}
 }
 
-// acknowledged counts the writes that were answered with a number.
-func (l *modelClients) acknowledged() int {
+// acknowledgedWrites returns the number of acknowledged writes.
+func (l *modelClients) acknowledgedWrites() int {
 	count := 0
-	for _, num := range l.acked {
+	for _, num := range l.acknowledgedVersion {
 		count += int(num)
 	}
 	return count
--- a/internal/control/register/outcomes.go
+++ b/internal/control/register/outcomes.go
@@ -10,11 +10,13 @@
 	"seamshunt/internal/units"
 )
 
-// MaxOutcomes bounds an outcome table; past it the oldest entries are cut. 1,024 entries are 8 kB in each write; see
-// docs/control-safety-2-orders.md for the cost. A table longer than this is malformed, so a fleet has to agree on it.
+// MaxOutcomes is the maximum length of an outcome table; beyond it the oldest entries are dropped. 1,024 entries add
+// 8 kB to each write; see docs/control-safety-2-orders.md for the cost. A longer table is rejected as malformed, so
+// all nodes of a fleet must use the same limit.
 const MaxOutcomes = 1024
 
-// Fingerprint stands for a request id: the first 8 bytes of its SHA-256. Zero stands for a write without an id.
+// Fingerprint identifies a request: the first 8 bytes of the SHA-256 of its id. Zero stands for a write without an
+// id.
 type Fingerprint uint64
 
 const fingerprintSize = 8
@@ -27,39 +29,40 @@
 	return max(1, Fingerprint(binary.LittleEndian.Uint64(sum[:])))
 }
 
-// Outcomes is a value's outcome table: for each of the value's latest numbers, oldest first, the fingerprint of the
-// request that got it. The last entry belongs to the value's own number. Each write takes the next number, so the
-// numbers themselves need not be stored. The table is part of the value: it is accepted, adopted, repaired, logged and
-// handed to new members with it.
+// Outcomes is the outcome table of a value: for each of the latest versions, oldest first, the fingerprint of the
+// request that wrote it. The last entry belongs to the value's own version. Each write takes the next version, so the
+// versions themselves need not be stored. The table is part of the value: it is accepted, adopted, repaired, logged
+// and copied to new members with it.
 type Outcomes []Fingerprint
 
-// oldest is the lowest number whose request the table names; newest is the value's own number.
+// oldest returns the lowest version that the table covers; newest is the value's own version.
 func (t Outcomes) oldest(newest units.Num) units.Num {
 	return newest - units.Num(len(t)) + 1
 }
 
-// find gives the number that a request got.
-func (t Outcomes) find(f Fingerprint, newest units.Num) (units.Num, bool) {
-	if f == 0 {
+// find returns the version that a request wrote.
+func (t Outcomes) find(fingerprint Fingerprint, newest units.Num) (units.Num, bool) {
+	if fingerprint == 0 {
 		return 0, false
 	}
 	for i, x := range t {
-		if x == f {
+		if x == fingerprint {
 			return t.oldest(newest) + units.Num(i), true
 		}
 	}
 	return 0, false
 }
 
-// with gives the table of the value that follows, written by a request with this fingerprint.
-func (t Outcomes) with(f Fingerprint) Outcomes {
-	keep := t[max(0, len(t)-MaxOutcomes+1):]
-	return append(append(make(Outcomes, 0, len(keep)+1), keep...), f)
+// appended returns the table of the next value, which a request with this fingerprint writes.
+func (t Outcomes) appended(fingerprint Fingerprint) Outcomes {
+	kept := t[max(0, len(t)-MaxOutcomes+1):]
+	return append(append(make(Outcomes, 0, len(kept)+1), kept...), fingerprint)
 }
 
-// absent answers a request that the table does not name and that can't be written any more. It can't have got a number
-// below earliest. Conflict is certain while the table reaches back that far; else its outcome may have been cut.
-func (t Outcomes) absent(earliest, newest units.Num) codes.Code {
+// absentCode returns the answer to a request that is not in the table and can't be written any more. Its write could
+// not have got a version below earliest. If the table reaches back that far, the request was certainly not written
+// (Conflict); otherwise its entry may have been dropped (Forgotten).
+func (t Outcomes) absentCode(earliest, newest units.Num) codes.Code {
 	if earliest < t.oldest(newest) {
 		return codes.Forgotten
 	}
@@ -76,7 +79,7 @@
 
 func unpackOutcomes(packed []byte) (Outcomes, error) {
 	if len(packed)%fingerprintSize != 0 || len(packed) > MaxOutcomes*fingerprintSize {
-		return nil, fmt.Errorf("register: an outcome table of %d bytes", len(packed))
+		return nil, fmt.Errorf("register: outcome table has invalid size of %d bytes", len(packed))
 	}
 	t := make(Outcomes, len(packed)/fingerprintSize)
 	for i := range t {
@@ -85,30 +88,30 @@
 	return t, nil
 }
 
-// bodyFormat marks the layout of a stored body.
+// bodyFormat identifies the layout of a stored body.
 const bodyFormat = 1
 
-type bodyHead struct{ Format uint64 }
+type bodyHeader struct{ Format uint64 }
 
-// packBody lays out what is stored under a number: the outcome table, then the data.
+// packBody encodes what is stored for a version: the outcome table, then the data.
 func packBody(outcomes Outcomes, data []byte) []byte {
-	return message.Pack(bodyHead{bodyFormat}, outcomes.pack(), data)
+	return message.Pack(bodyHeader{bodyFormat}, outcomes.pack(), data)
 }
 
 func splitBody(body []byte) (packed, data []byte, err error) {
-	var h bodyHead
+	var h bodyHeader
 	if err = message.Unpack(body, &h, &packed, &data); err != nil {
 		return nil, nil, err
 	}
 	if h.Format != bodyFormat {
-		return nil, nil, fmt.Errorf("register: a body of format %d", h.Format)
+		return nil, nil, fmt.Errorf("register: unknown body format %d", h.Format)
 	}
 	return packed, data, nil
 }
 
-// unpackBody takes apart the body that is stored under a number. Number 0 has none; any other has one.
-func unpackBody(num units.Num, body []byte) (Outcomes, []byte, error) {
-	if num == 0 && len(body) == 0 {
+// unpackBody decodes the body that is stored for a version. Version 0 has no body; every other version has one.
+func unpackBody(version units.Num, body []byte) (Outcomes, []byte, error) {
+	if version == 0 && len(body) == 0 {
 		return nil, nil, nil
 	}
 	packed, data, err := splitBody(body)
@@ -116,22 +119,22 @@
 		return nil, nil, err
 	}
 	outcomes, err := unpackOutcomes(packed)
-	if err == nil && units.Num(len(outcomes)) > num {
-		err = fmt.Errorf("register: %d outcomes under number %d", len(outcomes), num)
+	if err == nil && units.Num(len(outcomes)) > version {
+		err = fmt.Errorf("register: %d outcomes at version %d", len(outcomes), version)
 	}
 	return outcomes, data, err
 }
 
-// checkBody says what is wrong with a body that came over the wire or from the disk.
-func checkBody(key string, num units.Num, body []byte) error {
-	_, data, err := unpackBody(num, body)
-	if err == nil && key == KeyQuorum && num > 0 {
+// checkBody validates a body received from another node or read from the disk.
+func checkBody(key string, version units.Num, body []byte) error {
+	_, data, err := unpackBody(version, body)
+	if err == nil && key == KeyQuorum && version > 0 {
 		_, err = UnpackQuorumSet(data)
 	}
 	return err
 }
 
-// Data gives the operator's bytes out of a stored body, which was checked when it came in.
+// Data returns the operator's bytes in a stored body, which was validated when it was received.
 func Data(body []byte) []byte {
 	_, data, _ := splitBody(body)
 	return data
--- a/internal/control/register/planner.go
+++ b/internal/control/register/planner.go
@@ -8,236 +8,237 @@
 	"seamshunt/internal/units"
 )
 
-// Spans of planning (start values).
+// Delays of the planner.
 const (
-	// ReplaceAfter is how long a member of a set that follows the disks may be away before another takes its place.
+	// ReplaceAfter is how long a member may be absent before it is replaced, if the set's size follows the disks.
 	ReplaceAfter = 1500 * time.Millisecond
-	// ReplaceFixedAfter is the same where the set has a fixed size.
+	// ReplaceFixedAfter is the same delay for a set of fixed size.
 	ReplaceFixedAfter = 5 * time.Second
-	// rebalanceAfter is how long all members must have been there before one that is there is left out.
+	// rebalanceAfter is how long all members must have been present before a present member may be removed.
 	rebalanceAfter = 3 * time.Second
-	// growAfter is how long a replica must have been there before the set grows by it: until then it may stand in for a
-	// member whose loss nobody has noticed yet.
+	// growAfter is how long a replica must have been present before the set may grow by it. Until then it may be the
+	// replacement of a member whose loss has not been detected yet.
 	growAfter = 3 * time.Second
-	// smallSet is up to how many members can't be most of a set in which one of them is replaced, or which is larger. They
-	// have to wait for those that come in.
+	// smallSet is the size up to which the members are not always a majority of a next set that replaces one of them
+	// or is larger. Such a change has to wait for the joining members.
 	smallSet = 2
-	// shrinkAfter is how long members with disks must have been away before a set gets smaller without them.
+	// shrinkAfter is how long members with disks must have been absent before the set shrinks by them.
 	shrinkAfter = 10 * time.Second
 )
 
-// Planner works out which replicas the quorum set is to have. Its size is fixed or follows the disks that count: their
-// number or, where that is even, one fewer, since an even set bears no more losses than the odd one below it and needs
-// more answers. So a member that leaves has a stand-in, and no set keeps a seat for one that is gone (design 13).
+// Planner decides which replicas the quorum set should have. Its size is fixed or follows the number of voting disks.
+// An even number is reduced by one, because an even set tolerates no more losses than the odd one below it and needs
+// more replies. So a leaving member has a replacement, and no removed one keeps a seat (docs/design.md, section 13).
 type Planner struct {
-	FixedSize    int           // 0: the size follows the disks that count
-	MinSize      int           // a set that follows the disks never gets smaller than this; 2f+1 bears the loss of f
-	ReplaceAfter time.Duration // how long a member may be away before another takes its place
-	awaySince    map[units.Node]units.Time
-	seenSince    map[units.Node]units.Time // others that may come in
-	version      units.Num
-	wholeSince   units.Time // since when every member of that version was there
-	changeable   units.Time // when the set could last have gone on without one of its members
+	FixedSize      int           // 0: the size follows the number of voting disks
+	MinSize        int           // minimum size of a set that follows the disks; 2f+1 tolerates the loss of f
+	ReplaceAfter   time.Duration // how long a member may be absent before it is replaced
+	absentSince    map[units.Node]units.Time
+	nonMemberSince map[units.Node]units.Time // when each usable non-member with a voting disk was first seen
+	version        units.Num
+	completeSince  units.Time // since when all members of that version have been present
+	replaceableAt  units.Time // when the set could last have continued without one of its members
 }
 
 // candidate is a replica that may be in the next set.
 type candidate struct {
-	node   units.Node
-	zone   string
-	member bool
-	known  bool // a member, or seen for long enough that the set may grow by it
-	rank   int  // how many better ones there are in its zone
+	node        units.Node
+	zone        string
+	isMember    bool
+	established bool // a member, or present for long enough that the set may grow by it
+	zoneRank    int  // number of better candidates in its zone
 }
 
-// NextMembers gives the members that the set is to have next; nil when it is to stay as it is. It must be called regularly,
-// since it measures how long members are away.
+// NextMembers returns the next members of the quorum set, or nil to keep it as it is. It must be called regularly
+// because it measures how long members are absent.
 func (p *Planner) NextMembers(now units.Time, q QuorumSet, view ControllerView) []units.Node {
 	if p.canReplace(q, view) {
-		p.changeable = now
+		p.replaceableAt = now
 	}
 	if q.Version == 0 || q.Joint() {
 		return nil
 	}
-	p.watch(now, q, view)
-	present, gone := p.split(now, q, view)
-	candidates := rank(p.candidates(now, present, q, view))
-	size := p.size(now, q, candidates, gone, view)
-	wanted := choose(candidates, gone, size)
-	if len(gone) == 0 && now.Sub(p.wholeSince) < rebalanceAfter && len(wanted) <= len(q.Members) {
-		return nil // nobody is missing: a better spread can wait
+	p.trackPresence(now, q, view)
+	present, absent := p.splitMembers(now, q, view)
+	candidates := rankByZone(p.candidates(now, present, q, view))
+	size := p.targetSize(now, q, candidates, absent, view)
+	target := choose(candidates, absent, size)
+	if len(absent) == 0 && now.Sub(p.completeSince) < rebalanceAfter && len(target) <= len(q.Members) {
+		return nil // no member is absent: rebalancing the zones can wait
 	}
-	next := reachable(q.Members, wanted, answering(q.Members, present, view))
+	next := reachableStep(q.Members, target, respondingMembers(q.Members, present, view))
 	if slices.Equal(next, q.Members) {
 		return nil
 	}
 	return next
 }
 
-// watch notes who is away, and since when.
-func (p *Planner) watch(now units.Time, q QuorumSet, view ControllerView) {
-	if p.awaySince == nil {
-		p.awaySince = map[units.Node]units.Time{}
+// trackPresence records which members are absent and which non-members are present, and since when.
+func (p *Planner) trackPresence(now units.Time, q QuorumSet, view ControllerView) {
+	if p.absentSince == nil {
+		p.absentSince = map[units.Node]units.Time{}
 	}
 	seen := map[units.Node]units.Time{}
-	for _, m := range view.others(q) {
-		since, known := p.seenSince[m.Node]
+	for _, m := range view.nonMembers(q) {
+		since, known := p.nonMemberSince[m.Node]
 		if !known {
 			since = now
 		}
 		seen[m.Node] = since
 	}
-	p.seenSince = seen
+	p.nonMemberSince = seen
 	if p.version != q.Version {
-		p.version, p.wholeSince = q.Version, now
+		p.version, p.completeSince = q.Version, now
 	}
 	for _, n := range q.Members {
 		if slices.Contains(view.Eligible, n) {
-			delete(p.awaySince, n)
+			delete(p.absentSince, n)
 			continue
 		}
-		p.wholeSince = now
-		if _, away := p.awaySince[n]; !away {
-			p.awaySince[n] = now
+		p.completeSince = now
+		if _, isAbsent := p.absentSince[n]; !isAbsent {
+			p.absentSince[n] = now
 		}
 	}
 }
 
-// split parts the members into those that count as there and those that are gone: lost with their disks, leaving, or away
-// for long. The gone ones that may come back stand first.
-func (p *Planner) split(now units.Time, q QuorumSet, view ControllerView) (present, gone []units.Node) {
-	var lost []units.Node
+// splitMembers divides the members into those that count as present and those that are absent: replaced, leaving or
+// missing for too long. Absent members that may return come first.
+func (p *Planner) splitMembers(now units.Time, q QuorumSet, view ControllerView) (present, absent []units.Node) {
+	var replaced []units.Node
 	for _, n := range q.Members {
-		since, away := p.awaySince[n]
+		since, isAbsent := p.absentSince[n]
 		switch {
 		case view.Replaced[n]:
-			lost = append(lost, n)
-		case away && (view.leaving(n) || now.Sub(since) >= p.ReplaceAfter):
-			gone = append(gone, n)
+			replaced = append(replaced, n)
+		case isAbsent && (view.isLeaving(n) || now.Sub(since) >= p.ReplaceAfter):
+			absent = append(absent, n)
 		default:
 			present = append(present, n)
 		}
 	}
-	return present, append(gone, lost...)
+	return present, append(absent, replaced...)
 }
 
-// candidates are the members that are there and all others whose disks count and can be used.
+// candidates returns the present members and all usable non-members with a voting disk.
 func (p *Planner) candidates(now units.Time, present []units.Node, q QuorumSet, view ControllerView) []candidate {
-	var l []candidate
+	var list []candidate
 	for _, n := range present {
-		l = append(l, candidate{node: n, zone: view.zone(n), member: true, known: true})
+		list = append(list, candidate{node: n, zone: view.zoneOf(n), isMember: true, established: true})
 	}
-	for _, m := range view.others(q) {
-		l = append(l, candidate{node: m.Node, zone: m.Zone, known: now.Sub(p.seenSince[m.Node]) >= growAfter})
+	for _, m := range view.nonMembers(q) {
+		list = append(list, candidate{node: m.Node, zone: m.Zone, established: now.Sub(p.nonMemberSince[m.Node]) >= growAfter})
 	}
-	return l
+	return list
 }
 
-// rank orders candidates so that the first ones of any number are spread over the zones, and otherwise members stay.
-func rank(l []candidate) []candidate {
-	stay := func(a, b candidate) int {
-		if a.member != b.member {
-			if a.member {
+// rankByZone sorts the candidates: any prefix of the list is spread over the zones, with members before others.
+func rankByZone(candidates []candidate) []candidate {
+	membersFirst := func(a, b candidate) int {
+		if a.isMember != b.isMember {
+			if a.isMember {
 				return -1
 			}
 			return 1
 		}
 		return cmp.Compare(a.node, b.node)
 	}
-	slices.SortFunc(l, stay)
+	slices.SortFunc(candidates, membersFirst)
 	inZone := map[string]int{}
-	for i := range l {
-		l[i].rank = inZone[l[i].zone]
-		inZone[l[i].zone]++
+	for i := range candidates {
+		candidates[i].zoneRank = inZone[candidates[i].zone]
+		inZone[candidates[i].zone]++
 	}
-	slices.SortStableFunc(l, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) })
-	return l
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.zoneRank, b.zoneRank) })
+	return candidates
 }
 
-// size is how many members the next set is to have.
-func (p *Planner) size(now units.Time, q QuorumSet, candidates []candidate, gone []units.Node, view ControllerView) int {
+// targetSize returns the size of the next set.
+func (p *Planner) targetSize(now units.Time, q QuorumSet, candidates []candidate, absent []units.Node, view ControllerView) int {
 	if p.FixedSize > 0 {
 		return p.FixedSize
 	}
 	returning := 0
-	for _, n := range gone {
-		if !view.Replaced[n] && !view.leaving(n) && !view.diskless && now.Sub(p.awaySince[n]) < shrinkAfter {
+	for _, n := range absent {
+		if !view.Replaced[n] && !view.isLeaving(n) && !view.diskless && now.Sub(p.absentSince[n]) < shrinkAfter {
 			returning++
 		}
 	}
-	known := 0
+	established := 0
 	for _, c := range candidates {
-		if c.known {
-			known++
+		if c.established {
+			established++
 		}
 	}
-	if known > len(q.Members) && (len(gone) > 0 || now.Sub(p.wholeSince) < growAfter) {
-		known = len(q.Members) // no time to grow
+	if established > len(q.Members) && (len(absent) > 0 || now.Sub(p.completeSince) < growAfter) {
+		established = len(q.Members) // the set must not grow now
 	}
-	keep := min(len(q.Members), len(candidates)+returning)
-	return max(odd(known), odd(keep), p.MinSize)
+	retained := min(len(q.Members), len(candidates)+returning)
+	return max(largestOdd(established), largestOdd(retained), p.MinSize)
 }
 
-// odd gives the largest odd number up to n. Of two disks both are taken: each holds what the other does, so that one loss
+// largestOdd returns the largest odd number up to n, but 2 for 2: two disks hold the same data, so the loss of one
 // destroys nothing.
-func odd(n int) int {
+func largestOdd(n int) int {
 	if n > 2 && n%2 == 0 {
 		return n - 1
 	}
 	return n
 }
 
-// choose takes the best candidates. Where they are too few, members that are gone keep their seats: a smaller set would
-// bear fewer losses.
-func choose(candidates []candidate, gone []units.Node, size int) []units.Node {
-	var wanted []units.Node
+// choose returns the best candidates. If there are too few, absent members keep their seats: a smaller set would
+// tolerate fewer losses.
+func choose(candidates []candidate, absent []units.Node, size int) []units.Node {
+	var chosen []units.Node
 	for _, c := range candidates[:min(size, len(candidates))] {
-		wanted = append(wanted, c.node)
+		chosen = append(chosen, c.node)
 	}
-	missing := max(0, size-len(wanted))
-	wanted = append(wanted, gone[:min(missing, len(gone))]...)
-	return sorted(wanted)
+	missing := max(0, size-len(chosen))
+	chosen = append(chosen, absent[:min(missing, len(absent))]...)
+	return sortNodes(chosen)
 }
 
-// answering gives the members that can still decide: those that are there, and those that are about to leave.
-func answering(members, present []units.Node, view ControllerView) []units.Node {
+// respondingMembers returns the members that can still vote: those present, and those draining that have not left
+// yet.
+func respondingMembers(members, present []units.Node, view ControllerView) []units.Node {
 	return slices.DeleteFunc(slices.Clone(members), func(n units.Node) bool {
-		return !slices.Contains(present, n) && (view.departed[n] || !view.leaving(n))
+		return !slices.Contains(present, n) && (view.left[n] || !view.isLeaving(n))
 	})
 }
 
-// reachable gives the set that is furthest on the way to the wanted one and of which a majority is among the members that
-// answer now: then a step never waits for those that it brings in.
-func reachable(members, wanted, answering []units.Node) []units.Node {
-	comers := without(wanted, members)
-	leavers := without(members, wanted)
-	slices.SortStableFunc(leavers, func(a, b units.Node) int { // those that are gone leave first
-		return cmp.Compare(boolInt(slices.Contains(answering, a)), boolInt(slices.Contains(answering, b)))
+// reachableStep returns the set closest to target that has a majority among the members that respond now. So a step
+// never waits for the members it adds.
+func reachableStep(members, target, responding []units.Node) []units.Node {
+	joining := difference(target, members)
+	leaving := difference(members, target)
+	slices.SortStableFunc(leaving, func(a, b units.Node) int { // absent members leave first
+		return cmp.Compare(boolInt(slices.Contains(responding, a)), boolInt(slices.Contains(responding, b)))
 	})
-	if len(members) <= smallSet && len(answering) == len(members) {
-		return sorted(append(without(members, leavers), comers[:min(smallSet, len(comers))]...))
-	}
-	smallest := min(len(members), len(wanted))
-	for in := len(comers); in >= 0; in-- {
-		for out := len(leavers); out >= 0; out-- {
-			next := append(without(members, leavers[:out]), comers[:in]...)
-			if len(next) < smallest || len(next)%2 == 0 && len(next) != len(wanted) {
+	if len(members) <= smallSet && len(responding) == len(members) {
+		return sortNodes(append(difference(members, leaving), joining[:min(smallSet, len(joining))]...))
+	}
+	smallest := min(len(members), len(target))
+	for joinCount := len(joining); joinCount >= 0; joinCount-- {
+		for leaveCount := len(leaving); leaveCount >= 0; leaveCount-- {
+			next := append(difference(members, leaving[:leaveCount]), joining[:joinCount]...)
+			if len(next) < smallest || len(next)%2 == 0 && len(next) != len(target) {
 				continue
 			}
-			if len(next)-len(without(next, answering)) > len(next)/2 {
-				return sorted(next)
+			if len(next)-len(difference(next, responding)) > len(next)/2 {
+				return sortNodes(next)
 			}
 		}
 	}
 	return members
 }
 
-func sorted(l []units.Node) []units.Node {
-	slices.Sort(l)
-	return l
+func sortNodes(nodes []units.Node) []units.Node {
+	slices.Sort(nodes)
+	return nodes
 }
 
-// without gives those of a that are not in b.
-func without(a, b []units.Node) []units.Node {
+// difference returns the elements of a that are not in b.
+func difference(a, b []units.Node) []units.Node {
 	return slices.DeleteFunc(slices.Clone(a), func(n units.Node) bool { return slices.Contains(b, n) })
 }
 
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -8,8 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// seatView shows controllers 1 to n, each with a disk that counts.
-func seatView(n int) ControllerView {
+// viewOfControllers returns a view of controllers 1 to n, each with a voting disk.
+func viewOfControllers(n int) ControllerView {
 	var all []membership.Member
 	for id := 1; id <= n; id++ {
 		all = append(all, membership.Member{Node: units.Node(id), Inc: 1, Role: membership.Controller, Addr: units.Node(id).String(), Flags: membership.Counts})
@@ -17,8 +17,8 @@
 	return NewControllerView(all)
 }
 
-// A member may count on its seat without end only while nobody could take it, and not longer than the others wait before
-// they give it away otherwise.
+// A member's voting seat is valid without limit only if no other replica could take it. Otherwise it is valid for no
+// longer than the others wait before they replace a member.
 func TestSeatUntil(t *testing.T) {
 	now := units.Time(time.Minute)
 	three := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
@@ -32,29 +32,30 @@
 		want  units.Time
 	}{
 		{"all disks are members of the smallest set", three, 3, true, 0},
-		{"another disk stands by", three, 4, true, now.Add(reachFor)},
-		{"the set may get smaller", five, 5, true, now.Add(reachFor)},
-		{"a change is under way", joint, 3, true, now.Add(reachFor)},
+		{"a spare disk exists", three, 4, true, now.Add(reachabilityTimeout)},
+		{"the set may shrink", five, 5, true, now.Add(reachabilityTimeout)},
+		{"a change is in progress", joint, 3, true, now.Add(reachabilityTimeout)},
 		{"no majority since the start", three, 3, false, seatUnknown},
 	} {
 		p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
-		p.NextMembers(now, c.set, seatView(c.disks))
+		p.NextMembers(now, c.set, viewOfControllers(c.disks))
 		if got := p.SeatValidUntil(now, c.known); got != c.want {
-			t.Errorf("%s: the seat stands until %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: the seat is valid until %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// What a member could see before it was cut off decides for as long as the cut lasts, though it sees nobody any more.
-func TestSeatOfOneThatIsCutOff(t *testing.T) {
+// The view that a member had before a network partition decides for as long as the partition lasts, although the
+// member sees no other controller meanwhile.
+func TestSeatOfPartitionedMember(t *testing.T) {
 	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
 	p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
-	cut := units.Time(time.Minute)
-	p.NextMembers(cut, set, seatView(4))
-	for now := cut; now < cut.Add(time.Minute); now = now.Add(50 * time.Millisecond) {
-		p.NextMembers(now, set, seatView(1))
-		if got := p.SeatValidUntil(cut, true); got != cut.Add(reachFor) {
-			t.Fatalf("%v behind the cut the seat stands until %v", now.Sub(cut), got)
+	partitionedAt := units.Time(time.Minute)
+	p.NextMembers(partitionedAt, set, viewOfControllers(4))
+	for now := partitionedAt; now < partitionedAt.Add(time.Minute); now = now.Add(50 * time.Millisecond) {
+		p.NextMembers(now, set, viewOfControllers(1))
+		if got := p.SeatValidUntil(partitionedAt, true); got != partitionedAt.Add(reachabilityTimeout) {
+			t.Fatalf("%v after the partition began the seat is valid until %v", now.Sub(partitionedAt), got)
 		}
 	}
 }
--- a/internal/control/register/planner_size_test.go
+++ b/internal/control/register/planner_size_test.go
@@ -9,45 +9,45 @@
 	"seamshunt/internal/units"
 )
 
-// A set of a fixed size replaces members that are gone for long, and keeps the seats of others.
-func TestPlannerOfFixedSize(t *testing.T) {
-	all := []membership.Member{core(1, "a", membership.Counts), core(2, "b", membership.Counts), core(3, "c", membership.Counts), core(4, "d", membership.Counts), core(5, "e", membership.Counts)}
+// A set of fixed size replaces members that are absent for long, and keeps the voting seats of the others.
+func TestPlannerFixedSize(t *testing.T) {
+	all := []membership.Member{controller(1, "a", membership.Counts), controller(2, "b", membership.Counts), controller(3, "c", membership.Counts), controller(4, "d", membership.Counts), controller(5, "e", membership.Counts)}
 	q := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3, 4}}
 	p := &Planner{FixedSize: 4, ReplaceAfter: ReplaceFixedAfter}
 	now := units.Time(time.Second)
 	if got := p.NextMembers(now, q, NewControllerView(all)); got != nil {
-		t.Errorf("all are there: %v", got)
+		t.Errorf("all are present: %v", got)
 	}
 	all[1].State = membership.Dead
 	_ = p.NextMembers(now, q, NewControllerView(all))
 	if got := p.NextMembers(now.Add(4*time.Second), q, NewControllerView(all)); got != nil {
-		t.Errorf("one is away for a while: %v", got)
+		t.Errorf("one is absent for a short time: %v", got)
 	}
 	if got := p.NextMembers(now.Add(6*time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.Node{1, 3, 4, 5}) {
-		t.Errorf("one is gone: %v", got)
+		t.Errorf("one is absent for long: %v", got)
 	}
 }
 
-// Where no loss must be borne, the set shrinks to what is left once a member says that it leaves.
-func TestPlannerShrinksForLeavers(t *testing.T) {
-	all := []membership.Member{core(1, "a", membership.Counts), core(2, "b", membership.Counts|membership.Draining)}
+// If no loss has to be tolerated, the set shrinks to the remaining members as soon as a member is draining.
+func TestPlannerShrinksWhenMembersLeave(t *testing.T) {
+	all := []membership.Member{controller(1, "a", membership.Counts), controller(2, "b", membership.Counts|membership.Draining)}
 	p := &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	q := QuorumSet{Version: 1, Members: []units.Node{1, 2}}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.Node{1}) {
-		t.Errorf("one of two leaves: %v", got)
+		t.Errorf("one of two is draining: %v", got)
 	}
-	all = append(all, core(3, "c", membership.Counts))
+	all = append(all, controller(3, "c", membership.Counts))
 	p = &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.Node{1, 3}) {
-		t.Errorf("one of two leaves, and another came: %v", got)
+		t.Errorf("one of two is draining, with a spare: %v", got)
 	}
 	q = QuorumSet{Version: 1, Members: []units.Node{2}}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all[1:])); !slices.Equal(got, []units.Node{3}) {
-		t.Errorf("the only one leaves, and another came: %v", got)
+		t.Errorf("the only member is draining, with a spare: %v", got)
 	}
 	all, q = all[:2], QuorumSet{Version: 1, Members: []units.Node{1, 2}}
 	p = &Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); got != nil {
-		t.Errorf("one of two leaves where a loss is to be borne: %v", got)
+		t.Errorf("one of two is draining, and a loss has to be tolerated: %v", got)
 	}
 }
--- a/internal/control/register/quorumset.go
+++ b/internal/control/register/quorumset.go
@@ -9,24 +9,25 @@
 	"seamshunt/internal/units"
 )
 
-// QuorumSet names the replicas whose disks decide, and numbers each change of them. While Incoming is not empty the set
-// is joint: it is on its way from Members to Incoming, and every decision needs a majority of both.
+// QuorumSet is a version of the set of replicas that vote. While Incoming is not empty the set is joint: it is in
+// transition from Members to Incoming, and every decision needs a majority of both.
 type QuorumSet struct {
 	Version  units.Num
-	SystemID uint64 // told apart by their founders; zero before the first set stands
+	SystemID uint64 // derived from the members of the bootstrap set; zero before bootstrap
 	Members  []units.Node
 	Incoming []units.Node
 }
 
-// errBadQuorumSet is a set that no replica of this system ever wrote.
-var errBadQuorumSet = errors.New("register: malformed quorum set")
+// errMalformedQuorumSet reports a set that no correct replica writes.
+var errMalformedQuorumSet = errors.New("register: malformed quorum set")
 
-type quorumSetHead struct{ Version, System uint64 }
+type quorumSetHeader struct{ Version, SystemID uint64 }
 
 type nodeItem struct{ Node uint64 }
 
-// foundingSet gives the first set of a system. Its random disk ids tell the system from any other.
-func foundingSet(members []units.Node) QuorumSet {
+// bootstrapSet returns the first set of a system. The members' disk ids are random, so their hash distinguishes the
+// system from any other.
+func bootstrapSet(members []units.Node) QuorumSet {
 	names := make([]string, len(members))
 	for i, n := range members {
 		names[i] = n.String()
@@ -34,20 +35,20 @@
 	return QuorumSet{Version: 1, SystemID: units.Mix(names...), Members: members}
 }
 
-// joint gives the set in which both the present and the wanted members decide.
-func (q QuorumSet) joint(incoming []units.Node) QuorumSet {
+// jointWith returns the joint set of the current and the incoming members.
+func (q QuorumSet) jointWith(incoming []units.Node) QuorumSet {
 	return QuorumSet{Version: q.Version + 1, SystemID: q.SystemID, Members: q.Members, Incoming: incoming}
 }
 
-// completed gives the set that ends a joint one.
+// completed returns the set that follows a joint one.
 func (q QuorumSet) completed() QuorumSet {
 	return QuorumSet{Version: q.Version + 1, SystemID: q.SystemID, Members: q.Incoming}
 }
 
-// Joint says whether the set is on its way to another.
+// Joint reports whether the set is in transition to another.
 func (q QuorumSet) Joint() bool { return len(q.Incoming) > 0 }
 
-// All lists every replica of the set, those that are coming in too.
+// All returns every replica of the set, including the incoming ones.
 func (q QuorumSet) All() []units.Node {
 	all := slices.Clone(q.Members)
 	for _, n := range q.Incoming {
@@ -58,40 +59,41 @@
 	return all
 }
 
-// Has says whether n decides with others.
+// Has reports whether n is a member or an incoming member.
 func (q QuorumSet) Has(n units.Node) bool {
 	return slices.Contains(q.Members, n) || slices.Contains(q.Incoming, n)
 }
 
-// HasMajority says whether got can decide: it holds a majority of the members and, in a joint set, of the incoming ones.
-func (q QuorumSet) HasMajority(got map[units.Node]bool) bool {
-	return majority(q.Members, got) && (!q.Joint() || majority(q.Incoming, got))
+// HasMajority reports whether nodes contains a majority of the members and, in a joint set, also of the incoming
+// members.
+func (q QuorumSet) HasMajority(nodes map[units.Node]bool) bool {
+	return hasMajority(q.Members, nodes) && (!q.Joint() || hasMajority(q.Incoming, nodes))
 }
 
-func majority(members []units.Node, got map[units.Node]bool) bool {
+func hasMajority(members []units.Node, nodes map[units.Node]bool) bool {
 	count := 0
 	for _, n := range members {
-		if got[n] {
+		if nodes[n] {
 			count++
 		}
 	}
 	return count > len(members)/2
 }
 
-// Pack lays the set out for messages and the disk.
+// Pack encodes the set for messages and the disk.
 func (q QuorumSet) Pack() []byte {
-	head := quorumSetHead{uint64(q.Version), q.SystemID}
+	head := quorumSetHeader{uint64(q.Version), q.SystemID}
 	return message.Pack(head, packNodes(q.Members), packNodes(q.Incoming))
 }
 
-// UnpackQuorumSet is the inverse of Pack; a set that no replica writes is an error.
-func UnpackQuorumSet(b []byte) (QuorumSet, error) {
-	var head quorumSetHead
+// UnpackQuorumSet is the inverse of Pack. It returns an error for a set that no correct replica writes.
+func UnpackQuorumSet(packed []byte) (QuorumSet, error) {
+	var head quorumSetHeader
 	var members, incoming []byte
-	if err := message.Unpack(b, &head, &members, &incoming); err != nil {
+	if err := message.Unpack(packed, &head, &members, &incoming); err != nil {
 		return QuorumSet{}, err
 	}
-	q := QuorumSet{Version: units.Num(head.Version), SystemID: head.System}
+	q := QuorumSet{Version: units.Num(head.Version), SystemID: head.SystemID}
 	var err error
 	if q.Members, err = unpackNodes(members); err != nil {
 		return QuorumSet{}, err
@@ -100,7 +102,7 @@
 		return QuorumSet{}, err
 	}
 	if (q.Version == 0) != (len(q.Members) == 0) || q.Version == 0 && q.Joint() {
-		return QuorumSet{}, fmt.Errorf("%w: version %d with %d members", errBadQuorumSet, q.Version, len(q.Members))
+		return QuorumSet{}, fmt.Errorf("%w: version %d with %d members", errMalformedQuorumSet, q.Version, len(q.Members))
 	}
 	return q, nil
 }
@@ -113,20 +115,20 @@
 	return message.PackList(items)
 }
 
-func unpackNodes(b []byte) ([]units.Node, error) {
-	items, err := message.UnpackList(b)
+func unpackNodes(packed []byte) ([]units.Node, error) {
+	items, err := message.UnpackList(packed)
 	if err != nil {
 		return nil, err
 	}
 	var nodes []units.Node
 	for _, item := range items {
-		var x nodeItem
-		if err := message.Unpack(item, &x); err != nil {
+		var decoded nodeItem
+		if err := message.Unpack(item, &decoded); err != nil {
 			return nil, err
 		}
-		n := units.Node(x.Node)
+		n := units.Node(decoded.Node)
 		if n == 0 || slices.Contains(nodes, n) {
-			return nil, fmt.Errorf("%w: member %v is none or twice in it", errBadQuorumSet, n)
+			return nil, fmt.Errorf("%w: member %v is zero or a duplicate", errMalformedQuorumSet, n)
 		}
 		nodes = append(nodes, n)
 	}
--- a/internal/control/register/reachability.go
+++ b/internal/control/register/reachability.go
@@ -8,41 +8,42 @@
 	"seamshunt/internal/units"
 )
 
-// Spans of reaching (start values).
+// Timing of the reachability check.
 const (
-	reachGap = time.Second
-	reachFor = 2500 * time.Millisecond
+	pingInterval        = time.Second
+	reachabilityTimeout = 2500 * time.Millisecond // a voter that has not answered for this long counts as unreachable
 )
 
-// reach is whether this voter hears a majority of the others answer. Membership can't tell: a node that is cut off from
-// the rest of the core alone is still seen by way of others, and would own keys that it can do nothing with (design 2).
-type reach struct {
-	born  units.Time
-	sent  units.Time
-	heard map[units.Node]units.Time
+// reachability tracks whether the other voters answer this one. Membership can't show it: a node that is partitioned
+// from the other controllers only is still seen through third nodes, and would own keys that it can't serve
+// (docs/design.md, section 2).
+type reachability struct {
+	trackedSince units.Time
+	pingedAt     units.Time
+	lastPong     map[units.Node]units.Time
 }
 
-// reachStep takes a call or an answer between voters; they bear nothing.
-func (b *Replica) reachStep(now units.Time, n message.Message, out *message.Effects) {
-	if n.Kind == Ping {
-		out.Send(n.From, Pong, nil)
+// handlePing processes a Ping or a Pong between voters; neither has a body.
+func (b *Replica) handlePing(now units.Time, msg message.Message, out *message.Effects) {
+	if msg.Kind == Ping {
+		out.Send(msg.From, Pong, nil)
 		return
 	}
-	b.reach.heard[n.From] = now
+	b.reachability.lastPong[msg.From] = now
 }
 
-func (b *Replica) reachTick(now units.Time, out *message.Effects) {
+func (b *Replica) tickReachability(now units.Time, out *message.Effects) {
 	if !b.quorum.Has(b.self) {
-		b.reach.born = 0 // who comes to vote later has heard nobody yet
+		b.reachability.trackedSince = 0 // a node that becomes a voter later has not heard from any other yet
 		return
 	}
-	if b.reach.born == 0 {
-		b.reach.born = max(now, 1)
+	if b.reachability.trackedSince == 0 {
+		b.reachability.trackedSince = max(now, 1)
 	}
-	if now.Sub(b.reach.sent) < reachGap {
+	if now.Sub(b.reachability.pingedAt) < pingInterval {
 		return
 	}
-	b.reach.sent = now
+	b.reachability.pingedAt = now
 	for _, n := range b.quorum.All() {
 		if n != b.self {
 			out.Send(n, Ping, nil)
@@ -50,31 +51,33 @@
 	}
 }
 
-// ReachesMajority says whether a majority of the voters, with this one, answered lately. Who has just started is believed.
+// ReachesMajority reports whether a majority of the voters, including this one, answered recently. A node that has
+// just started or resumed is assumed to reach it.
 func (b *Replica) ReachesMajority(now units.Time) bool {
-	if !b.quorum.Has(b.self) || b.reach.born == 0 || now.Sub(b.reach.born) < reachFor {
+	if !b.quorum.Has(b.self) || b.reachability.trackedSince == 0 || now.Sub(b.reachability.trackedSince) < reachabilityTimeout {
 		return true
 	}
 	silence, known := b.TimeSinceMajorityContact(now)
-	return known && silence < reachFor
+	return known && silence < reachabilityTimeout
 }
 
-// LastMajorityContact gives when a majority of the voters had last answered; it is not known before one has.
-func (b *Replica) LastMajorityContact(now units.Time) (heard units.Time, known bool) {
+// LastMajorityContact returns the time at which a majority of the voters had last answered. It is unknown before a
+// majority has.
+func (b *Replica) LastMajorityContact(now units.Time) (contactAt units.Time, known bool) {
 	silence, known := b.TimeSinceMajorityContact(now)
 	return now.Add(-silence), known
 }
 
-// TimeSinceMajorityContact gives how long ago a majority of the voters, with this one, had last answered. It is not known on a
-// node that does not vote, nor before so many have answered since its start.
+// TimeSinceMajorityContact returns how long ago a majority of the voters, including this one, had last answered. It
+// is unknown on a node that does not vote, and until a majority has answered since the start.
 func (b *Replica) TimeSinceMajorityContact(now units.Time) (silence time.Duration, known bool) {
 	if !b.quorum.Has(b.self) {
 		return 0, false
 	}
 	silences := []time.Duration{0}
 	for _, n := range b.quorum.Members {
-		if heard, ok := b.reach.heard[n]; ok && n != b.self {
-			silences = append(silences, now.Sub(heard))
+		if answeredAt, ok := b.reachability.lastPong[n]; ok && n != b.self {
+			silences = append(silences, now.Sub(answeredAt))
 		}
 	}
 	majority := len(b.quorum.Members)/2 + 1
@@ -85,5 +88,8 @@
 	return silences[majority-1], true
 }
 
-// Resume forgets who answered before a freeze, and believes again for a while.
-func (b *Replica) Resume(now units.Time) { b.reach.born, b.reach.sent = max(now, 1), 0 }
+// Resume restarts the reachability check after the process was paused. Until it has run for reachabilityTimeout, the
+// majority is assumed to be reachable.
+func (b *Replica) Resume(now units.Time) {
+	b.reachability.trackedSince, b.reachability.pingedAt = max(now, 1), 0
+}
--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -1,4 +1,5 @@
-// Package register is the control state: each key owned by one node at a time under a rising epoch (design 2).
+// Package register stores the replicated control state. Each key has one owner at a time, under a rising epoch
+// (docs/design.md, section 2).
 package register
 
 import (
@@ -17,206 +18,216 @@
 	Data    []byte
 }
 
-const resend = 300 * time.Millisecond
+// resendInterval is the delay before unanswered messages are sent again.
+const resendInterval = 300 * time.Millisecond
 
-// idle is how long an owner goes without a round before it confirms itself. Another may have raised the epoch and
-// gone; then this one acquires the key anew, which also lets repair bring all copies to one epoch (design 2).
-const idle = 3 * time.Second
+// idleConfirmInterval is how long an owner goes without a round before it confirms its epoch. Another node may have
+// raised the epoch and then disappeared. In that case this node acquires the key again, which also lets repair bring
+// all copies to one epoch (docs/design.md, section 2).
+const idleConfirmInterval = 3 * time.Second
 
-// Replica is the step machine of one node: acceptor, owner of keys, and forwarder of requests to other owners.
+// Replica is the state machine of one node: acceptor, owner of keys, and forwarder of requests to other owners.
 type Replica struct {
-	self         units.Node
-	run          units.Node // a fresh name for each start, so that no epoch is ever used twice
-	quorum       QuorumSet
-	states       map[string]*State
-	owned        map[string]*ownership
-	requests     map[uint64]*pendingRequest
-	eligible     []units.Node // live controllers that may own keys, from membership
-	leaving      []units.Node // those that are about to end; they own keys where nobody else can
-	highestEpoch uint64
-	tag          uint64
-	vote         []byte
-	found        *founding
-	Chosen       []ChosenValue
-	Results      []Result
-	wanted       []units.Node // the members that the set is to have; none: those it has
-	transfer     *transfer
-	reach        reach
+	self            units.Node
+	runID           units.Node // random id of this process start, so that no epoch is ever used twice
+	quorum          QuorumSet
+	states          map[string]*State
+	ownerships      map[string]*ownership
+	pendingRequests map[uint64]*pendingRequest
+	eligible        []units.Node // live controllers that may own keys, according to membership
+	draining        []units.Node // controllers that are draining; they own keys only if no eligible controller can
+	highestEpoch    uint64
+	lastTag         uint64
+	bootstrapVote   []byte
+	bootstrap       *bootstrapState
+	Chosen          []ChosenValue
+	Results         []Result
+	targetMembers   []units.Node // requested members of the quorum set; none: keep the current ones
+	keyTransfer     *keyTransfer
+	reachability    reachability
 }
 
-// New gives a machine for the disk self; run is a random number of this start.
-func New(self, run units.Node) *Replica {
-	return &Replica{self: self, run: run, states: map[string]*State{KeyQuorum: {}}, owned: map[string]*ownership{}, requests: map[uint64]*pendingRequest{}, reach: reach{heard: map[units.Node]units.Time{}}}
+// New returns a replica for the disk self. runID is a random id of this process start.
+func New(self, runID units.Node) *Replica {
+	return &Replica{
+		self: self, runID: runID, states: map[string]*State{KeyQuorum: {}}, ownerships: map[string]*ownership{},
+		pendingRequests: map[uint64]*pendingRequest{}, reachability: reachability{lastPong: map[units.Node]units.Time{}},
+	}
 }
 
-// Quorum returns the newest set of voters that this node has adopted; its version is 0 before the founding.
+// Quorum returns the newest quorum set that this node has adopted; its version is 0 before bootstrap.
 func (b *Replica) Quorum() QuorumSet { return b.quorum }
 
-// SetEligible takes membership's opinion of who may own keys: the eligible nodes and, where none of those is a member, the
-// leaving ones.
+// SetEligible sets the nodes that may own keys according to membership: the eligible ones or, if none of those is a
+// member of the quorum set, the leaving ones.
 func (b *Replica) SetEligible(eligible []units.Node, leaving ...units.Node) {
-	b.eligible, b.leaving = eligible, leaving
+	b.eligible, b.draining = eligible, leaving
 }
 
-// Owner gives the node that should own a key: the same on all nodes with the same view.
+// Owner returns the node that should own a key. All nodes with the same view return the same one.
 func (b *Replica) Owner(key string) units.Node {
-	if n := b.highest(key, b.eligible); n != 0 {
+	if n := b.highestHashMember(key, b.eligible); n != 0 {
 		return n
 	}
-	return b.highest(key, b.leaving) // nobody else is left to hand over to
+	return b.highestHashMember(key, b.draining) // no eligible controller could take the key over
 }
 
-// highest picks the member of the quorum set with the highest hash among the nodes given; zero if none is a member.
-func (b *Replica) highest(key string, nodes []units.Node) units.Node {
+// highestHashMember returns the node with the highest hash for the key among those given that are members of the
+// quorum set, or zero if none is a member (rendezvous hashing).
+func (b *Replica) highestHashMember(key string, nodes []units.Node) units.Node {
 	var best units.Node
-	var top uint64
+	var highestHash uint64
 	for _, n := range nodes {
 		if !b.quorum.Has(n) {
 			continue
 		}
-		if x := units.Mix(key, n.String()); best == 0 || x > top {
-			best, top = n, x
+		if hash := units.Mix(key, n.String()); best == 0 || hash > highestHash {
+			best, highestHash = n, hash
 		}
 	}
 	return best
 }
 
-func (b *Replica) pack(h head, key string, body []byte) []byte {
+func (b *Replica) pack(h header, key string, body []byte) []byte {
 	return message.Pack(h, b.quorum.Pack(), []byte(key), body)
 }
 
-// Step takes one note.
-func (b *Replica) Step(now units.Time, n message.Message) (out message.Effects) {
-	if n.Kind == Ping || n.Kind == Pong {
-		b.reachStep(now, n, &out)
+// Step processes one message.
+func (b *Replica) Step(now units.Time, msg message.Message) (out message.Effects) {
+	if msg.Kind == Ping || msg.Kind == Pong {
+		b.handlePing(now, msg, &out)
 		return out
 	}
-	var h head
-	var cfg, key, body []byte
-	if err := message.Unpack(n.Body, &h, &cfg, &key, &body); err != nil {
+	var h header
+	var packedQuorum, packedKey, body []byte
+	if err := message.Unpack(msg.Body, &h, &packedQuorum, &packedKey, &body); err != nil {
 		out.Fail(err)
 		return out
 	}
-	v, err := UnpackQuorumSet(cfg)
+	set, err := UnpackQuorumSet(packedQuorum)
 	if err != nil {
 		out.Fail(err)
 		return out
 	}
-	if !b.adopt(v, &out) {
+	if !b.adoptQuorum(set, &out) {
 		return out
 	}
-	if b.quorum.Has(n.From) { // an epoch that a stranger names must not use up those of the set
-		b.highestEpoch = max(b.highestEpoch, h.N, h.HN)
+	if b.quorum.Has(msg.From) { // an epoch from a non-member must not use up the members' epochs
+		b.highestEpoch = max(b.highestEpoch, h.EpochNumber, h.HigherNumber)
 	}
-	k := string(key)
-	switch n.Kind {
+	key := string(packedKey)
+	switch msg.Kind {
 	case Prepare, Accept, Confirm:
-		b.voter(n, h, k, v.Version, body, &out)
+		b.handleVoterRequest(msg, h, key, set.Version, body, &out)
 	case Promise, Accepted, Confirmed, Stale:
-		if o := b.owned[k]; o != nil {
-			b.counted(now, o, n, h, body, &out)
+		if o := b.ownerships[key]; o != nil {
+			b.handleVote(now, o, msg, h, body, &out)
 		}
 	case Forward:
-		b.call(now, n, h, k, body, &out)
+		b.handleForward(now, msg, h, key, body, &out)
 	case Reply:
-		b.answered(now, h, k, v.Version, body, &out)
+		b.handleReply(now, h, key, set.Version, body, &out)
 	case ListKeys:
-		b.listKeys(n, &out)
+		b.handleListKeys(msg, &out)
 	case KeyList:
-		if b.quorum.Has(n.From) {
-			b.keysListed(now, n, v.Version, body, &out)
+		if b.quorum.Has(msg.From) {
+			b.handleKeyList(now, msg, set.Version, body, &out)
 		}
 	case BootstrapVoteRequest:
-		b.foundVote(n, body, &out)
+		b.handleBootstrapVoteRequest(msg, body, &out)
 	case BootstrapVote:
-		b.foundCount(n, body, &out)
+		b.handleBootstrapVote(msg, body, &out)
 	}
 	return out
 }
 
-// Tick acquires what this node should own, lets go of what it should not, and sends again what stays unanswered.
+// Tick acquires the keys that this node should own, releases those that it should not, and resends unanswered
+// messages.
 func (b *Replica) Tick(now units.Time) (out message.Effects) {
 	if b.quorum.Version == 0 {
-		b.foundTick(now, &out)
+		b.tickBootstrap(now, &out)
 		return out
 	}
-	b.reachTick(now, &out)
+	b.tickReachability(now, &out)
 	for key := range b.states {
-		if b.owned[key] == nil && b.Owner(key) == b.self {
-			b.own(key)
+		if b.ownerships[key] == nil && b.Owner(key) == b.self {
+			b.ensureOwnership(key)
 		}
 	}
-	for _, o := range b.sorted() {
+	for _, o := range b.sortedOwnerships() {
 		if b.Owner(o.key) != b.self {
-			if o.by != nil {
-				b.reply(*o.by, codes.Unsure, 0, nil, &out)
+			if o.proposalRequest != nil {
+				b.reply(*o.proposalRequest, codes.Unsure, 0, nil, &out)
 			}
-			for _, a := range o.asks {
-				b.reply(a, codes.Unsure, 0, nil, &out)
+			for _, request := range o.queue {
+				b.reply(request, codes.Unsure, 0, nil, &out)
 			}
-			delete(b.owned, o.key)
+			delete(b.ownerships, o.key)
 			continue
 		}
-		if o.phase == holding && now.Sub(o.sent) >= idle {
-			o.asks = append(o.asks, Request{From: b.self, Key: o.key}) // a read for nobody: is it still ours?
-			b.push(now, o, &out)
+		if o.phase == holding && now.Sub(o.sentAt) >= idleConfirmInterval {
+			o.queue = append(o.queue, Request{From: b.self, Key: o.key}) // a read without a client: confirms that this node still owns the key
+			b.advance(now, o, &out)
 			continue
 		}
-		if o.phase != holding && now.Sub(o.sent) >= resend || o.phase == none {
-			b.push(now, o, &out)
+		if o.phase != holding && now.Sub(o.sentAt) >= resendInterval || o.phase == unacquired {
+			b.advance(now, o, &out)
 		}
 	}
-	b.wishTick(now, &out)
-	b.changeTick(now, &out)
+	b.tickRequests(now, &out)
+	b.tickMemberChange(now, &out)
 	return out
 }
 
-func (b *Replica) sorted() []*ownership {
-	l := make([]*ownership, 0, len(b.owned))
-	for _, o := range b.owned {
-		l = append(l, o)
+func (b *Replica) sortedOwnerships() []*ownership {
+	list := make([]*ownership, 0, len(b.ownerships))
+	for _, o := range b.ownerships {
+		list = append(list, o)
 	}
-	slices.SortFunc(l, func(x, y *ownership) int {
+	slices.SortFunc(list, func(x, y *ownership) int {
 		if x.key < y.key {
 			return -1
 		}
 		return 1
 	})
-	return l
+	return list
 }
 
-func (b *Replica) own(key string) *ownership {
-	o := b.owned[key]
+func (b *Replica) ensureOwnership(key string) *ownership {
+	o := b.ownerships[key]
 	if o == nil {
 		o = &ownership{key: key}
-		b.owned[key] = o
+		b.ownerships[key] = o
 	}
 	return o
 }
 
-func (b *Replica) call(now units.Time, n message.Message, h head, key string, body []byte, out *message.Effects) {
-	a := Request{Tag: h.Tag, From: n.From, Key: key, Write: h.Write != opRead, Lookup: h.Write == opLookup, ExpectedVersion: units.Num(h.Num)}
-	var plan []byte
-	if err := message.Unpack(body, &struct{}{}, &plan, &a.Data); err != nil {
+func (b *Replica) handleForward(now units.Time, msg message.Message, h header, key string, body []byte, out *message.Effects) {
+	request := Request{
+		Tag: h.Tag, From: msg.From, Key: key, Write: h.Operation != opRead, Lookup: h.Operation == opLookup,
+		ExpectedVersion: units.Num(h.Version),
+	}
+	var requestID []byte
+	if err := message.Unpack(body, &struct{}{}, &requestID, &request.Data); err != nil {
 		out.Fail(err)
 		return
 	}
-	a.RequestID = string(plan)
+	request.RequestID = string(requestID)
 	if b.Owner(key) != b.self {
-		b.reply(a, codes.NoMajority, 0, nil, out)
+		b.reply(request, codes.NoMajority, 0, nil, out)
 		return
 	}
-	o := b.own(key)
-	if len(o.asks) >= 256 {
-		b.reply(a, codes.NoMajority, 0, nil, out)
+	o := b.ensureOwnership(key)
+	if len(o.queue) >= 256 {
+		b.reply(request, codes.NoMajority, 0, nil, out)
 		return
 	}
-	o.asks = append(o.asks, a)
-	if o.phase == holding || o.phase == none {
-		b.push(now, o, out)
+	o.queue = append(o.queue, request)
+	if o.phase == holding || o.phase == unacquired {
+		b.advance(now, o, out)
 	}
 }
 
-func (b *Replica) reply(a Request, c codes.Code, num units.Num, data []byte, out *message.Effects) {
-	out.Send(a.From, Reply, b.pack(head{Tag: a.Tag, Code: uint16(c), Num: uint64(num)}, a.Key, data))
+func (b *Replica) reply(request Request, code codes.Code, version units.Num, data []byte, out *message.Effects) {
+	out.Send(request.From, Reply, b.pack(header{Tag: request.Tag, Code: uint16(code), Version: uint64(version)}, request.Key, data))
 }
--- a/internal/control/register/request.go
+++ b/internal/control/register/request.go
@@ -8,92 +8,93 @@
 	"seamshunt/internal/units"
 )
 
-// wish is an Ask on its way to an owner.
+// pendingRequest is a request that has been forwarded to an owner.
 type pendingRequest struct {
 	Request
-	to units.Node
-	at units.Time
+	owner       units.Node
+	submittedAt units.Time
 }
 
-// RequestTimeout is how long a request is sent on to whoever owns its key before it is given up.
+// RequestTimeout is how long a request is forwarded to the key's current owner before it is dropped.
 const RequestTimeout = 5 * time.Second
 
-// AnswerTimeout bounds the whole of an operator's call, however many requests it makes: callers go on to another
-// controller after a second of silence. The request itself stays pending for RequestTimeout; its id makes it idempotent.
+// AnswerTimeout limits an operator's call as a whole, however many requests it makes: callers try another controller
+// after a second without an answer. The request itself stays pending for RequestTimeout; its id makes it idempotent.
 const AnswerTimeout = 900 * time.Millisecond
 
-// TimeoutCode is what a request is answered with when its time is up: a read has no effect, a write may still have one.
-func (a Request) TimeoutCode() codes.Code {
-	if a.Write {
+// TimeoutCode returns the answer to a request that timed out: a read has no effect, but a write may still take
+// effect.
+func (r Request) TimeoutCode() codes.Code {
+	if r.Write {
 		return codes.Unsure
 	}
 	return codes.NoMajority
 }
 
-// Submit forwards a request to the owner that this node sees for its key. The Result is appended to Results; without a
-// founded set or an owner it is NoMajority at once.
-func (b *Replica) Submit(now units.Time, a Request) (out message.Effects) {
-	a.From = b.self
-	to := b.Owner(a.Key)
-	if b.quorum.Version == 0 || to == 0 {
-		b.result(now, Result{Tag: a.Tag, Code: codes.NoMajority}, &out)
+// Submit forwards a request to the node that should own its key according to this node's view. The Result is appended
+// to Results; without a quorum set or an owner it is NoMajority at once.
+func (b *Replica) Submit(now units.Time, request Request) (out message.Effects) {
+	request.From = b.self
+	owner := b.Owner(request.Key)
+	if b.quorum.Version == 0 || owner == 0 {
+		b.deliverResult(now, Result{Tag: request.Tag, Code: codes.NoMajority}, &out)
 		return out
 	}
-	w := &pendingRequest{Request: a, to: to, at: now}
-	b.requests[a.Tag] = w
-	b.send(w, &out)
+	pending := &pendingRequest{Request: request, owner: owner, submittedAt: now}
+	b.pendingRequests[request.Tag] = pending
+	b.forward(pending, &out)
 	return out
 }
 
-func (b *Replica) send(w *pendingRequest, out *message.Effects) {
-	h := head{Tag: w.Tag, Num: uint64(w.ExpectedVersion)}
+func (b *Replica) forward(pending *pendingRequest, out *message.Effects) {
+	h := header{Tag: pending.Tag, Version: uint64(pending.ExpectedVersion)}
 	switch {
-	case w.Lookup:
-		h.Write = opLookup
-	case w.Write:
-		h.Write = opWrite
+	case pending.Lookup:
+		h.Operation = opLookup
+	case pending.Write:
+		h.Operation = opWrite
 	}
-	out.Send(w.to, Forward, b.pack(h, w.Key, message.Pack(struct{}{}, []byte(w.RequestID), w.Data)))
+	out.Send(pending.owner, Forward, b.pack(h, pending.Key, message.Pack(struct{}{}, []byte(pending.RequestID), pending.Data)))
 }
 
-// wishTick sends wishes on when their key has another owner: reads, and writes whose plan id keeps them from being
-// made twice.
-func (b *Replica) wishTick(now units.Time, out *message.Effects) {
-	for _, tag := range message.Keys(b.requests) {
-		w := b.requests[tag]
-		to := b.Owner(w.Key)
+// tickRequests forwards pending requests again if their key has another owner: reads, and writes whose id prevents
+// them from being applied twice.
+func (b *Replica) tickRequests(now units.Time, out *message.Effects) {
+	for _, tag := range message.Keys(b.pendingRequests) {
+		pending := b.pendingRequests[tag]
+		owner := b.Owner(pending.Key)
 		switch {
-		case now.Sub(w.at) > RequestTimeout:
-			delete(b.requests, tag)
-		case to != 0 && to != w.to && (!w.Write || w.RequestID != ""):
-			w.to = to
-			b.send(w, out)
+		case now.Sub(pending.submittedAt) > RequestTimeout:
+			delete(b.pendingRequests, tag)
+		case owner != 0 && owner != pending.owner && (!pending.Write || pending.RequestID != ""):
+			pending.owner = owner
+			b.forward(pending, out)
 		}
 	}
 }
 
-// answered takes an owner's answer to a request that is pending here. One on another key was meant for an earlier run of
-// this node, which used the same tag.
-func (b *Replica) answered(now units.Time, h head, key string, version units.Num, body []byte, out *message.Effects) {
-	w := b.requests[h.Tag]
-	if w == nil || w.Key != key {
+// handleReply processes an owner's answer to a pending request. An answer for another key belongs to a request of an
+// earlier run of this node, which used the same tag.
+func (b *Replica) handleReply(now units.Time, h header, key string, version units.Num, body []byte, out *message.Effects) {
+	pending := b.pendingRequests[h.Tag]
+	if pending == nil || pending.Key != key {
 		return
 	}
 	code := codes.Code(h.Code)
-	if (code == codes.Unsure || code == codes.NoMajority) && b.again(h.Tag) {
+	if (code == codes.Unsure || code == codes.NoMajority) && b.scheduleResend(h.Tag) {
 		return
 	}
-	delete(b.requests, h.Tag)
-	b.replied(now, version, Result{Tag: h.Tag, Code: code, Version: units.Num(h.Num), Data: body}, out)
+	delete(b.pendingRequests, h.Tag)
+	b.handleOwnerResult(now, version, Result{Tag: h.Tag, Code: code, Version: units.Num(h.Version), Data: body}, out)
 }
 
-// again says whether a wish that met an owner no longer one, or not yet one, will be sent once more: then its
-// asker need not be told yet.
-func (b *Replica) again(tag uint64) bool {
-	w := b.requests[tag]
-	if w == nil || w.Write && w.RequestID == "" {
+// scheduleResend reports whether a request that reached a node that no longer or not yet owns the key will be sent
+// again, so that its caller need not be answered yet.
+func (b *Replica) scheduleResend(tag uint64) bool {
+	pending := b.pendingRequests[tag]
+	if pending == nil || pending.Write && pending.RequestID == "" {
 		return false
 	}
-	w.to = 0 // the next tick sends it, to whoever owns the key then
+	pending.owner = 0 // the next tick sends it to whoever owns the key then
 	return true
 }
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -6,54 +6,57 @@
 	"seamshunt/internal/units"
 )
 
-// doubtful says whether an owner that was superseded unaware could refuse this request wrongly: another may have written,
-// under an epoch that this owner has not met, the number that it builds on, or the request itself. Then a majority confirms
-// the epoch first. The other refusals need no such round: the number that the request would have got was chosen for another.
-// Nor does an OK out of the table: what stands in the table of a chosen value was chosen with it (design 2).
-func (a *Request) doubtful(newest units.Num, outcomes Outcomes) bool {
-	if a.sure || a.ExpectedVersion == AnyVersion || !a.Lookup && a.ExpectedVersion <= newest {
+// needsConfirmation reports whether a majority must confirm the epoch first, because an owner that was superseded
+// without noticing could refuse this request wrongly. Another owner may have written the expected version, or the
+// request itself, under an epoch that this one has not seen.
+//
+// Other refusals need no confirmation: the version that the request would have got was chosen for another request.
+// Nor does an OK from the outcome table: the table was chosen together with its value (docs/design.md, section 2).
+func (r *Request) needsConfirmation(newest units.Num, outcomes Outcomes) bool {
+	if r.epochConfirmed || r.ExpectedVersion == AnyVersion || !r.Lookup && r.ExpectedVersion <= newest {
 		return false
 	}
-	_, known := outcomes.find(fingerprintOf(a.RequestID), newest)
+	_, known := outcomes.find(fingerprintOf(r.RequestID), newest)
 	return !known
 }
 
-// settled answers a write that is not to be made: it was made before, or can't be made any more.
-func (a *Request) settled(newest units.Num, outcomes Outcomes) (codes.Code, units.Num, bool) {
-	if num, known := outcomes.find(fingerprintOf(a.RequestID), newest); known {
-		return codes.OK, num, true
+// resolvedOutcome returns the answer to a write that is not to be applied, because it was applied before or can't be
+// any more.
+func (r *Request) resolvedOutcome(newest units.Num, outcomes Outcomes) (codes.Code, units.Num, bool) {
+	if version, known := outcomes.find(fingerprintOf(r.RequestID), newest); known {
+		return codes.OK, version, true
 	}
-	if a.Lookup || a.ExpectedVersion != AnyVersion && a.ExpectedVersion != newest {
-		return outcomes.absent(a.ExpectedVersion+1, newest), newest, true
+	if r.Lookup || r.ExpectedVersion != AnyVersion && r.ExpectedVersion != newest {
+		return outcomes.absentCode(r.ExpectedVersion+1, newest), newest, true
 	}
 	return 0, 0, false
 }
 
-// confirm asks a majority whether the owner's epoch still stands.
+// confirm asks a majority whether the owner's epoch is still the highest.
 func (b *Replica) confirm(now units.Time, o *ownership, out *message.Effects) {
-	b.tag++
-	o.phase, o.tag, o.got, o.sent = confirming, b.tag, map[units.Node]bool{}, now
-	b.spread(o, Confirm, head{Tag: o.tag}, nil, out)
+	b.lastTag++
+	o.phase, o.confirmTag, o.acks, o.sentAt = confirming, b.lastTag, map[units.Node]bool{}, now
+	b.broadcast(o, Confirm, header{Tag: o.confirmTag}, nil, out)
 }
 
-// serve begins the next wish; one at a time for each key.
-func (b *Replica) serve(now units.Time, o *ownership, out *message.Effects) {
-	for len(o.asks) > 0 {
-		a := o.asks[0]
-		outcomes, _, err := unpackBody(o.best.Version, o.best.Body)
-		out.Fail(err) // never: it was checked when it came in
-		if !a.Write || a.doubtful(o.best.Version, outcomes) {
-			o.asks[0].sure = true
+// serveNext starts the next queued request; each key serves one at a time.
+func (b *Replica) serveNext(now units.Time, o *ownership, out *message.Effects) {
+	for len(o.queue) > 0 {
+		request := o.queue[0]
+		outcomes, _, err := unpackBody(o.current.Version, o.current.Body)
+		out.Fail(err) // unreachable: the body was validated when it was received
+		if !request.Write || request.needsConfirmation(o.current.Version, outcomes) {
+			o.queue[0].epochConfirmed = true
 			b.confirm(now, o, out)
 			return
 		}
-		o.asks = o.asks[1:]
-		if code, num, ok := a.settled(o.best.Version, outcomes); ok {
-			b.reply(a, code, num, nil, out)
+		o.queue = o.queue[1:]
+		if code, version, ok := request.resolvedOutcome(o.current.Version, outcomes); ok {
+			b.reply(request, code, version, nil, out)
 			continue
 		}
-		body := packBody(outcomes.with(fingerprintOf(a.RequestID)), a.Data)
-		b.write(now, o, State{Seq: o.best.Seq + 1, Version: o.best.Version + 1, Body: body}, &a, out)
+		body := packBody(outcomes.appended(fingerprintOf(request.RequestID)), request.Data)
+		b.propose(now, o, State{Seq: o.current.Seq + 1, Version: o.current.Version + 1, Body: body}, &request, out)
 		return
 	}
 }
--- a/internal/control/register/stale_disk_test.go
+++ b/internal/control/register/stale_disk_test.go
@@ -10,18 +10,18 @@
 	"seamshunt/internal/units"
 )
 
-// A trio is three members whose messages arrive at once, and whose disks keep what they sync.
-type trio struct {
+// persistentCluster is three members whose messages are delivered at once, and whose disks keep what they sync.
+type persistentCluster struct {
 	now      units.Time
 	replicas map[units.Node]*Replica
 	disks    map[units.Node]map[string]message.Record
-	cut      map[units.Node]bool
+	isolated map[units.Node]bool
 	sent     []message.Message
 	tag      uint64
 }
 
-func newTrio() *trio {
-	g := &trio{now: units.Time(time.Second), replicas: map[units.Node]*Replica{}, disks: map[units.Node]map[string]message.Record{}, cut: map[units.Node]bool{}}
+func newPersistentCluster() *persistentCluster {
+	g := &persistentCluster{now: units.Time(time.Second), replicas: map[units.Node]*Replica{}, disks: map[units.Node]map[string]message.Record{}, isolated: map[units.Node]bool{}}
 	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
 	for id := units.Node(1); id <= 3; id++ {
 		g.disks[id] = map[string]message.Record{"set": {Kind: RecordQuorum, Data: set.Pack()}}
@@ -30,8 +30,8 @@
 	return g
 }
 
-// restart begins anew from what the disk holds; run names the start.
-func (g *trio) restart(id, run units.Node) {
+// restart starts a replica from the contents of its disk; run is the id of the start.
+func (g *persistentCluster) restart(id, run units.Node) {
 	r := New(id, run)
 	var records []message.Record
 	for _, key := range message.Keys(g.disks[id]) {
@@ -43,100 +43,101 @@
 	g.replicas[id] = r
 }
 
-func (g *trio) deliver(from units.Node, out message.Effects) {
-	for _, w := range out.Writes {
-		g.disks[from][fmt.Sprint(w.Kind, w.Key)] = w
+func (g *persistentCluster) deliver(from units.Node, out message.Effects) {
+	for _, record := range out.Writes {
+		g.disks[from][fmt.Sprint(record.Kind, record.Key)] = record
 	}
-	for _, n := range append(out.Messages, out.AfterSync...) {
-		n.From = from
-		g.sent = append(g.sent, n)
-		if g.replicas[n.To] != nil && (n.To == from || !g.cut[n.To] && !g.cut[from]) {
-			g.deliver(n.To, g.replicas[n.To].Step(g.now, n))
+	for _, msg := range append(out.Messages, out.AfterSync...) {
+		msg.From = from
+		g.sent = append(g.sent, msg)
+		if g.replicas[msg.To] != nil && (msg.To == from || !g.isolated[msg.To] && !g.isolated[from]) {
+			g.deliver(msg.To, g.replicas[msg.To].Step(g.now, msg))
 		}
 	}
 }
 
-// believe has everyone take one node for the only one that may own keys.
-func (g *trio) believe(owner units.Node) {
+// setOwner makes all replicas regard one node as the only one that may own keys.
+func (g *persistentCluster) setOwner(owner units.Node) {
 	for _, r := range g.replicas {
 		r.SetEligible([]units.Node{owner})
 	}
 }
 
-func (g *trio) ticks(id units.Node, rounds int) {
+func (g *persistentCluster) ticks(id units.Node, rounds int) {
 	for range rounds {
 		g.now = g.now.Add(400 * time.Millisecond)
 		g.deliver(id, g.replicas[id].Tick(g.now))
 	}
 }
 
-// ask gives the result of a call, if one comes.
-func (g *trio) ask(at units.Node, a Request) (Result, bool) {
+// submit makes a request through one node and returns its result, if there is one.
+func (g *persistentCluster) submit(node units.Node, request Request) (Result, bool) {
 	g.tag++
-	a.Tag, a.Key = g.tag, "config"
-	g.deliver(at, g.replicas[at].Submit(g.now, a))
+	request.Tag, request.Key = g.tag, "config"
+	g.deliver(node, g.replicas[node].Submit(g.now, request))
 	for range 8 {
-		for _, r := range g.replicas[at].Results {
-			if r.Tag == a.Tag {
+		for _, r := range g.replicas[node].Results {
+			if r.Tag == request.Tag {
 				return r, true
 			}
 		}
-		g.ticks(at, 1)
+		g.ticks(node, 1)
 	}
 	return Result{}, false
 }
 
-func (g *trio) write(t *testing.T, at units.Node, n int) {
+func (g *persistentCluster) write(t *testing.T, node units.Node, n int) {
 	t.Helper()
-	r, ok := g.ask(at, Request{Write: true, ExpectedVersion: units.Num(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
+	r, ok := g.submit(node, Request{Write: true, ExpectedVersion: units.Num(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
 	if !ok || r.Code != codes.OK || r.Version != units.Num(n) {
-		t.Fatalf("change %d: %+v", n, r)
+		t.Fatalf("write %d: %+v", n, r)
 	}
 }
 
-// stale is a trio after a thousand changes, of which member 1 saw the first ten; it was just restarted and everyone takes
-// it for the owner.
-func stale(t *testing.T) *trio {
+// newStaleCluster returns a cluster after a thousand writes, of which member 1 received only the first ten. Member 1
+// has just been restarted, and all nodes regard it as the owner.
+func newStaleCluster(t *testing.T) *persistentCluster {
 	t.Helper()
-	g := newTrio()
-	g.believe(1)
+	g := newPersistentCluster()
+	g.setOwner(1)
 	for n := 1; n <= 10; n++ {
 		g.write(t, 1, n)
 	}
-	g.cut[1] = true
-	g.believe(2)
+	g.isolated[1] = true
+	g.setOwner(2)
 	for n := 11; n <= 1000; n++ {
 		g.write(t, 2, n)
 	}
 	g.restart(1, 201)
-	g.believe(1)
+	g.setOwner(1)
 	if n := g.replicas[1].StoredVersions()["config"]; n != 10 {
-		t.Fatalf("the stale disk holds number %d", n)
+		t.Fatalf("the stale disk holds version %d", n)
 	}
 	g.sent = nil
 	return g
 }
 
-// Without a majority a restarted owner answers nothing and passes nothing on from its disk, however often it is asked.
-func TestStaleOwnerAloneAnswersNothing(t *testing.T) {
-	g := stale(t)
+// Without a majority a restarted owner answers no request and passes on nothing from its disk, however often it is
+// asked.
+func TestStaleOwnerWithoutMajorityAnswersNothing(t *testing.T) {
+	g := newStaleCluster(t)
 	for _, a := range []Request{{}, {Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, {Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}} {
-		if r, ok := g.ask(1, a); ok {
-			t.Errorf("from its disk alone it answers %+v with %+v", a, r)
+		if r, ok := g.submit(1, a); ok {
+			t.Errorf("without a majority it answers %+v with %+v", a, r)
 		}
 	}
 	if n := len(g.replicas[1].Chosen); n > 0 {
-		t.Errorf("it pushes %d values", n)
+		t.Errorf("it reports %d chosen values", n)
 	}
-	for _, n := range g.sent {
-		if n.Kind == Accept || n.Kind == Confirm || n.Kind == Reply {
-			t.Errorf("before a majority promised, it sends kind %d to %d", n.Kind, n.To)
+	for _, msg := range g.sent {
+		if msg.Kind == Accept || msg.Kind == Confirm || msg.Kind == Reply {
+			t.Errorf("it sends kind %d to %d before a majority has promised", msg.Kind, msg.To)
 		}
 	}
 }
 
-// With one other member in reach it prepares first, takes over the newest value, and only then answers: reads by number
-// 1000, changes on number 10 by a conflict, changes on number 1000 by taking them.
+// With one other member reachable, a restarted owner prepares first, adopts the newest value, and only then answers.
+// A read returns version 1000, a write based on version 10 conflicts, and a write based on version 1000 is applied.
 func TestStaleOwnerPreparesFirst(t *testing.T) {
 	for _, a := range []struct {
 		Request
@@ -146,50 +147,50 @@
 		{Request{Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, Result{Code: codes.Conflict, Version: 1000}},
 		{Request{Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: codes.OK, Version: 1001}},
 	} {
-		g := stale(t)
-		g.cut = map[units.Node]bool{3: true}
-		r, ok := g.ask(1, a.Request)
+		g := newStaleCluster(t)
+		g.isolated = map[units.Node]bool{3: true}
+		r, ok := g.submit(1, a.Request)
 		if !ok || r.Code != a.want.Code || r.Version != a.want.Version || string(r.Data) != string(a.want.Data) {
 			t.Errorf("%+v is answered %+v", a.Request, r)
 		}
 		promised := map[units.Node]bool{}
-		for _, n := range g.sent {
-			switch n.Kind {
+		for _, msg := range g.sent {
+			switch msg.Kind {
 			case Promise:
-				promised[n.From] = true
+				promised[msg.From] = true
 			case Accept, Reply:
 				if len(promised) < 2 {
-					t.Fatalf("kind %d is sent with promises of %v only", n.Kind, promised)
+					t.Fatalf("kind %d is sent with promises from %v only", msg.Kind, promised)
 				}
 			}
 		}
 	}
 }
 
-// Two starts from one disk never use one epoch.
-func TestRestartsShareNoEpoch(t *testing.T) {
+// Two starts from the same disk never use the same epoch.
+func TestRestartsUseDistinctEpochs(t *testing.T) {
 	epochs := map[string]bool{}
 	for run := units.Node(201); run < 211; run++ {
-		g := newTrio()
-		g.believe(1)
+		g := newPersistentCluster()
+		g.setOwner(1)
 		g.write(t, 1, 1)
-		g.cut[1] = true
+		g.isolated[1] = true
 		g.restart(1, run)
-		g.believe(1)
+		g.setOwner(1)
 		g.sent = nil
 		g.ticks(1, 2)
-		for _, n := range g.sent {
-			var h head
-			if n.Kind != Prepare || n.To != 2 {
+		for _, msg := range g.sent {
+			var h header
+			if msg.Kind != Prepare || msg.To != 2 {
 				continue
 			}
-			if err := message.Unpack(n.Body, &h, new([]byte), new([]byte), new([]byte)); err != nil {
+			if err := message.Unpack(msg.Body, &h, new([]byte), new([]byte), new([]byte)); err != nil {
 				t.Fatal(err)
 			}
-			if h.By != uint64(run) {
-				t.Errorf("the epoch of run %v names %x", run, h.By)
+			if h.EpochNode != uint64(run) {
+				t.Errorf("the epoch of run %v contains run id %x", run, h.EpochNode)
 			}
-			epochs[fmt.Sprint(h.N, h.By)] = true
+			epochs[fmt.Sprint(h.EpochNumber, h.EpochNode)] = true
 		}
 	}
 	if len(epochs) < 10 {
@@ -197,38 +198,38 @@
 	}
 }
 
-// A member that promised more while it was cut off refuses its owner after a majority has answered already: the owner
-// takes the key anew, so that the member takes its copy.
-func TestLateRefusalIsHeard(t *testing.T) {
-	g := newTrio()
-	g.believe(1)
+// A member promised a higher epoch during a network partition, so it refuses its owner after a majority has already
+// answered. The owner acquires the key again, so that the member accepts its copy.
+func TestLateRefusalRestartsAcquisition(t *testing.T) {
+	g := newPersistentCluster()
+	g.setOwner(1)
 	g.write(t, 1, 1)
-	g.cut[3] = true
+	g.isolated[3] = true
 	g.write(t, 1, 2)
 	g.replicas[3].state("config").Promised = units.Epoch{N: 1 << 20, By: 9}
-	g.cut[3] = false
+	g.isolated[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
 	if n := g.replicas[3].StoredVersions()["config"]; n != 2 {
-		t.Errorf("the member still holds number %d", n)
+		t.Errorf("the member still holds version %d", n)
 	}
 }
 
-// The same where the owner is not aware that another owned the key in between: its copy bears the other's epoch, and the
-// refusal that one.
-func TestLateRefusalOfAnothersCopy(t *testing.T) {
-	g := newTrio()
-	g.believe(1)
+// The same if the owner does not know that another node owned the key in between: its copy and the refusal carry the
+// other owner's epoch.
+func TestLateRefusalOfOtherOwnersCopy(t *testing.T) {
+	g := newPersistentCluster()
+	g.setOwner(1)
 	g.write(t, 1, 1)
-	g.cut[3] = true
-	g.believe(2)
+	g.isolated[3] = true
+	g.setOwner(2)
 	g.write(t, 2, 2)
-	g.believe(1)
+	g.setOwner(1)
 	g.replicas[3].state("config").Promised = units.Epoch{N: 1 << 20, By: 9}
-	g.cut[3] = false
+	g.isolated[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
 	if n := g.replicas[3].StoredVersions()["config"]; n != 2 {
-		t.Errorf("the member still holds number %d", n)
+		t.Errorf("the member still holds version %d", n)
 	}
 }
