--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -1,4 +1,5 @@
-// Package lease gives a duty to one node at a time, by the votes of a majority for a term (design 5).
+// Package lease assigns a duty to one node at a time, for a term that a majority of the voters grants
+// (docs/design.md, section 5).
 package lease
 
 import (
@@ -10,195 +11,202 @@
 	"seamshunt/internal/units"
 )
 
-// The messages of leases.
+// Kinds of lease messages.
 const (
 	VoteRequest = message.KindLease + iota
 	Vote
 	ReleaseVote
 )
 
-// Spans (start values). A term is counted from before the asking by the holder and from after it by the
-// voters, so that clocks need only run at like rates.
+// Timing of leases. The holder counts a term from before it requests the votes, the voters count it from after they
+// grant them. So clocks need not agree; they only need to run at similar rates.
 const (
-	Term     = 1200 * time.Millisecond
-	renew    = 300 * time.Millisecond
-	slack    = 100 * time.Millisecond
-	yieldFor = 2 * time.Second        // how long one that can't do the duty's work leaves it to others
-	count    = 300 * time.Millisecond // a round not won by then is lost, and its votes are given back
+	Term            = 1200 * time.Millisecond
+	renewInterval   = 300 * time.Millisecond
+	clockRateMargin = 100 * time.Millisecond // by which the holder's term is shorter, for clocks of different rates
+	yieldDuration   = 2 * time.Second        // how long a node that can't perform the duty leaves it to others
+	roundTimeout    = 300 * time.Millisecond // a round that is not won by then is abandoned, and its votes are released
 )
 
-type head struct {
+type header struct {
 	Round uint64
-	Ok    uint8
+	OK    uint8
 }
 
+// grant is the vote of this node.
 type grant struct {
-	to    units.Node
-	until units.Time
+	candidate units.Node
+	expiresAt units.Time
 }
 
-// Lease is the step machine for one duty.
+// Lease is the state machine of one node for one duty: it votes, and it can be a candidate.
 type Lease struct {
-	self      units.Node
-	Duty      string
-	Voters    func() []units.Node
-	born      units.Time // since when this node may have voted for somebody it doesn't remember
-	voter     bool       // it was one of the voters when last asked
-	grant     grant
-	round     uint64
-	sent      units.Time
-	got       map[units.Node]bool
-	until     units.Time // till then the duty is ours
-	next      units.Time
-	rng       *rand.Rand
-	RoundsWon int                       // rounds won, for status
-	lent      map[units.Node]units.Time // till when each voter leaves its share of the duty's work to us
-	seat      units.Time                // till when this node's own share is surely nobody else's; zero: without end
+	self           units.Node
+	Duty           string
+	Voters         func() []units.Node
+	abstainSince   units.Time // the node abstains for a Term from then on: it may have cast a vote that it does not remember
+	wasVoter       bool       // it was one of the voters when last checked
+	grant          grant
+	round          uint64
+	roundStartedAt units.Time
+	votes          map[units.Node]bool
+	heldUntil      units.Time // until when this node holds the lease
+	nextRoundAt    units.Time
+	rng            *rand.Rand
+	RoundsWon      int                       // number of times that this node acquired the lease, for the status
+	lentUntil      map[units.Node]units.Time // until when each voter leaves its share of the duty's rate to this node
+	seatExpiry     units.Time                // until when this node certainly has its voting seat; zero: without limit
 }
 
-// New gives a node that has voted for nobody; it abstains for a term, since it may have voted before it started.
+// New returns the state machine of a node that remembers no vote. The node abstains for a term, since it may have
+// voted before it started.
 func New(self units.Node, duty string, voters func() []units.Node, now units.Time, rng *rand.Rand) *Lease {
-	return &Lease{self: self, Duty: duty, Voters: voters, voter: slices.Contains(voters(), self), born: now, rng: rng, next: now.Add(Term), lent: map[units.Node]units.Time{}}
+	return &Lease{
+		self: self, Duty: duty, Voters: voters, wasVoter: slices.Contains(voters(), self), abstainSince: now, rng: rng,
+		nextRoundAt: now.Add(Term), lentUntil: map[units.Node]units.Time{},
+	}
 }
 
-// Holds says whether the duty is ours now.
-func (b *Lease) Holds(now units.Time) bool { return now < b.until }
+// Holds reports whether this node holds the lease now.
+func (b *Lease) Holds(now units.Time) bool { return now < b.heldUntil }
 
-// Holder names whom this node has voted for.
+// Holder returns the node that this node has voted for, or zero if the vote has expired.
 func (b *Lease) Holder(now units.Time) units.Node {
-	if now < b.grant.until {
-		return b.grant.to
+	if now < b.grant.expiresAt {
+		return b.grant.candidate
 	}
 	return 0
 }
 
-// lost gives the votes of a lost round back; a late vote for it counts no more. Without this, two candidates
+// abandonRound releases the votes of a lost round and ignores any that arrive later. Without this, two candidates
 // with half the votes each would renew them for ever.
-func (b *Lease) lost(now units.Time, out *message.Effects) {
+func (b *Lease) abandonRound(now units.Time, out *message.Effects) {
 	for _, n := range b.Voters() {
-		out.Send(n, ReleaseVote, message.Pack(head{Round: b.round}, []byte(b.Duty)))
+		out.Send(n, ReleaseVote, message.Pack(header{Round: b.round}, []byte(b.Duty)))
 	}
 	b.round++
-	b.got = nil
-	clear(b.lent)
-	b.next = now.Add(time.Duration(b.rng.Int64N(int64(renew))))
+	b.votes = nil
+	clear(b.lentUntil)
+	b.nextRoundAt = now.Add(time.Duration(b.rng.Int64N(int64(renewInterval))))
 }
 
-// joined notes when this node becomes a voter. It abstains for a term, as after a start: until then a lease may stand that
-// a majority of the voters without it has granted.
-func (b *Lease) joined(now units.Time) {
-	voter := slices.Contains(b.Voters(), b.self)
-	if voter && !b.voter {
-		b.born = max(b.born, now)
+// updateVoterStatus detects that this node has become a voter. It then abstains for a term, as after a start: until
+// then a lease may be held that was granted by a majority of the voters without it.
+func (b *Lease) updateVoterStatus(now units.Time) {
+	isVoter := slices.Contains(b.Voters(), b.self)
+	if isVoter && !b.wasVoter {
+		b.abstainSince = max(b.abstainSince, now)
 	}
-	b.voter = voter
+	b.wasVoter = isVoter
 }
 
-// Tick stands for the duty when it is vacant, and renews it when it is ours. A node that leaves does not stand.
-func (b *Lease) Tick(now units.Time, stand bool) (out message.Effects) {
-	b.joined(now)
-	if b.got != nil && !b.Holds(now) && now.Sub(b.sent) >= count {
-		b.lost(now, &out)
+// Tick requests votes for the lease if it is vacant, and renews it if this node holds it. A draining node is not a
+// candidate.
+func (b *Lease) Tick(now units.Time, candidate bool) (out message.Effects) {
+	b.updateVoterStatus(now)
+	if b.votes != nil && !b.Holds(now) && now.Sub(b.roundStartedAt) >= roundTimeout {
+		b.abandonRound(now, &out)
 	}
-	if !stand || now < b.next {
+	if !candidate || now < b.nextRoundAt {
 		return out
 	}
-	if !b.Holds(now) && now < b.grant.until && b.grant.to != b.self {
+	if !b.Holds(now) && now < b.grant.expiresAt && b.grant.candidate != b.self {
 		return out
 	}
-	b.next = now.Add(renew)
+	b.nextRoundAt = now.Add(renewInterval)
 	b.round++
-	b.sent, b.got = now, map[units.Node]bool{}
+	b.roundStartedAt, b.votes = now, map[units.Node]bool{}
 	for _, n := range b.Voters() {
-		out.Send(n, VoteRequest, message.Pack(head{Round: b.round}, []byte(b.Duty)))
+		out.Send(n, VoteRequest, message.Pack(header{Round: b.round}, []byte(b.Duty)))
 	}
 	return out
 }
 
-// Step takes one note; the note's duty must be this one.
-func (b *Lease) Step(now units.Time, n message.Message) (out message.Effects) {
-	var h head
+// Step processes one message. Messages for another duty are ignored.
+func (b *Lease) Step(now units.Time, msg message.Message) (out message.Effects) {
+	var h header
 	var duty []byte
-	if err := message.Unpack(n.Body, &h, &duty); err != nil {
+	if err := message.Unpack(msg.Body, &h, &duty); err != nil {
 		out.Fail(err)
 		return out
 	}
 	if string(duty) != b.Duty {
 		return out
 	}
-	switch n.Kind {
+	switch msg.Kind {
 	case VoteRequest:
-		b.joined(now)
-		ok := now >= b.born.Add(Term) && (now >= b.grant.until || b.grant.to == n.From)
-		r := head{Round: h.Round}
+		b.updateVoterStatus(now)
+		ok := now >= b.abstainSince.Add(Term) && (now >= b.grant.expiresAt || b.grant.candidate == msg.From)
+		reply := header{Round: h.Round}
 		if ok {
-			b.grant = grant{n.From, now.Add(Term)}
-			r.Ok = 1
+			b.grant = grant{msg.From, now.Add(Term)}
+			reply.OK = 1
 		}
-		out.Send(n.From, Vote, message.Pack(r, duty))
+		out.Send(msg.From, Vote, message.Pack(reply, duty))
 	case ReleaseVote:
-		if b.grant.to == n.From {
-			b.grant.until = min(b.grant.until, now)
+		if b.grant.candidate == msg.From {
+			b.grant.expiresAt = min(b.grant.expiresAt, now)
 		}
 	case Vote:
-		if b.got == nil || h.Round != b.round || h.Ok == 0 {
+		if b.votes == nil || h.Round != b.round || h.OK == 0 {
 			return out
 		}
-		b.got[n.From] = true
-		b.lent[n.From] = b.sent.Add(Term - slack)
-		k, vs := 0, b.Voters()
-		for _, v := range vs {
-			if b.got[v] {
-				k++
+		b.votes[msg.From] = true
+		b.lentUntil[msg.From] = b.roundStartedAt.Add(Term - clockRateMargin)
+		voteCount, voters := 0, b.Voters()
+		for _, v := range voters {
+			if b.votes[v] {
+				voteCount++
 			}
 		}
-		if k > len(vs)/2 {
+		if voteCount > len(voters)/2 {
 			if !b.Holds(now) {
 				b.RoundsWon++
 			}
-			b.until = max(b.until, b.sent.Add(Term-slack))
+			b.heldUntil = max(b.heldUntil, b.roundStartedAt.Add(Term-clockRateMargin))
 		}
 	}
 	return out
 }
 
-// SetSeatExpiry says till when this node's seat among the voters is surely its own; zero: without end. A voter that is cut off
-// can't know when another takes its seat, and with it its share.
-func (b *Lease) SetSeatExpiry(until units.Time) { b.seat = until }
+// SetSeatExpiry sets until when this node certainly has its voting seat; zero means without limit. A partitioned
+// voter can't know when another node takes its seat, and its share with it.
+func (b *Lease) SetSeatExpiry(expiry units.Time) { b.seatExpiry = expiry }
 
-// HolderStopped frees the vote for a holder whose process is known to have ended.
-func (b *Lease) HolderStopped(now units.Time, n units.Node) {
-	if b.grant.to == n {
-		b.grant.until = min(b.grant.until, now)
+// HolderStopped frees this node's vote for a holder whose process is known to have ended.
+func (b *Lease) HolderStopped(now units.Time, holder units.Node) {
+	if b.grant.candidate == holder {
+		b.grant.expiresAt = min(b.grant.expiresAt, now)
 	}
 }
 
-// Resign gives the duty up.
-func (b *Lease) Resign() { b.until = 0 }
+// Resign gives the lease up.
+func (b *Lease) Resign() { b.heldUntil = 0 }
 
-// Yield gives the duty up for a while, since this node can't do it now; its votes go back at once.
+// Yield gives the lease up for yieldDuration, because this node can't perform the duty now, and releases its votes at
+// once.
 func (b *Lease) Yield(now units.Time) (out message.Effects) {
-	b.until = 0
-	b.lost(now, &out)
-	b.next = now.Add(yieldFor)
+	b.heldUntil = 0
+	b.abandonRound(now, &out)
+	b.nextRoundAt = now.Add(yieldDuration)
 	return out
 }
 
-// Share is this node's part of a rate that all voters share: its own, unless it backs somebody else, and those of all
-// whose votes it has, who leave theirs unused as long as their votes stand. So the parts never add up to more than
-// one, however the voters are cut off from each other (design 5).
+// Share returns this node's fraction of a rate that all voters share: its own share, unless it has voted for another
+// node, and the shares of the nodes that voted for it, which leave theirs unused while their votes are valid. So the
+// fractions never add up to more than one, however the voters are partitioned (docs/design.md, section 5).
 func (b *Lease) Share(now units.Time) float64 {
-	vs := b.Voters()
-	backsAnother := now < b.grant.until && b.grant.to != b.self
-	seatPassed := b.seat != 0 && now >= b.seat
-	if !slices.Contains(vs, b.self) || now < b.born.Add(Term) || backsAnother || seatPassed {
+	voters := b.Voters()
+	backsAnother := now < b.grant.expiresAt && b.grant.candidate != b.self
+	seatPassed := b.seatExpiry != 0 && now >= b.seatExpiry
+	if !slices.Contains(voters, b.self) || now < b.abstainSince.Add(Term) || backsAnother || seatPassed {
 		return 0
 	}
-	k := 1
-	for _, v := range vs {
-		if v != b.self && now < b.lent[v] {
-			k++
+	shares := 1
+	for _, v := range voters {
+		if v != b.self && now < b.lentUntil[v] {
+			shares++
 		}
 	}
-	return float64(k) / float64(len(vs))
+	return float64(shares) / float64(len(voters))
 }
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -9,137 +9,138 @@
 	"seamshunt/internal/units"
 )
 
-// Four voters, cut and joined again at random, notes late or lost: the shares of all never add up to more than one,
-// with all together the holder has the whole, and every voter that is cut off from the rest comes to its own part.
+// Four voters are partitioned and rejoined at random, and messages are delayed or lost. The shares never add up to
+// more than one. While all voters are connected the holder has the whole rate, and every voter that is partitioned
+// from the others gets its own share.
 func TestSharesNeverExceedTheWhole(t *testing.T) {
 	ids := []units.Node{1, 2, 3, 4}
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m := map[units.Node]*Lease{}
+		leases := map[units.Node]*Lease{}
 		for _, n := range ids {
-			m[n] = New(n, "d", func() []units.Node { return ids }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
+			leases[n] = New(n, "d", func() []units.Node { return ids }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
 		}
-		side := map[units.Node]int{}
-		type late struct {
-			at units.Time
-			n  message.Message
+		partition := map[units.Node]int{}
+		type delayedMessage struct {
+			deliverAt units.Time
+			msg       message.Message
 		}
-		var way []late
+		var inFlight []delayedMessage
 		now := units.Time(0)
-		send := func(from units.Node, o message.Effects) {
-			for _, n := range o.Messages {
-				if n.From = from; side[from] == side[n.To] && rng.IntN(50) > 0 {
-					way = append(way, late{now.Add(time.Duration(rng.Int64N(int64(20 * time.Millisecond)))), n})
+		send := func(from units.Node, out message.Effects) {
+			for _, msg := range out.Messages {
+				if msg.From = from; partition[from] == partition[msg.To] && rng.IntN(50) > 0 {
+					inFlight = append(inFlight, delayedMessage{now.Add(time.Duration(rng.Int64N(int64(20 * time.Millisecond)))), msg})
 				}
 			}
 		}
-		whole, alone := false, false
+		holderHadWhole, othersHadShare := false, false
 		for step := range 3000 {
 			now = now.Add(10 * time.Millisecond)
 			if step%300 == 299 {
 				for _, n := range ids {
-					side[n] = rng.IntN(2) * (step / 300 % 2) // every other span all are together
+					partition[n] = rng.IntN(2) * (step / 300 % 2) // in every other period all voters are connected
 				}
 			}
-			left := way[:0:0]
-			due := way
-			way = nil
-			for _, l := range due {
-				if l.at > now {
-					left = append(left, l)
+			undelivered := inFlight[:0:0]
+			due := inFlight
+			inFlight = nil
+			for _, delayed := range due {
+				if delayed.deliverAt > now {
+					undelivered = append(undelivered, delayed)
 				} else {
-					send(l.n.To, m[l.n.To].Step(now, l.n))
+					send(delayed.msg.To, leases[delayed.msg.To].Step(now, delayed.msg))
 				}
 			}
-			way = append(way, left...)
+			inFlight = append(inFlight, undelivered...)
 			sum, holders := 0.0, 0
 			for _, n := range ids {
-				send(n, m[n].Tick(now, true))
-				if rng.IntN(2000) == 0 && m[n].Holds(now) {
-					send(n, m[n].Yield(now))
+				send(n, leases[n].Tick(now, true))
+				if rng.IntN(2000) == 0 && leases[n].Holds(now) {
+					send(n, leases[n].Yield(now))
 				}
-				x := m[n].Share(now)
-				if sum += x; m[n].Holds(now) {
+				share := leases[n].Share(now)
+				if sum += share; leases[n].Holds(now) {
 					holders++
-					whole = whole || x == 1
+					holderHadWhole = holderHadWhole || share == 1
 				} else {
-					alone = alone || x > 0
+					othersHadShare = othersHadShare || share > 0
 				}
 			}
 			if sum > 1.0001 || holders > 1 {
 				t.Fatalf("seed %d at %v: shares add up to %.2f, %d holders", seed, time.Duration(now), sum, holders)
 			}
 		}
-		if !whole || !alone {
-			t.Errorf("seed %d: a holder had the whole: %v, one without the duty its part: %v", seed, whole, alone)
+		if !holderHadWhole || !othersHadShare {
+			t.Errorf("seed %d: holder had the whole rate: %v, another voter had its share: %v", seed, holderHadWhole, othersHadShare)
 		}
 	}
 }
 
-// A holder's voters are replaced while its term stands: nobody else holds the lease before that term is over.
+// The voters of a holder are replaced during its term: no other node acquires the lease before that term is over.
 func TestNewVoterAbstains(t *testing.T) {
 	for seed := range uint64(50) {
 		voters := []units.Node{1, 2, 3}
-		nodes := map[units.Node]*Lease{}
+		leases := map[units.Node]*Lease{}
 		for n := units.Node(1); n <= 4; n++ {
-			nodes[n] = New(n, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
+			leases[n] = New(n, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
 		}
 		now := units.Time(0)
-		silent := units.Node(0)
+		partitioned := units.Node(0)
 		var deliver func(from units.Node, out message.Effects)
 		deliver = func(from units.Node, out message.Effects) {
 			for _, m := range out.Messages {
-				if m.From = from; m.To != silent && from != silent {
-					deliver(m.To, nodes[m.To].Step(now, m))
+				if m.From = from; m.To != partitioned && from != partitioned {
+					deliver(m.To, leases[m.To].Step(now, m))
 				}
 			}
 		}
 		holders := func() (l []units.Node) {
 			for n := units.Node(1); n <= 4; n++ {
-				if nodes[n].Holds(now) {
+				if leases[n].Holds(now) {
 					l = append(l, n)
 				}
 			}
 			return l
 		}
-		silent = 1 // so that only two of the three vote for the holder
+		partitioned = 1 // so that only two of the three voters vote for the holder
 		for len(holders()) == 0 {
 			now = now.Add(10 * time.Millisecond)
 			for n := units.Node(1); n <= 4; n++ {
-				deliver(n, nodes[n].Tick(now, n == 3))
+				deliver(n, leases[n].Tick(now, n == 3))
 			}
 		}
-		voters, silent = []units.Node{1, 2, 4}, 3
-		second := false
+		voters, partitioned = []units.Node{1, 2, 4}, 3
+		takenOver := false
 		for end := now.Add(4 * Term); now < end; now = now.Add(10 * time.Millisecond) {
 			for n := units.Node(1); n <= 4; n++ {
-				deliver(n, nodes[n].Tick(now, n == 1 || n == 4))
+				deliver(n, leases[n].Tick(now, n == 1 || n == 4))
 			}
 			l := holders()
 			if len(l) > 1 {
 				t.Fatalf("seed %d at %v: %v hold the lease", seed, time.Duration(now), l)
 			}
-			second = second || len(l) == 1 && l[0] != 3
+			takenOver = takenOver || len(l) == 1 && l[0] != 3
 		}
-		if !second {
-			t.Errorf("seed %d: nobody took the lease over", seed)
+		if !takenOver {
+			t.Errorf("seed %d: no other node acquired the lease", seed)
 		}
 	}
 }
 
-// A voter that can't be sure of its seat any more has no share, whatever its own view of the voters says.
-func TestSharePassesWithTheSeat(t *testing.T) {
+// A voter whose voting seat may have been taken over has no share, even if it still lists itself as a voter.
+func TestShareEndsWithSeat(t *testing.T) {
 	voters := []units.Node{1, 2, 3}
-	l := New(1, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(1, 1)))
+	lease := New(1, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(1, 1)))
 	now := units.Time(2 * Term)
-	if got := l.Share(now); got != 1.0/3 {
-		t.Fatalf("a seat without end has a share of %.2f", got)
+	if got := lease.Share(now); got != 1.0/3 {
+		t.Fatalf("with a seat without expiry the share is %.2f", got)
 	}
-	l.SetSeatExpiry(now.Add(Term))
-	if got := l.Share(now.Add(Term - 1)); got != 1.0/3 {
-		t.Errorf("before the seat passes the share is %.2f", got)
+	lease.SetSeatExpiry(now.Add(Term))
+	if got := lease.Share(now.Add(Term - 1)); got != 1.0/3 {
+		t.Errorf("before the seat expires the share is %.2f", got)
 	}
-	if got := l.Share(now.Add(Term)); got != 0 {
-		t.Errorf("behind the seat's end the share is %.2f", got)
+	if got := lease.Share(now.Add(Term)); got != 0 {
+		t.Errorf("after the seat has expired the share is %.2f", got)
 	}
 }
