--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -35,35 +35,35 @@
 
 // grant is the vote of this node.
 type grant struct {
-	candidate units.Node
+	candidate units.NodeID
 	expiresAt units.Time
 }
 
 // Lease is the state machine of one node for one duty: it votes, and it can be a candidate.
 type Lease struct {
-	self           units.Node
+	self           units.NodeID
 	Duty           string
-	Voters         func() []units.Node
+	Voters         func() []units.NodeID
 	abstainSince   units.Time // the node abstains for a Term from then on: it may have cast a vote that it does not remember
 	wasVoter       bool       // it was one of the voters when last checked
 	grant          grant
 	round          uint64
 	roundStartedAt units.Time
-	votes          map[units.Node]bool
+	votes          map[units.NodeID]bool
 	heldUntil      units.Time // until when this node holds the lease
 	nextRoundAt    units.Time
 	rng            *rand.Rand
-	RoundsWon      int                       // number of times that this node acquired the lease, for the status
-	lentUntil      map[units.Node]units.Time // until when each voter leaves its share of the duty's rate to this node
-	seatExpiry     units.Time                // until when this node certainly has its voting seat; zero: without limit
+	RoundsWon      int                         // number of times that this node acquired the lease, for the status
+	lentUntil      map[units.NodeID]units.Time // until when each voter leaves its share of the duty's rate to this node
+	seatExpiry     units.Time                  // until when this node certainly has its voting seat; zero: without limit
 }
 
 // New returns the state machine of a node that remembers no vote. The node abstains for a term, since it may have
 // voted before it started.
-func New(self units.Node, duty string, voters func() []units.Node, now units.Time, rng *rand.Rand) *Lease {
+func New(self units.NodeID, duty string, voters func() []units.NodeID, now units.Time, rng *rand.Rand) *Lease {
 	return &Lease{
 		self: self, Duty: duty, Voters: voters, wasVoter: slices.Contains(voters(), self), abstainSince: now, rng: rng,
-		nextRoundAt: now.Add(Term), lentUntil: map[units.Node]units.Time{},
+		nextRoundAt: now.Add(Term), lentUntil: map[units.NodeID]units.Time{},
 	}
 }
 
@@ -71,7 +71,7 @@
 func (b *Lease) Holds(now units.Time) bool { return now < b.heldUntil }
 
 // Holder returns the node that this node has voted for, or zero if the vote has expired.
-func (b *Lease) Holder(now units.Time) units.Node {
+func (b *Lease) Holder(now units.Time) units.NodeID {
 	if now < b.grant.expiresAt {
 		return b.grant.candidate
 	}
@@ -115,7 +115,7 @@
 	}
 	b.nextRoundAt = now.Add(renewInterval)
 	b.round++
-	b.roundStartedAt, b.votes = now, map[units.Node]bool{}
+	b.roundStartedAt, b.votes = now, map[units.NodeID]bool{}
 	for _, n := range b.Voters() {
 		out.Send(n, VoteRequest, message.Pack(header{Round: b.round}, []byte(b.Duty)))
 	}
@@ -174,7 +174,7 @@
 func (b *Lease) SetSeatExpiry(expiry units.Time) { b.seatExpiry = expiry }
 
 // HolderStopped frees this node's vote for a holder whose process is known to have ended.
-func (b *Lease) HolderStopped(now units.Time, holder units.Node) {
+func (b *Lease) HolderStopped(now units.Time, holder units.NodeID) {
 	if b.grant.candidate == holder {
 		b.grant.expiresAt = min(b.grant.expiresAt, now)
 	}
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -13,21 +13,21 @@
 // more than one. While all voters are connected the holder has the whole rate, and every voter that is partitioned
 // from the others gets its own share.
 func TestSharesNeverExceedTheWhole(t *testing.T) {
-	ids := []units.Node{1, 2, 3, 4}
+	ids := []units.NodeID{1, 2, 3, 4}
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		leases := map[units.Node]*Lease{}
+		leases := map[units.NodeID]*Lease{}
 		for _, n := range ids {
-			leases[n] = New(n, "d", func() []units.Node { return ids }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
+			leases[n] = New(n, "d", func() []units.NodeID { return ids }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
 		}
-		partition := map[units.Node]int{}
+		partition := map[units.NodeID]int{}
 		type delayedMessage struct {
 			deliverAt units.Time
 			msg       message.Message
 		}
 		var inFlight []delayedMessage
 		now := units.Time(0)
-		send := func(from units.Node, out message.Effects) {
+		send := func(from units.NodeID, out message.Effects) {
 			for _, msg := range out.Messages {
 				if msg.From = from; partition[from] == partition[msg.To] && rng.IntN(50) > 0 {
 					inFlight = append(inFlight, delayedMessage{now.Add(time.Duration(rng.Int64N(int64(20 * time.Millisecond)))), msg})
@@ -80,23 +80,23 @@
 // The voters of a holder are replaced during its term: no other node acquires the lease before that term is over.
 func TestNewVoterAbstains(t *testing.T) {
 	for seed := range uint64(50) {
-		voters := []units.Node{1, 2, 3}
-		leases := map[units.Node]*Lease{}
-		for n := units.Node(1); n <= 4; n++ {
-			leases[n] = New(n, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
+		voters := []units.NodeID{1, 2, 3}
+		leases := map[units.NodeID]*Lease{}
+		for n := units.NodeID(1); n <= 4; n++ {
+			leases[n] = New(n, "d", func() []units.NodeID { return voters }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
 		}
 		now := units.Time(0)
-		partitioned := units.Node(0)
-		var deliver func(from units.Node, out message.Effects)
-		deliver = func(from units.Node, out message.Effects) {
+		partitioned := units.NodeID(0)
+		var deliver func(from units.NodeID, out message.Effects)
+		deliver = func(from units.NodeID, out message.Effects) {
 			for _, m := range out.Messages {
 				if m.From = from; m.To != partitioned && from != partitioned {
 					deliver(m.To, leases[m.To].Step(now, m))
 				}
 			}
 		}
-		holders := func() (l []units.Node) {
-			for n := units.Node(1); n <= 4; n++ {
+		holders := func() (l []units.NodeID) {
+			for n := units.NodeID(1); n <= 4; n++ {
 				if leases[n].Holds(now) {
 					l = append(l, n)
 				}
@@ -106,14 +106,14 @@
 		partitioned = 1 // so that only two of the three voters vote for the holder
 		for len(holders()) == 0 {
 			now = now.Add(10 * time.Millisecond)
-			for n := units.Node(1); n <= 4; n++ {
+			for n := units.NodeID(1); n <= 4; n++ {
 				deliver(n, leases[n].Tick(now, n == 3))
 			}
 		}
-		voters, partitioned = []units.Node{1, 2, 4}, 3
+		voters, partitioned = []units.NodeID{1, 2, 4}, 3
 		takenOver := false
 		for end := now.Add(4 * Term); now < end; now = now.Add(10 * time.Millisecond) {
-			for n := units.Node(1); n <= 4; n++ {
+			for n := units.NodeID(1); n <= 4; n++ {
 				deliver(n, leases[n].Tick(now, n == 1 || n == 4))
 			}
 			l := holders()
@@ -130,8 +130,8 @@
 
 // A voter whose voting seat may have been taken over has no share, even if it still lists itself as a voter.
 func TestShareEndsWithSeat(t *testing.T) {
-	voters := []units.Node{1, 2, 3}
-	lease := New(1, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(1, 1)))
+	voters := []units.NodeID{1, 2, 3}
+	lease := New(1, "d", func() []units.NodeID { return voters }, 0, rand.New(rand.NewPCG(1, 1)))
 	now := units.Time(2 * Term)
 	if got := lease.Share(now); got != 1.0/3 {
 		t.Fatalf("with a seat without expiry the share is %.2f", got)
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -56,7 +56,7 @@
 
 // isOutdated reports whether a request must be refused because it was sent under an older quorum set (docs/design.md,
 // section 2).
-func (b *Replica) isOutdated(key string, version units.Num) bool {
+func (b *Replica) isOutdated(key string, version units.Version) bool {
 	if version < b.quorum.Version {
 		return true
 	}
@@ -65,11 +65,13 @@
 
 // QuorumVersion returns the version of the newest quorum set that this node knows of, whether adopted or only
 // accepted.
-func (b *Replica) QuorumVersion() units.Num { return max(b.quorum.Version, b.state(KeyQuorum).Version) }
+func (b *Replica) QuorumVersion() units.Version {
+	return max(b.quorum.Version, b.state(KeyQuorum).Version)
+}
 
 // handleVoterRequest serves Prepare, Accept and Confirm. Every reply waits for the disk queue, so replies leave in
 // order.
-func (b *Replica) handleVoterRequest(msg message.Message, h header, key string, version units.Num, body []byte, out *message.Effects) {
+func (b *Replica) handleVoterRequest(msg message.Message, h header, key string, version units.Version, body []byte, out *message.Effects) {
 	reply := h
 	reply.OK = 0
 	if b.isOutdated(key, version) {
@@ -84,7 +86,7 @@
 		return
 	}
 	if msg.Kind == Accept {
-		if err := checkBody(key, units.Num(h.Version), body); err != nil {
+		if err := checkBody(key, units.Version(h.Version), body); err != nil {
 			out.Fail(err)
 			return
 		}
@@ -92,7 +94,7 @@
 	state := b.state(key)
 	epoch := h.epoch()
 	if epoch.Less(state.Promised) {
-		reply.HigherNumber, reply.HigherNode = state.Promised.N, uint64(state.Promised.By)
+		reply.HigherNumber, reply.HigherNode = state.Promised.Number, uint64(state.Promised.Node)
 		out.SendAfterSync(msg.From, msg.Kind+1, b.pack(reply, key, nil))
 		return
 	}
@@ -103,10 +105,10 @@
 			state.Promised = epoch
 			out.Writes = append(out.Writes, b.promiseRecord(key, state))
 		}
-		reply.HigherNumber, reply.HigherNode, reply.Seq, reply.Version = state.Accepted.N, uint64(state.Accepted.By), state.Seq, uint64(state.Version)
+		reply.HigherNumber, reply.HigherNode, reply.Seq, reply.Version = state.Accepted.Number, uint64(state.Accepted.Node), state.Seq, uint64(state.Version)
 		out.SendAfterSync(msg.From, Promise, b.pack(reply, key, state.Body))
 	case Accept:
-		accepted := State{Promised: epoch, Accepted: epoch, Seq: h.Seq, Version: units.Num(h.Version), Body: body}
+		accepted := State{Promised: epoch, Accepted: epoch, Seq: h.Seq, Version: units.Version(h.Version), Body: body}
 		if accepted.newer(state) {
 			*state = accepted
 			out.Writes = append(out.Writes, b.acceptRecord(key, state))
@@ -130,8 +132,8 @@
 
 // StoredVersions returns the accepted version of each key on this disk. A starting router asks for them to confirm
 // that its own state is current (docs/design.md, section 4).
-func (b *Replica) StoredVersions() map[string]units.Num {
-	versions := map[string]units.Num{}
+func (b *Replica) StoredVersions() map[string]units.Version {
+	versions := map[string]units.Version{}
 	for key, s := range b.states {
 		if s.Version > 0 {
 			versions[key] = s.Version
@@ -142,7 +144,7 @@
 
 // KnownVersions returns StoredVersions, with KeyQuorum raised to the newest quorum set that this node knows of. A
 // message may have carried that set before its value was accepted here.
-func (b *Replica) KnownVersions() map[string]units.Num {
+func (b *Replica) KnownVersions() map[string]units.Version {
 	versions := b.StoredVersions()
 	if version := b.QuorumVersion(); version > 0 {
 		versions[KeyQuorum] = version
@@ -152,12 +154,12 @@
 
 // Resend repeats a key's accepted value to another voter as the owner's Accept. A voter that has since promised a
 // higher epoch refuses it, as it would refuse a delayed Accept.
-func (b *Replica) Resend(to units.Node, key string) (out message.Effects) {
+func (b *Replica) Resend(to units.NodeID, key string) (out message.Effects) {
 	s := b.states[key]
 	if s == nil || s.Accepted == (units.Epoch{}) {
 		return out
 	}
-	h := header{EpochNumber: s.Accepted.N, EpochNode: uint64(s.Accepted.By), Seq: s.Seq, Version: uint64(s.Version)}
+	h := header{EpochNumber: s.Accepted.Number, EpochNode: uint64(s.Accepted.Node), Seq: s.Seq, Version: uint64(s.Version)}
 	out.SendAfterSync(to, Accept, b.pack(h, key, s.Body))
 	return out
 }
--- a/internal/control/register/bootstrap.go
+++ b/internal/control/register/bootstrap.go
@@ -14,7 +14,7 @@
 type bootstrapState struct {
 	set           QuorumSet
 	collectsVotes bool // this node requests and counts the votes
-	votes         map[units.Node]bool
+	votes         map[units.NodeID]bool
 	sentAt        units.Time
 }
 
@@ -35,7 +35,7 @@
 		return
 	}
 	if !slices.Equal(nodes, boot.set.Members) {
-		boot.set, boot.votes = bootstrapSet(nodes), map[units.Node]bool{}
+		boot.set, boot.votes = bootstrapSet(nodes), map[units.NodeID]bool{}
 	}
 	boot.collectsVotes = nodes[0] == b.self
 }
@@ -43,7 +43,7 @@
 // BootstrapFromSeeds sets the first quorum set that this node would vote for (none if nodes is empty) and whether
 // this node collects the votes. A disk that has voted keeps its vote, whatever nodes contains (docs/design.md,
 // section 13).
-func (b *Replica) BootstrapFromSeeds(nodes []units.Node, collectsVotes bool) {
+func (b *Replica) BootstrapFromSeeds(nodes []units.NodeID, collectsVotes bool) {
 	if b.quorum.Version > 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 		set = bootstrapSet(nodes)
 	}
 	if boot.collectsVotes = collectsVotes; !slices.Equal(set.Members, boot.set.Members) {
-		boot.set, boot.votes = set, map[units.Node]bool{}
+		boot.set, boot.votes = set, map[units.NodeID]bool{}
 	}
 }
 
--- a/internal/control/register/cluster_test.go
+++ b/internal/control/register/cluster_test.go
@@ -5,28 +5,28 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // testCluster is three voters whose messages are delivered at once and in order.
 type testCluster struct {
-	replicas map[units.Node]*Replica
+	replicas map[units.NodeID]*Replica
 	now      units.Time
 	tag      uint64
 	errs     []error
 }
 
 func newTestCluster() *testCluster {
-	c := &testCluster{replicas: map[units.Node]*Replica{}, now: units.Time(time.Second)}
-	for n := units.Node(1); n <= 3; n++ {
+	c := &testCluster{replicas: map[units.NodeID]*Replica{}, now: units.Time(time.Second)}
+	for n := units.NodeID(1); n <= 3; n++ {
 		c.replicas[n] = New(n, n+100)
-		c.replicas[n].adoptQuorum(QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}, &message.Effects{})
+		c.replicas[n].adoptQuorum(QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}, &message.Effects{})
 	}
 	return c
 }
 
-func (c *testCluster) deliver(from units.Node, out message.Effects) {
+func (c *testCluster) deliver(from units.NodeID, out message.Effects) {
 	c.errs = append(c.errs, out.Errs...)
 	for _, msg := range append(out.Messages, out.AfterSync...) {
 		if msg.From = from; c.replicas[msg.To] != nil {
@@ -36,12 +36,12 @@
 }
 
 // setOwner makes one replica regard owner, which may be itself, as the owner of every key.
-func (c *testCluster) setOwner(by, owner units.Node) {
-	c.replicas[by].SetEligible([]units.Node{owner})
+func (c *testCluster) setOwner(by, owner units.NodeID) {
+	c.replicas[by].SetEligible([]units.NodeID{owner})
 }
 
 // submit makes a write or a lookup through one node and returns its result, or the zero Result if there is none.
-func (c *testCluster) submit(node units.Node, request Request) Result {
+func (c *testCluster) submit(node units.NodeID, request Request) Result {
 	c.tag++
 	request.Tag, request.Key, request.Write = c.tag, "config", true
 	c.deliver(node, c.replicas[node].Submit(c.now, request))
@@ -59,7 +59,7 @@
 }
 
 // expectResult submits a request and compares its result.
-func (c *testCluster) expectResult(t *testing.T, what string, node units.Node, request Request, code codes.Code, version units.Num) {
+func (c *testCluster) expectResult(t *testing.T, what string, node units.NodeID, request Request, code resultcode.Code, version units.Version) {
 	t.Helper()
 	if r := c.submit(node, request); r.Code != code || r.Version != version {
 		t.Errorf("%s: code %d, version %d; want code %d, version %d", what, r.Code, r.Version, code, version)
--- a/internal/control/register/controllerview.go
+++ b/internal/control/register/controllerview.go
@@ -11,19 +11,19 @@
 // planner use it. A voting disk is a controller's disk that may hold a voting seat.
 type ControllerView struct {
 	// Eligible controllers may own keys. Suspects are excluded: a change of owner costs a round, waiting costs seconds.
-	Eligible      []units.Node
-	Draining      []units.Node        // would be eligible but are draining
-	Uninitialized []units.Node        // alive and without a vote
-	FleetExists   bool                // some node knows of a running fleet
-	Controllers   []membership.Member // the live controllers
-	Replaced      map[units.Node]bool // controllers whose address a newer one has taken over: their disks are lost
-	left          map[units.Node]bool // controllers that have announced their departure
-	diskless      bool                // no controller has a voting disk; then all of them may vote (docs/design.md, section 13)
+	Eligible      []units.NodeID
+	Draining      []units.NodeID        // would be eligible but are draining
+	Uninitialized []units.NodeID        // alive and without a vote
+	FleetExists   bool                  // some node knows of a running fleet
+	Controllers   []membership.Member   // the live controllers
+	Replaced      map[units.NodeID]bool // controllers whose address a newer one has taken over: their disks are lost
+	left          map[units.NodeID]bool // controllers that have announced their departure
+	diskless      bool                  // no controller has a voting disk; then all of them may vote (docs/design.md, section 13)
 }
 
 // NewControllerView derives the view from the members that this node knows of.
 func NewControllerView(members []membership.Member) (view ControllerView) {
-	view.Replaced, view.left, view.diskless = findReplaced(members), map[units.Node]bool{}, true
+	view.Replaced, view.left, view.diskless = findReplaced(members), map[units.NodeID]bool{}, true
 	for _, m := range members {
 		live := m.State <= membership.Suspect && !view.Replaced[m.Node]
 		if m.Role != membership.Controller {
@@ -55,14 +55,14 @@
 
 // findReplaced returns the controllers whose address now belongs to a newer controller. One address runs one process,
 // and a newer process starts with a higher incarnation.
-func findReplaced(members []membership.Member) map[units.Node]bool {
+func findReplaced(members []membership.Member) map[units.NodeID]bool {
 	newestAt := map[string]membership.Member{}
 	for _, m := range members {
 		if newest, ok := newestAt[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || newest.Inc < m.Inc) {
 			newestAt[m.Addr] = m
 		}
 	}
-	replaced := map[units.Node]bool{}
+	replaced := map[units.NodeID]bool{}
 	for _, m := range members {
 		newest, ok := newestAt[m.Addr]
 		if ok && m.Role == membership.Controller && newest.Node != m.Node && (m.State > membership.Suspect || m.Inc < newest.Inc) {
@@ -85,7 +85,7 @@
 }
 
 // zoneOf returns the zone of a live controller, or an empty string if it is unknown.
-func (v ControllerView) zoneOf(n units.Node) string {
+func (v ControllerView) zoneOf(n units.NodeID) string {
 	for _, m := range v.Controllers {
 		if m.Node == n {
 			return m.Zone
@@ -95,7 +95,7 @@
 }
 
 // isLeaving reports whether a controller is draining or has left.
-func (v ControllerView) isLeaving(n units.Node) bool {
+func (v ControllerView) isLeaving(n units.NodeID) bool {
 	if v.left[n] {
 		return true
 	}
--- a/internal/control/register/dropped_owner_test.go
+++ b/internal/control/register/dropped_owner_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -13,8 +13,8 @@
 // until the request times out.
 func TestDroppedOwnerAnswersPendingWrite(t *testing.T) {
 	b := New(1, 7)
-	b.quorum = QuorumSet{Version: 1, Members: []units.Node{1}}
-	b.SetEligible([]units.Node{1})
+	b.quorum = QuorumSet{Version: 1, Members: []units.NodeID{1}}
+	b.SetEligible([]units.NodeID{1})
 	now := units.Time(time.Second)
 	deliver := func(out message.Effects) { // to itself, except for the Accept of the write
 		for queue := append(out.Messages, out.AfterSync...); len(queue) > 0; queue = queue[1:] {
@@ -31,7 +31,7 @@
 	}
 	b.SetEligible(nil)
 	deliver(b.Tick(now.Add(time.Second)))
-	if len(b.Results) != 1 || b.Results[0].Code != codes.Unsure {
+	if len(b.Results) != 1 || b.Results[0].Code != resultcode.CommitUnknown {
 		t.Errorf("results: %+v", b.Results)
 	}
 }
--- a/internal/control/register/memberchange.go
+++ b/internal/control/register/memberchange.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -15,10 +15,10 @@
 
 // keyTransfer tracks whether every key has been read back under a joint set.
 type keyTransfer struct {
-	version    units.Num
-	listed     map[units.Node]bool // replicas that have listed their keys
-	readTags   map[string]uint64   // key to the tag of its read
-	readDone   map[uint64]bool     // tags of the completed reads
+	version    units.Version
+	listed     map[units.NodeID]bool // replicas that have listed their keys
+	readTags   map[string]uint64     // key to the tag of its read
+	readDone   map[uint64]bool       // tags of the completed reads
 	listSentAt units.Time
 	readSentAt units.Time
 }
@@ -28,7 +28,7 @@
 
 // ChangeMembers sets the target members of the quorum set; nil keeps the current ones. Only the owner of KeyQuorum
 // acts on it, and only while no other change is in progress.
-func (b *Replica) ChangeMembers(members []units.Node) {
+func (b *Replica) ChangeMembers(members []units.NodeID) {
 	b.targetMembers = slices.Clone(members)
 	slices.Sort(b.targetMembers)
 }
@@ -68,7 +68,7 @@
 	if t == nil || t.version != b.quorum.Version {
 		before := now.Add(-resendInterval)
 		t = &keyTransfer{
-			version: b.quorum.Version, listed: map[units.Node]bool{}, readTags: map[string]uint64{},
+			version: b.quorum.Version, listed: map[units.NodeID]bool{}, readTags: map[string]uint64{},
 			readDone: map[uint64]bool{}, listSentAt: before, readSentAt: before,
 		}
 		b.keyTransfer = t
@@ -118,7 +118,7 @@
 }
 
 // handleKeyList records a replica's list of keys if it was made under the current joint set.
-func (b *Replica) handleKeyList(now units.Time, msg message.Message, version units.Num, body []byte, out *message.Effects) {
+func (b *Replica) handleKeyList(now units.Time, msg message.Message, version units.Version, body []byte, out *message.Effects) {
 	t := b.keyTransfer
 	if t == nil || version != t.version || version != b.quorum.Version {
 		return
@@ -140,7 +140,7 @@
 
 // handleOwnerResult processes an owner's answer. A read of a key transfer counts only if it was served under the
 // current set.
-func (b *Replica) handleOwnerResult(now units.Time, version units.Num, r Result, out *message.Effects) {
+func (b *Replica) handleOwnerResult(now units.Time, version units.Version, r Result, out *message.Effects) {
 	if r.Tag&transferTagBit != 0 && version != b.quorum.Version {
 		return
 	}
@@ -153,7 +153,7 @@
 		b.Results = append(b.Results, r)
 		return
 	}
-	if t := b.keyTransfer; t != nil && r.Code == codes.OK && t.awaits(r.Tag) {
+	if t := b.keyTransfer; t != nil && r.Code == resultcode.OK && t.awaits(r.Tag) {
 		t.readDone[r.Tag] = true
 		b.tickMemberChange(now, out)
 	}
--- a/internal/control/register/messages.go
+++ b/internal/control/register/messages.go
@@ -2,7 +2,7 @@
 
 import (
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -47,11 +47,11 @@
 )
 
 func (h header) epoch() units.Epoch {
-	return units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}
+	return units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)}
 }
 
 func (h header) higher() units.Epoch {
-	return units.Epoch{N: h.HigherNumber, By: units.Node(h.HigherNode)}
+	return units.Epoch{Number: h.HigherNumber, Node: units.NodeID(h.HigherNode)}
 }
 
 // State is an acceptor's state of one key.
@@ -59,7 +59,7 @@
 	Promised units.Epoch
 	Accepted units.Epoch
 	Seq      uint64
-	Version  units.Num
+	Version  units.Version
 	Body     []byte // encoded by packBody; empty before the first write
 }
 
@@ -78,11 +78,11 @@
 type recordHeader struct{ EpochNumber, EpochNode, Seq, Version uint64 }
 
 func (b *Replica) promiseRecord(key string, s *State) message.Record {
-	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(recordHeader{EpochNumber: s.Promised.N, EpochNode: uint64(s.Promised.By)})}
+	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(recordHeader{EpochNumber: s.Promised.Number, EpochNode: uint64(s.Promised.Node)})}
 }
 
 func (b *Replica) acceptRecord(key string, s *State) message.Record {
-	h := recordHeader{EpochNumber: s.Accepted.N, EpochNode: uint64(s.Accepted.By), Seq: s.Seq, Version: uint64(s.Version)}
+	h := recordHeader{EpochNumber: s.Accepted.Number, EpochNode: uint64(s.Accepted.Node), Seq: s.Seq, Version: uint64(s.Version)}
 	return message.Record{Kind: RecordAccept, Key: key, Data: message.Pack(h, s.Body)}
 }
 
@@ -94,13 +94,13 @@
 		switch record.Kind {
 		case RecordPromise:
 			err = message.Unpack(record.Data, &h)
-			b.state(record.Key).Promised = maxEpoch(b.state(record.Key).Promised, units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)})
+			b.state(record.Key).Promised = maxEpoch(b.state(record.Key).Promised, units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)})
 		case RecordAccept:
 			state := b.state(record.Key)
 			if err = message.Unpack(record.Data, &h, &state.Body); err == nil {
-				err = checkBody(record.Key, units.Num(h.Version), state.Body)
+				err = checkBody(record.Key, units.Version(h.Version), state.Body)
 			}
-			state.Accepted, state.Seq, state.Version = units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}, h.Seq, units.Num(h.Version)
+			state.Accepted, state.Seq, state.Version = units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)}, h.Seq, units.Version(h.Version)
 			state.Promised = maxEpoch(state.Promised, state.Accepted)
 		case RecordQuorum:
 			b.quorum, err = UnpackQuorumSet(record.Data)
@@ -124,23 +124,23 @@
 // Request is a read or a conditional write of one key, made by an operator or by one of the controllers' own duties.
 type Request struct {
 	Tag             uint64
-	From            units.Node
+	From            units.NodeID
 	Key             string
 	Write           bool
-	Lookup          bool      // with Write: only queries the outcome of a write based on ExpectedVersion or later
-	ExpectedVersion units.Num // the version that the write is based on; AnyVersion for an unconditional write
+	Lookup          bool          // with Write: only queries the outcome of a write based on ExpectedVersion or later
+	ExpectedVersion units.Version // the version that the write is based on; AnyVersion for an unconditional write
 	RequestID       string
 	Data            []byte
 	epochConfirmed  bool // the owner has confirmed its epoch since the request arrived
 }
 
 // AnyVersion as Request.ExpectedVersion makes a write unconditional.
-const AnyVersion = ^units.Num(0)
+const AnyVersion = ^units.Version(0)
 
 // Result is the answer to the Request with the same Tag.
 type Result struct {
 	Tag     uint64
-	Code    codes.Code
-	Version units.Num
+	Code    resultcode.Code
+	Version units.Version
 	Data    []byte
 }
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -77,7 +77,7 @@
 		return
 	}
 	for _, members := range r.relevantSets() {
-		if !isMajority(members, func(id units.Node) bool { return id != n.id && !r.node(id).lost }) {
+		if !isMajority(members, func(id units.NodeID) bool { return id != n.id && !r.node(id).lost }) {
 			return
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // relevantSets returns the sets that are in force, or that have been proposed since and may still take effect.
-func (r *randomRun) relevantSets() [][]units.Node {
-	var sets [][]units.Node
+func (r *randomRun) relevantSets() [][]units.NodeID {
+	var sets [][]units.NodeID
 	for _, p := range r.proposed {
 		if p.version+2 >= r.checker.current {
 			sets = append(sets, p.members)
@@ -110,7 +110,7 @@
 
 // agreeOnOwners makes all nodes regard the same one or two nodes, which may be down, as eligible owners.
 func (r *randomRun) agreeOnOwners() {
-	eligible := []units.Node{r.anyNode().id, r.anyNode().id}
+	eligible := []units.NodeID{r.anyNode().id, r.anyNode().id}
 	for _, n := range r.liveNodes() {
 		r.setEligible(n, eligible...)
 	}
@@ -127,7 +127,7 @@
 // disagreeOnOwners gives one node its own view of the eligible owners.
 func (r *randomRun) disagreeOnOwners() {
 	n := r.anyNode()
-	eligible := []units.Node{n.id}
+	eligible := []units.NodeID{n.id}
 	if r.pick(2) == 0 {
 		eligible = append(eligible, r.anyNode().id)
 	}
@@ -164,7 +164,7 @@
 		return
 	}
 	members := r.nextMembers(n.replica.quorum.Members)
-	if len(members) < 2 || !isMajority(members, func(id units.Node) bool { return !r.node(id).lost }) {
+	if len(members) < 2 || !isMajority(members, func(id units.NodeID) bool { return !r.node(id).lost }) {
 		return
 	}
 	r.proposed = append(r.proposed, proposal{members, r.checker.current})
@@ -175,7 +175,7 @@
 }
 
 // nextMembers draws a set with one member added, removed or replaced; a lost member is removed first.
-func (r *randomRun) nextMembers(members []units.Node) []units.Node {
+func (r *randomRun) nextMembers(members []units.NodeID) []units.NodeID {
 	members = slices.Clone(members)
 	kind := r.pick(3)
 	if added := r.anyNode(); kind != 1 && !slices.Contains(members, added.id) && !added.lost {
@@ -184,7 +184,7 @@
 	if kind == 0 {
 		return members
 	}
-	dropped := slices.IndexFunc(members, func(id units.Node) bool { return r.node(id).lost })
+	dropped := slices.IndexFunc(members, func(id units.NodeID) bool { return r.node(id).lost })
 	if dropped < 0 {
 		dropped = r.pick(len(members))
 	}
--- a/internal/control/register/model_api_test.go
+++ b/internal/control/register/model_api_test.go
@@ -10,13 +10,13 @@
 // The model uses the package's API for changes of the quorum set only through the functions of this file.
 
 // initialQuorumSet returns the set that a bootstrap with these members writes.
-func initialQuorumSet(members []units.Node) QuorumSet { return bootstrapSet(members) }
+func initialQuorumSet(members []units.NodeID) QuorumSet { return bootstrapSet(members) }
 
 // requestMembers requests a change of members from a replica.
-func requestMembers(r *Replica, _ units.Time, members []units.Node) { r.ChangeMembers(members) }
+func requestMembers(r *Replica, _ units.Time, members []units.NodeID) { r.ChangeMembers(members) }
 
 // incoming returns the incoming members of a joint set.
-func incoming(q QuorumSet) []units.Node { return q.Incoming }
+func incoming(q QuorumSet) []units.NodeID { return q.Incoming }
 
 // expectedError reports whether a replica may return this error for well-formed messages.
 func expectedError(err error) bool { return errors.Is(err, errNotMember) }
--- a/internal/control/register/model_checker_test.go
+++ b/internal/control/register/model_checker_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -17,7 +17,7 @@
 
 // acceptorKey identifies one acceptor's state of one key.
 type acceptorKey struct {
-	node units.Node
+	node units.NodeID
 	key  string
 }
 
@@ -25,22 +25,22 @@
 type modelChecker struct {
 	cluster         *modelCluster
 	violation       string
-	epochRuns       map[epochUse]units.Node         // the process start that prepared each epoch
-	promised        map[acceptorKey]units.Epoch     // the highest epoch that each acceptor's replies have promised
-	lastVoteVersion map[units.Node]units.Num        // the newest set under which each acceptor's replies have voted on a key
-	sets            map[units.Num]QuorumSet         // every set that a node has adopted
-	current         units.Num                       // the newest of them
-	decidedVersion  units.Num                       // the newest set under which a value was chosen
-	chosenValues    map[string]map[units.Num]string // chosen values by key and version
-	highestChosen   map[string]units.Num            // the highest chosen version of each key
+	epochRuns       map[epochUse]units.NodeID           // the process start that prepared each epoch
+	promised        map[acceptorKey]units.Epoch         // the highest epoch that each acceptor's replies have promised
+	lastVoteVersion map[units.NodeID]units.Version      // the newest set under which each acceptor's replies have voted on a key
+	sets            map[units.Version]QuorumSet         // every set that a node has adopted
+	current         units.Version                       // the newest of them
+	decidedVersion  units.Version                       // the newest set under which a value was chosen
+	chosenValues    map[string]map[units.Version]string // chosen values by key and version
+	highestChosen   map[string]units.Version            // the highest chosen version of each key
 	clients         *modelClients
 }
 
 func newModelChecker(c *modelCluster, first QuorumSet) *modelChecker {
 	return &modelChecker{
-		cluster: c, epochRuns: map[epochUse]units.Node{}, promised: map[acceptorKey]units.Epoch{}, lastVoteVersion: map[units.Node]units.Num{},
-		sets: map[units.Num]QuorumSet{first.Version: first}, current: first.Version, decidedVersion: first.Version,
-		chosenValues: map[string]map[units.Num]string{}, highestChosen: map[string]units.Num{}, clients: newModelClients(c),
+		cluster: c, epochRuns: map[epochUse]units.NodeID{}, promised: map[acceptorKey]units.Epoch{}, lastVoteVersion: map[units.NodeID]units.Version{},
+		sets: map[units.Version]QuorumSet{first.Version: first}, current: first.Version, decidedVersion: first.Version,
+		chosenValues: map[string]map[units.Version]string{}, highestChosen: map[string]units.Version{}, clients: newModelClients(c),
 	}
 }
 
@@ -53,12 +53,12 @@
 
 // hasQuorum reports whether the nodes for which holds is true are a majority of a set; a joint set needs both
 // majorities.
-func hasQuorum(set QuorumSet, holds func(units.Node) bool) bool {
+func hasQuorum(set QuorumSet, holds func(units.NodeID) bool) bool {
 	next := incoming(set)
 	return isMajority(set.Members, holds) && (len(next) == 0 || isMajority(next, holds))
 }
 
-func isMajority(members []units.Node, holds func(units.Node) bool) bool {
+func isMajority(members []units.NodeID, holds func(units.NodeID) bool) bool {
 	count := 0
 	for _, n := range members {
 		if holds(n) {
@@ -69,7 +69,7 @@
 }
 
 // checkSent checks a message when it leaves a node.
-func (k *modelChecker) checkSent(n *modelNode, m message.Message, request units.Num) {
+func (k *modelChecker) checkSent(n *modelNode, m message.Message, request units.Version) {
 	switch m.Kind {
 	case Prepare, Promise, Accepted, Confirmed, Reply:
 	default:
@@ -88,7 +88,7 @@
 		}
 	case Reply:
 		k.clients.checkReply(n, d, k.decidedVersion)
-		if clientOperation := k.clients.operations[d.head.Tag]; clientOperation != nil && !clientOperation.write && codes.Code(d.head.Code) == codes.OK {
+		if clientOperation := k.clients.operations[d.head.Tag]; clientOperation != nil && !clientOperation.write && resultcode.Code(d.head.Code) == resultcode.OK {
 			k.recordDecision(n.replica.quorum.Version)
 		}
 	}
@@ -101,7 +101,7 @@
 		return
 	}
 	d := decode(m)
-	promised := func(id units.Node) bool {
+	promised := func(id units.NodeID) bool {
 		return k.everDurable(id, d.key, func(s State) bool { return !s.Promised.Less(d.head.epoch()) })
 	}
 	if !hasQuorum(d.set, promised) {
@@ -110,7 +110,7 @@
 }
 
 // everDurable reports whether the condition holds for a node's durable state of a key, or for that of its lost disk.
-func (k *modelChecker) everDurable(id units.Node, key string, is func(State) bool) bool {
+func (k *modelChecker) everDurable(id units.NodeID, key string, is func(State) bool) bool {
 	n := k.cluster.node(id)
 	if n == nil {
 		return false
@@ -122,7 +122,7 @@
 }
 
 // checkVote checks an acceptor's positive reply: what it confirms is durable, and no earlier reply forbids it.
-func (k *modelChecker) checkVote(n *modelNode, kind message.Kind, d decoded, request units.Num) {
+func (k *modelChecker) checkVote(n *modelNode, kind message.Kind, d decoded, request units.Version) {
 	epoch := d.head.epoch()
 	v, s := acceptorKey{n.id, d.key}, n.disk.states[d.key]
 	if epoch.Less(k.promised[v]) {
@@ -167,17 +167,17 @@
 	n.replica.Chosen, n.replica.Results = nil, nil
 }
 
-func (k *modelChecker) recordDecision(version units.Num) {
+func (k *modelChecker) recordDecision(version units.Version) {
 	k.decidedVersion = max(k.decidedVersion, version)
 }
 
 // checkChosen checks a value that a majority is reported to have accepted.
-func (k *modelChecker) checkChosen(key string, version units.Num, data string) {
+func (k *modelChecker) checkChosen(key string, version units.Version, data string) {
 	if version == 0 {
 		return
 	}
 	if k.chosenValues[key] == nil {
-		k.chosenValues[key] = map[units.Num]string{}
+		k.chosenValues[key] = map[units.Version]string{}
 	}
 	if old, ok := k.chosenValues[key][version]; ok && old != data {
 		k.fail("version %d of %q is both %q and %q", version, key, old, data)
@@ -213,7 +213,7 @@
 	if !known {
 		k.fail("set %d was decided without set %d", set.Version, set.Version-1)
 	}
-	holds := func(id units.Node) bool { // or held it until its disk was lost
+	holds := func(id units.NodeID) bool { // or held it until its disk was lost
 		return k.everDurable(id, KeyQuorum, func(s State) bool { return s.Version >= set.Version })
 	}
 	if !hasQuorum(previous, holds) || !hasQuorum(set, holds) {
@@ -228,7 +228,7 @@
 func (k *modelChecker) checkDurability() {
 	set := k.sets[k.current]
 	for key, num := range k.highestChosen {
-		lacks := func(id units.Node) bool {
+		lacks := func(id units.NodeID) bool {
 			n := k.cluster.node(id)
 			return n != nil && !n.lost && n.disk.states[key].Version < num
 		}
--- a/internal/control/register/model_clients_test.go
+++ b/internal/control/register/model_clients_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -13,8 +13,8 @@
 	key            string
 	write          bool
 	requestID      string
-	minVersion     units.Num // the highest version that had been acknowledged when the call began
-	decidedVersion units.Num // the newest set under which a value had been chosen when the call began
+	minVersion     units.Version // the highest version that had been acknowledged when the call began
+	decidedVersion units.Version // the newest set under which a value had been chosen when the call began
 }
 
 // modelClients makes calls and checks that their answers agree with the order in which calls began and ended.
@@ -24,7 +24,7 @@
 	firstRequests       map[string]Request          // the first request of each request id
 	firstOperations     map[string]*clientOperation // the first call of each request id
 	refused             map[string]bool             // request ids that were answered with a conflict
-	acknowledgedVersion map[string]units.Num        // the highest acknowledged version of each key
+	acknowledgedVersion map[string]units.Version    // the highest acknowledged version of each key
 	tag                 uint64
 	writeCounts         map[string]int
 	answeredReads       int
@@ -33,7 +33,7 @@
 func newModelClients(c *modelCluster) *modelClients {
 	return &modelClients{
 		cluster: c, operations: map[uint64]*clientOperation{}, firstRequests: map[string]Request{}, firstOperations: map[string]*clientOperation{},
-		refused: map[string]bool{}, acknowledgedVersion: map[string]units.Num{}, writeCounts: map[string]int{},
+		refused: map[string]bool{}, acknowledgedVersion: map[string]units.Version{}, writeCounts: map[string]int{},
 	}
 }
 
@@ -43,7 +43,7 @@
 }
 
 // write starts a write at a node. Its value is unique, and its request id is the same as its value.
-func (l *modelClients) write(n *modelNode, key string, expect units.Num) string {
+func (l *modelClients) write(n *modelNode, key string, expect units.Version) string {
 	l.writeCounts[key]++
 	id := fmt.Sprintf("%s-%d", key, l.writeCounts[key])
 	request := Request{Key: key, Write: true, ExpectedVersion: expect, RequestID: id, Data: []byte(id)}
@@ -76,9 +76,9 @@
 }
 
 // checkReply checks the quorum set under which an owner acknowledges a call.
-func (l *modelClients) checkReply(owner *modelNode, d decoded, decided units.Num) {
+func (l *modelClients) checkReply(owner *modelNode, d decoded, decided units.Version) {
 	o := l.operations[d.head.Tag]
-	if o == nil || codes.Code(d.head.Code) != codes.OK {
+	if o == nil || resultcode.Code(d.head.Code) != resultcode.OK {
 		return
 	}
 	if version := owner.replica.quorum.Version; version < o.decidedVersion {
@@ -96,20 +96,20 @@
 	detail := fmt.Sprintf("tag %d code %v version %d data %q", r.Tag, r.Code, int64(r.Version), r.Data)
 	l.cluster.record(modelEvent{action: "answer", node: n.id, detail: detail})
 	switch {
-	case r.Code == codes.Conflict && o.write:
+	case r.Code == resultcode.VersionConflict && o.write:
 		l.refused[o.requestID] = true
 		for num, data := range checker.chosenValues[o.key] {
 			if data == o.requestID {
 				checker.fail("the write %q was chosen as version %d but is refused", data, num)
 			}
 		}
-	case r.Code == codes.OK && o.write:
+	case r.Code == resultcode.OK && o.write:
 		if r.Version <= o.minVersion {
 			checker.fail("the write %q got version %d though %d was acknowledged before it began", o.requestID, r.Version, o.minVersion)
 		}
 		checker.checkChosen(o.key, r.Version, o.requestID)
 		l.acknowledgedVersion[o.key] = max(l.acknowledgedVersion[o.key], r.Version)
-	case r.Code == codes.OK:
+	case r.Code == resultcode.OK:
 		if r.Version < o.minVersion {
 			checker.fail("a read of %q got version %d though %d was acknowledged before it began", o.key, r.Version, o.minVersion)
 		}
--- a/internal/control/register/model_cluster_test.go
+++ b/internal/control/register/model_cluster_test.go
@@ -10,21 +10,21 @@
 
 // modelNode is one replica with its disk. The replica is nil while the process is down.
 type modelNode struct {
-	id            units.Node
+	id            units.NodeID
 	replica       *Replica
-	run           units.Node
+	run           units.NodeID
 	syncQueue     []diskBatch
 	disk          modelDisk
-	targetMembers []units.Node // the members that the process was last asked to change to
-	lostDisk      modelDisk    // contents of the disk when it was lost
-	lost          bool         // the disk is lost for good: no process ever votes under this id again
+	targetMembers []units.NodeID // the members that the process was last asked to change to
+	lostDisk      modelDisk      // contents of the disk when it was lost
+	lost          bool           // the disk is lost for good: no process ever votes under this id again
 }
 
 // diskBatch is the output of one step that waits for the disk: its messages leave once its writes are synced.
 type diskBatch struct {
 	writes   []message.Record
 	messages []message.Message
-	request  units.Num // version of the set under which the answered request was sent
+	request  units.Version // version of the set under which the answered request was sent
 }
 
 // modelCluster is a network of replicas in which the test decides which messages are delivered, lost or duplicated.
@@ -32,7 +32,7 @@
 	now      units.Time
 	nodes    []*modelNode
 	inFlight []message.Message
-	lastRun  units.Node // the last run id that was assigned
+	lastRun  units.NodeID // the last run id that was assigned
 	checker  *modelChecker
 	events   []modelEvent
 }
@@ -42,15 +42,15 @@
 
 // newModelCluster starts replicas 1 to members as the first quorum set, and spares further replicas.
 func newModelCluster(members, spares int) *modelCluster {
-	var initialMembers []units.Node
+	var initialMembers []units.NodeID
 	for id := range members {
-		initialMembers = append(initialMembers, units.Node(id+1))
+		initialMembers = append(initialMembers, units.NodeID(id+1))
 	}
 	first := initialQuorumSet(initialMembers)
 	c := &modelCluster{now: units.Time(time.Second), lastRun: 1000, events: make([]modelEvent, 0, usualEvents)}
 	c.checker = newModelChecker(c, first)
 	for id := range members + spares {
-		n := &modelNode{id: units.Node(id + 1), disk: newModelDisk()}
+		n := &modelNode{id: units.NodeID(id + 1), disk: newModelDisk()}
 		if id < members {
 			n.disk.write(message.Record{Kind: RecordQuorum, Data: first.Pack()})
 		}
@@ -60,7 +60,7 @@
 	return c
 }
 
-func (c *modelCluster) node(id units.Node) *modelNode {
+func (c *modelCluster) node(id units.NodeID) *modelNode {
 	if id == 0 || int(id) > len(c.nodes) {
 		return nil
 	}
@@ -114,7 +114,7 @@
 }
 
 // perform runs one step of a replica and processes its effects.
-func (c *modelCluster) perform(n *modelNode, request units.Num, step func(*Replica) message.Effects) {
+func (c *modelCluster) perform(n *modelNode, request units.Version, step func(*Replica) message.Effects) {
 	if n.replica == nil {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // sendMessage puts a message on the network.
-func (c *modelCluster) sendMessage(n *modelNode, m message.Message, request units.Num) {
+func (c *modelCluster) sendMessage(n *modelNode, m message.Message, request units.Version) {
 	m.From = n.id
 	c.checker.checkSent(n, m, request)
 	// Pings and pongs change nothing that is checked here, and would multiply the number of schedules.
@@ -207,7 +207,7 @@
 }
 
 // setEligible sets a node's view of who may own keys.
-func (c *modelCluster) setEligible(n *modelNode, eligible ...units.Node) {
+func (c *modelCluster) setEligible(n *modelNode, eligible ...units.NodeID) {
 	if n.replica == nil {
 		return
 	}
@@ -216,7 +216,7 @@
 }
 
 // changeMembers requests a change of members from a node.
-func (c *modelCluster) changeMembers(n *modelNode, members []units.Node) {
+func (c *modelCluster) changeMembers(n *modelNode, members []units.NodeID) {
 	if n.replica == nil {
 		return
 	}
--- a/internal/control/register/model_disk_test.go
+++ b/internal/control/register/model_disk_test.go
@@ -25,12 +25,12 @@
 		switch r.Kind {
 		case RecordPromise:
 			h, _ := decodeRecord(r)
-			s.Promised = units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}
+			s.Promised = units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)}
 		case RecordAccept:
 			h, body := decodeRecord(r)
-			s.Accepted = units.Epoch{N: h.EpochNumber, By: units.Node(h.EpochNode)}
+			s.Accepted = units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)}
 			s.Promised = maxEpoch(s.Promised, s.Accepted)
-			s.Seq, s.Version, s.Body = h.Seq, units.Num(h.Version), body
+			s.Seq, s.Version, s.Body = h.Seq, units.Version(h.Version), body
 		case RecordQuorum:
 			d.quorum, _ = UnpackQuorumSet(r.Data)
 			continue
@@ -93,7 +93,7 @@
 
 // requestVersion returns the version of the quorum set under which an acceptor request was sent, or zero for other
 // messages.
-func requestVersion(m message.Message) units.Num {
+func requestVersion(m message.Message) units.Version {
 	if m.Kind != Prepare && m.Kind != Accept && m.Kind != Confirm {
 		return 0
 	}
@@ -103,9 +103,9 @@
 // modelEvent is one line of a trace.
 type modelEvent struct {
 	action  string
-	node    units.Node
+	node    units.NodeID
 	message message.Message
-	nodes   []units.Node
+	nodes   []units.NodeID
 	detail  string
 }
 
--- a/internal/control/register/model_exhaustive_test.go
+++ b/internal/control/register/model_exhaustive_test.go
@@ -14,7 +14,7 @@
 	modelOrders = flag.Int("model.orders", 3, "number of first choices of a schedule of which all combinations are run")
 )
 
-var nextSet = []units.Node{1, 2, 3, 4}
+var nextSet = []units.NodeID{1, 2, 3, 4}
 
 // Two nodes both regard themselves as owner of one key. Both write, receive the same writes again, and are read from.
 var twoWriters = scenario{name: "two writers", members: 3, undisturbedSteps: 1, steps: []func(*modelCluster){
--- a/internal/control/register/model_schedule_test.go
+++ b/internal/control/register/model_schedule_test.go
@@ -101,7 +101,7 @@
 // heal restarts every node that still has its disk, makes all nodes agree on the owners, and reads each key.
 func (c *modelCluster) heal() {
 	c.record(modelEvent{action: "heal"})
-	var alive []units.Node
+	var alive []units.NodeID
 	for _, n := range c.nodes {
 		c.start(n)
 		if n.replica != nil {
@@ -148,7 +148,7 @@
 
 // Steps of scenarios.
 
-func setOwnersEverywhere(owners ...units.Node) func(*modelCluster) {
+func setOwnersEverywhere(owners ...units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) {
 		for _, n := range c.liveNodes() {
 			c.setEligible(n, owners...)
@@ -156,39 +156,39 @@
 	}
 }
 
-func setOwnerAt(node, owner units.Node) func(*modelCluster) {
+func setOwnerAt(node, owner units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.setEligible(c.node(node), owner) }
 }
 
 // writeAt writes on the newest version that any client knows of, as no client can know of a later one.
-func writeAt(node units.Node) func(*modelCluster) {
+func writeAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) {
 		clients := c.checker.clients
 		clients.write(c.node(node), "a", clients.acknowledgedVersion["a"])
 	}
 }
 
-func resubmitAt(node units.Node, id string) func(*modelCluster) {
+func resubmitAt(node units.NodeID, id string) func(*modelCluster) {
 	return func(c *modelCluster) { c.checker.clients.resubmit(c.node(node), id) }
 }
 
-func readAt(node units.Node) func(*modelCluster) {
+func readAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.checker.clients.read(c.node(node), "a") }
 }
 
-func changeMembersAt(node units.Node, members ...units.Node) func(*modelCluster) {
+func changeMembersAt(node units.NodeID, members ...units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.changeMembers(c.node(node), members) }
 }
 
-func loseDiskOf(node units.Node) func(*modelCluster) {
+func loseDiskOf(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.loseDisk(c.node(node)) }
 }
 
-func crashAt(node units.Node) func(*modelCluster) {
+func crashAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.crash(c.node(node), 0) }
 }
 
-func startAt(node units.Node) func(*modelCluster) {
+func startAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.start(c.node(node)) }
 }
 
--- a/internal/control/register/model_snapshot_test.go
+++ b/internal/control/register/model_snapshot_test.go
@@ -24,7 +24,7 @@
 	}
 	for key, o := range r.ownerships {
 		entry := *o
-		entry.acks = map[units.Node]bool{}
+		entry.acks = map[units.NodeID]bool{}
 		for n, got := range o.acks {
 			if r.quorum.Has(n) { // non-members never count
 				entry.acks[n] = got
--- a/internal/control/register/outcomes.go
+++ b/internal/control/register/outcomes.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -36,18 +36,18 @@
 type Outcomes []Fingerprint
 
 // oldest returns the lowest version that the table covers; newest is the value's own version.
-func (t Outcomes) oldest(newest units.Num) units.Num {
-	return newest - units.Num(len(t)) + 1
+func (t Outcomes) oldest(newest units.Version) units.Version {
+	return newest - units.Version(len(t)) + 1
 }
 
 // find returns the version that a request wrote.
-func (t Outcomes) find(fingerprint Fingerprint, newest units.Num) (units.Num, bool) {
+func (t Outcomes) find(fingerprint Fingerprint, newest units.Version) (units.Version, bool) {
 	if fingerprint == 0 {
 		return 0, false
 	}
 	for i, x := range t {
 		if x == fingerprint {
-			return t.oldest(newest) + units.Num(i), true
+			return t.oldest(newest) + units.Version(i), true
 		}
 	}
 	return 0, false
@@ -62,11 +62,11 @@
 // absentCode returns the answer to a request that is not in the table and can't be written any more. Its write could
 // not have got a version below earliest. If the table reaches back that far, the request was certainly not written
 // (Conflict); otherwise its entry may have been dropped (Forgotten).
-func (t Outcomes) absentCode(earliest, newest units.Num) codes.Code {
+func (t Outcomes) absentCode(earliest, newest units.Version) resultcode.Code {
 	if earliest < t.oldest(newest) {
-		return codes.Forgotten
+		return resultcode.OutcomeExpired
 	}
-	return codes.Conflict
+	return resultcode.VersionConflict
 }
 
 func (t Outcomes) pack() []byte {
@@ -110,7 +110,7 @@
 }
 
 // unpackBody decodes the body that is stored for a version. Version 0 has no body; every other version has one.
-func unpackBody(version units.Num, body []byte) (Outcomes, []byte, error) {
+func unpackBody(version units.Version, body []byte) (Outcomes, []byte, error) {
 	if version == 0 && len(body) == 0 {
 		return nil, nil, nil
 	}
@@ -119,14 +119,14 @@
 		return nil, nil, err
 	}
 	outcomes, err := unpackOutcomes(packed)
-	if err == nil && units.Num(len(outcomes)) > version {
+	if err == nil && units.Version(len(outcomes)) > version {
 		err = fmt.Errorf("register: %d outcomes at version %d", len(outcomes), version)
 	}
 	return outcomes, data, err
 }
 
 // checkBody validates a body received from another node or read from the disk.
-func checkBody(key string, version units.Num, body []byte) error {
+func checkBody(key string, version units.Version, body []byte) error {
 	_, data, err := unpackBody(version, body)
 	if err == nil && key == KeyQuorum && version > 0 {
 		_, err = UnpackQuorumSet(data)
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -17,27 +17,27 @@
 	id := func(n int) string { return fmt.Sprint("request ", n) }
 	const extra = 10
 	for n := range MaxOutcomes + extra {
-		owner := units.Node(n/100%3 + 1) // ownership moves every hundred writes
+		owner := units.NodeID(n/100%3 + 1) // ownership moves every hundred writes
 		for by := range c.replicas {
 			c.setOwner(by, owner)
 		}
-		if r := c.submit(owner, Request{ExpectedVersion: units.Num(n), RequestID: id(n)}); r.Code != codes.OK || r.Version != units.Num(n)+1 {
+		if r := c.submit(owner, Request{ExpectedVersion: units.Version(n), RequestID: id(n)}); r.Code != resultcode.OK || r.Version != units.Version(n)+1 {
 			t.Fatalf("write %d: %+v", n, r)
 		}
 	}
 	const last = MaxOutcomes + extra
 	for _, lookup := range []bool{false, true} {
 		for n := range last {
-			r := c.submit(units.Node(n%3+1), Request{Lookup: lookup, ExpectedVersion: units.Num(n), RequestID: id(n)})
-			if n < extra && r.Code != codes.Forgotten || n >= extra && (r.Code != codes.OK || r.Version != units.Num(n)+1) {
+			r := c.submit(units.NodeID(n%3+1), Request{Lookup: lookup, ExpectedVersion: units.Version(n), RequestID: id(n)})
+			if n < extra && r.Code != resultcode.OutcomeExpired || n >= extra && (r.Code != resultcode.OK || r.Version != units.Version(n)+1) {
 				t.Fatalf("write %d again, lookup %v: %+v", n, lookup, r)
 			}
 		}
-		c.expectResult(t, "a conflicting write", 2, Request{Lookup: lookup, ExpectedVersion: last - 1, RequestID: "x"}, codes.Conflict, last)
-		c.expectResult(t, "the oldest conflict that is certain", 2, Request{Lookup: lookup, ExpectedVersion: extra, RequestID: "x"}, codes.Conflict, last)
-		c.expectResult(t, "a write that may have been applied", 2, Request{Lookup: lookup, ExpectedVersion: extra - 1, RequestID: "x"}, codes.Forgotten, last)
+		c.expectResult(t, "a conflicting write", 2, Request{Lookup: lookup, ExpectedVersion: last - 1, RequestID: "x"}, resultcode.VersionConflict, last)
+		c.expectResult(t, "the oldest conflict that is certain", 2, Request{Lookup: lookup, ExpectedVersion: extra, RequestID: "x"}, resultcode.VersionConflict, last)
+		c.expectResult(t, "a write that may have been applied", 2, Request{Lookup: lookup, ExpectedVersion: extra - 1, RequestID: "x"}, resultcode.OutcomeExpired, last)
 	}
-	c.expectResult(t, "the next write", 3, Request{ExpectedVersion: last, RequestID: "y"}, codes.OK, last+1)
+	c.expectResult(t, "the next write", 3, Request{ExpectedVersion: last, RequestID: "y"}, resultcode.OK, last+1)
 	if body := c.replicas[1].states["config"].Body; len(body) > MaxOutcomes*fingerprintSize+64 {
 		t.Errorf("the body has grown to %d bytes", len(body))
 	}
@@ -49,10 +49,10 @@
 	for by := range c.replicas {
 		c.setOwner(by, 1)
 	}
-	c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0}, codes.OK, 1)
-	c.expectResult(t, "a write with an id", 2, Request{ExpectedVersion: 1, RequestID: "a"}, codes.OK, 2)
-	c.expectResult(t, "another write without an id", 1, Request{ExpectedVersion: 0}, codes.Conflict, 2)
-	c.expectResult(t, "a resend with the id", 3, Request{ExpectedVersion: 1, RequestID: "a"}, codes.OK, 2)
+	c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0}, resultcode.OK, 1)
+	c.expectResult(t, "a write with an id", 2, Request{ExpectedVersion: 1, RequestID: "a"}, resultcode.OK, 2)
+	c.expectResult(t, "another write without an id", 1, Request{ExpectedVersion: 0}, resultcode.VersionConflict, 2)
+	c.expectResult(t, "a resend with the id", 3, Request{ExpectedVersion: 1, RequestID: "a"}, resultcode.OK, 2)
 }
 
 // malformedBodies returns malformed bodies by their defect; all are sent with version 2.
@@ -78,19 +78,19 @@
 		for by := range c.replicas {
 			c.setOwner(by, 1)
 		}
-		c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, codes.OK, 1)
+		c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, resultcode.OK, 1)
 		before := *c.replicas[2].states["config"]
 		messageOf := func(kind message.Kind, h header) message.Message {
-			h.EpochNumber, h.EpochNode = before.Promised.N+5, 109
+			h.EpochNumber, h.EpochNode = before.Promised.Number+5, 109
 			return message.Message{From: 3, To: 2, Kind: kind, Body: c.replicas[3].pack(h, "config", body)}
 		}
 		out := c.replicas[2].Step(c.now, messageOf(Accept, header{Seq: 1, Version: 2}))
 		if s := c.replicas[2].states["config"]; len(out.Errs) != 1 || len(out.Writes)+len(out.AfterSync) != 0 || fmt.Sprint(*s) != fmt.Sprint(before) {
 			t.Errorf("%s: a voter accepts it: %v, %v", name, out, *s)
 		}
-		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{N: before.Promised.N + 5, By: 109}, acks: map[units.Node]bool{}}
+		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{Number: before.Promised.Number + 5, Node: 109}, acks: map[units.NodeID]bool{}}
 		c.replicas[2].ownerships["config"] = o
-		out = c.replicas[2].Step(c.now, messageOf(Promise, header{OK: 1, HigherNumber: before.Promised.N + 4, Seq: 1, Version: 2}))
+		out = c.replicas[2].Step(c.now, messageOf(Promise, header{OK: 1, HigherNumber: before.Promised.Number + 4, Seq: 1, Version: 2}))
 		if len(out.Errs) != 1 || len(o.acks) != 0 || o.current.Version != 0 {
 			t.Errorf("%s: an owner counts its promise: %v, %+v", name, out, o)
 		}
@@ -117,7 +117,7 @@
 			best := &c.replicas[1].ownerships["config"].current
 			for b.Loop() {
 				best.Version, best.Body = number, packBody(outcomes, data)
-				if r := c.submit(1, Request{ExpectedVersion: number, RequestID: "next", Data: data}); r.Code != codes.OK {
+				if r := c.submit(1, Request{ExpectedVersion: number, RequestID: "next", Data: data}); r.Code != resultcode.OK {
 					b.Fatal(r)
 				}
 			}
@@ -134,7 +134,7 @@
 		c.setOwner(by, 1)
 	}
 	for n := range 20 {
-		c.expectResult(t, "a write", 1, Request{ExpectedVersion: units.Num(n), RequestID: fmt.Sprint(n)}, codes.OK, units.Num(n)+1)
+		c.expectResult(t, "a write", 1, Request{ExpectedVersion: units.Version(n), RequestID: fmt.Sprint(n)}, resultcode.OK, units.Version(n)+1)
 	}
 	c.replicas[3].states["config"] = &State{}
 	c.deliver(1, c.replicas[1].Resend(3, "config"))
@@ -144,5 +144,5 @@
 	delete(c.replicas, 2) // node 3 is needed for a majority, and owns the key
 	c.setOwner(1, 3)
 	c.setOwner(3, 3)
-	c.expectResult(t, "the first write again", 1, Request{ExpectedVersion: 0, RequestID: "0"}, codes.OK, 1)
+	c.expectResult(t, "the first write again", 1, Request{ExpectedVersion: 0, RequestID: "0"}, resultcode.OK, 1)
 }
--- a/internal/control/register/ownership.go
+++ b/internal/control/register/ownership.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -24,7 +24,7 @@
 	key             string
 	phase           phase
 	epoch           units.Epoch
-	acks            map[units.Node]bool
+	acks            map[units.NodeID]bool
 	current         State    // newest accepted value found while preparing; after that, the chosen value
 	proposal        State    // the value being written
 	proposalRequest *Request // the request that proposal belongs to; nil for an adopted value
@@ -46,12 +46,12 @@
 	case unacquired:
 		if o.proposalRequest != nil {
 			// It is unknown whether the write was chosen; the client finds out by resending the request.
-			b.reply(*o.proposalRequest, codes.Unsure, 0, nil, out)
+			b.reply(*o.proposalRequest, resultcode.CommitUnknown, 0, nil, out)
 			o.proposalRequest = nil
 		}
-		b.highestEpoch = max(b.highestEpoch, b.state(o.key).Promised.N) + 1
-		o.epoch = units.Epoch{N: b.highestEpoch, By: b.runID}
-		o.phase, o.acks, o.current = preparing, map[units.Node]bool{}, State{}
+		b.highestEpoch = max(b.highestEpoch, b.state(o.key).Promised.Number) + 1
+		o.epoch = units.Epoch{Number: b.highestEpoch, Node: b.runID}
+		o.phase, o.acks, o.current = preparing, map[units.NodeID]bool{}, State{}
 		b.broadcast(o, Prepare, header{}, nil, out)
 	case preparing:
 		b.broadcast(o, Prepare, header{}, nil, out)
@@ -65,7 +65,7 @@
 }
 
 func (b *Replica) broadcast(o *ownership, kind message.Kind, h header, body []byte, out *message.Effects) {
-	h.EpochNumber, h.EpochNode = o.epoch.N, uint64(o.epoch.By)
+	h.EpochNumber, h.EpochNode = o.epoch.Number, uint64(o.epoch.Node)
 	for _, n := range b.targets(o) {
 		if !o.acks[n] {
 			out.Send(n, kind, b.pack(h, o.key, body))
@@ -74,7 +74,7 @@
 }
 
 // targets returns the replicas of the quorum set and, while a new set is being written, those of the new set as well.
-func (b *Replica) targets(o *ownership) []units.Node {
+func (b *Replica) targets(o *ownership) []units.NodeID {
 	nodes := b.quorum.All()
 	if next, ok := b.pendingQuorum(o); ok {
 		for _, n := range next.All() {
@@ -131,11 +131,11 @@
 		if o.phase != preparing {
 			return
 		}
-		if err := checkBody(o.key, units.Num(h.Version), body); err != nil {
+		if err := checkBody(o.key, units.Version(h.Version), body); err != nil {
 			out.Fail(err) // the promise must not count, since its accepted value would be lost
 			return
 		}
-		accepted := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Num(h.Version), Body: body}
+		accepted := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Version(h.Version), Body: body}
 		if accepted.newer(&o.current) {
 			o.current = accepted
 		}
@@ -170,14 +170,14 @@
 		o.phase = holding
 		if request := o.queue[0]; !request.Write {
 			o.queue = o.queue[1:]
-			b.reply(request, codes.OK, o.current.Version, Data(o.current.Body), out)
+			b.reply(request, resultcode.OK, o.current.Version, Data(o.current.Body), out)
 		} // a write stays queued: the round only confirmed that this node still owns the key
 		b.advance(now, o, out)
 	}
 }
 
 func (b *Replica) propose(now units.Time, o *ownership, value State, request *Request, out *message.Effects) {
-	o.phase, o.proposal, o.proposalRequest, o.acks = writing, value, request, map[units.Node]bool{}
+	o.phase, o.proposal, o.proposalRequest, o.acks = writing, value, request, map[units.NodeID]bool{}
 	b.advance(now, o, out)
 }
 
@@ -196,7 +196,7 @@
 		b.Chosen = append(b.Chosen, ChosenValue{Key: o.key, Version: o.current.Version, Data: Data(o.current.Body)})
 	}
 	if request != nil {
-		b.reply(*request, codes.OK, o.current.Version, nil, out)
+		b.reply(*request, resultcode.OK, o.current.Version, nil, out)
 	}
 	if o.phase == holding {
 		b.serveNext(now, o, out)
--- a/internal/control/register/ownership_test.go
+++ b/internal/control/register/ownership_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // An owner that was superseded without noticing must not refuse a write based on a version that the new owner wrote,
@@ -13,15 +13,15 @@
 	c := newTestCluster()
 	c.setOwner(1, 1)
 	c.setOwner(2, 2)
-	c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, codes.OK, 1)
-	c.expectResult(t, "the other owner's write", 2, Request{ExpectedVersion: 1, RequestID: "b", Data: []byte("two")}, codes.OK, 2)
+	c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, resultcode.OK, 1)
+	c.expectResult(t, "the other owner's write", 2, Request{ExpectedVersion: 1, RequestID: "b", Data: []byte("two")}, resultcode.OK, 2)
 	// Node 1 still considers itself the owner, and has seen version 1 only.
 	if o := c.replicas[1].ownerships["config"]; o == nil || o.current.Version != 1 || o.phase != holding {
 		t.Fatalf("node 1 knows of the other owner: %+v", o)
 	}
-	c.expectResult(t, "a write based on version 2", 1, Request{ExpectedVersion: 2, RequestID: "c", Data: []byte("three")}, codes.OK, 3)
-	c.expectResult(t, "a resend of a write that the other owner applied", 2, Request{ExpectedVersion: AnyVersion - 1, RequestID: "c"}, codes.OK, 3)
-	c.expectResult(t, "a write based on a version that no node has", 2, Request{ExpectedVersion: 9, RequestID: "d", Data: []byte("no")}, codes.Conflict, 3)
+	c.expectResult(t, "a write based on version 2", 1, Request{ExpectedVersion: 2, RequestID: "c", Data: []byte("three")}, resultcode.OK, 3)
+	c.expectResult(t, "a resend of a write that the other owner applied", 2, Request{ExpectedVersion: AnyVersion - 1, RequestID: "c"}, resultcode.OK, 3)
+	c.expectResult(t, "a write based on a version that no node has", 2, Request{ExpectedVersion: 9, RequestID: "d", Data: []byte("no")}, resultcode.VersionConflict, 3)
 }
 
 // The same for a lookup, whose write could have got any version after ExpectedVersion.
@@ -29,9 +29,9 @@
 	c := newTestCluster()
 	c.setOwner(1, 1)
 	c.setOwner(2, 2)
-	c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0, RequestID: "a"}, codes.OK, 1)
-	c.expectResult(t, "the other owner's write", 2, Request{ExpectedVersion: 1, RequestID: "b"}, codes.OK, 2)
-	c.expectResult(t, "applied by the other owner", 1, Request{Lookup: true, ExpectedVersion: 0, RequestID: "b"}, codes.OK, 2)
-	c.expectResult(t, "applied by no owner", 1, Request{Lookup: true, ExpectedVersion: 0, RequestID: "x"}, codes.Conflict, 2)
-	c.expectResult(t, "a lookup does not write", 1, Request{Lookup: true, ExpectedVersion: 2, RequestID: "y"}, codes.Conflict, 2)
+	c.expectResult(t, "the first write", 1, Request{ExpectedVersion: 0, RequestID: "a"}, resultcode.OK, 1)
+	c.expectResult(t, "the other owner's write", 2, Request{ExpectedVersion: 1, RequestID: "b"}, resultcode.OK, 2)
+	c.expectResult(t, "applied by the other owner", 1, Request{Lookup: true, ExpectedVersion: 0, RequestID: "b"}, resultcode.OK, 2)
+	c.expectResult(t, "applied by no owner", 1, Request{Lookup: true, ExpectedVersion: 0, RequestID: "x"}, resultcode.VersionConflict, 2)
+	c.expectResult(t, "a lookup does not write", 1, Request{Lookup: true, ExpectedVersion: 2, RequestID: "y"}, resultcode.VersionConflict, 2)
 }
--- a/internal/control/register/planner.go
+++ b/internal/control/register/planner.go
@@ -33,16 +33,16 @@
 	FixedSize      int           // 0: the size follows the number of voting disks
 	MinSize        int           // minimum size of a set that follows the disks; 2f+1 tolerates the loss of f
 	ReplaceAfter   time.Duration // how long a member may be absent before it is replaced
-	absentSince    map[units.Node]units.Time
-	nonMemberSince map[units.Node]units.Time // when each usable non-member with a voting disk was first seen
-	version        units.Num
+	absentSince    map[units.NodeID]units.Time
+	nonMemberSince map[units.NodeID]units.Time // when each usable non-member with a voting disk was first seen
+	version        units.Version
 	completeSince  units.Time // since when all members of that version have been present
 	replaceableAt  units.Time // when the set could last have continued without one of its members
 }
 
 // candidate is a replica that may be in the next set.
 type candidate struct {
-	node        units.Node
+	node        units.NodeID
 	zone        string
 	isMember    bool
 	established bool // a member, or present for long enough that the set may grow by it
@@ -51,7 +51,7 @@
 
 // NextMembers returns the next members of the quorum set, or nil to keep it as it is. It must be called regularly
 // because it measures how long members are absent.
-func (p *Planner) NextMembers(now units.Time, q QuorumSet, view ControllerView) []units.Node {
+func (p *Planner) NextMembers(now units.Time, q QuorumSet, view ControllerView) []units.NodeID {
 	if p.canReplace(q, view) {
 		p.replaceableAt = now
 	}
@@ -76,9 +76,9 @@
 // trackPresence records which members are absent and which non-members are present, and since when.
 func (p *Planner) trackPresence(now units.Time, q QuorumSet, view ControllerView) {
 	if p.absentSince == nil {
-		p.absentSince = map[units.Node]units.Time{}
+		p.absentSince = map[units.NodeID]units.Time{}
 	}
-	seen := map[units.Node]units.Time{}
+	seen := map[units.NodeID]units.Time{}
 	for _, m := range view.nonMembers(q) {
 		since, known := p.nonMemberSince[m.Node]
 		if !known {
@@ -104,8 +104,8 @@
 
 // splitMembers divides the members into those that count as present and those that are absent: replaced, leaving or
 // missing for too long. Absent members that may return come first.
-func (p *Planner) splitMembers(now units.Time, q QuorumSet, view ControllerView) (present, absent []units.Node) {
-	var replaced []units.Node
+func (p *Planner) splitMembers(now units.Time, q QuorumSet, view ControllerView) (present, absent []units.NodeID) {
+	var replaced []units.NodeID
 	for _, n := range q.Members {
 		since, isAbsent := p.absentSince[n]
 		switch {
@@ -121,7 +121,7 @@
 }
 
 // candidates returns the present members and all usable non-members with a voting disk.
-func (p *Planner) candidates(now units.Time, present []units.Node, q QuorumSet, view ControllerView) []candidate {
+func (p *Planner) candidates(now units.Time, present []units.NodeID, q QuorumSet, view ControllerView) []candidate {
 	var list []candidate
 	for _, n := range present {
 		list = append(list, candidate{node: n, zone: view.zoneOf(n), isMember: true, established: true})
@@ -154,7 +154,7 @@
 }
 
 // targetSize returns the size of the next set.
-func (p *Planner) targetSize(now units.Time, q QuorumSet, candidates []candidate, absent []units.Node, view ControllerView) int {
+func (p *Planner) targetSize(now units.Time, q QuorumSet, candidates []candidate, absent []units.NodeID, view ControllerView) int {
 	if p.FixedSize > 0 {
 		return p.FixedSize
 	}
@@ -188,8 +188,8 @@
 
 // choose returns the best candidates. If there are too few, absent members keep their seats: a smaller set would
 // tolerate fewer losses.
-func choose(candidates []candidate, absent []units.Node, size int) []units.Node {
-	var chosen []units.Node
+func choose(candidates []candidate, absent []units.NodeID, size int) []units.NodeID {
+	var chosen []units.NodeID
 	for _, c := range candidates[:min(size, len(candidates))] {
 		chosen = append(chosen, c.node)
 	}
@@ -200,18 +200,18 @@
 
 // respondingMembers returns the members that can still vote: those present, and those draining that have not left
 // yet.
-func respondingMembers(members, present []units.Node, view ControllerView) []units.Node {
-	return slices.DeleteFunc(slices.Clone(members), func(n units.Node) bool {
+func respondingMembers(members, present []units.NodeID, view ControllerView) []units.NodeID {
+	return slices.DeleteFunc(slices.Clone(members), func(n units.NodeID) bool {
 		return !slices.Contains(present, n) && (view.left[n] || !view.isLeaving(n))
 	})
 }
 
 // reachableStep returns the set closest to target that has a majority among the members that respond now. So a step
 // never waits for the members it adds.
-func reachableStep(members, target, responding []units.Node) []units.Node {
+func reachableStep(members, target, responding []units.NodeID) []units.NodeID {
 	joining := difference(target, members)
 	leaving := difference(members, target)
-	slices.SortStableFunc(leaving, func(a, b units.Node) int { // absent members leave first
+	slices.SortStableFunc(leaving, func(a, b units.NodeID) int { // absent members leave first
 		return cmp.Compare(boolInt(slices.Contains(responding, a)), boolInt(slices.Contains(responding, b)))
 	})
 	if len(members) <= smallSet && len(responding) == len(members) {
@@ -232,14 +232,14 @@
 	return members
 }
 
-func sortNodes(nodes []units.Node) []units.Node {
+func sortNodes(nodes []units.NodeID) []units.NodeID {
 	slices.Sort(nodes)
 	return nodes
 }
 
 // difference returns the elements of a that are not in b.
-func difference(a, b []units.Node) []units.Node {
-	return slices.DeleteFunc(slices.Clone(a), func(n units.Node) bool { return slices.Contains(b, n) })
+func difference(a, b []units.NodeID) []units.NodeID {
+	return slices.DeleteFunc(slices.Clone(a), func(n units.NodeID) bool { return slices.Contains(b, n) })
 }
 
 func boolInt(b bool) int {
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -12,7 +12,7 @@
 func viewOfControllers(n int) ControllerView {
 	var all []membership.Member
 	for id := 1; id <= n; id++ {
-		all = append(all, membership.Member{Node: units.Node(id), Inc: 1, Role: membership.Controller, Addr: units.Node(id).String(), Flags: membership.Counts})
+		all = append(all, membership.Member{Node: units.NodeID(id), Inc: 1, Role: membership.Controller, Addr: units.NodeID(id).String(), Flags: membership.Counts})
 	}
 	return NewControllerView(all)
 }
@@ -21,9 +21,9 @@
 // longer than the others wait before they replace a member.
 func TestSeatUntil(t *testing.T) {
 	now := units.Time(time.Minute)
-	three := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
-	five := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3, 4, 5}}
-	joint := QuorumSet{Version: 2, Members: three.Members, Incoming: []units.Node{1, 2, 4}}
+	three := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
+	five := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3, 4, 5}}
+	joint := QuorumSet{Version: 2, Members: three.Members, Incoming: []units.NodeID{1, 2, 4}}
 	for _, c := range []struct {
 		name  string
 		set   QuorumSet
@@ -48,7 +48,7 @@
 // The view that a member had before a network partition decides for as long as the partition lasts, although the
 // member sees no other controller meanwhile.
 func TestSeatOfPartitionedMember(t *testing.T) {
-	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
+	set := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
 	p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 	partitionedAt := units.Time(time.Minute)
 	p.NextMembers(partitionedAt, set, viewOfControllers(4))
--- a/internal/control/register/planner_test.go
+++ b/internal/control/register/planner_test.go
@@ -11,7 +11,7 @@
 	"seamshunt/internal/units"
 )
 
-func controller(n units.Node, addr string, flags uint16) membership.Member {
+func controller(n units.NodeID, addr string, flags uint16) membership.Member {
 	return membership.Member{Node: n, Inc: uint64(n), Role: membership.Controller, Addr: addr, Flags: flags}
 }
 
@@ -24,21 +24,21 @@
 		at    string
 		all   []membership.Member
 		after time.Duration
-		ids   []units.Node
+		ids   []units.NodeID
 		lead  bool
 	}{
-		"all seeds are alive":          {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", both)}, 0, []units.Node{1, 2, 3}, true},
-		"a node that is no seed":       {"d", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", both)}, 0, []units.Node{1, 2, 3}, false},
+		"all seeds are alive":          {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, true},
+		"a node that is no seed":       {"d", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, false},
 		"one seed is missing":          {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(4, "d", both)}, 9 * time.Second, nil, false},
 		"one seed is of a later start": {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", membership.Counts)}, 9 * time.Second, nil, false},
-		"one seed has no voting disk":  {"b", []membership.Member{controller(1, "a", 0), controller(2, "b", both), controller(3, "c", both)}, 0, []units.Node{2, 3}, true},
+		"one seed has no voting disk":  {"b", []membership.Member{controller(1, "a", 0), controller(2, "b", both), controller(3, "c", both)}, 0, []units.NodeID{2, 3}, true},
 		"a fleet is running":           {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", membership.Counts|membership.Voter)}, 0, nil, false},
 		"one seed was replaced":        {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(5, "c", membership.Counts)}, 0, nil, false},
-		"no seed votes, new view":      {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.First), controller(4, "d", both), controller(5, "e", both)}, 0, []units.Node{4, 5}, false},
-		"no seed votes":                {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.First), controller(4, "d", both), controller(5, "e", membership.Counts)}, 2 * time.Second, []units.Node{4}, true},
-		"no seed votes, other seed":    {"b", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", 0), controller(4, "d", both)}, 2 * time.Second, []units.Node{4}, false},
-		"no voting disk, new view":     {"a", []membership.Member{controller(1, "a", membership.First), controller(2, "b", membership.First), controller(3, "c", membership.First), controller(4, "d", membership.First)}, 2 * time.Second, []units.Node{1, 2, 3, 4}, false},
-		"no voting disk":               {"a", []membership.Member{controller(1, "a", membership.First), controller(2, "b", membership.First), controller(3, "c", membership.First), controller(4, "d", membership.First)}, 4 * time.Second, []units.Node{1, 2, 3, 4}, true},
+		"no seed votes, new view":      {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.First), controller(4, "d", both), controller(5, "e", both)}, 0, []units.NodeID{4, 5}, false},
+		"no seed votes":                {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.First), controller(4, "d", both), controller(5, "e", membership.Counts)}, 2 * time.Second, []units.NodeID{4}, true},
+		"no seed votes, other seed":    {"b", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", 0), controller(4, "d", both)}, 2 * time.Second, []units.NodeID{4}, false},
+		"no voting disk, new view":     {"a", []membership.Member{controller(1, "a", membership.First), controller(2, "b", membership.First), controller(3, "c", membership.First), controller(4, "d", membership.First)}, 2 * time.Second, []units.NodeID{1, 2, 3, 4}, false},
+		"no voting disk":               {"a", []membership.Member{controller(1, "a", membership.First), controller(2, "b", membership.First), controller(3, "c", membership.First), controller(4, "d", membership.First)}, 4 * time.Second, []units.NodeID{1, 2, 3, 4}, true},
 	} {
 		s := SeedBootstrap{Addr: testCase.at, SeedAddrs: abc, Participates: true}
 		s.Proposal(units.Time(time.Second), NewControllerView(testCase.all))
@@ -59,7 +59,7 @@
 func TestPlannerRandomFailures(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		lastNode := units.Node(10)
+		lastNode := units.NodeID(10)
 		zones := 1 + rng.IntN(4)
 		var live []membership.Member // one machine at each index
 		for i := range 3 + rng.IntN(6) {
@@ -187,42 +187,42 @@
 // next set.
 func TestPlannerSteps(t *testing.T) {
 	const counts = membership.Counts
-	member := func(n units.Node, zone string, flags uint16, state membership.State) membership.Member {
+	member := func(n units.NodeID, zone string, flags uint16, state membership.State) membership.Member {
 		m := controller(n, "a"+n.String(), flags)
 		m.Zone, m.State = zone, state
 		return m
 	}
-	alive := func(n units.Node, zone string) membership.Member { return member(n, zone, counts, membership.Alive) }
-	three := []units.Node{1, 2, 3}
+	alive := func(n units.NodeID, zone string) membership.Member { return member(n, zone, counts, membership.Alive) }
+	three := []units.NodeID{1, 2, 3}
 	abc := []membership.Member{alive(1, "x"), alive(2, "y"), alive(3, "z")}
 	with := func(l ...membership.Member) []membership.Member { return append(slices.Clone(abc), l...) }
 	for name, testCase := range map[string]struct {
-		members []units.Node
+		members []units.NodeID
 		all     []membership.Member
 		after   time.Duration
-		want    []units.Node
+		want    []units.NodeID
 	}{
 		"all are present":                  {three, abc, time.Minute, nil},
 		"a spare exists":                   {three, with(alive(4, "x")), time.Minute, nil},
-		"two more joined":                  {three, with(alive(4, "x"), alive(5, "y")), 4 * time.Second, []units.Node{1, 2, 3, 4, 5}},
+		"two more joined":                  {three, with(alive(4, "x"), alive(5, "y")), 4 * time.Second, []units.NodeID{1, 2, 3, 4, 5}},
 		"two more joined just now":         {three, with(alive(4, "x"), alive(5, "y")), time.Second, nil},
-		"grows from one member":            {[]units.Node{1}, with(alive(4, "x")), time.Minute, []units.Node{1, 2, 3}},
-		"one is draining, with a spare":    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive), alive(4, "z")}, 0, []units.Node{1, 2, 4}},
-		"one left, with a spare":           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Left), alive(4, "z")}, 0, []units.Node{1, 2, 4}},
+		"grows from one member":            {[]units.NodeID{1}, with(alive(4, "x")), time.Minute, []units.NodeID{1, 2, 3}},
+		"one is draining, with a spare":    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
+		"one left, with a spare":           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Left), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
 		"one is draining, no spare":        {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive)}, time.Minute, nil},
 		"one is absent for a short time":   {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, time.Second, nil},
-		"one is absent":                    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.Node{1, 2, 4}},
-		"a disk is lost":                   {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Inc: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.Node{1, 2, 9}},
-		"two disks of five are lost":       {[]units.Node{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.Node{1, 2, 3, 6, 7}},
-		"one of five is lost, no spare":    {[]units.Node{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
-		"one of five is lost for long":     {[]units.Node{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
+		"one is absent":                    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.NodeID{1, 2, 4}},
+		"a disk is lost":                   {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Inc: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
+		"two disks of five are lost":       {[]units.NodeID{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.NodeID{1, 2, 3, 6, 7}},
+		"one of five is lost, no spare":    {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
+		"one of five is lost for long":     {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
 		"two of three are absent":          {three, []membership.Member{abc[0], member(2, "y", counts, membership.Dead), member(3, "z", counts, membership.Dead), alive(4, "y"), alive(5, "z")}, time.Minute, nil},
-		"two of three are draining":        {three, []membership.Member{abc[0], member(2, "y", counts|membership.Draining, 0), member(3, "z", counts|membership.Draining, 0), alive(4, "y"), alive(5, "z")}, 0, []units.Node{1, 2, 3, 4, 5}},
-		"zones are uneven":                 {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Minute, []units.Node{1, 3, 4}},
+		"two of three are draining":        {three, []membership.Member{abc[0], member(2, "y", counts|membership.Draining, 0), member(3, "z", counts|membership.Draining, 0), alive(4, "y"), alive(5, "z")}, 0, []units.NodeID{1, 2, 3, 4, 5}},
+		"zones are uneven":                 {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Minute, []units.NodeID{1, 3, 4}},
 		"zones are uneven, just now":       {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Second, nil},
-		"an even set":                      {[]units.Node{1, 2, 3, 4}, with(alive(4, "x")), time.Minute, three},
-		"an even set of which one left":    {[]units.Node{1, 2, 3, 4}, with(member(4, "x", counts, membership.Left)), 0, three},
-		"no voting disk, two of five left": {[]units.Node{1, 2, 3, 4, 5}, []membership.Member{member(1, "x", 0, 0), member(2, "y", 0, 0), member(3, "z", 0, 0), member(4, "x", 0, membership.Left), member(5, "y", 0, membership.Left)}, 0, three},
+		"an even set":                      {[]units.NodeID{1, 2, 3, 4}, with(alive(4, "x")), time.Minute, three},
+		"an even set of which one left":    {[]units.NodeID{1, 2, 3, 4}, with(member(4, "x", counts, membership.Left)), 0, three},
+		"no voting disk, two of five left": {[]units.NodeID{1, 2, 3, 4, 5}, []membership.Member{member(1, "x", 0, 0), member(2, "y", 0, 0), member(3, "z", 0, 0), member(4, "x", 0, membership.Left), member(5, "y", 0, membership.Left)}, 0, three},
 	} {
 		p := &Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 		q := QuorumSet{Version: 7, Members: testCase.members}
--- a/internal/control/register/quorumset.go
+++ b/internal/control/register/quorumset.go
@@ -12,10 +12,10 @@
 // QuorumSet is a version of the set of replicas that vote. While Incoming is not empty the set is joint: it is in
 // transition from Members to Incoming, and every decision needs a majority of both.
 type QuorumSet struct {
-	Version  units.Num
+	Version  units.Version
 	SystemID uint64 // derived from the members of the bootstrap set; zero before bootstrap
-	Members  []units.Node
-	Incoming []units.Node
+	Members  []units.NodeID
+	Incoming []units.NodeID
 }
 
 // errMalformedQuorumSet reports a set that no correct replica writes.
@@ -27,7 +27,7 @@
 
 // bootstrapSet returns the first set of a system. The members' disk ids are random, so their hash distinguishes the
 // system from any other.
-func bootstrapSet(members []units.Node) QuorumSet {
+func bootstrapSet(members []units.NodeID) QuorumSet {
 	names := make([]string, len(members))
 	for i, n := range members {
 		names[i] = n.String()
@@ -36,7 +36,7 @@
 }
 
 // jointWith returns the joint set of the current and the incoming members.
-func (q QuorumSet) jointWith(incoming []units.Node) QuorumSet {
+func (q QuorumSet) jointWith(incoming []units.NodeID) QuorumSet {
 	return QuorumSet{Version: q.Version + 1, SystemID: q.SystemID, Members: q.Members, Incoming: incoming}
 }
 
@@ -49,7 +49,7 @@
 func (q QuorumSet) Joint() bool { return len(q.Incoming) > 0 }
 
 // All returns every replica of the set, including the incoming ones.
-func (q QuorumSet) All() []units.Node {
+func (q QuorumSet) All() []units.NodeID {
 	all := slices.Clone(q.Members)
 	for _, n := range q.Incoming {
 		if !slices.Contains(all, n) {
@@ -60,17 +60,17 @@
 }
 
 // Has reports whether n is a member or an incoming member.
-func (q QuorumSet) Has(n units.Node) bool {
+func (q QuorumSet) Has(n units.NodeID) bool {
 	return slices.Contains(q.Members, n) || slices.Contains(q.Incoming, n)
 }
 
 // HasMajority reports whether nodes contains a majority of the members and, in a joint set, also of the incoming
 // members.
-func (q QuorumSet) HasMajority(nodes map[units.Node]bool) bool {
+func (q QuorumSet) HasMajority(nodes map[units.NodeID]bool) bool {
 	return hasMajority(q.Members, nodes) && (!q.Joint() || hasMajority(q.Incoming, nodes))
 }
 
-func hasMajority(members []units.Node, nodes map[units.Node]bool) bool {
+func hasMajority(members []units.NodeID, nodes map[units.NodeID]bool) bool {
 	count := 0
 	for _, n := range members {
 		if nodes[n] {
@@ -93,7 +93,7 @@
 	if err := message.Unpack(packed, &head, &members, &incoming); err != nil {
 		return QuorumSet{}, err
 	}
-	q := QuorumSet{Version: units.Num(head.Version), SystemID: head.SystemID}
+	q := QuorumSet{Version: units.Version(head.Version), SystemID: head.SystemID}
 	var err error
 	if q.Members, err = unpackNodes(members); err != nil {
 		return QuorumSet{}, err
@@ -107,7 +107,7 @@
 	return q, nil
 }
 
-func packNodes(nodes []units.Node) []byte {
+func packNodes(nodes []units.NodeID) []byte {
 	items := make([][]byte, len(nodes))
 	for i, n := range nodes {
 		items[i] = message.Pack(nodeItem{uint64(n)})
@@ -115,18 +115,18 @@
 	return message.PackList(items)
 }
 
-func unpackNodes(packed []byte) ([]units.Node, error) {
+func unpackNodes(packed []byte) ([]units.NodeID, error) {
 	items, err := message.UnpackList(packed)
 	if err != nil {
 		return nil, err
 	}
-	var nodes []units.Node
+	var nodes []units.NodeID
 	for _, item := range items {
 		var decoded nodeItem
 		if err := message.Unpack(item, &decoded); err != nil {
 			return nil, err
 		}
-		n := units.Node(decoded.Node)
+		n := units.NodeID(decoded.Node)
 		if n == 0 || slices.Contains(nodes, n) {
 			return nil, fmt.Errorf("%w: member %v is zero or a duplicate", errMalformedQuorumSet, n)
 		}
--- a/internal/control/register/reachability.go
+++ b/internal/control/register/reachability.go
@@ -20,7 +20,7 @@
 type reachability struct {
 	trackedSince units.Time
 	pingedAt     units.Time
-	lastPong     map[units.Node]units.Time
+	lastPong     map[units.NodeID]units.Time
 }
 
 // handlePing processes a Ping or a Pong between voters; neither has a body.
--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // ChosenValue is a value that a majority has accepted, to be pushed to all nodes.
 type ChosenValue struct {
 	Key     string
-	Version units.Num
+	Version units.Version
 	Data    []byte
 }
 
@@ -28,30 +28,30 @@
 
 // Replica is the state machine of one node: acceptor, owner of keys, and forwarder of requests to other owners.
 type Replica struct {
-	self            units.Node
-	runID           units.Node // random id of this process start, so that no epoch is ever used twice
+	self            units.NodeID
+	runID           units.NodeID // random id of this process start, so that no epoch is ever used twice
 	quorum          QuorumSet
 	states          map[string]*State
 	ownerships      map[string]*ownership
 	pendingRequests map[uint64]*pendingRequest
-	eligible        []units.Node // live controllers that may own keys, according to membership
-	draining        []units.Node // controllers that are draining; they own keys only if no eligible controller can
+	eligible        []units.NodeID // live controllers that may own keys, according to membership
+	draining        []units.NodeID // controllers that are draining; they own keys only if no eligible controller can
 	highestEpoch    uint64
 	lastTag         uint64
 	bootstrapVote   []byte
 	bootstrap       *bootstrapState
 	Chosen          []ChosenValue
 	Results         []Result
-	targetMembers   []units.Node // requested members of the quorum set; none: keep the current ones
+	targetMembers   []units.NodeID // requested members of the quorum set; none: keep the current ones
 	keyTransfer     *keyTransfer
 	reachability    reachability
 }
 
 // New returns a replica for the disk self. runID is a random id of this process start.
-func New(self, runID units.Node) *Replica {
+func New(self, runID units.NodeID) *Replica {
 	return &Replica{
 		self: self, runID: runID, states: map[string]*State{KeyQuorum: {}}, ownerships: map[string]*ownership{},
-		pendingRequests: map[uint64]*pendingRequest{}, reachability: reachability{lastPong: map[units.Node]units.Time{}},
+		pendingRequests: map[uint64]*pendingRequest{}, reachability: reachability{lastPong: map[units.NodeID]units.Time{}},
 	}
 }
 
@@ -60,12 +60,12 @@
 
 // SetEligible sets the nodes that may own keys according to membership: the eligible ones or, if none of those is a
 // member of the quorum set, the leaving ones.
-func (b *Replica) SetEligible(eligible []units.Node, leaving ...units.Node) {
+func (b *Replica) SetEligible(eligible []units.NodeID, leaving ...units.NodeID) {
 	b.eligible, b.draining = eligible, leaving
 }
 
 // Owner returns the node that should own a key. All nodes with the same view return the same one.
-func (b *Replica) Owner(key string) units.Node {
+func (b *Replica) Owner(key string) units.NodeID {
 	if n := b.highestHashMember(key, b.eligible); n != 0 {
 		return n
 	}
@@ -74,8 +74,8 @@
 
 // highestHashMember returns the node with the highest hash for the key among those given that are members of the
 // quorum set, or zero if none is a member (rendezvous hashing).
-func (b *Replica) highestHashMember(key string, nodes []units.Node) units.Node {
-	var best units.Node
+func (b *Replica) highestHashMember(key string, nodes []units.NodeID) units.NodeID {
+	var best units.NodeID
 	var highestHash uint64
 	for _, n := range nodes {
 		if !b.quorum.Has(n) {
@@ -157,10 +157,10 @@
 	for _, o := range b.sortedOwnerships() {
 		if b.Owner(o.key) != b.self {
 			if o.proposalRequest != nil {
-				b.reply(*o.proposalRequest, codes.Unsure, 0, nil, &out)
+				b.reply(*o.proposalRequest, resultcode.CommitUnknown, 0, nil, &out)
 			}
 			for _, request := range o.queue {
-				b.reply(request, codes.Unsure, 0, nil, &out)
+				b.reply(request, resultcode.CommitUnknown, 0, nil, &out)
 			}
 			delete(b.ownerships, o.key)
 			continue
@@ -205,7 +205,7 @@
 func (b *Replica) handleForward(now units.Time, msg message.Message, h header, key string, body []byte, out *message.Effects) {
 	request := Request{
 		Tag: h.Tag, From: msg.From, Key: key, Write: h.Operation != opRead, Lookup: h.Operation == opLookup,
-		ExpectedVersion: units.Num(h.Version),
+		ExpectedVersion: units.Version(h.Version),
 	}
 	var requestID []byte
 	if err := message.Unpack(body, &struct{}{}, &requestID, &request.Data); err != nil {
@@ -214,12 +214,12 @@
 	}
 	request.RequestID = string(requestID)
 	if b.Owner(key) != b.self {
-		b.reply(request, codes.NoMajority, 0, nil, out)
+		b.reply(request, resultcode.NoMajority, 0, nil, out)
 		return
 	}
 	o := b.ensureOwnership(key)
 	if len(o.queue) >= 256 {
-		b.reply(request, codes.NoMajority, 0, nil, out)
+		b.reply(request, resultcode.NoMajority, 0, nil, out)
 		return
 	}
 	o.queue = append(o.queue, request)
@@ -228,6 +228,6 @@
 	}
 }
 
-func (b *Replica) reply(request Request, code codes.Code, version units.Num, data []byte, out *message.Effects) {
+func (b *Replica) reply(request Request, code resultcode.Code, version units.Version, data []byte, out *message.Effects) {
 	out.Send(request.From, Reply, b.pack(header{Tag: request.Tag, Code: uint16(code), Version: uint64(version)}, request.Key, data))
 }
--- a/internal/control/register/request.go
+++ b/internal/control/register/request.go
@@ -4,14 +4,14 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // pendingRequest is a request that has been forwarded to an owner.
 type pendingRequest struct {
 	Request
-	owner       units.Node
+	owner       units.NodeID
 	submittedAt units.Time
 }
 
@@ -24,11 +24,11 @@
 
 // TimeoutCode returns the answer to a request that timed out: a read has no effect, but a write may still take
 // effect.
-func (r Request) TimeoutCode() codes.Code {
+func (r Request) TimeoutCode() resultcode.Code {
 	if r.Write {
-		return codes.Unsure
+		return resultcode.CommitUnknown
 	}
-	return codes.NoMajority
+	return resultcode.NoMajority
 }
 
 // Submit forwards a request to the node that should own its key according to this node's view. The Result is appended
@@ -37,7 +37,7 @@
 	request.From = b.self
 	owner := b.Owner(request.Key)
 	if b.quorum.Version == 0 || owner == 0 {
-		b.deliverResult(now, Result{Tag: request.Tag, Code: codes.NoMajority}, &out)
+		b.deliverResult(now, Result{Tag: request.Tag, Code: resultcode.NoMajority}, &out)
 		return out
 	}
 	pending := &pendingRequest{Request: request, owner: owner, submittedAt: now}
@@ -75,17 +75,17 @@
 
 // handleReply processes an owner's answer to a pending request. An answer for another key belongs to a request of an
 // earlier run of this node, which used the same tag.
-func (b *Replica) handleReply(now units.Time, h header, key string, version units.Num, body []byte, out *message.Effects) {
+func (b *Replica) handleReply(now units.Time, h header, key string, version units.Version, body []byte, out *message.Effects) {
 	pending := b.pendingRequests[h.Tag]
 	if pending == nil || pending.Key != key {
 		return
 	}
-	code := codes.Code(h.Code)
-	if (code == codes.Unsure || code == codes.NoMajority) && b.scheduleResend(h.Tag) {
+	code := resultcode.Code(h.Code)
+	if (code == resultcode.CommitUnknown || code == resultcode.NoMajority) && b.scheduleResend(h.Tag) {
 		return
 	}
 	delete(b.pendingRequests, h.Tag)
-	b.handleOwnerResult(now, version, Result{Tag: h.Tag, Code: code, Version: units.Num(h.Version), Data: body}, out)
+	b.handleOwnerResult(now, version, Result{Tag: h.Tag, Code: code, Version: units.Version(h.Version), Data: body}, out)
 }
 
 // scheduleResend reports whether a request that reached a node that no longer or not yet owns the key will be sent
--- a/internal/control/register/seedbootstrap.go
+++ b/internal/control/register/seedbootstrap.go
@@ -17,13 +17,13 @@
 	Addr         string   // address of this node
 	SeedAddrs    []string // seed addresses of the system's very first start
 	Participates bool     // this node takes part, according to its settings file or its disk
-	lastView     []units.Node
+	lastView     []units.NodeID
 	viewSince    units.Time
 }
 
 // Proposal returns the first quorum set that this node sees (none if its view is incomplete) and whether this node is
 // to propose it.
-func (s *SeedBootstrap) Proposal(now units.Time, view ControllerView) (members []units.Node, proposes bool) {
+func (s *SeedBootstrap) Proposal(now units.Time, view ControllerView) (members []units.NodeID, proposes bool) {
 	if !s.Participates || view.FleetExists || len(s.SeedAddrs) == 0 {
 		return nil, false
 	}
@@ -61,7 +61,7 @@
 }
 
 // nodeAt returns the live controller at an address.
-func (v ControllerView) nodeAt(addr string) units.Node {
+func (v ControllerView) nodeAt(addr string) units.NodeID {
 	for _, m := range v.Controllers {
 		if m.Addr == addr {
 			return m.Node
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -2,7 +2,7 @@
 
 import (
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -12,7 +12,7 @@
 //
 // Other refusals need no confirmation: the version that the request would have got was chosen for another request.
 // Nor does an OK from the outcome table: the table was chosen together with its value (docs/design.md, section 2).
-func (r *Request) needsConfirmation(newest units.Num, outcomes Outcomes) bool {
+func (r *Request) needsConfirmation(newest units.Version, outcomes Outcomes) bool {
 	if r.epochConfirmed || r.ExpectedVersion == AnyVersion || !r.Lookup && r.ExpectedVersion <= newest {
 		return false
 	}
@@ -22,9 +22,9 @@
 
 // resolvedOutcome returns the answer to a write that is not to be applied, because it was applied before or can't be
 // any more.
-func (r *Request) resolvedOutcome(newest units.Num, outcomes Outcomes) (codes.Code, units.Num, bool) {
+func (r *Request) resolvedOutcome(newest units.Version, outcomes Outcomes) (resultcode.Code, units.Version, bool) {
 	if version, known := outcomes.find(fingerprintOf(r.RequestID), newest); known {
-		return codes.OK, version, true
+		return resultcode.OK, version, true
 	}
 	if r.Lookup || r.ExpectedVersion != AnyVersion && r.ExpectedVersion != newest {
 		return outcomes.absentCode(r.ExpectedVersion+1, newest), newest, true
@@ -35,7 +35,7 @@
 // confirm asks a majority whether the owner's epoch is still the highest.
 func (b *Replica) confirm(now units.Time, o *ownership, out *message.Effects) {
 	b.lastTag++
-	o.phase, o.confirmTag, o.acks, o.sentAt = confirming, b.lastTag, map[units.Node]bool{}, now
+	o.phase, o.confirmTag, o.acks, o.sentAt = confirming, b.lastTag, map[units.NodeID]bool{}, now
 	b.broadcast(o, Confirm, header{Tag: o.confirmTag}, nil, out)
 }
 
--- a/internal/control/register/stale_disk_test.go
+++ b/internal/control/register/stale_disk_test.go
@@ -6,24 +6,24 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // persistentCluster is three members whose messages are delivered at once, and whose disks keep what they sync.
 type persistentCluster struct {
 	now      units.Time
-	replicas map[units.Node]*Replica
-	disks    map[units.Node]map[string]message.Record
-	isolated map[units.Node]bool
+	replicas map[units.NodeID]*Replica
+	disks    map[units.NodeID]map[string]message.Record
+	isolated map[units.NodeID]bool
 	sent     []message.Message
 	tag      uint64
 }
 
 func newPersistentCluster() *persistentCluster {
-	g := &persistentCluster{now: units.Time(time.Second), replicas: map[units.Node]*Replica{}, disks: map[units.Node]map[string]message.Record{}, isolated: map[units.Node]bool{}}
-	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
-	for id := units.Node(1); id <= 3; id++ {
+	g := &persistentCluster{now: units.Time(time.Second), replicas: map[units.NodeID]*Replica{}, disks: map[units.NodeID]map[string]message.Record{}, isolated: map[units.NodeID]bool{}}
+	set := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
+	for id := units.NodeID(1); id <= 3; id++ {
 		g.disks[id] = map[string]message.Record{"set": {Kind: RecordQuorum, Data: set.Pack()}}
 		g.restart(id, 100+id)
 	}
@@ -31,7 +31,7 @@
 }
 
 // restart starts a replica from the contents of its disk; run is the id of the start.
-func (g *persistentCluster) restart(id, run units.Node) {
+func (g *persistentCluster) restart(id, run units.NodeID) {
 	r := New(id, run)
 	var records []message.Record
 	for _, key := range message.Keys(g.disks[id]) {
@@ -43,7 +43,7 @@
 	g.replicas[id] = r
 }
 
-func (g *persistentCluster) deliver(from units.Node, out message.Effects) {
+func (g *persistentCluster) deliver(from units.NodeID, out message.Effects) {
 	for _, record := range out.Writes {
 		g.disks[from][fmt.Sprint(record.Kind, record.Key)] = record
 	}
@@ -57,13 +57,13 @@
 }
 
 // setOwner makes all replicas regard one node as the only one that may own keys.
-func (g *persistentCluster) setOwner(owner units.Node) {
+func (g *persistentCluster) setOwner(owner units.NodeID) {
 	for _, r := range g.replicas {
-		r.SetEligible([]units.Node{owner})
+		r.SetEligible([]units.NodeID{owner})
 	}
 }
 
-func (g *persistentCluster) ticks(id units.Node, rounds int) {
+func (g *persistentCluster) ticks(id units.NodeID, rounds int) {
 	for range rounds {
 		g.now = g.now.Add(400 * time.Millisecond)
 		g.deliver(id, g.replicas[id].Tick(g.now))
@@ -71,7 +71,7 @@
 }
 
 // submit makes a request through one node and returns its result, if there is one.
-func (g *persistentCluster) submit(node units.Node, request Request) (Result, bool) {
+func (g *persistentCluster) submit(node units.NodeID, request Request) (Result, bool) {
 	g.tag++
 	request.Tag, request.Key = g.tag, "config"
 	g.deliver(node, g.replicas[node].Submit(g.now, request))
@@ -86,10 +86,10 @@
 	return Result{}, false
 }
 
-func (g *persistentCluster) write(t *testing.T, node units.Node, n int) {
+func (g *persistentCluster) write(t *testing.T, node units.NodeID, n int) {
 	t.Helper()
-	r, ok := g.submit(node, Request{Write: true, ExpectedVersion: units.Num(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
-	if !ok || r.Code != codes.OK || r.Version != units.Num(n) {
+	r, ok := g.submit(node, Request{Write: true, ExpectedVersion: units.Version(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
+	if !ok || r.Code != resultcode.OK || r.Version != units.Version(n) {
 		t.Fatalf("write %d: %+v", n, r)
 	}
 }
@@ -143,17 +143,17 @@
 		Request
 		want Result
 	}{
-		{Request{}, Result{Code: codes.OK, Version: 1000, Data: []byte("value 1000")}},
-		{Request{Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, Result{Code: codes.Conflict, Version: 1000}},
-		{Request{Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: codes.OK, Version: 1001}},
+		{Request{}, Result{Code: resultcode.OK, Version: 1000, Data: []byte("value 1000")}},
+		{Request{Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, Result{Code: resultcode.VersionConflict, Version: 1000}},
+		{Request{Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: resultcode.OK, Version: 1001}},
 	} {
 		g := newStaleCluster(t)
-		g.isolated = map[units.Node]bool{3: true}
+		g.isolated = map[units.NodeID]bool{3: true}
 		r, ok := g.submit(1, a.Request)
 		if !ok || r.Code != a.want.Code || r.Version != a.want.Version || string(r.Data) != string(a.want.Data) {
 			t.Errorf("%+v is answered %+v", a.Request, r)
 		}
-		promised := map[units.Node]bool{}
+		promised := map[units.NodeID]bool{}
 		for _, msg := range g.sent {
 			switch msg.Kind {
 			case Promise:
@@ -170,7 +170,7 @@
 // Two starts from the same disk never use the same epoch.
 func TestRestartsUseDistinctEpochs(t *testing.T) {
 	epochs := map[string]bool{}
-	for run := units.Node(201); run < 211; run++ {
+	for run := units.NodeID(201); run < 211; run++ {
 		g := newPersistentCluster()
 		g.setOwner(1)
 		g.write(t, 1, 1)
@@ -206,7 +206,7 @@
 	g.write(t, 1, 1)
 	g.isolated[3] = true
 	g.write(t, 1, 2)
-	g.replicas[3].state("config").Promised = units.Epoch{N: 1 << 20, By: 9}
+	g.replicas[3].state("config").Promised = units.Epoch{Number: 1 << 20, Node: 9}
 	g.isolated[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
@@ -225,7 +225,7 @@
 	g.setOwner(2)
 	g.write(t, 2, 2)
 	g.setOwner(1)
-	g.replicas[3].state("config").Promised = units.Epoch{N: 1 << 20, By: 9}
+	g.replicas[3].state("config").Promised = units.Epoch{Number: 1 << 20, Node: 9}
 	g.isolated[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
