--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -127,7 +127,7 @@
 	var h header
 	var duty []byte
 	if err := message.Unpack(msg.Body, &h, &duty); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	if string(duty) != b.Duty {
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -29,7 +29,7 @@
 // belongs to this system; a message of another system changes nothing.
 func (b *Replica) adoptQuorum(set QuorumSet, out *message.Effects) bool {
 	if b.quorum.Version > 0 && set.Version > 0 && set.SystemID != b.quorum.SystemID {
-		out.Fail(errOtherSystem)
+		out.AddError(errOtherSystem)
 		return false
 	}
 	if set.Version <= b.quorum.Version {
@@ -47,7 +47,7 @@
 // LearnQuorum adopts a quorum set that was distributed to all nodes, if it is newer. body is a packed QuorumSet.
 func (b *Replica) LearnQuorum(body []byte) (out message.Effects) {
 	set, err := UnpackQuorumSet(body)
-	out.Fail(err)
+	out.AddError(err)
 	if err == nil {
 		b.adoptQuorum(set, &out) // a set of another system is recorded as an error and changes nothing
 	}
@@ -82,12 +82,12 @@
 		return
 	}
 	if b.quorum.Version > 0 && !b.quorum.Has(msg.From) {
-		out.Fail(errNotMember)
+		out.AddError(errNotMember)
 		return
 	}
 	if msg.Kind == Accept {
 		if err := checkBody(key, units.Version(h.Version), body); err != nil {
-			out.Fail(err)
+			out.AddError(err)
 			return
 		}
 	}
--- a/internal/control/register/cluster_test.go
+++ b/internal/control/register/cluster_test.go
@@ -27,7 +27,7 @@
 }
 
 func (c *testCluster) deliver(from units.NodeID, out message.Effects) {
-	c.errs = append(c.errs, out.Errs...)
+	c.errs = append(c.errs, out.Errors...)
 	for _, msg := range append(out.Messages, out.AfterSync...) {
 		if msg.From = from; c.replicas[msg.To] != nil {
 			c.deliver(msg.To, c.replicas[msg.To].Step(c.now, msg))
--- a/internal/control/register/controllerview.go
+++ b/internal/control/register/controllerview.go
@@ -30,14 +30,14 @@
 			view.FleetExists = view.FleetExists || live && m.Flags&membership.Ready != 0
 			continue
 		}
-		view.diskless = view.diskless && m.Flags&membership.Counts == 0
+		view.diskless = view.diskless && m.Flags&membership.MayVote == 0
 		view.left[m.Node] = m.State == membership.Left
 		if live {
 			view.Controllers = append(view.Controllers, m)
 		}
 		if usable(m) && live {
 			view.Eligible = append(view.Eligible, m.Node)
-		} else if live && m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == membership.Draining {
+		} else if live && m.State == membership.Alive && m.Flags&(membership.Draining|membership.DiskUnfit) == membership.Draining {
 			view.Draining = append(view.Draining, m.Node)
 		}
 		if m.Flags&membership.Voter != 0 {
@@ -50,7 +50,7 @@
 }
 
 func usable(m membership.Member) bool {
-	return m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == 0
+	return m.State == membership.Alive && m.Flags&(membership.Draining|membership.DiskUnfit) == 0
 }
 
 // findReplaced returns the controllers whose address now belongs to a newer controller. One address runs one process,
@@ -58,14 +58,14 @@
 func findReplaced(members []membership.Member) map[units.NodeID]bool {
 	newestAt := map[string]membership.Member{}
 	for _, m := range members {
-		if newest, ok := newestAt[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || newest.Inc < m.Inc) {
+		if newest, ok := newestAt[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || newest.Incarnation < m.Incarnation) {
 			newestAt[m.Addr] = m
 		}
 	}
 	replaced := map[units.NodeID]bool{}
 	for _, m := range members {
 		newest, ok := newestAt[m.Addr]
-		if ok && m.Role == membership.Controller && newest.Node != m.Node && (m.State > membership.Suspect || m.Inc < newest.Inc) {
+		if ok && m.Role == membership.Controller && newest.Node != m.Node && (m.State > membership.Suspect || m.Incarnation < newest.Incarnation) {
 			replaced[m.Node] = true
 		}
 	}
@@ -81,7 +81,7 @@
 
 // diskCounts reports whether a controller has a voting disk, or is treated as if it had because none has.
 func (v ControllerView) diskCounts(m membership.Member) bool {
-	return v.diskless || m.Flags&membership.Counts != 0
+	return v.diskless || m.Flags&membership.MayVote != 0
 }
 
 // zoneOf returns the zone of a live controller, or an empty string if it is unknown.
--- a/internal/control/register/memberchange.go
+++ b/internal/control/register/memberchange.go
@@ -101,9 +101,9 @@
 		return
 	}
 	t.readSentAt = now
-	for _, key := range message.Keys(t.readTags) {
+	for _, key := range message.SortedKeys(t.readTags) {
 		if tag := t.readTags[key]; !t.readDone[tag] {
-			out.Join(b.Submit(now, Request{Tag: tag, Key: key}))
+			out.Append(b.Submit(now, Request{Tag: tag, Key: key}))
 		}
 	}
 }
@@ -111,7 +111,7 @@
 // handleListKeys answers with the keys on this disk, after the pending disk writes are synced.
 func (b *Replica) handleListKeys(msg message.Message, out *message.Effects) {
 	var keys [][]byte
-	for _, key := range message.Keys(b.states) {
+	for _, key := range message.SortedKeys(b.states) {
 		keys = append(keys, []byte(key))
 	}
 	out.SendAfterSync(msg.From, KeyList, b.pack(header{}, "", message.PackList(keys)))
@@ -125,7 +125,7 @@
 	}
 	keys, err := message.UnpackList(body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return
 	}
 	t.listed[msg.From] = true
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -193,7 +193,7 @@
 
 // learnAny gives a node a set that has been in force, as an update from the controllers does, possibly late.
 func (r *randomRun) learnAny() {
-	sets := message.Keys(r.checker.sets)
+	sets := message.SortedKeys(r.checker.sets)
 	set := r.checker.sets[sets[r.pick(len(sets))]]
 	r.perform(r.anyNode(), 0, func(x *Replica) message.Effects { return x.LearnQuorum(set.Pack()) })
 }
--- a/internal/control/register/model_api_test.go
+++ b/internal/control/register/model_api_test.go
@@ -26,5 +26,5 @@
 	if r.keyTransfer == nil {
 		return nil
 	}
-	return message.Keys(r.keyTransfer.readTags)
+	return message.SortedKeys(r.keyTransfer.readTags)
 }
--- a/internal/control/register/model_schedule_test.go
+++ b/internal/control/register/model_schedule_test.go
@@ -115,7 +115,7 @@
 	for range 2 {
 		c.tickAndDeliver()
 	}
-	for _, key := range message.Keys(c.checker.clients.writeCounts) {
+	for _, key := range message.SortedKeys(c.checker.clients.writeCounts) {
 		c.mustRead(key)
 	}
 }
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -85,13 +85,13 @@
 			return message.Message{From: 3, To: 2, Kind: kind, Body: c.replicas[3].pack(h, "config", body)}
 		}
 		out := c.replicas[2].Step(c.now, messageOf(Accept, header{Seq: 1, Version: 2}))
-		if s := c.replicas[2].states["config"]; len(out.Errs) != 1 || len(out.Writes)+len(out.AfterSync) != 0 || fmt.Sprint(*s) != fmt.Sprint(before) {
+		if s := c.replicas[2].states["config"]; len(out.Errors) != 1 || len(out.Writes)+len(out.AfterSync) != 0 || fmt.Sprint(*s) != fmt.Sprint(before) {
 			t.Errorf("%s: a voter accepts it: %v, %v", name, out, *s)
 		}
 		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{Number: before.Promised.Number + 5, Node: 109}, acks: map[units.NodeID]bool{}}
 		c.replicas[2].ownerships["config"] = o
 		out = c.replicas[2].Step(c.now, messageOf(Promise, header{OK: 1, HigherNumber: before.Promised.Number + 4, Seq: 1, Version: 2}))
-		if len(out.Errs) != 1 || len(o.acks) != 0 || o.current.Version != 0 {
+		if len(out.Errors) != 1 || len(o.acks) != 0 || o.current.Version != 0 {
 			t.Errorf("%s: an owner counts its promise: %v, %+v", name, out, o)
 		}
 		record := message.Record{Kind: RecordAccept, Key: "config", Data: message.Pack(recordHeader{EpochNumber: 1, Seq: 1, Version: 2}, body)}
--- a/internal/control/register/ownership.go
+++ b/internal/control/register/ownership.go
@@ -116,7 +116,7 @@
 		return
 	}
 	if !slices.Contains(b.targets(o), msg.From) {
-		out.Fail(errNotMember)
+		out.AddError(errNotMember)
 		return
 	}
 	if msg.Kind == Stale {
@@ -132,7 +132,7 @@
 			return
 		}
 		if err := checkBody(o.key, units.Version(h.Version), body); err != nil {
-			out.Fail(err) // the promise must not count, since its accepted value would be lost
+			out.AddError(err) // the promise must not count, since its accepted value would be lost
 			return
 		}
 		accepted := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Version(h.Version), Body: body}
--- a/internal/control/register/planner_size_test.go
+++ b/internal/control/register/planner_size_test.go
@@ -11,7 +11,7 @@
 
 // A set of fixed size replaces members that are absent for long, and keeps the voting seats of the others.
 func TestPlannerFixedSize(t *testing.T) {
-	all := []membership.Member{controller(1, "a", membership.Counts), controller(2, "b", membership.Counts), controller(3, "c", membership.Counts), controller(4, "d", membership.Counts), controller(5, "e", membership.Counts)}
+	all := []membership.Member{controller(1, "a", membership.MayVote), controller(2, "b", membership.MayVote), controller(3, "c", membership.MayVote), controller(4, "d", membership.MayVote), controller(5, "e", membership.MayVote)}
 	q := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3, 4}}
 	p := &Planner{FixedSize: 4, ReplaceAfter: ReplaceFixedAfter}
 	now := units.Time(time.Second)
@@ -30,13 +30,13 @@
 
 // If no loss has to be tolerated, the set shrinks to the remaining members as soon as a member is draining.
 func TestPlannerShrinksWhenMembersLeave(t *testing.T) {
-	all := []membership.Member{controller(1, "a", membership.Counts), controller(2, "b", membership.Counts|membership.Draining)}
+	all := []membership.Member{controller(1, "a", membership.MayVote), controller(2, "b", membership.MayVote|membership.Draining)}
 	p := &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	q := QuorumSet{Version: 1, Members: []units.NodeID{1, 2}}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.NodeID{1}) {
 		t.Errorf("one of two is draining: %v", got)
 	}
-	all = append(all, controller(3, "c", membership.Counts))
+	all = append(all, controller(3, "c", membership.MayVote))
 	p = &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.NodeID{1, 3}) {
 		t.Errorf("one of two is draining, with a spare: %v", got)
--- a/internal/control/register/planner_test.go
+++ b/internal/control/register/planner_test.go
@@ -12,13 +12,13 @@
 )
 
 func controller(n units.NodeID, addr string, flags uint16) membership.Member {
-	return membership.Member{Node: n, Inc: uint64(n), Role: membership.Controller, Addr: addr, Flags: flags}
+	return membership.Member{Node: n, Incarnation: uint64(n), Role: membership.Controller, Addr: addr, Flags: flags}
 }
 
 // Proposal returns the set that a node would bootstrap from its seeds, and whether the node proposes it
 // (docs/design.md, section 13).
 func TestSeedsSet(t *testing.T) {
-	const both = membership.Counts | membership.First
+	const both = membership.MayVote | membership.Bootstrap
 	abc := []string{"a", "b", "c"}
 	for name, testCase := range map[string]struct {
 		at    string
@@ -30,15 +30,15 @@
 		"all seeds are alive":          {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, true},
 		"a node that is no seed":       {"d", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, false},
 		"one seed is missing":          {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(4, "d", both)}, 9 * time.Second, nil, false},
-		"one seed is of a later start": {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", membership.Counts)}, 9 * time.Second, nil, false},
+		"one seed is of a later start": {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", membership.MayVote)}, 9 * time.Second, nil, false},
 		"one seed has no voting disk":  {"b", []membership.Member{controller(1, "a", 0), controller(2, "b", both), controller(3, "c", both)}, 0, []units.NodeID{2, 3}, true},
-		"a fleet is running":           {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", membership.Counts|membership.Voter)}, 0, nil, false},
-		"one seed was replaced":        {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(5, "c", membership.Counts)}, 0, nil, false},
-		"no seed votes, new view":      {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.First), controller(4, "d", both), controller(5, "e", both)}, 0, []units.NodeID{4, 5}, false},
-		"no seed votes":                {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.First), controller(4, "d", both), controller(5, "e", membership.Counts)}, 2 * time.Second, []units.NodeID{4}, true},
+		"a fleet is running":           {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(4, "d", membership.MayVote|membership.Voter)}, 0, nil, false},
+		"one seed was replaced":        {"a", []membership.Member{controller(1, "a", both), controller(2, "b", both), controller(3, "c", both), controller(5, "c", membership.MayVote)}, 0, nil, false},
+		"no seed votes, new view":      {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.Bootstrap), controller(4, "d", both), controller(5, "e", both)}, 0, []units.NodeID{4, 5}, false},
+		"no seed votes":                {"a", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", membership.Bootstrap), controller(4, "d", both), controller(5, "e", membership.MayVote)}, 2 * time.Second, []units.NodeID{4}, true},
 		"no seed votes, other seed":    {"b", []membership.Member{controller(1, "a", 0), controller(2, "b", 0), controller(3, "c", 0), controller(4, "d", both)}, 2 * time.Second, []units.NodeID{4}, false},
-		"no voting disk, new view":     {"a", []membership.Member{controller(1, "a", membership.First), controller(2, "b", membership.First), controller(3, "c", membership.First), controller(4, "d", membership.First)}, 2 * time.Second, []units.NodeID{1, 2, 3, 4}, false},
-		"no voting disk":               {"a", []membership.Member{controller(1, "a", membership.First), controller(2, "b", membership.First), controller(3, "c", membership.First), controller(4, "d", membership.First)}, 4 * time.Second, []units.NodeID{1, 2, 3, 4}, true},
+		"no voting disk, new view":     {"a", []membership.Member{controller(1, "a", membership.Bootstrap), controller(2, "b", membership.Bootstrap), controller(3, "c", membership.Bootstrap), controller(4, "d", membership.Bootstrap)}, 2 * time.Second, []units.NodeID{1, 2, 3, 4}, false},
+		"no voting disk":               {"a", []membership.Member{controller(1, "a", membership.Bootstrap), controller(2, "b", membership.Bootstrap), controller(3, "c", membership.Bootstrap), controller(4, "d", membership.Bootstrap)}, 4 * time.Second, []units.NodeID{1, 2, 3, 4}, true},
 	} {
 		s := SeedBootstrap{Addr: testCase.at, SeedAddrs: abc, Participates: true}
 		s.Proposal(units.Time(time.Second), NewControllerView(testCase.all))
@@ -64,7 +64,7 @@
 		var live []membership.Member // one machine at each index
 		for i := range 3 + rng.IntN(6) {
 			lastNode++
-			m := controller(lastNode, fmt.Sprint("m", i), membership.Counts)
+			m := controller(lastNode, fmt.Sprint("m", i), membership.MayVote)
 			m.Zone = fmt.Sprint("z", i%zones)
 			live = append(live, m)
 		}
@@ -97,7 +97,7 @@
 						old.State, addr = membership.Dead, fmt.Sprint("n", lastNode)
 						dead[len(dead)-1] = old
 					}
-					live[i] = controller(lastNode, addr, membership.Counts)
+					live[i] = controller(lastNode, addr, membership.MayVote)
 					live[i].Zone = old.Zone
 				}
 			} else if now >= units.Time(20*time.Second) {
@@ -186,7 +186,7 @@
 // Single situations of a set that follows the number of voting disks and has to tolerate one loss, with the expected
 // next set.
 func TestPlannerSteps(t *testing.T) {
-	const counts = membership.Counts
+	const counts = membership.MayVote
 	member := func(n units.NodeID, zone string, flags uint16, state membership.State) membership.Member {
 		m := controller(n, "a"+n.String(), flags)
 		m.Zone, m.State = zone, state
@@ -212,7 +212,7 @@
 		"one is draining, no spare":        {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive)}, time.Minute, nil},
 		"one is absent for a short time":   {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, time.Second, nil},
 		"one is absent":                    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.NodeID{1, 2, 4}},
-		"a disk is lost":                   {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Inc: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
+		"a disk is lost":                   {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Incarnation: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
 		"two disks of five are lost":       {[]units.NodeID{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.NodeID{1, 2, 3, 6, 7}},
 		"one of five is lost, no spare":    {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
 		"one of five is lost for long":     {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -101,12 +101,12 @@
 	var h header
 	var packedQuorum, packedKey, body []byte
 	if err := message.Unpack(msg.Body, &h, &packedQuorum, &packedKey, &body); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	set, err := UnpackQuorumSet(packedQuorum)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	if !b.adoptQuorum(set, &out) {
@@ -209,7 +209,7 @@
 	}
 	var requestID []byte
 	if err := message.Unpack(body, &struct{}{}, &requestID, &request.Data); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return
 	}
 	request.RequestID = string(requestID)
--- a/internal/control/register/request.go
+++ b/internal/control/register/request.go
@@ -60,7 +60,7 @@
 // tickRequests forwards pending requests again if their key has another owner: reads, and writes whose id prevents
 // them from being applied twice.
 func (b *Replica) tickRequests(now units.Time, out *message.Effects) {
-	for _, tag := range message.Keys(b.pendingRequests) {
+	for _, tag := range message.SortedKeys(b.pendingRequests) {
 		pending := b.pendingRequests[tag]
 		owner := b.Owner(pending.Key)
 		switch {
--- a/internal/control/register/seedbootstrap.go
+++ b/internal/control/register/seedbootstrap.go
@@ -32,8 +32,8 @@
 		if i < 0 {
 			return nil, false
 		}
-		if m := view.Controllers[i]; m.Flags&membership.Counts != 0 {
-			if m.Flags&membership.First == 0 {
+		if m := view.Controllers[i]; m.Flags&membership.MayVote != 0 {
+			if m.Flags&membership.Bootstrap == 0 {
 				return nil, false
 			}
 			members = append(members, m.Node)
@@ -45,7 +45,7 @@
 		return members, members[0] == view.nodeAt(s.Addr)
 	}
 	for _, m := range view.Controllers {
-		if m.State == membership.Alive && view.diskCounts(m) && m.Flags&membership.First != 0 {
+		if m.State == membership.Alive && view.diskCounts(m) && m.Flags&membership.Bootstrap != 0 {
 			members = append(members, m.Node)
 		}
 	}
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -44,7 +44,7 @@
 	for len(o.queue) > 0 {
 		request := o.queue[0]
 		outcomes, _, err := unpackBody(o.current.Version, o.current.Body)
-		out.Fail(err) // unreachable: the body was validated when it was received
+		out.AddError(err) // unreachable: the body was validated when it was received
 		if !request.Write || request.needsConfirmation(o.current.Version, outcomes) {
 			o.queue[0].epochConfirmed = true
 			b.confirm(now, o, out)
