--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -71,7 +71,9 @@
 
 // handleVoterRequest serves Prepare, Accept and Confirm. Every reply waits for the disk queue, so replies leave in
 // order.
-func (b *Replica) handleVoterRequest(msg message.Message, h header, key string, version units.Version, body []byte, out *message.Effects) {
+func (b *Replica) handleVoterRequest(
+	msg message.Message, h header, key string, version units.Version, body []byte, out *message.Effects,
+) {
 	reply := h
 	reply.OK = 0
 	if b.isOutdated(key, version) {
@@ -105,7 +107,8 @@
 			state.Promised = epoch
 			out.Writes = append(out.Writes, b.promiseRecord(key, state))
 		}
-		reply.HigherNumber, reply.HigherNode, reply.Seq, reply.Version = state.Accepted.Number, uint64(state.Accepted.Node), state.Seq, uint64(state.Version)
+		reply.HigherNumber, reply.HigherNode, reply.Seq, reply.Version =
+			state.Accepted.Number, uint64(state.Accepted.Node), state.Seq, uint64(state.Version)
 		out.SendAfterSync(msg.From, Promise, b.pack(reply, key, state.Body))
 	case Accept:
 		accepted := State{Promised: epoch, Accepted: epoch, Seq: h.Seq, Version: units.Version(h.Version), Body: body}
--- a/internal/control/register/controllerview.go
+++ b/internal/control/register/controllerview.go
@@ -58,14 +58,16 @@
 func findReplaced(members []membership.Member) map[units.NodeID]bool {
 	newestAt := map[string]membership.Member{}
 	for _, m := range members {
-		if newest, ok := newestAt[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || newest.Incarnation < m.Incarnation) {
+		if newest, ok := newestAt[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive &&
+			(!ok || newest.Incarnation < m.Incarnation) {
 			newestAt[m.Addr] = m
 		}
 	}
 	replaced := map[units.NodeID]bool{}
 	for _, m := range members {
 		newest, ok := newestAt[m.Addr]
-		if ok && m.Role == membership.Controller && newest.Node != m.Node && (m.State > membership.Suspect || m.Incarnation < newest.Incarnation) {
+		if ok && m.Role == membership.Controller && newest.Node != m.Node &&
+			(m.State > membership.Suspect || m.Incarnation < newest.Incarnation) {
 			replaced[m.Node] = true
 		}
 	}
@@ -75,12 +77,12 @@
 // nonMembers returns the usable controllers with a voting disk that are not in the quorum set.
 func (v ControllerView) nonMembers(q QuorumSet) []membership.Member {
 	return slices.DeleteFunc(slices.Clone(v.Controllers), func(m membership.Member) bool {
-		return q.Has(m.Node) || !v.diskCounts(m) || !usable(m)
+		return q.Has(m.Node) || !v.diskMayVote(m) || !usable(m)
 	})
 }
 
-// diskCounts reports whether a controller has a voting disk, or is treated as if it had because none has.
-func (v ControllerView) diskCounts(m membership.Member) bool {
+// diskMayVote reports whether a controller has a voting disk, or counts as having one because no controller has one.
+func (v ControllerView) diskMayVote(m membership.Member) bool {
 	return v.diskless || m.Flags&membership.MayVote != 0
 }
 
--- a/internal/control/register/messages.go
+++ b/internal/control/register/messages.go
@@ -78,7 +78,10 @@
 type recordHeader struct{ EpochNumber, EpochNode, Seq, Version uint64 }
 
 func (b *Replica) promiseRecord(key string, s *State) message.Record {
-	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(recordHeader{EpochNumber: s.Promised.Number, EpochNode: uint64(s.Promised.Node)})}
+	return message.Record{
+		Kind: RecordPromise, Key: key,
+		Data: message.Pack(recordHeader{EpochNumber: s.Promised.Number, EpochNode: uint64(s.Promised.Node)}),
+	}
 }
 
 func (b *Replica) acceptRecord(key string, s *State) message.Record {
@@ -94,13 +97,15 @@
 		switch record.Kind {
 		case RecordPromise:
 			err = message.Unpack(record.Data, &h)
-			b.state(record.Key).Promised = maxEpoch(b.state(record.Key).Promised, units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)})
+			b.state(record.Key).Promised = maxEpoch(b.state(record.Key).Promised,
+				units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)})
 		case RecordAccept:
 			state := b.state(record.Key)
 			if err = message.Unpack(record.Data, &h, &state.Body); err == nil {
 				err = checkBody(record.Key, units.Version(h.Version), state.Body)
 			}
-			state.Accepted, state.Seq, state.Version = units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)}, h.Seq, units.Version(h.Version)
+			state.Accepted, state.Seq, state.Version =
+				units.Epoch{Number: h.EpochNumber, Node: units.NodeID(h.EpochNode)}, h.Seq, units.Version(h.Version)
 			state.Promised = maxEpoch(state.Promised, state.Accepted)
 		case RecordQuorum:
 			b.quorum, err = UnpackQuorumSet(record.Data)
--- a/internal/control/register/outcomes.go
+++ b/internal/control/register/outcomes.go
@@ -61,7 +61,7 @@
 
 // absentCode returns the answer to a request that is not in the table and can't be written any more. Its write could
 // not have got a version below earliest. If the table reaches back that far, the request was certainly not written
-// (Conflict); otherwise its entry may have been dropped (Forgotten).
+// (VersionConflict); otherwise its entry may have been dropped (OutcomeExpired).
 func (t Outcomes) absentCode(earliest, newest units.Version) resultcode.Code {
 	if earliest < t.oldest(newest) {
 		return resultcode.OutcomeExpired
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -10,9 +10,9 @@
 )
 
 // Each write's outcome is known while the table contains it, as ownership moves between the nodes. Beyond the table's
-// limit, a write that was applied gets no definite answer (Forgotten). A write that conflicted is refused as long as
+// limit, a write that was applied gets no definite answer (OutcomeExpired). A write that conflicted is refused as long as
 // the table reaches back to the version it is based on.
-func TestOutcomesPastTheBound(t *testing.T) {
+func TestOutcomesBeyondTheLimit(t *testing.T) {
 	c := newTestCluster()
 	id := func(n int) string { return fmt.Sprint("request ", n) }
 	const extra = 10
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -19,7 +19,7 @@
 
 // A member's voting seat is valid without limit only if no other replica could take it. Otherwise it is valid for no
 // longer than the others wait before they replace a member.
-func TestSeatUntil(t *testing.T) {
+func TestSeatValidUntil(t *testing.T) {
 	now := units.Time(time.Minute)
 	three := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
 	five := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3, 4, 5}}
--- a/internal/control/register/planner_test.go
+++ b/internal/control/register/planner_test.go
@@ -17,7 +17,7 @@
 
 // Proposal returns the set that a node would bootstrap from its seeds, and whether the node proposes it
 // (docs/design.md, section 13).
-func TestSeedsSet(t *testing.T) {
+func TestSeedBootstrapProposal(t *testing.T) {
 	const both = membership.MayVote | membership.Bootstrap
 	abc := []string{"a", "b", "c"}
 	for name, testCase := range map[string]struct {
@@ -186,13 +186,13 @@
 // Single situations of a set that follows the number of voting disks and has to tolerate one loss, with the expected
 // next set.
 func TestPlannerSteps(t *testing.T) {
-	const counts = membership.MayVote
+	const mayVote = membership.MayVote
 	member := func(n units.NodeID, zone string, flags uint16, state membership.State) membership.Member {
 		m := controller(n, "a"+n.String(), flags)
 		m.Zone, m.State = zone, state
 		return m
 	}
-	alive := func(n units.NodeID, zone string) membership.Member { return member(n, zone, counts, membership.Alive) }
+	alive := func(n units.NodeID, zone string) membership.Member { return member(n, zone, mayVote, membership.Alive) }
 	three := []units.NodeID{1, 2, 3}
 	abc := []membership.Member{alive(1, "x"), alive(2, "y"), alive(3, "z")}
 	with := func(l ...membership.Member) []membership.Member { return append(slices.Clone(abc), l...) }
@@ -207,21 +207,21 @@
 		"two more joined":                  {three, with(alive(4, "x"), alive(5, "y")), 4 * time.Second, []units.NodeID{1, 2, 3, 4, 5}},
 		"two more joined just now":         {three, with(alive(4, "x"), alive(5, "y")), time.Second, nil},
 		"grows from one member":            {[]units.NodeID{1}, with(alive(4, "x")), time.Minute, []units.NodeID{1, 2, 3}},
-		"one is draining, with a spare":    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
-		"one left, with a spare":           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Left), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
-		"one is draining, no spare":        {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive)}, time.Minute, nil},
-		"one is absent for a short time":   {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, time.Second, nil},
-		"one is absent":                    {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.NodeID{1, 2, 4}},
-		"a disk is lost":                   {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Incarnation: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
-		"two disks of five are lost":       {[]units.NodeID{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.NodeID{1, 2, 3, 6, 7}},
-		"one of five is lost, no spare":    {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
-		"one of five is lost for long":     {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
-		"two of three are absent":          {three, []membership.Member{abc[0], member(2, "y", counts, membership.Dead), member(3, "z", counts, membership.Dead), alive(4, "y"), alive(5, "z")}, time.Minute, nil},
-		"two of three are draining":        {three, []membership.Member{abc[0], member(2, "y", counts|membership.Draining, 0), member(3, "z", counts|membership.Draining, 0), alive(4, "y"), alive(5, "z")}, 0, []units.NodeID{1, 2, 3, 4, 5}},
+		"one is draining, with a spare":    {three, []membership.Member{abc[0], abc[1], member(3, "z", mayVote|membership.Draining, membership.Alive), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
+		"one left, with a spare":           {three, []membership.Member{abc[0], abc[1], member(3, "z", mayVote, membership.Left), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
+		"one is draining, no spare":        {three, []membership.Member{abc[0], abc[1], member(3, "z", mayVote|membership.Draining, membership.Alive)}, time.Minute, nil},
+		"one is absent for a short time":   {three, []membership.Member{abc[0], abc[1], member(3, "z", mayVote, membership.Suspect), alive(4, "z")}, time.Second, nil},
+		"one is absent":                    {three, []membership.Member{abc[0], abc[1], member(3, "z", mayVote, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.NodeID{1, 2, 4}},
+		"a disk is lost":                   {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Incarnation: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: mayVote, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
+		"two disks of five are lost":       {[]units.NodeID{1, 2, 3, 4, 5}, with(member(4, "x", mayVote, membership.Dead), member(5, "y", mayVote, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.NodeID{1, 2, 3, 6, 7}},
+		"one of five is lost, no spare":    {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", mayVote, membership.Dead)), 2 * time.Second, nil},
+		"one of five is lost for long":     {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", mayVote, membership.Dead)), time.Minute, three},
+		"two of three are absent":          {three, []membership.Member{abc[0], member(2, "y", mayVote, membership.Dead), member(3, "z", mayVote, membership.Dead), alive(4, "y"), alive(5, "z")}, time.Minute, nil},
+		"two of three are draining":        {three, []membership.Member{abc[0], member(2, "y", mayVote|membership.Draining, 0), member(3, "z", mayVote|membership.Draining, 0), alive(4, "y"), alive(5, "z")}, 0, []units.NodeID{1, 2, 3, 4, 5}},
 		"zones are uneven":                 {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Minute, []units.NodeID{1, 3, 4}},
 		"zones are uneven, just now":       {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Second, nil},
 		"an even set":                      {[]units.NodeID{1, 2, 3, 4}, with(alive(4, "x")), time.Minute, three},
-		"an even set of which one left":    {[]units.NodeID{1, 2, 3, 4}, with(member(4, "x", counts, membership.Left)), 0, three},
+		"an even set of which one left":    {[]units.NodeID{1, 2, 3, 4}, with(member(4, "x", mayVote, membership.Left)), 0, three},
 		"no voting disk, two of five left": {[]units.NodeID{1, 2, 3, 4, 5}, []membership.Member{member(1, "x", 0, 0), member(2, "y", 0, 0), member(3, "z", 0, 0), member(4, "x", 0, membership.Left), member(5, "y", 0, membership.Left)}, 0, three},
 	} {
 		p := &Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
--- a/internal/control/register/seedbootstrap.go
+++ b/internal/control/register/seedbootstrap.go
@@ -45,7 +45,7 @@
 		return members, members[0] == view.nodeAt(s.Addr)
 	}
 	for _, m := range view.Controllers {
-		if m.State == membership.Alive && view.diskCounts(m) && m.Flags&membership.Bootstrap != 0 {
+		if m.State == membership.Alive && view.diskMayVote(m) && m.Flags&membership.Bootstrap != 0 {
 			members = append(members, m.Node)
 		}
 	}
