--- a/internal/control/register/bootstrap_test.go
+++ b/internal/control/register/bootstrap_test.go
@@ -20,9 +20,9 @@
 	now := units.Time(time.Second)
 	var deliver func(from units.NodeID, out message.Effects)
 	deliver = func(from units.NodeID, out message.Effects) {
-		for _, n := range append(out.Messages, out.AfterSync...) {
-			if n.From = from; replicas[n.To] != nil {
-				deliver(n.To, replicas[n.To].Step(now, n))
+		for _, msg := range append(out.Messages, out.AfterSync...) {
+			if msg.From = from; replicas[msg.To] != nil {
+				deliver(msg.To, replicas[msg.To].Step(now, msg))
 			}
 		}
 	}
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -61,7 +61,7 @@
 	table := func(packed []byte) []byte { return message.Pack(bodyHeader{bodyFormat}, packed, []byte("data")) }
 	return map[string][]byte{
 		"none":                   nil,
-		"cut short":              good[:len(good)-1],
+		"truncated":              good[:len(good)-1],
 		"too long":               append(append([]byte(nil), good...), 0),
 		"another format":         message.Pack(bodyHeader{bodyFormat + 1}, nil, []byte("data")),
 		"half a fingerprint":     table(make([]byte, fingerprintSize+1)),
