--- a/internal/cluster/membership/leave_test.go
+++ b/internal/cluster/membership/leave_test.go
@@ -11,7 +11,7 @@
 
 // A process that has run for minutes, hours or weeks leaves like a young one: its own entry is never forgotten.
 func TestLongLivedMemberLeaves(t *testing.T) {
-	for _, age := range []time.Duration{time.Minute, forget - time.Second, forget + time.Second, 5 * time.Hour, 30 * 24 * time.Hour} {
+	for _, age := range []time.Duration{time.Minute, removeAfter - time.Second, removeAfter + time.Second, 5 * time.Hour, 30 * 24 * time.Hour} {
 		now := units.Time(0)
 		m := New(Member{Node: 1, Incarnation: 1, Role: Controller, Addr: "a:1"}, []string{"b:1"}, rand.New(rand.NewPCG(1, 2)))
 		other := New(Member{Node: 2, Incarnation: 1, Role: Controller, Addr: "b:1"}, []string{"a:1"}, rand.New(rand.NewPCG(1, 3)))
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -53,57 +53,57 @@
 	Zone         string
 	FeedDigest   uint64     // digest of its news, as last told by itself
 	FeedDigestAt units.Time // when it told so
-	since        units.Time
+	stateSince   units.Time
 }
 
 // Rates of the probing (start values).
 const (
-	round    = 400 * time.Millisecond
-	askAt    = 150 * time.Millisecond
-	doubt    = 1500 * time.Millisecond
-	forget   = 10 * time.Minute
-	introAt  = time.Second
-	aloneAt  = 100 * time.Millisecond // the same, while nobody is known
-	wholeGap = time.Second
+	probeInterval         = 400 * time.Millisecond
+	indirectProbeAfter    = 150 * time.Millisecond
+	suspicionTimeout      = 1500 * time.Millisecond
+	removeAfter           = 10 * time.Minute
+	introInterval         = time.Second
+	isolatedIntroInterval = 100 * time.Millisecond // the same, while nobody is known
+	fullTableInterval     = time.Second
 )
 
-type relay struct {
-	to  units.NodeID
-	seq uint64
-	at  units.Time
+type relayedProbe struct {
+	requester units.NodeID
+	seq       uint64
+	sentAt    units.Time
 }
 
 // Gossip is one node's state machine of membership: its table, its probes and the changes still to be told. It isn't safe
 // for concurrent use.
 type Gossip struct {
-	Self       units.NodeID
-	FeedDigest uint64
-	all        map[units.NodeID]*Member
-	order      []units.NodeID // of all, sorted; made anew when it changes
-	kept       []Member       // what All last gave, till something changes
-	digest     uint64         // of the live members, while summed holds
-	summed     bool
-	ver        uint64
-	seeds      []string
-	rng        *rand.Rand
-	ring       []units.NodeID
-	seq        uint64
-	open       units.NodeID
-	seqOf      uint64
-	at         units.Time
-	asked      bool
-	relay      map[uint64]relay
-	fresh      map[units.NodeID]int // how often each change is still to be told
-	wholeAt    units.Time           // when a whole table was last sent for a digest's sake
-	intro      units.Time
+	Self            units.NodeID
+	FeedDigest      uint64
+	members         map[units.NodeID]*Member
+	sortedIDs       []units.NodeID // of all, sorted; made anew when it changes
+	snapshot        []Member       // what All last gave, till something changes
+	tableDigest     uint64         // of the live members, while summed holds
+	digestValid     bool
+	version         uint64
+	seeds           []string
+	rng             *rand.Rand
+	probeOrder      []units.NodeID
+	lastSeq         uint64
+	probeTarget     units.NodeID
+	probeSeq        uint64
+	probedAt        units.Time
+	indirectSent    bool
+	relayed         map[uint64]relayedProbe
+	broadcastsLeft  map[units.NodeID]int // how often each change is still to be told
+	fullTableSentAt units.Time           // when a whole table was last sent for a digest's sake
+	introducedAt    units.Time
 }
 
 // New starts with oneself and the seeds.
 func New(self Member, seeds []string, rng *rand.Rand) *Gossip {
-	m := &Gossip{Self: self.Node, all: map[units.NodeID]*Member{}, seeds: seeds, rng: rng, relay: map[uint64]relay{}, fresh: map[units.NodeID]int{}}
-	m.all[self.Node] = &self
-	m.at = -units.Time(round)
-	m.intro = -units.Time(introAt)
+	m := &Gossip{Self: self.Node, members: map[units.NodeID]*Member{}, seeds: seeds, rng: rng, relayed: map[uint64]relayedProbe{}, broadcastsLeft: map[units.NodeID]int{}}
+	m.members[self.Node] = &self
+	m.probedAt = -units.Time(probeInterval)
+	m.introducedAt = -units.Time(introInterval)
 	return m
 }
 
@@ -112,22 +112,22 @@
 
 // SetFlag sets or clears what this node says of itself.
 func (m *Gossip) SetFlag(f uint16, on bool) {
-	s := m.all[m.Self]
-	old := s.Flags
+	self := m.members[m.Self]
+	old := self.Flags
 	if on {
-		s.Flags |= f
+		self.Flags |= f
 	} else {
-		s.Flags &^= f
+		self.Flags &^= f
 	}
-	if s.Flags != old {
-		s.Incarnation++
-		m.changed()
+	if self.Flags != old {
+		self.Incarnation++
+		m.invalidate()
 	}
 }
 
 // Get finds a member.
 func (m *Gossip) Get(n units.NodeID) (Member, bool) {
-	x, ok := m.all[n]
+	x, ok := m.members[n]
 	if !ok {
 		return Member{}, false
 	}
@@ -136,40 +136,40 @@
 
 // Tick moves the probing on.
 func (m *Gossip) Tick(now units.Time) (out message.Effects) {
-	if m.open != 0 && !m.asked && now.Sub(m.at) >= askAt {
-		m.asked = true
-		for _, x := range m.pick(3, m.open) {
-			out.Send(x, IndirectProbe, m.pack(m.seqOf, m.open, false))
+	if m.probeTarget != 0 && !m.indirectSent && now.Sub(m.probedAt) >= indirectProbeAfter {
+		m.indirectSent = true
+		for _, x := range m.randomPeers(3, m.probeTarget) {
+			out.Send(x, IndirectProbe, m.encode(m.probeSeq, m.probeTarget, false))
 		}
 	}
-	for _, x := range m.all {
-		if x.State == Suspect && now.Sub(x.since) >= doubt {
-			m.set(x, Dead, now)
+	for _, x := range m.members {
+		if x.State == Suspect && now.Sub(x.stateSince) >= suspicionTimeout {
+			m.setState(x, Dead, now)
 		}
-		if x.State >= Dead && x.Node != m.Self && now.Sub(x.since) > forget {
-			delete(m.all, x.Node)
-			m.order = nil
-			m.changed()
+		if x.State >= Dead && x.Node != m.Self && now.Sub(x.stateSince) > removeAfter {
+			delete(m.members, x.Node)
+			m.sortedIDs = nil
+			m.invalidate()
 		}
 	}
-	for s, r := range m.relay {
-		if now.Sub(r.at) > 2*round {
-			delete(m.relay, s)
+	for s, r := range m.relayed {
+		if now.Sub(r.sentAt) > 2*probeInterval {
+			delete(m.relayed, s)
 		}
 	}
-	if now.Sub(m.at) >= round {
-		if x := m.all[m.open]; x != nil && x.State == Alive {
-			m.set(x, Suspect, now)
+	if now.Sub(m.probedAt) >= probeInterval {
+		if x := m.members[m.probeTarget]; x != nil && x.State == Alive {
+			m.setState(x, Suspect, now)
 		}
-		m.open = 0
-		if n := m.turn(); n != 0 {
-			m.seq++
-			m.open, m.seqOf, m.at, m.asked = n, m.seq, now, false
-			out.Send(n, Probe, m.pack(m.seq, 0, false))
+		m.probeTarget = 0
+		if n := m.nextTarget(); n != 0 {
+			m.lastSeq++
+			m.probeTarget, m.probeSeq, m.probedAt, m.indirectSent = n, m.lastSeq, now, false
+			out.Send(n, Probe, m.encode(m.lastSeq, 0, false))
 		}
 	}
-	if gap := now.Sub(m.intro); gap >= introAt || gap >= aloneAt && len(m.all) == 1 {
-		m.intro = now
+	if elapsed := now.Sub(m.introducedAt); elapsed >= introInterval || elapsed >= isolatedIntroInterval && len(m.members) == 1 {
+		m.introducedAt = now
 		m.introduce(&out)
 	}
 	return out
@@ -177,50 +177,50 @@
 
 // introduce talks to seeds nobody lives at, and to one node given up on, so that cuts heal.
 func (m *Gossip) introduce(out *message.Effects) {
-	here := map[string]bool{}
-	var gone []string
-	for _, x := range m.all {
+	liveAddrs := map[string]bool{}
+	var deadAddrs []string
+	for _, x := range m.members {
 		if x.State <= Suspect {
-			here[x.Addr] = true
+			liveAddrs[x.Addr] = true
 		}
 	}
-	for _, x := range m.all {
-		if x.State > Suspect && !here[x.Addr] {
-			gone = append(gone, x.Addr)
+	for _, x := range m.members {
+		if x.State > Suspect && !liveAddrs[x.Addr] {
+			deadAddrs = append(deadAddrs, x.Addr)
 		}
 	}
-	slices.Sort(gone)
-	to := slices.Clone(m.seeds)
-	if len(gone) > 0 {
-		to = append(to, gone[m.rng.IntN(len(gone))])
+	slices.Sort(deadAddrs)
+	targets := slices.Clone(m.seeds)
+	if len(deadAddrs) > 0 {
+		targets = append(targets, deadAddrs[m.rng.IntN(len(deadAddrs))])
 	}
-	for _, a := range to {
-		if !here[a] {
-			out.Messages = append(out.Messages, message.Message{Addr: a, Kind: Probe, Body: m.packIntro(a)})
+	for _, addr := range targets {
+		if !liveAddrs[addr] {
+			out.Messages = append(out.Messages, message.Message{Addr: addr, Kind: Probe, Body: m.encodeIntro(addr)})
 		}
 	}
 }
 
-// turn gives the next neighbour of a shuffled round.
-func (m *Gossip) turn() units.NodeID {
+// nextTarget gives the next neighbour of a shuffled round.
+func (m *Gossip) nextTarget() units.NodeID {
 	for range 2 {
-		for len(m.ring) > 0 {
-			n := m.ring[0]
-			m.ring = m.ring[1:]
-			if x := m.all[n]; x != nil && x.State <= Suspect {
+		for len(m.probeOrder) > 0 {
+			n := m.probeOrder[0]
+			m.probeOrder = m.probeOrder[1:]
+			if x := m.members[n]; x != nil && x.State <= Suspect {
 				return n
 			}
 		}
-		m.ring = m.others(0)
-		m.rng.Shuffle(len(m.ring), func(i, j int) { m.ring[i], m.ring[j] = m.ring[j], m.ring[i] })
+		m.probeOrder = m.livePeers(0)
+		m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
 	return 0
 }
 
-func (m *Gossip) others(but units.NodeID) []units.NodeID {
+func (m *Gossip) livePeers(except units.NodeID) []units.NodeID {
 	var l []units.NodeID
-	for n, x := range m.all {
-		if n != m.Self && n != but && x.State <= Suspect {
+	for n, x := range m.members {
+		if n != m.Self && n != except && x.State <= Suspect {
 			l = append(l, n)
 		}
 	}
@@ -228,14 +228,14 @@
 	return l
 }
 
-func (m *Gossip) pick(k int, but units.NodeID) []units.NodeID {
-	l := m.others(but)
+func (m *Gossip) randomPeers(count int, except units.NodeID) []units.NodeID {
+	l := m.livePeers(except)
 	m.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-	return l[:min(k, len(l))]
+	return l[:min(count, len(l))]
 }
 
-func (m *Gossip) set(x *Member, s State, now units.Time) {
-	x.State, x.since = s, now
-	m.changed()
-	m.tell(x.Node)
+func (m *Gossip) setState(x *Member, s State, now units.Time) {
+	x.State, x.stateSince = s, now
+	m.invalidate()
+	m.broadcast(x.Node)
 }
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -15,73 +15,73 @@
 	IndirectAck
 )
 
-type probeHead struct {
-	Seq    uint64
-	News   uint64
-	Target uint64
-	Sum    uint64
+type probeHeader struct {
+	Seq         uint64
+	FeedDigest  uint64
+	Target      uint64
+	TableDigest uint64
 }
 
-type memberHead struct {
-	Node  uint64
-	Inc   uint64
-	Flags uint16
-	State uint8
-	Role  uint8
+type memberHeader struct {
+	Node        uint64
+	Incarnation uint64
+	Flags       uint16
+	State       uint8
+	Role        uint8
 }
 
-// pack lays out what the neighbour should hear: this node itself and what changed lately, or the whole table.
-func (m *Gossip) pack(seq uint64, target units.NodeID, whole bool) []byte {
+// encode lays out what the neighbour should hear: this node itself and what changed lately, or the whole table.
+func (m *Gossip) encode(seq uint64, target units.NodeID, fullTable bool) []byte {
 	var items [][]byte
-	for _, n := range m.ids() {
-		x := m.all[n]
-		if !whole && x.Node != m.Self && m.fresh[x.Node] == 0 {
+	for _, n := range m.nodeIDs() {
+		x := m.members[n]
+		if !fullTable && x.Node != m.Self && m.broadcastsLeft[x.Node] == 0 {
 			continue
 		}
-		if m.fresh[x.Node]--; m.fresh[x.Node] <= 0 {
-			delete(m.fresh, x.Node)
+		if m.broadcastsLeft[x.Node]--; m.broadcastsLeft[x.Node] <= 0 {
+			delete(m.broadcastsLeft, x.Node)
 		}
-		items = append(items, x.pack())
+		items = append(items, x.encode())
 	}
-	return m.lay(seq, target, items)
+	return m.encodeItems(seq, target, items)
 }
 
-// packIntro lays out a first word to an address: this node itself, and what whoever lived there is taken for, so that
+// encodeIntro lays out a first word to an address: this node itself, and what whoever lived there is taken for, so that
 // it can refute that. The answer is the whole table, and the digest in it says whether this one's is due in return. The
 // whole table itself would mostly go where nobody hears it: into a cut, four times a second (docs/CAPACITY.md).
-func (m *Gossip) packIntro(addr string) []byte {
-	items := [][]byte{m.all[m.Self].pack()}
-	for _, n := range m.ids() {
-		if x := m.all[n]; n != m.Self && x.Addr == addr {
-			items = append(items, x.pack())
+func (m *Gossip) encodeIntro(addr string) []byte {
+	items := [][]byte{m.members[m.Self].encode()}
+	for _, n := range m.nodeIDs() {
+		if x := m.members[n]; n != m.Self && x.Addr == addr {
+			items = append(items, x.encode())
 		}
 	}
-	return m.lay(0, 0, items)
+	return m.encodeItems(0, 0, items)
 }
 
-func (m *Gossip) lay(seq uint64, target units.NodeID, items [][]byte) []byte {
-	return message.Pack(probeHead{Seq: seq, News: m.FeedDigest, Target: uint64(target), Sum: m.sum()}, message.PackList(items))
+func (m *Gossip) encodeItems(seq uint64, target units.NodeID, items [][]byte) []byte {
+	return message.Pack(probeHeader{Seq: seq, FeedDigest: m.FeedDigest, Target: uint64(target), TableDigest: m.digest()}, message.PackList(items))
 }
 
-func (x *Member) pack() []byte {
-	h := memberHead{Node: uint64(x.Node), Inc: x.Incarnation, Flags: x.Flags, State: uint8(x.State), Role: uint8(x.Role)}
+func (x *Member) encode() []byte {
+	h := memberHeader{Node: uint64(x.Node), Incarnation: x.Incarnation, Flags: x.Flags, State: uint8(x.State), Role: uint8(x.Role)}
 	return message.Pack(h, []byte(x.Addr), []byte(x.HTTPAddr), []byte(x.Zone))
 }
 
-// tell has a change ride on so many notes that all hear of it, as a rule; the digests find the exceptions.
-func (m *Gossip) tell(n units.NodeID) { m.fresh[n] = bits.Len(uint(len(m.all))) + 4 }
+// broadcast has a change ride on so many notes that all hear of it, as a rule; the digests find the exceptions.
+func (m *Gossip) broadcast(n units.NodeID) { m.broadcastsLeft[n] = bits.Len(uint(len(m.members))) + 4 }
 
-// differs says whether the whole table is due, since the neighbour's digest is another: at most once in wholeGap.
-func (m *Gossip) differs(now units.Time, sum uint64) bool {
-	if sum == m.sum() || now.Sub(m.wholeAt) < wholeGap {
+// fullTableDue says whether the whole table is due, since the neighbour's digest is another: at most once in wholeGap.
+func (m *Gossip) fullTableDue(now units.Time, peerDigest uint64) bool {
+	if peerDigest == m.digest() || now.Sub(m.fullTableSentAt) < fullTableInterval {
 		return false
 	}
-	m.wholeAt = now
+	m.fullTableSentAt = now
 	return true
 }
 
-func unpack(b []byte) (probeHead, []Member, error) {
-	var h probeHead
+func decode(b []byte) (probeHeader, []Member, error) {
+	var h probeHeader
 	var list []byte
 	if err := message.Unpack(b, &h, &list); err != nil {
 		return h, nil, err
@@ -92,13 +92,13 @@
 	}
 	ms := make([]Member, 0, len(items))
 	for _, t := range items {
-		var mh memberHead
+		var item memberHeader
 		var addr, web, zone []byte
-		if err := message.Unpack(t, &mh, &addr, &web, &zone); err != nil {
+		if err := message.Unpack(t, &item, &addr, &web, &zone); err != nil {
 			return h, nil, err
 		}
-		ms = append(ms, Member{Node: units.NodeID(mh.Node), Incarnation: mh.Inc, Flags: mh.Flags, State: State(mh.State),
-			Role: Role(mh.Role), Addr: string(addr), HTTPAddr: string(web), Zone: string(zone)})
+		ms = append(ms, Member{Node: units.NodeID(item.Node), Incarnation: item.Incarnation, Flags: item.Flags, State: State(item.State),
+			Role: Role(item.Role), Addr: string(addr), HTTPAddr: string(web), Zone: string(zone)})
 	}
 	return h, ms, nil
 }
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -6,89 +6,89 @@
 )
 
 // Step takes one note.
-func (m *Gossip) Step(now units.Time, n message.Message) (out message.Effects) {
-	h, list, err := unpack(n.Body)
+func (m *Gossip) Step(now units.Time, msg message.Message) (out message.Effects) {
+	h, list, err := decode(msg.Body)
 	if err != nil {
 		out.AddError(err)
 		return out
 	}
-	known := m.all[n.From] != nil
+	known := m.members[msg.From] != nil
 	for i := range list {
 		m.merge(now, &list[i])
 	}
-	if x := m.all[n.From]; x != nil {
-		x.FeedDigest, x.FeedDigestAt = h.News, now
-		m.heard()
+	if x := m.members[msg.From]; x != nil {
+		x.FeedDigest, x.FeedDigestAt = h.FeedDigest, now
+		m.invalidateSnapshot()
 	}
-	switch n.Kind {
+	switch msg.Kind {
 	case Probe:
-		out.Send(n.From, Ack, m.pack(h.Seq, 0, !known || h.Seq == 0 || m.differs(now, h.Sum))) // a newcomer must hear of all at once
+		out.Send(msg.From, Ack, m.encode(h.Seq, 0, !known || h.Seq == 0 || m.fullTableDue(now, h.TableDigest))) // a newcomer must hear of all at once
 	case Ack:
-		m.acked(now, n.From, h.Seq, &out)
-		if m.differs(now, h.Sum) {
-			out.Send(n.From, Probe, m.pack(0, 0, true))
+		m.handleAck(now, msg.From, h.Seq, &out)
+		if m.fullTableDue(now, h.TableDigest) {
+			out.Send(msg.From, Probe, m.encode(0, 0, true))
 		}
 	case IndirectProbe:
-		m.seq++
-		m.relay[m.seq] = relay{to: n.From, seq: h.Seq, at: now}
-		out.Send(units.NodeID(h.Target), Probe, m.pack(m.seq, 0, false))
+		m.lastSeq++
+		m.relayed[m.lastSeq] = relayedProbe{requester: msg.From, seq: h.Seq, sentAt: now}
+		out.Send(units.NodeID(h.Target), Probe, m.encode(m.lastSeq, 0, false))
 	case IndirectAck:
-		if h.Seq == m.seqOf && units.NodeID(h.Target) == m.open {
-			m.hold(now, m.open)
-			m.open = 0
+		if h.Seq == m.probeSeq && units.NodeID(h.Target) == m.probeTarget {
+			m.clearSuspicion(now, m.probeTarget)
+			m.probeTarget = 0
 		}
 	}
 	return out
 }
 
-func (m *Gossip) acked(now units.Time, from units.NodeID, seq uint64, out *message.Effects) {
-	if r, ok := m.relay[seq]; ok {
-		delete(m.relay, seq)
-		out.Send(r.to, IndirectAck, m.pack(r.seq, from, false))
+func (m *Gossip) handleAck(now units.Time, from units.NodeID, seq uint64, out *message.Effects) {
+	if r, ok := m.relayed[seq]; ok {
+		delete(m.relayed, seq)
+		out.Send(r.requester, IndirectAck, m.encode(r.seq, from, false))
 	}
-	if seq != 0 && seq == m.seqOf && from == m.open {
-		m.open = 0
+	if seq != 0 && seq == m.probeSeq && from == m.probeTarget {
+		m.probeTarget = 0
 	}
-	m.hold(now, from)
+	m.clearSuspicion(now, from)
 }
 
-// hold takes back one's own suspicion after word from the node itself or from a witness.
-func (m *Gossip) hold(now units.Time, n units.NodeID) {
-	if x := m.all[n]; x != nil && x.State == Suspect {
-		m.set(x, Alive, now)
+// clearSuspicion takes back one's own suspicion after word from the node itself or from a witness.
+func (m *Gossip) clearSuspicion(now units.Time, n units.NodeID) {
+	if x := m.members[n]; x != nil && x.State == Suspect {
+		m.setState(x, Alive, now)
 	}
 }
 
 // merge takes another's view of one member: higher incarnation first, then the graver state.
-func (m *Gossip) merge(now units.Time, y *Member) {
-	if y.Node == m.Self {
-		s := m.all[m.Self]
-		if y.Incarnation > s.Incarnation || y.Incarnation == s.Incarnation && y.State > s.State {
-			s.Incarnation = y.Incarnation + 1
-			m.changed()
-			m.tell(m.Self)
+func (m *Gossip) merge(now units.Time, update *Member) {
+	if update.Node == m.Self {
+		self := m.members[m.Self]
+		if update.Incarnation > self.Incarnation || update.Incarnation == self.Incarnation && update.State > self.State {
+			self.Incarnation = update.Incarnation + 1
+			m.invalidate()
+			m.broadcast(m.Self)
 		}
 		return
 	}
-	x := m.all[y.Node]
-	if x == nil {
-		c := *y
-		c.since, c.FeedDigest, c.FeedDigestAt = now, 0, 0
-		m.all[y.Node] = &c
-		m.order = nil
-		m.changed()
-		m.tell(y.Node)
+	known := m.members[update.Node]
+	if known == nil {
+		added := *update
+		added.stateSince, added.FeedDigest, added.FeedDigestAt = now, 0, 0
+		m.members[update.Node] = &added
+		m.sortedIDs = nil
+		m.invalidate()
+		m.broadcast(update.Node)
 		return
 	}
-	if y.Incarnation > x.Incarnation || y.Incarnation == x.Incarnation && y.State > x.State {
-		was := *x
-		*x = *y
-		x.FeedDigest, x.FeedDigestAt, x.since = was.FeedDigest, was.FeedDigestAt, was.since
-		old := was.State
-		m.changed()
-		m.tell(y.Node)
-		if x.State != old {
-			x.since = now
+	if update.Incarnation > known.Incarnation || update.Incarnation == known.Incarnation && update.State > known.State {
+		previous := *known
+		*known = *update
+		known.FeedDigest, known.FeedDigestAt, known.stateSince = previous.FeedDigest, previous.FeedDigestAt, previous.stateSince
+		previousState := previous.State
+		m.invalidate()
+		m.broadcast(update.Node)
+		if known.State != previousState {
+			known.stateSince = now
 		}
 	}
 }
@@ -102,7 +102,7 @@
 			continue
 		}
 		if x.State <= Suspect {
-			m.set(m.all[x.Node], Dead, now)
+			m.setState(m.members[x.Node], Dead, now)
 		}
 		l = append(l, x.Node)
 	}
@@ -111,12 +111,12 @@
 
 // Leave says goodbye to everybody.
 func (m *Gossip) Leave() (out message.Effects) {
-	s := m.all[m.Self]
-	s.Incarnation++
-	s.State = Left
-	m.changed()
-	for _, n := range m.others(0) {
-		out.Send(n, Probe, m.pack(0, 0, false))
+	self := m.members[m.Self]
+	self.Incarnation++
+	self.State = Left
+	m.invalidate()
+	for _, n := range m.livePeers(0) {
+		out.Send(n, Probe, m.encode(0, 0, false))
 	}
 	return out
 }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -5,58 +5,58 @@
 	"seamshunt/internal/units"
 )
 
-// changed is told of every change of what the digest is of, or of who there is: both are worked out anew when asked
+// invalidate is told of every change of what the digest is of, or of who there is: both are worked out anew when asked
 // for next. At 400 nodes a daemon asks for the table some 170 times a second (docs/CAPACITY.md).
-func (m *Gossip) changed() { m.kept, m.summed, m.ver = nil, false, m.ver+1 }
+func (m *Gossip) invalidate() { m.snapshot, m.digestValid, m.version = nil, false, m.version+1 }
 
 // Version is another one whenever a member came, went or changed what it says of itself, its news apart.
-func (m *Gossip) Version() uint64 { return m.ver }
+func (m *Gossip) Version() uint64 { return m.version }
 
 // ProbePending says whether a probe has waited for its answer for longer than usual.
-func (m *Gossip) ProbePending(now units.Time) bool { return m.open != 0 && now > m.at }
+func (m *Gossip) ProbePending(now units.Time) bool { return m.probeTarget != 0 && now > m.probedAt }
 
-// heard is told that only a member's news was told anew, which the digest is not of.
-func (m *Gossip) heard() { m.kept = nil }
+// invalidateSnapshot is told that only a member's news was told anew, which the digest is not of.
+func (m *Gossip) invalidateSnapshot() { m.snapshot = nil }
 
-// ids gives all nodes in order.
-func (m *Gossip) ids() []units.NodeID {
-	if m.order == nil {
-		m.order = message.SortedKeys(m.all)
+// nodeIDs gives all nodes in order.
+func (m *Gossip) nodeIDs() []units.NodeID {
+	if m.sortedIDs == nil {
+		m.sortedIDs = message.SortedKeys(m.members)
 	}
-	return m.order
+	return m.sortedIDs
 }
 
 // All lists every member that isn't forgotten, in order of id. The list is the same one till something changes: it
 // is never written to again, neither here nor by who asked.
 func (m *Gossip) All() []Member {
-	if m.kept == nil {
-		m.kept = make([]Member, 0, len(m.all))
-		for _, n := range m.ids() {
-			m.kept = append(m.kept, *m.all[n])
+	if m.snapshot == nil {
+		m.snapshot = make([]Member, 0, len(m.members))
+		for _, n := range m.nodeIDs() {
+			m.snapshot = append(m.snapshot, *m.members[n])
 		}
 	}
-	return m.kept[:len(m.kept):len(m.kept)]
+	return m.snapshot[:len(m.snapshot):len(m.snapshot)]
 }
 
 // Live lists the members of a role that are alive or only suspected.
 func (m *Gossip) Live(r Role) (l []Member) {
-	for _, n := range m.ids() {
-		if x := m.all[n]; x.Role == r && x.State <= Suspect {
+	for _, n := range m.nodeIDs() {
+		if x := m.members[n]; x.Role == r && x.State <= Suspect {
 			l = append(l, *x)
 		}
 	}
 	return l
 }
 
-// sum is a digest of the live members. Those that are gone are left out: each node forgets them at its own time.
-func (m *Gossip) sum() uint64 {
-	if !m.summed {
-		m.digest, m.summed = 0, true
-		for n, x := range m.all {
+// digest is a digest of the live members. Those that are gone are left out: each node forgets them at its own time.
+func (m *Gossip) digest() uint64 {
+	if !m.digestValid {
+		m.tableDigest, m.digestValid = 0, true
+		for n, x := range m.members {
 			if x.State <= Suspect {
-				m.digest += units.Mix(n.String(), units.Hex(x.Incarnation))
+				m.tableDigest += units.Mix(n.String(), units.Hex(x.Incarnation))
 			}
 		}
 	}
-	return m.digest
+	return m.tableDigest
 }
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -12,25 +12,25 @@
 
 // What is kept, the table and its digest, is what working them out anew gives, after whatever happens; and a list
 // that was given out never changes any more.
-func TestKeptIsTrue(t *testing.T) {
+func TestSnapshotAndDigestMatchTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	ms, now := map[units.NodeID]*Gossip{}, units.Time(1e9)
 	for n := units.NodeID(1); n <= 9; n++ {
-		ms[n] = New(member(n), []string{"a" + units.NodeID(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
+		ms[n] = New(newMember(n), []string{"a" + units.NodeID(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
 	}
 	type given struct{ list, copy []Member }
 	var old []given
 	check := func(m *Gossip) {
 		t.Helper()
 		want := uint64(0)
-		l := make([]Member, 0, len(m.all))
-		for _, n := range message.SortedKeys(m.all) {
-			if x := m.all[n]; x.State <= Suspect {
+		l := make([]Member, 0, len(m.members))
+		for _, n := range message.SortedKeys(m.members) {
+			if x := m.members[n]; x.State <= Suspect {
 				want += units.Mix(n.String(), units.Hex(x.Incarnation))
 			}
-			l = append(l, *m.all[n])
+			l = append(l, *m.members[n])
 		}
-		if got := m.sum(); got != want {
+		if got := m.digest(); got != want {
 			t.Fatalf("digest %x, want %x", got, want)
 		}
 		all := m.All()
@@ -39,7 +39,7 @@
 		}
 		old = append(old, given{all, slices.Clone(all)})
 	}
-	var wire []message.Message
+	var inFlight []message.Message
 	send := func(from units.NodeID, out message.Effects) {
 		for _, x := range out.Messages {
 			x.From = from
@@ -47,7 +47,7 @@
 				x.To = 1
 			}
 			if rng.IntN(5) > 0 {
-				wire = append(wire, x)
+				inFlight = append(inFlight, x)
 			}
 		}
 	}
@@ -64,17 +64,17 @@
 		case 2:
 			send(m.Self, m.Leave())
 			check(m)
-			m = New(member(m.Self), m.seeds, m.rng)
-			m.all[m.Self].Incarnation = uint64(now)
+			m = New(newMember(m.Self), m.seeds, m.rng)
+			m.members[m.Self].Incarnation = uint64(now)
 			ms[m.Self] = m
 		case 3:
 			now = now.Add(11 * time.Minute) // whoever is gone is forgotten
 		}
 		send(m.Self, m.Tick(now))
 		check(m)
-		for range min(3, len(wire)) {
-			x := wire[0]
-			wire = wire[1:]
+		for range min(3, len(inFlight)) {
+			x := inFlight[0]
+			inFlight = inFlight[1:]
 			send(x.To, ms[x.To].Step(now, x))
 			check(ms[x.To])
 		}
@@ -96,9 +96,9 @@
 
 // A table that nothing has changed is not copied.
 func TestQuietTableIsNotCopied(t *testing.T) {
-	m := grown(1, 2, 3, 4, 5)
+	m := newGossip(1, 2, 3, 4, 5)
 	m.All()
-	if n := testing.AllocsPerRun(100, func() { m.All(); m.sum() }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { m.All(); m.digest() }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/cluster/membership/version_test.go
+++ b/internal/cluster/membership/version_test.go
@@ -12,10 +12,10 @@
 // The version moves with the members, not with their news; a probe counts as under way once it has waited.
 func TestVersion(t *testing.T) {
 	now := units.Time(time.Hour)
-	a := New(member(1), []string{"a" + units.NodeID(2).String()}, rand.New(rand.NewPCG(1, 1)))
-	b := New(member(2), nil, rand.New(rand.NewPCG(1, 2)))
+	a := New(newMember(1), []string{"a" + units.NodeID(2).String()}, rand.New(rand.NewPCG(1, 1)))
+	b := New(newMember(2), nil, rand.New(rand.NewPCG(1, 2)))
 	v := a.Version()
-	hello := func(m *Gossip, to *Gossip) {
+	exchange := func(m *Gossip, to *Gossip) {
 		for _, n := range m.Tick(now).Messages {
 			n.From = m.Self
 			for _, r := range to.Step(now, n).Messages {
@@ -24,13 +24,13 @@
 			}
 		}
 	}
-	hello(a, b)
+	exchange(a, b)
 	if a.Version() == v {
 		t.Error("a newcomer is no change")
 	}
 	for v = a.Version(); now < units.Time(time.Hour+20*time.Second); now = now.Add(50 * time.Millisecond) {
 		b.FeedDigest++
-		hello(a, b)
+		exchange(a, b)
 		if a.ProbePending(now) {
 			t.Fatal("asking behind an answer")
 		}
@@ -38,7 +38,7 @@
 	if a.Version() != v {
 		t.Error("news and answers alone changed the version")
 	}
-	now = now.Add(round)
+	now = now.Add(probeInterval)
 	var sent []message.Message
 	for len(sent) == 0 {
 		now = now.Add(50 * time.Millisecond)
--- a/internal/cluster/message/message.go
+++ b/internal/cluster/message/message.go
@@ -1,4 +1,5 @@
-// Package message is what all step machines share: notes, disk records and what a step gives out (design 1).
+// Package message defines the messages, disk records and step effects that all state machines share
+// (docs/design.md, section 1).
 package message
 
 import (
@@ -11,10 +12,10 @@
 	"seamshunt/internal/units"
 )
 
-// Kind says what a note is; each package owns a range of sixteen.
+// Kind is the type of a message; each package owns a range of sixteen.
 type Kind uint16
 
-// First kind of each package's range.
+// The first kind of each package's range.
 const (
 	KindHello       Kind = 1
 	KindMembership  Kind = 16
@@ -26,7 +27,8 @@
 	KindAntiEntropy Kind = 112
 )
 
-// Message is one message between two processes. Addr is set only for a first message to a seed, whose node id isn't known.
+// Message is a message between two processes. Addr is set only if the recipient's node id isn't known, as in a first
+// message to a seed.
 type Message struct {
 	From, To units.NodeID
 	Addr     string
@@ -34,14 +36,15 @@
 	Body     []byte
 }
 
-// Record is one entry for the disk.
+// Record is an entry of the write-ahead log.
 type Record struct {
 	Kind uint8
 	Key  string
 	Data []byte
 }
 
-// Effects collects what one step gives out. AfterSync may be sent only once Writes, and all earlier ones, are synced.
+// Effects collects the messages, writes and errors of one step. AfterSync may be sent only once Writes, and all earlier
+// ones, are synced.
 type Effects struct {
 	Messages  []Message
 	Writes    []Record
@@ -49,7 +52,7 @@
 	Errors    []error
 }
 
-// Send adds a note that may leave at once.
+// Send adds a message that may be sent immediately.
 func (o *Effects) Send(to units.NodeID, k Kind, b []byte) {
 	o.Messages = append(o.Messages, Message{To: to, Kind: k, Body: b})
 }
@@ -59,14 +62,14 @@
 	o.AfterSync = append(o.AfterSync, Message{To: to, Kind: k, Body: b})
 }
 
-// AddError collects an error; nil is passed over.
+// AddError adds an error; nil is ignored.
 func (o *Effects) AddError(err error) {
 	if err != nil {
 		o.Errors = append(o.Errors, err)
 	}
 }
 
-// Append adds all of p behind o.
+// Append appends all effects of p to o.
 func (o *Effects) Append(p Effects) {
 	o.Messages = append(o.Messages, p.Messages...)
 	o.Writes = append(o.Writes, p.Writes...)
@@ -74,11 +77,11 @@
 	o.Errors = append(o.Errors, p.Errors...)
 }
 
-// Pack lays out a fixed struct and then each tail behind its length.
+// Pack encodes a struct of fixed size, followed by each tail with a length prefix.
 func Pack(head any, tails ...[]byte) []byte {
 	b, err := binary.Append(nil, binary.LittleEndian, head)
 	if err != nil {
-		panic(fmt.Errorf("message: not a fixed struct: %w", err))
+		panic(fmt.Errorf("message: not a struct of fixed size: %w", err))
 	}
 	for _, t := range tails {
 		b = binary.LittleEndian.AppendUint32(b, uint32(len(t)))
@@ -87,11 +90,11 @@
 	return b
 }
 
-// Unpack is the inverse of Pack; whatever is left over or missing is an error.
+// Unpack is the inverse of Pack. Missing or trailing bytes are an error.
 func Unpack(b []byte, head any, tails ...*[]byte) error {
 	n, err := binary.Decode(b, binary.LittleEndian, head)
 	if err != nil {
-		return fmt.Errorf("message: short note: %w", err)
+		return fmt.Errorf("message: body too short: %w", err)
 	}
 	b = b[n:]
 	for _, t := range tails {
@@ -101,17 +104,17 @@
 		n := binary.LittleEndian.Uint32(b)
 		b = b[4:]
 		if uint64(n) > uint64(len(b)) {
-			return fmt.Errorf("message: tail of %d bytes in %d", n, len(b))
+			return fmt.Errorf("message: tail of %d bytes, but only %d bytes left", n, len(b))
 		}
 		*t, b = b[:n:n], b[n:]
 	}
 	if len(b) != 0 {
-		return fmt.Errorf("message: %d bytes too many", len(b))
+		return fmt.Errorf("message: %d trailing bytes", len(b))
 	}
 	return nil
 }
 
-// PackList lays out items one behind the other.
+// PackList encodes items one after the other, each with a length prefix.
 func PackList(items [][]byte) []byte {
 	var b []byte
 	for _, t := range items {
@@ -126,12 +129,12 @@
 	var items [][]byte
 	for len(b) > 0 {
 		if len(b) < 4 {
-			return nil, errors.New("message: list cut short")
+			return nil, errors.New("message: list truncated")
 		}
 		n := binary.LittleEndian.Uint32(b)
 		b = b[4:]
 		if uint64(n) > uint64(len(b)) {
-			return nil, fmt.Errorf("message: item of %d bytes in %d", n, len(b))
+			return nil, fmt.Errorf("message: item of %d bytes, but only %d bytes left", n, len(b))
 		}
 		items = append(items, b[:n:n])
 		b = b[n:]
@@ -139,12 +142,13 @@
 	return items, nil
 }
 
-// SortedKeys gives a map's keys in order, so that equal states give out equal notes and a seed replays (design 1).
+// SortedKeys returns a map's keys in order, so that equal states produce equal messages and a run can be replayed from
+// its seed (docs/design.md, section 1).
 func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	l := make([]K, 0, len(m))
+	keys := make([]K, 0, len(m))
 	for k := range m {
-		l = append(l, k)
+		keys = append(keys, k)
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(keys)
+	return keys
 }
--- a/internal/cluster/transport/engine.go
+++ b/internal/cluster/transport/engine.go
@@ -14,38 +14,39 @@
 	"seamshunt/internal/units"
 )
 
-// closeFor is how long the end of a transport waits for its event loop.
-const closeFor = time.Second
+// closeTimeout is how long Close waits for the event loop to stop.
+const closeTimeout = time.Second
 
-// silentFor is how long what was sent on a connection may go unacknowledged before it is given up: a neighbour that is back
-// after a cut must not wait for the kernel's next retransmission, which comes seconds later.
-const silentFor = 2 * time.Second
+// ackTimeout is how long data may stay unacknowledged before its connection is closed. Without it, messages to a peer
+// that is reachable again after a partition would wait for the kernel's next retransmission, which comes seconds later.
+const ackTimeout = 2 * time.Second
 
-// probes find out that a neighbour is gone to which nothing is sent. They are rare, since a node has a connection to each other one.
-var probes = net.KeepAliveConfig{Enable: true, Idle: time.Minute, Interval: 5 * time.Second, Count: 3}
+// keepAlive detects that a peer to which nothing is sent is unreachable. The probes are rare, since each node has a
+// connection to every other node.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Minute, Interval: 5 * time.Second, Count: 3}
 
-// quiet keeps gnet's own log out of the process's.
-type quiet struct{}
+// discardLogger keeps gnet's own log lines out of the process's log.
+type discardLogger struct{}
 
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
 
-var _ logging.Logger = quiet{}
+var _ logging.Logger = discardLogger{}
 
-// events are what the event loop calls. A connection with a link is one of this process's own, for sending; any other is a
-// neighbour's.
-type events struct {
+// eventHandler has the callbacks of the event loop. A connection with a link was opened by this process, for sending; any
+// other was opened by a peer.
+type eventHandler struct {
 	gnet.BuiltinEventEngine
-	t *Transport
+	transport *Transport
 }
 
-// Open listens on addr and gives messages to the handlers.
-func Open(self units.NodeID, addr string, c *tasks.Group, handlers Handlers) (*Transport, error) {
-	t := &Transport{Self: self, tasks: c, handlers: handlers, wires: map[string]*wire{}, addrs: map[units.NodeID]string{}}
-	engine, err := gnet.NewClient(&events{t: t}, gnet.WithLogger(quiet{}), gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
+// Open listens on addr and passes received messages to the handlers.
+func Open(self units.NodeID, addr string, group *tasks.Group, handlers Handlers) (*Transport, error) {
+	t := &Transport{Self: self, tasks: group, handlers: handlers, conns: map[string]*peerConn{}, addrs: map[units.NodeID]string{}}
+	engine, err := gnet.NewClient(&eventHandler{transport: t}, gnet.WithLogger(discardLogger{}), gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 	if err != nil {
 		return nil, fmt.Errorf("transport: %w", err)
 	}
@@ -58,11 +59,11 @@
 		return nil, fmt.Errorf("transport: %w", err)
 	}
 	t.engine, t.listener = engine, ln
-	c.Supervise(func() error { return t.accept(addr) }, handlers.ListenerFailed)
+	group.Supervise(func() error { return t.accept(addr) }, handlers.ListenerFailed)
 	return t, nil
 }
 
-// accept takes neighbours' connections until the listener ends. The listener outlasts a shortage of descriptors.
+// accept accepts connections of peers until the listener fails. A shortage of file descriptors doesn't end the listener.
 func (t *Transport) accept(addr string) error {
 	ln, err := t.listen(addr)
 	if err != nil || ln == nil {
@@ -71,16 +72,16 @@
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			return t.unlisten(ln, err)
+			return t.closeListener(ln, err)
 		}
-		giveUpSilent(c)
+		setTimeouts(c)
 		if _, err := t.engine.Enroll(c); err != nil {
 			t.FailedAccepts.Add(1)
 		}
 	}
 }
 
-// listen gives the listener, which is opened again if it has ended; nil once the transport is closed.
+// listen returns the listener, reopening it if it has failed. It returns nil once the transport is closed.
 func (t *Transport) listen(addr string) (net.Listener, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,8 +96,8 @@
 	return ln, nil
 }
 
-// unlisten lets go of a listener that has ended, and gives the cause; none if the transport was closed.
-func (t *Transport) unlisten(ln net.Listener, cause error) error {
+// closeListener closes a listener that has failed and returns the cause, or nil if the transport was closed.
+func (t *Transport) closeListener(ln net.Listener, cause error) error {
 	ln.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,80 +108,81 @@
 	return fmt.Errorf("transport: accept: %w", cause)
 }
 
-// giveUpSilent has the kernel end a connection whose other side acknowledges nothing any more.
-func giveUpSilent(c net.Conn) {
+// setTimeouts makes the kernel close a connection whose peer no longer acknowledges data.
+func setTimeouts(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	_ = tcp.SetKeepAliveConfig(probes)
-	socket.GiveUpAfter(tcp, silentFor)
+	_ = tcp.SetKeepAliveConfig(keepAlive)
+	socket.GiveUpAfter(tcp, ackTimeout)
 }
 
-// OnOpen tells a link that it may be written to.
-func (e *events) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
+// OnOpen opens the connection's link for writing.
+func (e *eventHandler) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if l, ok := c.Context().(*link); ok {
 		l.open(c)
 	}
 	return nil, gnet.None
 }
 
-// OnClose is called before the descriptor is closed.
-func (e *events) OnClose(c gnet.Conn, _ error) gnet.Action {
+// OnClose closes the connection's link. It is called before the descriptor is closed.
+func (e *eventHandler) OnClose(c gnet.Conn, _ error) gnet.Action {
 	if l, ok := c.Context().(*link); ok {
 		l.close()
 	}
 	return gnet.None
 }
 
-// OnTraffic takes whole frames off a neighbour's connection; a bad one closes it. A neighbour never talks back on a link.
-func (e *events) OnTraffic(c gnet.Conn) gnet.Action {
+// OnTraffic reads complete frames from a peer's connection; an invalid frame closes it. A link is for sending only, so any
+// data received on it is invalid.
+func (e *eventHandler) OnTraffic(c gnet.Conn) gnet.Action {
 	if _, ok := c.Context().(*link); ok {
-		e.t.BadFrames.Add(1)
+		e.transport.BadFrames.Add(1)
 		return gnet.Close
 	}
-	return e.t.frames(c)
+	return e.transport.readFrames(c)
 }
 
-// frames takes all whole frames that are there.
-func (t *Transport) frames(c gnet.Conn) gnet.Action {
-	for c.InboundBuffered() >= headLen {
-		b, err := c.Peek(headLen)
+// readFrames handles all complete frames in the input buffer.
+func (t *Transport) readFrames(c gnet.Conn) gnet.Action {
+	for c.InboundBuffered() >= headerLen {
+		b, err := c.Peek(headerLen)
 		if err != nil {
 			return gnet.None
 		}
-		h, err := readHead(b)
+		h, err := decodeHeader(b)
 		if err != nil {
 			t.BadFrames.Add(1)
 			return gnet.Close
 		}
-		if c.InboundBuffered() < headLen+int(h.Len) {
+		if c.InboundBuffered() < headerLen+int(h.Len) {
 			return gnet.None
 		}
-		b, err = c.Next(headLen + int(h.Len))
+		b, err = c.Next(headerLen + int(h.Len))
 		if err != nil {
 			return gnet.None
 		}
 		t.BytesIn.Add(uint64(len(b)))
-		t.takeFrame(h, b)
+		t.handleFrame(h, b)
 	}
 	return gnet.None
 }
 
-// takeFrame takes one, if it is meant for this node: another may have lived at this address before.
-func (t *Transport) takeFrame(h head, b []byte) {
+// handleFrame delivers a frame if it is addressed to this node. It may be for another one that used this address before.
+func (t *Transport) handleFrame(h frameHeader, b []byte) {
 	if to := units.NodeID(h.To); to != 0 && to != t.Self {
 		return
 	}
-	n, err := h.note(b[headLen:])
+	msg, err := h.decodeMessage(b[headerLen:])
 	if err != nil {
 		t.BadFrames.Add(1)
 		return
 	}
-	t.handlers.Receive(n)
+	t.handlers.Receive(msg)
 }
 
-// Close ends all connections. It waits for the event loop, but not for ever.
+// Close closes the listener and all connections, and waits up to closeTimeout for the event loop to stop.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
@@ -196,6 +198,6 @@
 	})
 	select {
 	case <-stopped:
-	case <-time.After(closeFor):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/cluster/transport/engine_test.go
+++ b/internal/cluster/transport/engine_test.go
@@ -16,8 +16,9 @@
 	"seamshunt/internal/testutil"
 )
 
-// CONFIG: a listener that ends leaves a node deaf to all others for good. It is opened again, and its end is told.
-func TestListenerThatEndsIsOpenedAgain(t *testing.T) {
+// Guards CONFIG: if a failed listener stayed closed, the node would never again receive messages from others. It is
+// reopened, and the failure is reported.
+func TestListenerIsReopened(t *testing.T) {
 	addr := testutil.Addr(t)
 	c := tasks.New(clockwork.NewRealClock(), 1)
 	got, ended := make(chan message.Message, 1), make(chan error, 8)
@@ -30,19 +31,19 @@
 	x.listener.Close()
 	x.mu.Unlock()
 	if err := <-ended; err == nil {
-		t.Error("ended without a cause")
+		t.Error("ListenerFailed was called without an error")
 	}
-	testutil.Until(t, "it listens again", func() bool { return reaches(addr, got) })
+	testutil.Until(t, "the listener is reopened", func() bool { return delivers(addr, got) })
 }
 
-// reaches says whether a neighbour's message comes.
-func reaches(addr string, got <-chan message.Message) bool {
+// delivers reports whether a message sent by a peer arrives.
+func delivers(addr string, got <-chan message.Message) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	if _, err := conn.Write(frame(message.Message{From: 9, To: 1, Kind: 77})); err != nil {
+	if _, err := conn.Write(encodeFrame(message.Message{From: 9, To: 1, Kind: 77})); err != nil {
 		return false
 	}
 	select {
@@ -53,10 +54,11 @@
 	}
 }
 
-// CONFIG: for want of descriptors a neighbour's connection can't be taken. Once there are some it is.
-func TestShortageOfDescriptorsIsOutlasted(t *testing.T) {
+// Guards CONFIG: for lack of file descriptors a peer's connection can't be accepted. It is accepted once descriptors are
+// available.
+func TestAcceptAfterDescriptorShortage(t *testing.T) {
 	got := make(chan message.Message, 8)
-	x := pair(t, func(n message.Message) { got <- n })
+	x := openTransport(t, func(n message.Message) { got <- n })
 	addr, err := net.ResolveTCPAddr("tcp", x.addrs[1])
 	if err != nil {
 		t.Fatal(err)
@@ -77,23 +79,23 @@
 	}
 	err = syscall.Connect(fd, &syscall.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())})
 	for range 1000 {
-		runtime.Gosched() // the connection meets the shortage
+		runtime.Gosched() // let the listener run into the shortage
 	}
 	if again := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || again != nil {
 		t.Fatal(err, again)
 	}
-	if _, err := neighbour.Write(frame(message.Message{From: 9, To: 1, Kind: 77})); err != nil {
+	if _, err := neighbour.Write(encodeFrame(message.Message{From: 9, To: 1, Kind: 77})); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-got:
 	case <-time.After(10 * time.Second):
-		t.Error("the node is deaf")
+		t.Error("the peer's message is not received")
 	}
 }
 
-// A connection whose other side acknowledges nothing is given up soon, those that this node made and those that it took.
-func TestSilentConnectionsAreGivenUp(t *testing.T) {
+// A connection whose peer acknowledges nothing is closed soon, whether this node dialed or accepted it.
+func TestConnectionTimeoutOptions(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,17 +106,17 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	giveUpSilent(conn)
+	setTimeouts(conn)
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, option := range []struct{ level, name, want int }{
-		{syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentFor / time.Millisecond)},
+		{syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout / time.Millisecond)},
 		{syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
-		{syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, int(probes.Idle / time.Second)},
-		{syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, int(probes.Interval / time.Second)},
-		{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, probes.Count},
+		{syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, int(keepAlive.Idle / time.Second)},
+		{syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, int(keepAlive.Interval / time.Second)},
+		{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, keepAlive.Count},
 	} {
 		_ = raw.Control(func(fd uintptr) {
 			if got, err := syscall.GetsockoptInt(int(fd), option.level, option.name); err != nil || got != option.want {
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -1,4 +1,4 @@
-// Package transport carries notes between the system's own processes over gnet (design 1, 4).
+// Package transport carries messages between the system's own processes over gnet (docs/design.md, sections 1 and 4).
 package transport
 
 import (
@@ -12,18 +12,19 @@
 	"seamshunt/internal/units"
 )
 
-// MaxBody bounds one note; a larger frame closes its wire.
+// MaxBody is the maximum size of a message's body. A larger frame closes its connection.
 const MaxBody = 16 << 20
 
-// The marks of plain frames and of packed ones. A body of packFrom bytes or more is packed where that makes it shorter:
-// members, workers and configurations are mostly repetition, and each goes to every node (design 4, 5).
+// The marks of plain and of compressed frames. A body of minCompressSize bytes or more is compressed if that makes it
+// shorter: lists of members and workers and configurations are highly repetitive, and each is sent to every node
+// (docs/design.md, sections 4 and 5).
 const (
-	mark     = 0x5353
-	packed   = 0x5363
-	packFrom = 400
+	plainMark       = 0x5353
+	compressedMark  = 0x5363
+	minCompressSize = 400
 )
 
-type head struct {
+type frameHeader struct {
 	Len  uint32
 	Mark uint16
 	Kind uint16
@@ -31,47 +32,47 @@
 	To   uint64
 }
 
-const headLen = 24
+const headerLen = 24
 
-func frame(n message.Message) []byte {
-	h := head{Len: uint32(len(n.Body)), Mark: mark, Kind: uint16(n.Kind), From: uint64(n.From), To: uint64(n.To)}
-	body := n.Body
-	if len(body) >= packFrom {
+func encodeFrame(msg message.Message) []byte {
+	h := frameHeader{Len: uint32(len(msg.Body)), Mark: plainMark, Kind: uint16(msg.Kind), From: uint64(msg.From), To: uint64(msg.To)}
+	body := msg.Body
+	if len(body) >= minCompressSize {
 		if p := s2.Encode(nil, body); len(p) < len(body) {
-			body, h.Len, h.Mark = p, uint32(len(p)), packed
+			body, h.Len, h.Mark = p, uint32(len(p)), compressedMark
 		}
 	}
-	b, _ := binary.Append(make([]byte, 0, headLen+len(body)), binary.LittleEndian, h)
+	b, _ := binary.Append(make([]byte, 0, headerLen+len(body)), binary.LittleEndian, h)
 	return append(b, body...)
 }
 
-func readHead(b []byte) (head, error) {
-	var h head
+func decodeHeader(b []byte) (frameHeader, error) {
+	var h frameHeader
 	if _, err := binary.Decode(b, binary.LittleEndian, &h); err != nil {
 		return h, fmt.Errorf("transport: %w", err)
 	}
-	if h.Mark != mark && h.Mark != packed {
+	if h.Mark != plainMark && h.Mark != compressedMark {
 		return h, fmt.Errorf("transport: bad mark %#x", h.Mark)
 	}
 	if h.Len > MaxBody {
-		return h, fmt.Errorf("transport: frame of %d bytes", h.Len)
+		return h, fmt.Errorf("transport: frame body of %d bytes is too large", h.Len)
 	}
 	return h, nil
 }
 
-// note makes a note of a frame, whose bytes are not kept.
-func (h head) note(body []byte) (message.Message, error) {
-	n := message.Message{From: units.NodeID(h.From), To: units.NodeID(h.To), Kind: message.Kind(h.Kind)}
-	if h.Mark != packed {
-		n.Body = bytes.Clone(body)
-		return n, nil
+// decodeMessage returns the message in a frame with the given body. It doesn't retain body.
+func (h frameHeader) decodeMessage(body []byte) (message.Message, error) {
+	msg := message.Message{From: units.NodeID(h.From), To: units.NodeID(h.To), Kind: message.Kind(h.Kind)}
+	if h.Mark != compressedMark {
+		msg.Body = bytes.Clone(body)
+		return msg, nil
 	}
 	size, err := s2.DecodedLen(body)
 	if err == nil && size > MaxBody {
-		err = fmt.Errorf("transport: a body of %d bytes", size)
+		err = fmt.Errorf("transport: decompressed body of %d bytes is too large", size)
 	}
 	if err == nil {
-		n.Body, err = s2.Decode(nil, body)
+		msg.Body, err = s2.Decode(nil, body)
 	}
-	return n, err
+	return msg, err
 }
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -8,15 +8,15 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// link is one connection for sending. A note is written by whoever sends it, in one call; only what the connection does
-// not take at once goes through the event loop, until that has nothing left to write. Going through the loop always
-// costs a wake-up and six system calls a note.
+// link is the sending side of a connection. The sending goroutine writes a message itself, in one system call. Only what
+// the socket doesn't accept immediately goes through the event loop, as do later messages until the loop has nothing left
+// to write. Sending every message through the loop would cost a wake-up and six system calls for each.
 type link struct {
-	mu   sync.Mutex
-	c    gnet.Conn // nil before it is open and once it is closed: the descriptor is valid in between
-	fd   int
-	pend int  // writes that are on their way to the loop
-	slow bool // the loop may have something left to write
+	mu            sync.Mutex
+	c             gnet.Conn // nil before open and after close; fd is valid while it is set
+	fd            int
+	pendingWrites int  // writes queued for the event loop
+	buffered      bool // the event loop may have data left to write
 }
 
 func (l *link) open(c gnet.Conn) {
@@ -25,21 +25,22 @@
 	l.mu.Unlock()
 }
 
-// close is called by the loop before it closes the descriptor.
+// close is called by the event loop before it closes the descriptor.
 func (l *link) close() {
 	l.mu.Lock()
 	l.c = nil
 	l.mu.Unlock()
 }
 
-// send says false when the connection is closed. What is sent on a broken one is lost; the loop finds it broken.
+// send returns false if the connection is closed. Data sent on a broken connection is lost; the event loop detects that
+// it is broken.
 func (l *link) send(b []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.c == nil {
 		return false
 	}
-	if !l.slow {
+	if !l.buffered {
 		n, err := syscall.Write(l.fd, b)
 		switch {
 		case n == len(b):
@@ -47,20 +48,20 @@
 		case n < 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR):
 			return true
 		}
-		b, l.slow = b[max(n, 0):], true
+		b, l.buffered = b[max(n, 0):], true
 	}
-	l.pend++
-	if err := l.c.AsyncWrite(b, l.wrote); err != nil {
-		l.pend--
+	l.pendingWrites++
+	if err := l.c.AsyncWrite(b, l.onWritten); err != nil {
+		l.pendingWrites--
 	}
 	return true
 }
 
-// wrote is called on the loop.
-func (l *link) wrote(c gnet.Conn, _ error) error {
+// onWritten is called by the event loop after a queued write.
+func (l *link) onWritten(c gnet.Conn, _ error) error {
 	l.mu.Lock()
-	l.pend--
-	l.slow = l.pend > 0 || l.c != nil && c.OutboundBuffered() > 0
+	l.pendingWrites--
+	l.buffered = l.pendingWrites > 0 || l.c != nil && c.OutboundBuffered() > 0
 	l.mu.Unlock()
 	return nil
 }
--- a/internal/cluster/transport/link_test.go
+++ b/internal/cluster/transport/link_test.go
@@ -10,15 +10,15 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// listen gives an address where the wires of a transport end, one after the other.
-func listen(t *testing.T) (string, chan net.Conn) {
+// acceptConns listens on an address and returns it with a channel of the accepted connections.
+func acceptConns(t *testing.T) (string, chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	got := make(chan net.Conn, 8)
+	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -26,19 +26,19 @@
 				return
 			}
 			_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-			got <- c
+			accepted <- c
 		}
 	}()
-	return l.Addr().String(), got
+	return l.Addr().String(), accepted
 }
 
-func read(t *testing.T, c net.Conn) []byte {
+func readBody(t *testing.T, c net.Conn) []byte {
 	t.Helper()
-	b := make([]byte, headLen)
+	b := make([]byte, headerLen)
 	if _, err := io.ReadFull(c, b); err != nil {
 		t.Fatal(err)
 	}
-	h, err := readHead(b)
+	h, err := decodeHeader(b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,24 +46,24 @@
 	if _, err := io.ReadFull(c, body); err != nil {
 		t.Fatal(err)
 	}
-	n, err := h.note(body)
+	n, err := h.decodeMessage(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return n.Body
 }
 
-// More than a wire holds while its reader does not read: all comes, whole and in order, whether its sender or the loop
-// wrote it; and afterwards the sender writes by itself again.
+// More data than the socket buffers hold is sent while the reader doesn't read. All of it arrives complete and in order,
+// whether the sender or the event loop wrote it, and afterwards the sender writes directly again.
 func TestSlowReader(t *testing.T) {
-	x := pair(t, func(message.Message) {})
-	addr, got := listen(t)
+	x := openTransport(t, func(message.Message) {})
+	addr, got := acceptConns(t)
 	x.SetAddr(2, addr)
 	x.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 4)})
 	c := <-got
 	defer c.Close()
-	read(t, c)
-	body := func(i int) []byte { // no two parts alike: it is not packed
+	readBody(t, c)
+	body := func(i int) []byte { // no repetition, so that it isn't compressed
 		b := make([]byte, 60000)
 		for j := 0; j < len(b); j += 4 {
 			binary.LittleEndian.PutUint32(b[j:], uint32(i*len(b)+j)*2654435761)
@@ -71,65 +71,65 @@
 		binary.LittleEndian.PutUint32(b, uint32(i))
 		return b
 	}
-	const many = 400
-	for i := range many {
+	const count = 400
+	for i := range count {
 		x.Send(message.Message{To: 2, Kind: 77, Body: body(i)})
 	}
 	x.mu.Lock()
-	l := x.wires[addr].link
+	l := x.conns[addr].link
 	x.mu.Unlock()
 	l.mu.Lock()
-	slow := l.slow
+	buffered := l.buffered
 	l.mu.Unlock()
-	if !slow {
-		t.Fatal("the wire took it all at once: the test tests nothing")
+	if !buffered {
+		t.Fatal("the socket accepted everything immediately: the event loop was not used")
 	}
-	for i := range many {
-		if b := read(t, c); len(b) != 60000 || binary.LittleEndian.Uint32(b) != uint32(i) {
-			t.Fatalf("note %d is another, or broken", i)
+	for i := range count {
+		if b := readBody(t, c); len(b) != 60000 || binary.LittleEndian.Uint32(b) != uint32(i) {
+			t.Fatalf("message %d has the wrong content", i)
 		}
 	}
-	for i := 0; slow; i++ { // each note that the loop finds nothing before sets it right
+	for i := 0; buffered; i++ { // after each message the loop checks whether it has data left to write
 		x.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 8)})
-		read(t, c)
+		readBody(t, c)
 		l.mu.Lock()
-		slow = l.slow && i < 1000
+		buffered = l.buffered && i < 1000
 		l.mu.Unlock()
 		if i == 1000 {
-			t.Fatal("the loop is never left again")
+			t.Fatal("the sender never writes directly again")
 		}
 	}
 }
 
-// A wire that the neighbour closed is dialled anew, and nothing is written to a descriptor that is no longer its own.
-func TestClosedWireIsDialledAnew(t *testing.T) {
-	x := pair(t, func(message.Message) {})
-	addr, got := listen(t)
+// A connection that the peer closed is redialed, and nothing is written to its old descriptor, which may have been reused.
+func TestClosedConnectionIsRedialed(t *testing.T) {
+	x := openTransport(t, func(message.Message) {})
+	addr, got := acceptConns(t)
 	x.SetAddr(2, addr)
 	for i := range 5 {
 		var c net.Conn
-		for c == nil { // what is sent before the end is noticed is lost, as on any net
+		for c == nil { // messages sent before the close is detected are lost
 			x.Send(message.Message{To: 2, Kind: 77, Body: []byte{byte(i)}})
 			select {
 			case c = <-got:
 			case <-time.After(time.Millisecond):
 			}
 		}
-		if b := read(t, c); len(b) != 1 || b[0] != byte(i) {
-			t.Fatalf("wire %d brought %v", i, b)
+		if b := readBody(t, c); len(b) != 1 || b[0] != byte(i) {
+			t.Fatalf("connection %d received %v", i, b)
 		}
 		c.Close()
 	}
 }
 
-// A link before its opening and behind its closing takes nothing.
+// A link accepts no data before it is open or after it is closed.
 func TestClosedLink(t *testing.T) {
 	l := &link{}
 	if l.send([]byte("x")) {
-		t.Error("a link that is not open took something")
+		t.Error("a link that is not open accepted data")
 	}
 	l.close()
 	if l.send([]byte("x")) {
-		t.Error("a closed link took something")
+		t.Error("a closed link accepted data")
 	}
 }
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -16,125 +16,127 @@
 	"seamshunt/internal/units"
 )
 
-// wire is one held connection for sending; the way back is the neighbour's own wire.
-type wire struct {
-	link *link
-	dial bool
-	wait [][]byte
-	next units.Time
-	back time.Duration
+// peerConn is a persistent connection for sending to a peer. Messages in the other direction use the peer's own
+// connection.
+type peerConn struct {
+	link       *link
+	dialing    bool
+	queued     [][]byte
+	nextDialAt units.Time
+	backoff    time.Duration
 }
 
-const waitMost = 512
+const maxQueuedFrames = 512
 
-// A machine that was dark is found again soon after it is back: neither a dial that hangs nor the back-off after
-// refused ones outlasts that by much (design 4).
+// Both are short, so that a machine is reached again soon after it is back: neither a pending dial nor the backoff after
+// failed ones should delay that by much (docs/design.md, section 4).
 const (
-	dialFor  = 400 * time.Millisecond
-	backMost = 250 * time.Millisecond
+	dialTimeout = 400 * time.Millisecond
+	maxBackoff  = 250 * time.Millisecond
 )
 
-// Handlers are what a transport calls. None may block.
+// Handlers are the callbacks of a transport. None may block.
 type Handlers struct {
-	Receive           func(message.Message) // a message for this node
-	ConnectionRefused func(addr string)     // nobody listens there
-	ListenerFailed    func(error)           // the listener ended; it is opened again
+	Receive           func(message.Message) // called with each message for this node
+	ConnectionRefused func(addr string)     // called when a peer's address refuses a connection
+	ListenerFailed    func(error)           // called when the listener fails; it is reopened
 }
 
-// Transport holds a process's connections to its neighbours. It is safe for concurrent use.
+// Transport holds a process's connections to its peers. It is safe for concurrent use.
 type Transport struct {
 	Self          units.NodeID
 	tasks         *tasks.Group
 	handlers      Handlers
 	engine        *gnet.Client // the event loop of all connections
-	mu            sync.Mutex   // last in the lock order: nothing is called while it is held
+	mu            sync.Mutex   // last in the lock order: no callback is called while it is held
 	listener      net.Listener // nil while none is open
 	closed        bool
-	wires         map[string]*wire
+	conns         map[string]*peerConn
 	addrs         map[units.NodeID]string
 	BadFrames     atomic.Uint64
 	BytesIn       atomic.Uint64
 	BytesOut      atomic.Uint64
-	FailedAccepts atomic.Uint64 // connections of neighbours that could not be taken, as for want of descriptors
+	FailedAccepts atomic.Uint64 // connections of peers that could not be accepted, for example for lack of file descriptors
 }
 
-// SetAddr notes where a node can be reached.
+// SetAddr sets the address of a node.
 func (t *Transport) SetAddr(n units.NodeID, addr string) {
 	t.mu.Lock()
 	t.addrs[n] = addr
 	t.mu.Unlock()
 }
 
-// Send puts a note on its wire, dialling when there is none; what can't be sent is lost, as on any net.
-func (t *Transport) Send(n message.Message) {
-	n.From = t.Self
-	if n.To == t.Self {
-		t.handlers.Receive(n)
+// Send sends a message on the connection to its recipient, dialing if there is none. A message that can't be sent is
+// dropped; delivery isn't guaranteed.
+func (t *Transport) Send(msg message.Message) {
+	msg.From = t.Self
+	if msg.To == t.Self {
+		t.handlers.Receive(msg)
 		return
 	}
-	b := frame(n)
+	frame := encodeFrame(msg)
 	t.mu.Lock()
-	addr := n.Addr
+	addr := msg.Addr
 	if addr == "" {
-		addr = t.addrs[n.To]
+		addr = t.addrs[msg.To]
 	}
 	if addr == "" || shield.Lost(addr) {
 		t.mu.Unlock()
 		return
 	}
-	w := t.wires[addr]
-	if w == nil {
-		w = &wire{}
-		t.wires[addr] = w
+	conn := t.conns[addr]
+	if conn == nil {
+		conn = &peerConn{}
+		t.conns[addr] = conn
 	}
-	if l := w.link; l != nil {
+	if l := conn.link; l != nil {
 		t.mu.Unlock()
-		if l.send(b) {
-			t.BytesOut.Add(uint64(len(b)))
+		if l.send(frame) {
+			t.BytesOut.Add(uint64(len(frame)))
 			return
 		}
 		t.mu.Lock()
-		if w.link == l {
-			w.link = nil
+		if conn.link == l {
+			conn.link = nil
 		}
 	}
 	now := t.tasks.Now()
-	if now < w.next || len(w.wait) >= waitMost {
+	if now < conn.nextDialAt || len(conn.queued) >= maxQueuedFrames {
 		t.mu.Unlock()
 		return
 	}
-	w.wait = append(w.wait, b)
-	start := !w.dial
-	w.dial = true
+	conn.queued = append(conn.queued, frame)
+	start := !conn.dialing
+	conn.dialing = true
 	t.mu.Unlock()
 	if start {
-		t.tasks.Go(func() { t.dial(addr, w) })
+		t.tasks.Go(func() { t.dial(addr, conn) })
 	}
 }
 
-func (t *Transport) dial(addr string, w *wire) {
-	nc, err := shield.Dial(addr, dialFor)
+func (t *Transport) dial(addr string, conn *peerConn) {
+	nc, err := shield.Dial(addr, dialTimeout)
 	l := &link{}
 	if err == nil {
-		giveUpSilent(shield.Bare(nc))
+		setTimeouts(shield.Bare(nc))
 		_, err = t.engine.EnrollContext(shield.Bare(nc), l)
 	}
 	t.mu.Lock()
-	w.dial = false
-	wait := w.wait
-	w.wait = nil
+	conn.dialing = false
+	queued := conn.queued
+	conn.queued = nil
 	if err != nil {
-		w.back = min(max(2*w.back, 50*time.Millisecond), backMost)
-		w.next = t.tasks.Now().Add(w.back)
+		conn.backoff = min(max(2*conn.backoff, 50*time.Millisecond), maxBackoff)
+		conn.nextDialAt = t.tasks.Now().Add(conn.backoff)
 		t.mu.Unlock()
 		if errors.Is(err, syscall.ECONNREFUSED) && t.handlers.ConnectionRefused != nil {
 			t.handlers.ConnectionRefused(addr)
 		}
 		return
 	}
-	w.back, w.link = 0, l
+	conn.backoff, conn.link = 0, l
 	t.mu.Unlock()
-	for _, b := range wait {
+	for _, b := range queued {
 		if l.send(b) {
 			t.BytesOut.Add(uint64(len(b)))
 		}
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -15,14 +15,14 @@
 	"seamshunt/internal/tasks"
 )
 
-func pair(t *testing.T, take func(message.Message)) *Transport {
+func openTransport(t *testing.T, receive func(message.Message)) *Transport {
 	t.Helper()
 	addr, err := standin.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := tasks.New(clockwork.NewRealClock(), 1)
-	x, err := Open(1, addr, c, Handlers{Receive: take})
+	x, err := Open(1, addr, c, Handlers{Receive: receive})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,12 +31,13 @@
 	return x
 }
 
-// Bad frames close their wire and are counted; the process lives, and good wires go on (design 1).
+// Invalid frames close their connection and are counted. The process and valid connections keep working
+// (docs/design.md, section 1).
 func TestBadFrames(t *testing.T) {
 	got := make(chan message.Message, 16)
-	x := pair(t, func(n message.Message) { got <- n })
+	x := openTransport(t, func(n message.Message) { got <- n })
 	addr := x.addrs[1]
-	good := frame(message.Message{From: 9, To: 1, Kind: 77, Body: []byte("hello")})
+	good := encodeFrame(message.Message{From: 9, To: 1, Kind: 77, Body: []byte("hello")})
 	huge := append([]byte(nil), good...)
 	huge[3] = 0xff
 	mark := append([]byte(nil), good...)
@@ -52,14 +53,14 @@
 			t.Fatal(err)
 		}
 		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil && !bytes.Contains([]byte(err.Error()), []byte("reset")) {
-			t.Errorf("%s: the wire is not closed: %v", name, err)
+			t.Errorf("%s: the connection is not closed: %v", name, err)
 		}
 		if x.BadFrames.Load() != bad+1 {
 			t.Errorf("%s is not counted", name)
 		}
 		c.Close()
 	}
-	// A frame that comes byte by byte, and two at once, are whole notes; one meant for another process is not taken.
+	// A frame that arrives byte by byte and two that arrive together are decoded; one for another process is not delivered.
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -70,38 +71,38 @@
 			t.Fatal(err)
 		}
 	}
-	other := frame(message.Message{From: 9, To: 2, Kind: 78})
+	other := encodeFrame(message.Message{From: 9, To: 2, Kind: 78})
 	if _, err := c.Write(append(append(append([]byte(nil), other...), good...), good...)); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
 		if n := <-got; n.Kind != 77 || string(n.Body) != "hello" || n.From != 9 {
-			t.Errorf("note %d is %v", i, n)
+			t.Errorf("message %d is %v", i, n)
 		}
 	}
 }
 
-// Refusal by an address is told, since it proves that the process there has ended.
-func TestRefused(t *testing.T) {
+// A refused connection is reported, since it proves that the process at that address has ended.
+func TestConnectionRefusedIsReported(t *testing.T) {
 	free, err := standin.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := pair(t, func(message.Message) {})
-	said := make(chan string, 1)
-	x.handlers.ConnectionRefused = func(a string) { said <- a }
+	x := openTransport(t, func(message.Message) {})
+	reported := make(chan string, 1)
+	x.handlers.ConnectionRefused = func(a string) { reported <- a }
 	x.Send(message.Message{Addr: free, Kind: 77})
 	select {
-	case a := <-said:
+	case a := <-reported:
 		if a != free {
-			t.Errorf("said of %s", a)
+			t.Errorf("reported for %s", a)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("never told")
+		t.Error("never reported")
 	}
 }
 
-// Whatever bytes a note holds, unpacking gives an error or a value and never a panic.
+// Unpacking any bytes returns a value or an error and never panics.
 func FuzzUnpack(f *testing.F) {
 	type h struct {
 		A uint64
--- a/internal/resultcode/codes.go
+++ b/internal/resultcode/resultcode.go
@@ -1,12 +1,13 @@
-// Package resultcode holds the numbered result codes; docs/codes.md is their table.
+// Package resultcode defines the numbered result codes, which docs/codes.md lists.
 package resultcode
 
 import "fmt"
 
-// Code is one numbered result.
+// Code is a numbered result.
 type Code int
 
-// The codes. 1xx good, 2xx the caller's fault, 3xx not now, 4xx broken on the way, 5xx operators' calls, 6xx boot.
+// The codes: 1xx success, 2xx client errors, 3xx temporarily unavailable, 4xx failures after dispatch,
+// 5xx operations, 6xx settings.
 const (
 	OK                   Code = 100
 	MissingTimeLeft      Code = 201
@@ -49,7 +50,8 @@
 	InvalidSettings      Code = 601
 )
 
-// Fault is a result that is not a success, with its place and whether the request is sure not to have run.
+// Fault is an unsuccessful result. Place locates the fault in the input, and NotRun is true if the request
+// certainly did not run.
 type Fault struct {
 	Code   Code
 	Place  string
@@ -64,7 +66,7 @@
 	return fmt.Sprintf("%d: %s", f.Code, f.Text)
 }
 
-// Status gives the HTTP status that goes with a code.
+// Status returns the HTTP status for a code.
 func (c Code) Status() int {
 	switch c {
 	case OK:
--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -1,3 +1,5 @@
+// Package idempotency shelters what may not repeat: a caller's key is claimed at a majority of three routers before
+// the prompt is handed over (design 8).
 package idempotency
 
 import (
@@ -9,105 +11,165 @@
 	"seamshunt/internal/units"
 )
 
-// Claim asks the holders, and the core's disks, for a key under a token that is this node's own.
-func (s *Claimant) Claim(now units.Time, token uint64, key string, holders []units.NodeID) (out message.Effects) {
-	p := &pending{key: key, holders: holders, core: s.core, got: map[units.NodeID]bool{}, since: now}
-	s.pends[token] = p
-	s.ask(now, token, p, &out)
-	return out
+// The notes of claims.
+const (
+	Claim = message.KindClaim + iota
+	ClaimReply
+	Spend
+	CopyRequest
+	CopyReply
+)
+
+// What a holder says of a key.
+const (
+	granted uint8 = 1 + iota
+	taken
+	spent
+	abstained
+)
+
+// Spans (start values).
+const (
+	retryInterval   = 150 * time.Millisecond
+	claimTimeout    = 450 * time.Millisecond
+	Retention       = 10 * time.Minute // how long a key is remembered
+	holderCount     = 3
+	votersTimeout   = 200 * time.Millisecond // how long a claim that the routers granted waits for the disks
+	votersBackoff   = 2 * time.Second        // how long they are not waited for after that
+	propagationTime = 2 * time.Second        // till all nodes know of a new machine, and so agree on a key's holders
+)
+
+type header struct {
+	Token         uint64
+	VotersVersion uint64 // the set of voters that the sender knows; none between routers
+	State         uint8
 }
 
-func (s *Claimant) ask(now units.Time, token uint64, p *pending, out *message.Effects) {
-	p.sent = now
-	for _, n := range p.holders {
-		if n != 0 && !p.got[n] && p.held == 0 {
-			out.Send(n, Claim, message.Pack(head{Token: token}, []byte(p.key)))
-		}
-	}
-	for _, n := range p.core.All() {
-		if !p.got[n] {
-			out.Send(n, Claim, message.Pack(head{Token: token, Ver: uint64(p.core.Version)}, []byte(p.key)))
-		}
-	}
+type entry struct {
+	token     uint64
+	spent     bool
+	updatedAt units.Time
 }
 
-// Spend makes a key useless for ever: the holder of its claim says that it did not run. Only a node whose claim
-// was granted may burn; to others the key's prompt may be running elsewhere.
-func (s *Claimant) Spend(key string, holders []units.NodeID) (out message.Effects) {
-	for _, n := range append(append([]units.NodeID(nil), holders...), s.core.All()...) {
-		if n != 0 {
-			out.Send(n, Spend, message.Pack(head{}, []byte(key)))
-		}
-	}
-	return out
+type pendingClaim struct {
+	key              string
+	holders          []units.NodeID
+	voters           register.QuorumSet
+	grantedBy        map[units.NodeID]bool
+	startedAt        units.Time
+	holdersGrantedAt units.Time // when a majority of the holders had granted
+	sentAt           units.Time
 }
 
-func (s *Claimant) end(token uint64, c resultcode.Code, kept bool) {
-	delete(s.pends, token)
-	s.Results = append(s.Results, Result{token, c, kept})
+// Result of a claim: OK, Claimed, Burned or NoClaim.
+type Result struct {
+	Token   uint64
+	Code    resultcode.Code
+	Durable bool // on a majority of the core's disks too
 }
 
-// settled ends a claim that the holders granted: once the disks have it too, or can't be waited for.
-func (s *Claimant) settled(now units.Time, token uint64, p *pending) {
-	if p.held == 0 {
-		return
-	}
-	kept := p.core.HasMajority(p.got)
-	waits := now >= s.away && len(p.core.Members) > 0
-	switch {
-	case kept:
-		s.away = 0
-	case waits && now.Sub(p.held) < coreWait:
-		return
-	case waits:
-		s.away = now.Add(awayFor)
-	}
-	if !kept {
-		s.late[token] = p
-	}
-	s.end(token, resultcode.OK, kept)
+type copyStatus struct {
+	complete      bool
+	votersVersion units.Version
 }
 
-// tell lets the disks know of claims that were granted without them.
-func (s *Claimant) tell(now units.Time, out *message.Effects) {
-	for _, token := range message.SortedKeys(s.late) {
-		p := s.late[token]
+// Claimant is the step machine: holder of others' claims and claimant of its own callers'.
+type Claimant struct {
+	self               units.NodeID
+	startedAt          units.Time
+	keys               map[string]entry
+	pending            map[uint64]*pendingClaim
+	notDurable         map[uint64]*pendingClaim // granted by the routers alone; the disks are told as soon as they can be
+	voters             register.QuorumSet
+	skipVotersUntil    units.Time // till then the disks are not waited for
+	copies             map[units.NodeID]copyStatus
+	complete           bool
+	copiesRequestedAt  units.Time
+	partialRequestedAt units.Time
+	sweptAt            units.Time
+	Results            []Result
+}
+
+// New gives a node that remembers nothing and so abstains.
+func New(self units.NodeID, now units.Time) *Claimant {
+	return &Claimant{self: self, startedAt: now, keys: map[string]entry{}, pending: map[uint64]*pendingClaim{}, notDurable: map[uint64]*pendingClaim{}, copies: map[units.NodeID]copyStatus{}}
+}
+
+// SetVoters sets the voters, whose disks keep claims beyond the loss of all memory.
+func (s *Claimant) SetVoters(v register.QuorumSet) { s.voters = v }
+
+// Tick asks again, gives up, forgets old keys, and copies what others remember after a start.
+func (s *Claimant) Tick(now units.Time, peers []units.NodeID, maxRequestTime time.Duration) (out message.Effects) {
+	for _, token := range message.SortedKeys(s.pending) {
+		p := s.pending[token]
 		switch {
-		case now.Sub(p.since) > Retention || p.core.HasMajority(p.got):
-			delete(s.late, token)
-		case now.Sub(p.sent) >= time.Second:
-			if p.core.Version != s.core.Version {
-				p.core, p.got = s.core, map[units.NodeID]bool{}
+		case p.holdersGrantedAt != 0:
+			s.finishIfDurable(now, token, p)
+		case now.Sub(p.startedAt) >= claimTimeout:
+			s.finish(token, resultcode.ClaimFailed, false) // nothing is burned: another copy may hold the key and run
+		case now.Sub(p.sentAt) >= retryInterval:
+			s.sendClaims(now, token, p, &out)
+		}
+	}
+	s.resendToVoters(now, &out)
+	if now.Sub(s.sweptAt) > time.Second {
+		s.sweptAt = now
+		for k, e := range s.keys {
+			if now.Sub(e.updatedAt) > Retention {
+				delete(s.keys, k)
 			}
-			s.ask(now, token, p, out)
 		}
 	}
+	if s.complete || maxRequestTime == 0 {
+		return out
+	}
+	s.complete = s.recoverKeys(now, peers, &out) || now.Sub(s.startedAt) > max(maxRequestTime, propagationTime)
+	return out
 }
 
-func (s *Claimant) answered(now units.Time, from units.NodeID, h head) {
-	if p := s.late[h.Token]; p != nil {
-		if h.State == granted {
-			p.got[from] = true
-		}
-		if p.core.HasMajority(p.got) {
-			s.away = 0
-		}
-		return
+// Complete says whether this node takes part in claims.
+func (s *Claimant) Complete() bool { return s.complete }
+
+// Step takes one note.
+func (s *Claimant) Step(now units.Time, msg message.Message) (out message.Effects) {
+	var h header
+	var key []byte
+	switch msg.Kind {
+	case CopyRequest:
+		out.Send(msg.From, CopyReply, encodeCopy(s.keys, s.complete, 0))
+		return out
+	case CopyReply:
+		out.AddError(s.mergeCopy(now, msg))
+		return out
 	}
-	p := s.pends[h.Token]
-	if p == nil {
-		return
+	if err := message.Unpack(msg.Body, &h, &key); err != nil {
+		out.AddError(err)
+		return out
 	}
-	switch h.State {
-	case taken:
-		s.end(h.Token, resultcode.KeyClaimed, false)
-	case burned:
-		s.end(h.Token, resultcode.KeySpent, false)
-	case granted:
-		p.got[from] = true
-		if p.held == 0 && (register.QuorumSet{Members: p.holders}).HasMajority(p.got) {
-			p.held = max(now, 1)
-		}
-		s.settled(now, h.Token, p)
+	switch msg.Kind {
+	case Claim:
+		h.State = s.grant(now, h.Token, string(key))
+		out.Send(msg.From, ClaimReply, message.Pack(h, key))
+	case Spend:
+		e := s.keys[string(key)]
+		e.spent, e.updatedAt = true, now
+		s.keys[string(key)] = e
+	case ClaimReply:
+		s.handleReply(now, msg.From, h)
+	}
+	return out
+}
+
+func (s *Claimant) grant(now units.Time, token uint64, key string) uint8 {
+	e, ok := s.keys[key]
+	switch {
+	case ok && e.spent:
+		return spent
+	case ok && e.token != token:
+		return taken
+	case !ok && !s.complete:
+		return abstained
 	}
+	s.keys[key] = entry{token: token, updatedAt: now}
+	return granted
 }
--- a/internal/router/idempotency/holders.go
+++ b/internal/router/idempotency/holders.go
@@ -17,30 +17,30 @@
 		node       units.NodeID
 		rank       uint64
 	}
-	by := map[string]*slot{}
+	byAddr := map[string]*slot{}
 	for _, m := range all {
 		if m.Role != membership.Router {
 			continue
 		}
-		s := by[m.Addr]
+		s := byAddr[m.Addr]
 		if s == nil {
 			s = &slot{addr: m.Addr, zone: m.Zone, rank: units.Mix(key, m.Addr)}
-			by[m.Addr] = s
+			byAddr[m.Addr] = s
 		}
 		if m.State <= membership.Suspect {
 			s.node = m.Node
 		}
 	}
-	l := make([]*slot, 0, len(by))
-	for _, s := range by {
+	l := make([]*slot, 0, len(byAddr))
+	for _, s := range byAddr {
 		l = append(l, s)
 	}
 	slices.SortFunc(l, func(a, b *slot) int { return cmp.Compare(b.rank, a.rank) })
 	var out []units.NodeID
 	zones := map[string]bool{}
-	for _, fresh := range []bool{true, false} {
+	for _, newZonesOnly := range []bool{true, false} {
 		for _, s := range l {
-			if len(out) < slots && s.addr != "" && (!fresh || !zones[s.zone]) {
+			if len(out) < holderCount && s.addr != "" && (!newZonesOnly || !zones[s.zone]) {
 				out = append(out, s.node)
 				zones[s.zone] = true
 				s.addr = ""
--- a/internal/tasks/group.go
+++ b/internal/tasks/group.go
@@ -1,4 +1,4 @@
-// Package tasks is the one place that starts goroutines (design 1).
+// Package tasks starts and stops the process's goroutines; no other package starts any (docs/design.md, section 1).
 package tasks
 
 import (
@@ -11,43 +11,43 @@
 	"seamshunt/internal/units"
 )
 
-// Group runs a process's work and waits for it at the end.
+// Group runs a process's goroutines and waits for them when it stops.
 type Group struct {
-	clock clockwork.Clock
-	zero  time.Time
-	stop  chan struct{}
-	once  sync.Once
-	wg    sync.WaitGroup
-	jobs  chan func()
+	clock     clockwork.Clock
+	startTime time.Time
+	stop      chan struct{}
+	stopOnce  sync.Once
+	wg        sync.WaitGroup
+	jobs      chan func()
 }
 
-// New gives a group with a pool of goroutines for short jobs.
+// New returns a group with a pool of size goroutines for short jobs.
 func New(clock clockwork.Clock, size int) *Group {
-	c := &Group{clock: clock, zero: clock.Now(), stop: make(chan struct{}), jobs: make(chan func(), 8192)}
+	g := &Group{clock: clock, startTime: clock.Now(), stop: make(chan struct{}), jobs: make(chan func(), 8192)}
 	for range size {
-		c.Go(func() {
+		g.Go(func() {
 			for {
 				select {
-				case <-c.stop:
+				case <-g.stop:
 					return
-				case f := <-c.jobs:
+				case f := <-g.jobs:
 					f()
 				}
 			}
 		})
 	}
-	return c
+	return g
 }
 
-// Now reads the process's monotonic clock.
-func (c *Group) Now() units.Time { return units.Time(c.clock.Since(c.zero)) }
+// Now returns the time on the process's monotonic clock.
+func (g *Group) Now() units.Time { return units.Time(g.clock.Since(g.startTime)) }
 
-// Sleep waits on the process's clock.
-func (c *Group) Sleep(d time.Duration) { c.clock.Sleep(d) }
+// Sleep waits for d on the process's clock.
+func (g *Group) Sleep(d time.Duration) { g.clock.Sleep(d) }
 
-// Wait waits on the process's clock, or until the context is done.
-func (c *Group) Wait(ctx context.Context, d time.Duration) {
-	t := c.clock.NewTimer(d)
+// Wait waits for d on the process's clock, or until the context is done.
+func (g *Group) Wait(ctx context.Context, d time.Duration) {
+	t := g.clock.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.Chan():
@@ -55,51 +55,51 @@
 	}
 }
 
-// Stopped is closed when the group is to end.
-func (c *Group) Stopped() <-chan struct{} { return c.stop }
+// Stopped returns a channel that is closed when the group is to stop.
+func (g *Group) Stopped() <-chan struct{} { return g.stop }
 
-// Go starts a long piece of work.
-func (c *Group) Go(f func()) {
-	c.wg.Add(1)
+// Go runs f in a goroutine of its own.
+func (g *Group) Go(f func()) {
+	g.wg.Add(1)
 	go func() {
-		defer c.wg.Done()
+		defer g.wg.Done()
 		f()
 	}()
 }
 
-// Do hands a short job to the pool; it says false when the pool is swamped.
-func (c *Group) Do(f func()) bool {
+// Do queues a short job for the pool. It returns false if the queue is full.
+func (g *Group) Do(f func()) bool {
 	select {
-	case c.jobs <- f:
+	case g.jobs <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-// Every runs f again and again until the group stops.
-func (c *Group) Every(gap time.Duration, f func(units.Time)) {
-	c.Go(func() {
-		t := c.clock.NewTicker(gap)
+// Every runs f once per interval until the group stops.
+func (g *Group) Every(interval time.Duration, f func(units.Time)) {
+	g.Go(func() {
+		t := g.clock.NewTicker(interval)
 		defer t.Stop()
 		for {
 			select {
-			case <-c.stop:
+			case <-g.stop:
 				return
 			case <-t.Chan():
-				f(c.Now())
+				f(g.Now())
 			}
 		}
 	})
 }
 
-// Stop tells everyone and waits up to limit.
-func (c *Group) Stop(limit time.Duration) {
-	c.once.Do(func() { close(c.stop) })
+// Stop signals all goroutines to end and waits for them up to timeout.
+func (g *Group) Stop(timeout time.Duration) {
+	g.stopOnce.Do(func() { close(g.stop) })
 	done := make(chan struct{})
-	go func() { c.wg.Wait(); close(done) }()
+	go func() { g.wg.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/tasks/loop.go
+++ b/internal/tasks/loop.go
@@ -9,50 +9,50 @@
 	"seamshunt/internal/units"
 )
 
-// Loop is a loop that runs as often as its work needs: each call says how long the next may wait, and whoever has
-// something for it brings the next call forward.
+// Loop calls a function at varying intervals: each call returns the delay until the next one, and By brings the next
+// call forward.
 type Loop struct {
-	c  *Group
-	mu sync.Mutex
-	t  clockwork.Timer
-	at units.Time // when the next call is due
+	group  *Group
+	mu     sync.Mutex
+	timer  clockwork.Timer
+	nextAt units.Time // when the next call is due
 }
 
 const never = units.Time(1<<63 - 1)
 
-// Start runs f until the group stops, first after a gap. Waits end at multiples of their own length on the group's clock,
-// so that loops that wait equally long wake the process once for all of them.
-func (p *Loop) Start(c *Group, gap time.Duration, f func(units.Time) time.Duration) {
-	p.mu.Lock()
-	p.c, p.t, p.at = c, c.clock.NewTimer(gap), c.Now().Add(gap)
-	p.mu.Unlock()
-	c.Go(func() {
-		defer p.t.Stop()
+// Start calls f until the group stops, first after delay. Each wait ends at a multiple of its length on the group's
+// clock, so that loops with equal delays share one wake-up of the process.
+func (l *Loop) Start(group *Group, delay time.Duration, f func(units.Time) time.Duration) {
+	l.mu.Lock()
+	l.group, l.timer, l.nextAt = group, group.clock.NewTimer(delay), group.Now().Add(delay)
+	l.mu.Unlock()
+	group.Go(func() {
+		defer l.timer.Stop()
 		for {
 			select {
-			case <-c.stop:
+			case <-group.stop:
 				return
-			case <-p.t.Chan():
-				p.mu.Lock()
-				p.at = never
-				p.mu.Unlock()
-				if d := f(c.Now()); d > 0 {
-					p.By(d - time.Duration(c.Now())%d)
+			case <-l.timer.Chan():
+				l.mu.Lock()
+				l.nextAt = never
+				l.mu.Unlock()
+				if d := f(group.Now()); d > 0 {
+					l.By(d - time.Duration(group.Now())%d)
 				}
 			}
 		}
 	})
 }
 
-// By has the next call come within d. Before the start it does nothing.
-func (p *Loop) By(d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.c == nil {
+// By makes the next call happen within d. Before Start it does nothing.
+func (l *Loop) By(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.group == nil {
 		return
 	}
-	if at := p.c.Now().Add(d); at < p.at {
-		p.at = at
-		p.t.Reset(d)
+	if at := l.group.Now().Add(d); at < l.nextAt {
+		l.nextAt = at
+		l.timer.Reset(d)
 	}
 }
--- a/internal/tasks/supervise.go
+++ b/internal/tasks/supervise.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Pauses before a part that has ended is started again.
+// Minimum and maximum delay before a function that returned an error is restarted.
 const (
-	pauseLeast = 50 * time.Millisecond
-	pauseMost  = 5 * time.Second
+	minRestartDelay = 50 * time.Millisecond
+	maxRestartDelay = 5 * time.Second
 )
 
-// Supervise runs a part of the process that is to last as long as the group. When it ends with an error, ended, if any, is told, and
-// it is run again after a pause that grows with each end in a row. One that ends without an error is over.
-func (c *Group) Supervise(run func() error, ended func(error)) {
-	c.Go(func() {
-		for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
-			began := c.Now()
+// Supervise calls run and restarts it while the group runs. If run returns an error, ended (unless nil) is called with
+// it, and run is restarted after a delay that doubles with each consecutive failure, up to a maximum. If run returns nil,
+// it isn't restarted.
+func (g *Group) Supervise(run func() error, ended func(error)) {
+	g.Go(func() {
+		for delay := minRestartDelay; ; delay = min(2*delay, maxRestartDelay) {
+			startedAt := g.Now()
 			err := run()
-			if err == nil || c.over() {
+			if err == nil || g.stopping() {
 				return
 			}
 			if ended != nil {
 				ended(err)
 			}
-			if c.Now().Sub(began) > pauseMost {
-				pause = pauseLeast
+			if g.Now().Sub(startedAt) > maxRestartDelay {
+				delay = minRestartDelay
 			}
-			if !c.pause(pause) {
+			if !g.waitOrStop(delay) {
 				return
 			}
 		}
 	})
 }
 
-// over says whether the group is to end.
-func (c *Group) over() bool {
+// stopping reports whether the group is to stop.
+func (g *Group) stopping() bool {
 	select {
-	case <-c.stop:
+	case <-g.stop:
 		return true
 	default:
 		return false
 	}
 }
 
-// pause waits, and says false if the group is to end.
-func (c *Group) pause(d time.Duration) bool {
-	t := c.clock.NewTimer(d)
+// waitOrStop waits for d. It returns false if the group is stopped before that.
+func (g *Group) waitOrStop(d time.Duration) bool {
+	t := g.clock.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.Chan():
 		return true
-	case <-c.stop:
+	case <-g.stop:
 		return false
 	}
 }
--- a/internal/tasks/supervise_test.go
+++ b/internal/tasks/supervise_test.go
@@ -8,20 +8,21 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// A part that ends is told of and run again, after pauses that grow up to a bound; one that ends without an error is over.
+// A function that fails is reported and restarted after delays that grow up to a maximum; one that returns nil is not
+// restarted.
 func TestSupervise(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	c := New(clock, 0)
-	defer c.Stop(0)
+	group := New(clock, 0)
+	defer group.Stop(0)
 	runs, ends, results := make(chan time.Duration), make(chan error), make(chan error)
-	c.Supervise(func() error {
-		runs <- time.Duration(c.Now())
+	group.Supervise(func() error {
+		runs <- time.Duration(group.Now())
 		return <-results
 	}, func(err error) { ends <- err })
 	broken, at := errors.New("broken"), time.Duration(0)
-	for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
+	for delay := minRestartDelay; ; delay = min(2*delay, maxRestartDelay) {
 		if ran := <-runs; ran != at {
-			t.Fatalf("it ran at %v, want %v", ran, at)
+			t.Fatalf("run called at %v, want %v", ran, at)
 		}
 		results <- broken
 		if err := <-ends; !errors.Is(err, broken) {
@@ -30,44 +31,44 @@
 		if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 			t.Fatal(err)
 		}
-		clock.Advance(pause)
-		if at += pause; pause == pauseMost {
+		clock.Advance(delay)
+		if at += delay; delay == maxRestartDelay {
 			break
 		}
 	}
 	<-runs
-	clock.Advance(2 * pauseMost) // it lasted: the next pause is short again
-	at += 2 * pauseMost
+	clock.Advance(2 * maxRestartDelay) // it ran for long: the next delay is short again
+	at += 2 * maxRestartDelay
 	results <- broken
 	<-ends
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	clock.Advance(pauseLeast)
-	if ran := <-runs; ran != at+pauseLeast {
-		t.Fatalf("it ran at %v, want %v", ran, at+pauseLeast)
+	clock.Advance(minRestartDelay)
+	if ran := <-runs; ran != at+minRestartDelay {
+		t.Fatalf("run called at %v, want %v", ran, at+minRestartDelay)
 	}
 	results <- nil
 	select {
 	case <-runs:
-		t.Error("it ran again after its end")
+		t.Error("restarted after it returned nil")
 	default:
 	}
 }
 
-// The group's end ends a pause.
+// Stopping the group ends the wait for a restart.
 func TestSuperviseStops(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	c := New(clock, 0)
+	group := New(clock, 0)
 	ended := make(chan struct{})
-	c.Supervise(func() error { return errors.New("broken") }, func(error) { close(ended) })
+	group.Supervise(func() error { return errors.New("broken") }, func(error) { close(ended) })
 	<-ended
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	c.Stop(10 * time.Second)
+	group.Stop(10 * time.Second)
 	select {
-	case <-c.Stopped():
+	case <-group.Stopped():
 	default:
 		t.Error("not stopped")
 	}
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,4 +1,4 @@
-// Package units holds the small types for ids, versions, epochs and times (design 1).
+// Package units defines the basic types for ids, versions, epochs and times (docs/design.md, section 1).
 package units
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// NodeID names one process: a random number for a router, the disk's id for a controller.
+// NodeID identifies one process: a random number for a router, the disk's id for a controller.
 type NodeID uint64
 
 func (n NodeID) String() string {
@@ -19,37 +19,37 @@
 	return string(b[:])
 }
 
-// Version numbers the changes of one key of the control state (design 4).
+// Version numbers the changes of one key of the control state (docs/design.md, section 4).
 type Version uint64
 
-// Epoch fences the owners of one key; the node breaks ties (design 2).
+// Epoch fences off earlier owners of a key; the node id breaks ties (docs/design.md, section 2).
 type Epoch struct {
 	Number uint64
 	Node   NodeID
 }
 
-// Less says whether e is older than o.
+// Less reports whether e is older than o.
 func (e Epoch) Less(o Epoch) bool {
 	return e.Number < o.Number || e.Number == o.Number && e.Node < o.Node
 }
 
 // Time is an instant on a process's own monotonic clock, or on the simulator's.
-// It never crosses a wire; spans do.
+// It is never sent to another process; durations are.
 type Time int64
 
-// Add gives the instant s later.
+// Add returns the instant s later.
 func (t Time) Add(s time.Duration) Time { return t + Time(s) }
 
-// Sub gives the span from o to t.
+// Sub returns the duration from o to t.
 func (t Time) Sub(o Time) time.Duration { return time.Duration(t - o) }
 
-// Millis is a span in whole milliseconds, as it crosses wires.
+// Millis is a duration in whole milliseconds, as it is sent between processes.
 type Millis uint32
 
-// Duration turns m into a duration.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// ToMillis rounds a span down; below zero is zero.
+// ToMillis rounds a duration down to whole milliseconds; a negative one becomes zero.
 func ToMillis(d time.Duration) Millis {
 	if d < 0 {
 		return 0
@@ -57,7 +57,7 @@
 	return Millis(d / time.Millisecond)
 }
 
-// Mix hashes parts into one number; equal parts give equal numbers on every node.
+// Mix hashes parts into one number; equal parts have equal hashes on every node.
 func Mix(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -72,5 +72,5 @@
 	return x ^ x>>33
 }
 
-// Hex writes a number as text for Mix and for people.
+// Hex formats a number in hexadecimal, for Mix and for display.
 func Hex(x uint64) string { return strconv.FormatUint(x, 16) }
