--- a/internal/cluster/membership/introduction_test.go
+++ b/internal/cluster/membership/introduction_test.go
@@ -8,8 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// A first word to an address that may hear nothing bears this node and what is held of whoever lived there, not the
-// whole table; and two sides of a cut, each of which gave the other up, still come to know all within a few seconds.
+// A first message to an address that may not receive it carries this node and the member known there, not the full table.
+// After a partition in which each side declared the other dead, all nodes still learn of all others within seconds.
 func TestIntroductionsHealAPartition(t *testing.T) {
 	const n = 12
 	ms, at, now := map[units.NodeID]*Gossip{}, map[string]units.NodeID{}, units.Time(1e10)
@@ -64,6 +64,6 @@
 		t.Errorf("%d introductions, the longest of %d members", intros, longest)
 	}
 	if ticks > 60 {
-		t.Errorf("all know all only after %d ticks of 50 ms", ticks)
+		t.Errorf("the tables are complete only after %d ticks of 50 ms", ticks)
 	}
 }
--- a/internal/cluster/membership/leave_test.go
+++ b/internal/cluster/membership/leave_test.go
@@ -9,7 +9,8 @@
 	"seamshunt/internal/units"
 )
 
-// A process that has run for minutes, hours or weeks leaves like a young one: its own entry is never forgotten.
+// A process leaves correctly however long it has run. Its own entry is never removed by age, unlike those of other dead
+// members.
 func TestLongLivedMemberLeaves(t *testing.T) {
 	for _, age := range []time.Duration{time.Minute, removeAfter - time.Second, removeAfter + time.Second, 5 * time.Hour, 30 * 24 * time.Hour} {
 		now := units.Time(0)
@@ -32,7 +33,7 @@
 			deliver(m, other.Tick(now))
 		}
 		if me, ok := m.Get(1); !ok || me.State != Left {
-			t.Errorf("after %v: its own entry is %+v, %v", age, me, ok)
+			t.Errorf("after %v: own entry is %+v, found %v", age, me, ok)
 		}
 	}
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,4 +1,5 @@
-// Package membership is membership: probes in turn, second opinions, suspicion before removal (design 5).
+// Package membership keeps the table of live processes by gossip: periodic probes, indirect probes through other members,
+// and suspicion before removal (docs/design.md, section 5).
 package membership
 
 import (
@@ -10,10 +11,10 @@
 	"seamshunt/internal/units"
 )
 
-// State of a member as this node sees it.
+// State is a member's state as this node sees it.
 type State uint8
 
-// Later states win at the same incarnation.
+// The states. At the same incarnation the higher one wins.
 const (
 	Alive State = iota
 	Suspect
@@ -21,27 +22,27 @@
 	Left
 )
 
-// Role says which program a member runs.
+// Role is the program that a member runs.
 type Role uint8
 
-// The two programs.
+// The roles.
 const (
 	Router Role = 1 + iota
 	Controller
 )
 
-// Flags a member says of itself.
+// Flags that a member announces about itself.
 const (
 	Draining  uint16 = 1 << iota
-	DiskUnfit        // its disk can't be trusted with ownership now
-	Ready            // a router that serves
-	Voter            // a controller that believes it votes
-	DiskFull         // its disk has no room
-	MayVote          // a controller whose disk may vote (design 13)
-	Bootstrap        // a controller of the system's very first start, by its boot file or by its disk
+	DiskUnfit        // a controller whose disk is currently not fit for ownership of a key
+	Ready            // a router that serves requests
+	Voter            // a controller that believes it is in the quorum set
+	DiskFull         // a controller whose disk is full
+	MayVote          // a controller whose disk may vote (docs/design.md, section 13)
+	Bootstrap        // a controller of the system's first start, according to its settings file or its disk
 )
 
-// Member is one process.
+// Member is an entry of the membership table: one process.
 type Member struct {
 	Node         units.NodeID
 	Incarnation  uint64
@@ -51,37 +52,38 @@
 	Addr         string
 	HTTPAddr     string
 	Zone         string
-	FeedDigest   uint64     // digest of its news, as last told by itself
-	FeedDigestAt units.Time // when it told so
+	FeedDigest   uint64     // digest of its configpush feed, as it last announced
+	FeedDigestAt units.Time // when this node received FeedDigest
 	stateSince   units.Time
 }
 
-// Rates of the probing (start values).
+// Intervals and timeouts of probing.
 const (
 	probeInterval         = 400 * time.Millisecond
 	indirectProbeAfter    = 150 * time.Millisecond
 	suspicionTimeout      = 1500 * time.Millisecond
 	removeAfter           = 10 * time.Minute
 	introInterval         = time.Second
-	isolatedIntroInterval = 100 * time.Millisecond // the same, while nobody is known
+	isolatedIntroInterval = 100 * time.Millisecond // introInterval while no other member is known
 	fullTableInterval     = time.Second
 )
 
+// relayedProbe is a probe sent on behalf of another node.
 type relayedProbe struct {
 	requester units.NodeID
 	seq       uint64
 	sentAt    units.Time
 }
 
-// Gossip is one node's state machine of membership: its table, its probes and the changes still to be told. It isn't safe
-// for concurrent use.
+// Gossip is one node's membership state machine: its table, its probes and the changes that it still has to broadcast. It
+// isn't safe for concurrent use.
 type Gossip struct {
 	Self            units.NodeID
 	FeedDigest      uint64
 	members         map[units.NodeID]*Member
-	sortedIDs       []units.NodeID // of all, sorted; made anew when it changes
-	snapshot        []Member       // what All last gave, till something changes
-	tableDigest     uint64         // of the live members, while summed holds
+	sortedIDs       []units.NodeID // keys of members in order; nil after a change
+	snapshot        []Member       // result of the last call of All; nil after a change
+	tableDigest     uint64         // digest of the live members, if digestValid
 	digestValid     bool
 	version         uint64
 	seeds           []string
@@ -93,24 +95,25 @@
 	probedAt        units.Time
 	indirectSent    bool
 	relayed         map[uint64]relayedProbe
-	broadcastsLeft  map[units.NodeID]int // how often each change is still to be told
-	fullTableSentAt units.Time           // when a whole table was last sent for a digest's sake
+	broadcastsLeft  map[units.NodeID]int // how many more messages carry each changed member
+	fullTableSentAt units.Time           // when the full table was last sent because digests differed
 	introducedAt    units.Time
 }
 
-// New starts with oneself and the seeds.
+// New returns a table that contains only self, and contacts the seeds.
 func New(self Member, seeds []string, rng *rand.Rand) *Gossip {
-	m := &Gossip{Self: self.Node, members: map[units.NodeID]*Member{}, seeds: seeds, rng: rng, relayed: map[uint64]relayedProbe{}, broadcastsLeft: map[units.NodeID]int{}}
+	m := &Gossip{Self: self.Node, members: map[units.NodeID]*Member{}, seeds: seeds, rng: rng,
+		relayed: map[uint64]relayedProbe{}, broadcastsLeft: map[units.NodeID]int{}}
 	m.members[self.Node] = &self
 	m.probedAt = -units.Time(probeInterval)
 	m.introducedAt = -units.Time(introInterval)
 	return m
 }
 
-// SetSeeds names other processes to talk to from now on.
+// SetSeeds replaces the addresses of the seeds.
 func (m *Gossip) SetSeeds(l []string) { m.seeds = slices.Clone(l) }
 
-// SetFlag sets or clears what this node says of itself.
+// SetFlag sets or clears one of this node's own flags.
 func (m *Gossip) SetFlag(f uint16, on bool) {
 	self := m.members[m.Self]
 	old := self.Flags
@@ -125,7 +128,7 @@
 	}
 }
 
-// Get finds a member.
+// Get returns a member by its id.
 func (m *Gossip) Get(n units.NodeID) (Member, bool) {
 	x, ok := m.members[n]
 	if !ok {
@@ -134,7 +137,7 @@
 	return *x, true
 }
 
-// Tick moves the probing on.
+// Tick sends the probes that are due and applies the timeouts.
 func (m *Gossip) Tick(now units.Time) (out message.Effects) {
 	if m.probeTarget != 0 && !m.indirectSent && now.Sub(m.probedAt) >= indirectProbeAfter {
 		m.indirectSent = true
@@ -175,7 +178,8 @@
 	return out
 }
 
-// introduce talks to seeds nobody lives at, and to one node given up on, so that cuts heal.
+// introduce contacts seeds where no live member is known, and one dead member at random, so that both sides find each
+// other again after a network partition.
 func (m *Gossip) introduce(out *message.Effects) {
 	liveAddrs := map[string]bool{}
 	var deadAddrs []string
@@ -201,7 +205,7 @@
 	}
 }
 
-// nextTarget gives the next neighbour of a shuffled round.
+// nextTarget returns the next live peer to probe. Each round probes all peers in a random order.
 func (m *Gossip) nextTarget() units.NodeID {
 	for range 2 {
 		for len(m.probeOrder) > 0 {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -19,14 +19,15 @@
 		x := newMember(n)
 		m.merge(0, &x)
 	}
-	for range 100 { // all has been told often enough
+	for range 100 { // use up all pending broadcasts
 		m.encode(0, 0, false)
 	}
 	return m
 }
 
-// Quiet nodes tell only of themselves; a newcomer hears of all with the first answer, though a whole table was sent
-// to another a moment ago; a digest that differs brings the whole table, at most once a second (design 5).
+// Without changes a message carries only its sender. A newcomer receives the full table with the first reply, even right
+// after another node received it. A differing digest causes the full table to be sent, at most once a second
+// (docs/design.md, section 5).
 func TestPiggybackedMembers(t *testing.T) {
 	a := newGossip(1, 2, 3, 4, 5)
 	count := func(body []byte) int {
@@ -37,28 +38,28 @@
 		return len(l)
 	}
 	if n := count(a.encode(1, 0, false)); n != 1 {
-		t.Errorf("a quiet node tells of %d members", n)
+		t.Errorf("a message without changes carries %d members", n)
 	}
 	now := units.Time(1e10)
 	for i := range units.NodeID(3) {
 		newcomer := New(newMember(20+i), nil, rand.New(rand.NewPCG(1, 9)))
 		out := a.Step(now, message.Message{From: 20 + i, Kind: Probe, Body: newcomer.encode(0, 0, true)})
 		if n := count(out.Messages[0].Body); n != 6+int(i) {
-			t.Errorf("newcomer %d hears of %d members", i, n)
+			t.Errorf("newcomer %d receives %d members", i, n)
 		}
 	}
 	for range 100 {
 		a.encode(0, 0, false)
 	}
-	b := newGossip(2, 1, 3) // knows less
+	b := newGossip(2, 1, 3) // knows fewer members
 	for i, want := range []bool{true, false, true} {
 		at := now.Add(5*time.Second + time.Duration(i)*600*time.Millisecond)
 		out := a.Step(at, message.Message{From: 2, Kind: Probe, Body: b.encode(7, 0, false)})
 		if got := count(out.Messages[0].Body) > 2; got != want {
-			t.Errorf("answer %d is whole: %v", i, got)
+			t.Errorf("reply %d carries the full table: %v", i, got)
 		}
 	}
-	// A change rides on enough notes for all to hear, then no more.
+	// A change is carried by enough messages to reach all members, and by no more than 20.
 	a.setState(a.members[3], Suspect, now)
 	sent := 0
 	for range 50 {
@@ -67,12 +68,12 @@
 		}
 	}
 	if sent < len(a.members) || sent > 20 {
-		t.Errorf("told %d times", sent)
+		t.Errorf("carried by %d messages", sent)
 	}
 }
 
-// A node that knows nobody tries its seeds ten times a second: after a full loss the fleet finds itself at once. One
-// that knows somebody tries those that are missing once a second.
+// A node that knows no other member contacts its seeds ten times a second, so that the members find each other quickly
+// after all of them restarted. One that knows some contacts the missing ones once a second.
 func TestIsolatedNodeContactsSeedsOften(t *testing.T) {
 	m := New(Member{Node: 1, Addr: "a"}, []string{"s"}, rand.New(rand.NewPCG(1, 1)))
 	count := func(from, to time.Duration) (n int) {
@@ -86,10 +87,10 @@
 		return n
 	}
 	if n := count(0, time.Second); n < 9 || n > 11 {
-		t.Errorf("alone: asked %d times in a second", n)
+		t.Errorf("isolated: %d contacts in a second", n)
 	}
 	m.merge(units.Time(time.Second), &Member{Node: 2, Addr: "b"})
 	if n := count(time.Second, 3*time.Second); n < 1 || n > 3 {
-		t.Errorf("in company: asked %d times in two seconds", n)
+		t.Errorf("not isolated: %d contacts in two seconds", n)
 	}
 }
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -7,7 +7,7 @@
 	"seamshunt/internal/units"
 )
 
-// The notes of membership (design 5).
+// The messages of membership (docs/design.md, section 5).
 const (
 	Probe = message.KindMembership + iota
 	Ack
@@ -30,7 +30,7 @@
 	Role        uint8
 }
 
-// encode lays out what the neighbour should hear: this node itself and what changed lately, or the whole table.
+// encode returns the body of a message that carries this node and the members that changed lately, or the full table.
 func (m *Gossip) encode(seq uint64, target units.NodeID, fullTable bool) []byte {
 	var items [][]byte
 	for _, n := range m.nodeIDs() {
@@ -46,9 +46,10 @@
 	return m.encodeItems(seq, target, items)
 }
 
-// encodeIntro lays out a first word to an address: this node itself, and what whoever lived there is taken for, so that
-// it can refute that. The answer is the whole table, and the digest in it says whether this one's is due in return. The
-// whole table itself would mostly go where nobody hears it: into a cut, four times a second (docs/CAPACITY.md).
+// encodeIntro returns the body of a first message to an address. It carries this node and the members known at that
+// address, so that the process there can refute a wrong state. The reply carries the full table, and its digest shows
+// whether this node's full table has to be sent in return. Sending the full table here would mostly be in vain: during a
+// network partition it would be sent four times a second to addresses that can't receive it (docs/CAPACITY.md).
 func (m *Gossip) encodeIntro(addr string) []byte {
 	items := [][]byte{m.members[m.Self].encode()}
 	for _, n := range m.nodeIDs() {
@@ -68,10 +69,12 @@
 	return message.Pack(h, []byte(x.Addr), []byte(x.HTTPAddr), []byte(x.Zone))
 }
 
-// broadcast has a change ride on so many notes that all hear of it, as a rule; the digests find the exceptions.
+// broadcast adds a changed member to the next messages, to so many that usually all nodes receive it. Where one doesn't,
+// the digests differ.
 func (m *Gossip) broadcast(n units.NodeID) { m.broadcastsLeft[n] = bits.Len(uint(len(m.members))) + 4 }
 
-// fullTableDue says whether the whole table is due, since the neighbour's digest is another: at most once in wholeGap.
+// fullTableDue reports whether to send the full table because the peer's digest differs: at most once per
+// fullTableInterval.
 func (m *Gossip) fullTableDue(now units.Time, peerDigest uint64) bool {
 	if peerDigest == m.digest() || now.Sub(m.fullTableSentAt) < fullTableInterval {
 		return false
@@ -90,15 +93,15 @@
 	if err != nil {
 		return h, nil, err
 	}
-	ms := make([]Member, 0, len(items))
+	members := make([]Member, 0, len(items))
 	for _, t := range items {
 		var item memberHeader
-		var addr, web, zone []byte
-		if err := message.Unpack(t, &item, &addr, &web, &zone); err != nil {
+		var addr, httpAddr, zone []byte
+		if err := message.Unpack(t, &item, &addr, &httpAddr, &zone); err != nil {
 			return h, nil, err
 		}
-		ms = append(ms, Member{Node: units.NodeID(item.Node), Incarnation: item.Incarnation, Flags: item.Flags, State: State(item.State),
-			Role: Role(item.Role), Addr: string(addr), HTTPAddr: string(web), Zone: string(zone)})
+		members = append(members, Member{Node: units.NodeID(item.Node), Incarnation: item.Incarnation, Flags: item.Flags, State: State(item.State),
+			Role: Role(item.Role), Addr: string(addr), HTTPAddr: string(httpAddr), Zone: string(zone)})
 	}
-	return h, ms, nil
+	return h, members, nil
 }
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -5,7 +5,7 @@
 	"seamshunt/internal/units"
 )
 
-// Step takes one note.
+// Step handles one message.
 func (m *Gossip) Step(now units.Time, msg message.Message) (out message.Effects) {
 	h, list, err := decode(msg.Body)
 	if err != nil {
@@ -22,7 +22,8 @@
 	}
 	switch msg.Kind {
 	case Probe:
-		out.Send(msg.From, Ack, m.encode(h.Seq, 0, !known || h.Seq == 0 || m.fullTableDue(now, h.TableDigest))) // a newcomer must hear of all at once
+		// A newcomer needs the full table immediately.
+		out.Send(msg.From, Ack, m.encode(h.Seq, 0, !known || h.Seq == 0 || m.fullTableDue(now, h.TableDigest)))
 	case Ack:
 		m.handleAck(now, msg.From, h.Seq, &out)
 		if m.fullTableDue(now, h.TableDigest) {
@@ -52,14 +53,15 @@
 	m.clearSuspicion(now, from)
 }
 
-// clearSuspicion takes back one's own suspicion after word from the node itself or from a witness.
+// clearSuspicion marks a suspected member as alive after a message from it or from a node that reached it.
 func (m *Gossip) clearSuspicion(now units.Time, n units.NodeID) {
 	if x := m.members[n]; x != nil && x.State == Suspect {
 		m.setState(x, Alive, now)
 	}
 }
 
-// merge takes another's view of one member: higher incarnation first, then the graver state.
+// merge applies another node's view of one member: the higher incarnation wins, then the higher state. A wrong view of
+// this node itself is refuted with a higher incarnation.
 func (m *Gossip) merge(now units.Time, update *Member) {
 	if update.Node == m.Self {
 		self := m.members[m.Self]
@@ -93,8 +95,9 @@
 	}
 }
 
-// ConnectionRefused takes evidence that nobody listens at addr: whoever lived there has ended, even where membership
-// had given it up before for its silence (design 6).
+// ConnectionRefused handles a refused connection to addr, which proves that the process there has ended. It marks the
+// members at that address as dead and returns them, including those already dead for lack of acknowledgements
+// (docs/design.md, section 6).
 func (m *Gossip) ConnectionRefused(now units.Time, addr string) []units.NodeID {
 	var l []units.NodeID
 	for _, x := range m.All() {
@@ -109,7 +112,7 @@
 	return l
 }
 
-// Leave says goodbye to everybody.
+// Leave announces to all live peers that this node leaves.
 func (m *Gossip) Leave() (out message.Effects) {
 	self := m.members[m.Self]
 	self.Incarnation++
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -5,20 +5,21 @@
 	"seamshunt/internal/units"
 )
 
-// invalidate is told of every change of what the digest is of, or of who there is: both are worked out anew when asked
-// for next. At 400 nodes a daemon asks for the table some 170 times a second (docs/CAPACITY.md).
+// invalidate is called after every change of a member except of its feed digest. The digest and the snapshot are computed
+// again only when they are next used: at 400 nodes a process reads the table about 170 times a second
+// (docs/CAPACITY.md).
 func (m *Gossip) invalidate() { m.snapshot, m.digestValid, m.version = nil, false, m.version+1 }
 
-// Version is another one whenever a member came, went or changed what it says of itself, its news apart.
+// Version returns a number that changes whenever a member is added, removed or changed, except for its feed digest.
 func (m *Gossip) Version() uint64 { return m.version }
 
-// ProbePending says whether a probe has waited for its answer for longer than usual.
+// ProbePending reports whether a probe is still unacknowledged after the tick in which it was sent.
 func (m *Gossip) ProbePending(now units.Time) bool { return m.probeTarget != 0 && now > m.probedAt }
 
-// invalidateSnapshot is told that only a member's news was told anew, which the digest is not of.
+// invalidateSnapshot is called after a change of a member's feed digest only, which the table digest doesn't cover.
 func (m *Gossip) invalidateSnapshot() { m.snapshot = nil }
 
-// nodeIDs gives all nodes in order.
+// nodeIDs returns the ids of all members in order.
 func (m *Gossip) nodeIDs() []units.NodeID {
 	if m.sortedIDs == nil {
 		m.sortedIDs = message.SortedKeys(m.members)
@@ -26,8 +27,8 @@
 	return m.sortedIDs
 }
 
-// All lists every member that isn't forgotten, in order of id. The list is the same one till something changes: it
-// is never written to again, neither here nor by who asked.
+// All returns every member that isn't removed yet, in order of id. Calls return the same slice until something changes;
+// nobody may modify it.
 func (m *Gossip) All() []Member {
 	if m.snapshot == nil {
 		m.snapshot = make([]Member, 0, len(m.members))
@@ -38,7 +39,7 @@
 	return m.snapshot[:len(m.snapshot):len(m.snapshot)]
 }
 
-// Live lists the members of a role that are alive or only suspected.
+// Live returns the members of a role that are alive or suspected.
 func (m *Gossip) Live(r Role) (l []Member) {
 	for _, n := range m.nodeIDs() {
 		if x := m.members[n]; x.Role == r && x.State <= Suspect {
@@ -48,7 +49,7 @@
 	return l
 }
 
-// digest is a digest of the live members. Those that are gone are left out: each node forgets them at its own time.
+// digest returns a digest of the live members. Dead ones are left out, since each node removes them at a different time.
 func (m *Gossip) digest() uint64 {
 	if !m.digestValid {
 		m.tableDigest, m.digestValid = 0, true
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -10,8 +10,8 @@
 	"seamshunt/internal/units"
 )
 
-// What is kept, the table and its digest, is what working them out anew gives, after whatever happens; and a list
-// that was given out never changes any more.
+// After any sequence of events the cached snapshot and digest equal freshly computed ones, and a slice returned by All
+// never changes.
 func TestSnapshotAndDigestMatchTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	ms, now := map[units.NodeID]*Gossip{}, units.Time(1e9)
@@ -35,7 +35,7 @@
 		}
 		all := m.All()
 		if !slices.Equal(all, l) {
-			t.Fatalf("the table is\n%v, want\n%v", all, l)
+			t.Fatalf("All returns\n%v, want\n%v", all, l)
 		}
 		old = append(old, given{all, slices.Clone(all)})
 	}
@@ -68,7 +68,7 @@
 			m.members[m.Self].Incarnation = uint64(now)
 			ms[m.Self] = m
 		case 3:
-			now = now.Add(11 * time.Minute) // whoever is gone is forgotten
+			now = now.Add(11 * time.Minute) // dead members are removed
 		}
 		send(m.Self, m.Tick(now))
 		check(m)
@@ -84,17 +84,17 @@
 	}
 	for _, g := range old {
 		if !slices.Equal(g.list, g.copy) {
-			t.Fatal("a list that was given out has changed")
+			t.Fatal("a slice returned by All has changed")
 		}
 	}
 	for s := Alive; s <= Left; s++ {
 		if seen[s] == 0 {
-			t.Errorf("state %d never came up", s)
+			t.Errorf("state %d never occurred", s)
 		}
 	}
 }
 
-// A table that nothing has changed is not copied.
+// All and digest allocate nothing while the table doesn't change.
 func TestQuietTableIsNotCopied(t *testing.T) {
 	m := newGossip(1, 2, 3, 4, 5)
 	m.All()
--- a/internal/cluster/membership/version_test.go
+++ b/internal/cluster/membership/version_test.go
@@ -9,7 +9,8 @@
 	"seamshunt/internal/units"
 )
 
-// The version moves with the members, not with their news; a probe counts as under way once it has waited.
+// The version changes with the members, not with their feed digests. A probe counts as pending after the tick in which it
+// was sent.
 func TestVersion(t *testing.T) {
 	now := units.Time(time.Hour)
 	a := New(newMember(1), []string{"a" + units.NodeID(2).String()}, rand.New(rand.NewPCG(1, 1)))
@@ -26,17 +27,17 @@
 	}
 	exchange(a, b)
 	if a.Version() == v {
-		t.Error("a newcomer is no change")
+		t.Error("a new member does not change the version")
 	}
 	for v = a.Version(); now < units.Time(time.Hour+20*time.Second); now = now.Add(50 * time.Millisecond) {
 		b.FeedDigest++
 		exchange(a, b)
 		if a.ProbePending(now) {
-			t.Fatal("asking behind an answer")
+			t.Fatal("a probe is pending after its acknowledgement")
 		}
 	}
 	if a.Version() != v {
-		t.Error("news and answers alone changed the version")
+		t.Error("feed digests and acknowledgements alone changed the version")
 	}
 	now = now.Add(probeInterval)
 	var sent []message.Message
@@ -45,7 +46,7 @@
 		sent = a.Tick(now).Messages
 	}
 	if a.ProbePending(now) || !a.ProbePending(now.Add(50*time.Millisecond)) {
-		t.Error("a probe is under way once it has waited")
+		t.Error("a probe must be pending only after the tick in which it was sent")
 	}
 	b.SetFlag(Draining, true)
 	sent[0].From = a.Self
@@ -54,6 +55,6 @@
 		a.Step(now, r)
 	}
 	if a.Version() == v {
-		t.Error("a member that drains is no change")
+		t.Error("a draining member does not change the version")
 	}
 }
