--- a/internal/cluster/configpush/confirm.go
+++ b/internal/cluster/configpush/confirm.go
@@ -8,31 +8,34 @@
 	"seamshunt/internal/units"
 )
 
-// noControllerGrace is how long a starting node waits for a controller before serving neighbours may vouch instead (start).
+// noControllerGrace is how long a starting node waits for a controller before serving peers may confirm it instead.
 const noControllerGrace = 3 * time.Second
 
-// digestValidity is how long a digest heard from a neighbour counts: it may have moved on since (start).
+// digestValidity is how long a digest announced by a peer is used. After that the peer's state may have changed.
 const digestValidity = 2 * time.Second
 
-// confirmationValidity is how long a voucher's answer counts, from when it was asked. A majority made of answers of different times
-// would prove nothing: a voucher that has been cut off since may have missed what the others took meanwhile (start).
+// confirmationValidity is how long a confirmation counts, from when it was requested. A majority of confirmations from
+// different times would prove nothing: a node that was partitioned off after its reply may have missed what the others
+// accepted since.
 const confirmationValidity = 2 * time.Second
 
-// confirmInterval is how often vouchers are asked (start).
+// confirmInterval is the minimum time between two requests for confirmation.
 const confirmInterval = 100 * time.Millisecond
 
-// confirmation is one voucher's answer: the newest numbers that it holds, as of a question of this node.
+// confirmation is a node's reply to a request of this node: the newest versions that it holds.
 type confirmation struct {
-	askedAt  units.Time // when the question left, by this node's own clock
+	askedAt  units.Time // when the request was sent, by this node's own clock
 	versions map[string]units.Version
 }
 
-// Confirm says whether a starting or woken node may serve: a majority of the voters have vouched that nothing newer
-// than its news stands or, with the core away, a majority of the serving neighbours have. Until then it asks (design 4).
+// Confirm reports whether a starting or resumed node may serve: a majority of the voters or, if no controller is
+// reachable, of the serving peers has confirmed that it holds nothing newer than this node does. Until then Confirm sends
+// requests (docs/design.md, section 4).
 //
-// The quorum set is part of the news that must not be older. Every change of it is accepted by a majority of the set
-// before, so among any majority of an old set there is one whose disk holds a newer set's number.
-func (f *Feed) Confirm(now units.Time, all []membership.Member, self units.NodeID, voters []units.NodeID, startedAt units.Time) (ok bool, out message.Effects) {
+// The quorum set is one of the values that must not be older. Every change of it is accepted by a majority of the previous
+// set, so any majority of an old set includes a member whose disk holds the version of a newer set.
+func (f *Feed) Confirm(now units.Time, all []membership.Member, self units.NodeID, voters []units.NodeID,
+	startedAt units.Time) (ok bool, out message.Effects) {
 	core, peers := LivePeers(all, self)
 	ok = len(voters) > 0 && f.confirmedBy(now, voters)
 	if !ok && len(core) == 0 && now.Sub(startedAt) > noControllerGrace && len(peers) > 0 {
@@ -40,15 +43,15 @@
 	}
 	if !ok && now.Sub(f.confirmAskedAt) > confirmInterval {
 		f.confirmAskedAt = now
-		question := message.Pack(confirmHeader{uint64(now)})
+		request := message.Pack(confirmHeader{uint64(now)})
 		for _, n := range append(core, peers...) {
-			out.Send(n, ConfirmRequest, question)
+			out.Send(n, ConfirmRequest, request)
 		}
 	}
 	return ok, out
 }
 
-// LivePeers lists the live controllers, and the live routers that serve.
+// LivePeers returns the live controllers and the live routers that serve, without this node.
 func LivePeers(all []membership.Member, self units.NodeID) (core, peers []units.NodeID) {
 	for _, m := range all {
 		switch {
@@ -62,16 +65,16 @@
 	return core, peers
 }
 
-// confirmedBy says whether a majority of voters have vouched lately and nothing they hold is newer than the news here.
+// confirmedBy reports whether a majority of voters has a recent confirmation and none of these holds a newer version.
 func (f *Feed) confirmedBy(now units.Time, voters []units.NodeID) bool {
 	confirmations := 0
 	for _, n := range voters {
-		answer, ok := f.Confirmations[n]
-		if !ok || now.Sub(answer.askedAt) > confirmationValidity {
+		reply, ok := f.Confirmations[n]
+		if !ok || now.Sub(reply.askedAt) > confirmationValidity {
 			continue
 		}
 		confirmations++
-		for key, version := range answer.versions {
+		for key, version := range reply.versions {
 			if it := f.Items[key]; it == nil || it.Version < version {
 				return false
 			}
@@ -80,10 +83,10 @@
 	return confirmations > len(voters)/2
 }
 
-// handleConfirmRequest answers a starting node's question with the newest numbers here, behind whatever the disk still has to sync.
+// handleConfirmRequest replies to a starting node with the newest versions here, once all pending writes are synced.
 func (f *Feed) handleConfirmRequest(msg message.Message, out *message.Effects) error {
-	var question confirmHeader
-	if err := message.Unpack(msg.Body, &question); err != nil {
+	var request confirmHeader
+	if err := message.Unpack(msg.Body, &request); err != nil {
 		return err
 	}
 	versions := f.versions()
@@ -92,30 +95,30 @@
 			versions[key] = max(versions[key], version)
 		}
 	}
-	out.SendAfterSync(msg.From, ConfirmReply, message.Pack(question, f.encodeVersions(versions)))
+	out.SendAfterSync(msg.From, ConfirmReply, message.Pack(request, f.encodeVersions(versions)))
 	return nil
 }
 
-// handleConfirmReply takes a voucher's answer. One to an older question than the last that it answered is late.
+// handleConfirmReply records a confirmation, unless the sender has already replied to a later request.
 func (f *Feed) handleConfirmReply(msg message.Message) error {
-	var question confirmHeader
+	var request confirmHeader
 	var list []byte
-	if err := message.Unpack(msg.Body, &question, &list); err != nil {
+	if err := message.Unpack(msg.Body, &request, &list); err != nil {
 		return err
 	}
 	versions, err := decodeVersions(list)
 	if err != nil {
 		return err
 	}
-	asked := units.Time(question.AskedAt)
-	if last, ok := f.Confirmations[msg.From]; !ok || last.askedAt <= asked {
-		f.Confirmations[msg.From] = confirmation{asked, versions}
+	askedAt := units.Time(request.AskedAt)
+	if last, ok := f.Confirmations[msg.From]; !ok || last.askedAt <= askedAt {
+		f.Confirmations[msg.From] = confirmation{askedAt, versions}
 	}
 	return nil
 }
 
-// PushAndPull pushes on what is on its way, and asks neighbours whose digest differs for what is lacking (design 4). A digest
-// that was told before this node's own news last changed says nothing: who told it has, as a rule, changed as well.
+// PushAndPull repeats pending pushes and exchanges versions with peers whose digest differs (docs/design.md, section 4). A
+// digest received before this node's own values last changed is ignored: usually the peer's have changed as well by now.
 func (f *Feed) PushAndPull(now units.Time, all []membership.Member, self units.NodeID) message.Effects {
 	var live []units.NodeID
 	for _, m := range all {
@@ -128,7 +131,8 @@
 		f.lastDigest, f.digestChangedAt = f.Digest, now
 	}
 	for _, m := range all {
-		if m.State == membership.Alive && m.Node != self && m.FeedDigest != 0 && m.FeedDigest != f.Digest && m.FeedDigestAt > f.digestChangedAt && now.Sub(m.FeedDigestAt) < digestValidity {
+		if m.State == membership.Alive && m.Node != self && m.FeedDigest != 0 && m.FeedDigest != f.Digest &&
+			m.FeedDigestAt > f.digestChangedAt && now.Sub(m.FeedDigestAt) < digestValidity {
 			out.Append(f.RequestMissing(now, m.Node))
 		}
 	}
--- a/internal/cluster/configpush/confirm_test.go
+++ b/internal/cluster/configpush/confirm_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// confirmRig is a starting router, node 9, and controllers that hold numbers on their disks.
+// confirmRig is a starting router, node 9, and controllers that hold versions on their disks.
 type confirmRig struct {
 	t           *testing.T
 	now         units.Time
@@ -31,7 +31,7 @@
 	v.router.Apply(Item{Key: key, Version: version})
 }
 
-// answers lets the router ask once, and gives what the reachable controllers answer.
+// replies makes the router send its requests once and returns the replies of the reachable controllers.
 func (v *confirmRig) replies(reachable ...units.NodeID) (replies []message.Message) {
 	v.t.Helper()
 	v.now = v.now.Add(2 * confirmInterval)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A router that knows an old quorum set alone is not vouched for by its former members, though all that they hold of the
-// configuration is what the router has: one of them took part in the change of the set.
+// A router that knows only an old quorum set is not confirmed by a majority of that set, even if they hold the same
+// configuration as the router: one of them accepted the change to a newer set.
 func TestOldQuorumSetDoesNotConfirm(t *testing.T) {
 	v := newConfirmRig(t)
 	v.setController(1, map[string]units.Version{"voters": 1, "config": 4})
@@ -91,7 +91,8 @@
 	v.expect("a majority of the newest set, nothing newer", true, 3, 4, 5)
 }
 
-// Answers of different times make no majority: what was cut off after its answer may have missed what came since.
+// Confirmations from different times don't form a majority: a node that was partitioned off after its reply may have
+// missed later changes.
 func TestConfirmationsExpire(t *testing.T) {
 	v := newConfirmRig(t)
 	v.apply("config", 4)
@@ -100,26 +101,27 @@
 	v.setController(3, map[string]units.Version{"config": 4})
 	v.deliver(v.replies(1))
 	v.expect("one of three", false, 1, 2, 3)
-	v.now = v.now.Add(20 * time.Second) // meanwhile 1 and 3 take number 5; then 1 is cut off
+	v.now = v.now.Add(20 * time.Second) // meanwhile 1 and 3 accept version 5; then 1 is partitioned off
 	v.setController(1, map[string]units.Version{"config": 5})
 	v.setController(3, map[string]units.Version{"config": 5})
 	late := v.replies(2)
 	v.deliver(late)
-	v.expect("an old answer and a new one", false, 1, 2, 3)
+	v.expect("an old reply and a new one", false, 1, 2, 3)
 	v.now = v.now.Add(20 * time.Second)
 	v.deliver(late)
-	v.expect("an answer that was long on its way", false, 1, 2, 3)
+	v.expect("a reply that was delayed", false, 1, 2, 3)
 	v.deliver(v.replies(1, 2))
-	v.expect("a majority of which one holds a newer number", false, 1, 2, 3)
+	v.expect("a majority of which one holds a newer version", false, 1, 2, 3)
 	v.apply("config", 5)
 	v.deliver(v.replies(1, 2))
-	v.expect("a majority at one time", true, 1, 2, 3)
+	v.expect("a majority at the same time", true, 1, 2, 3)
 }
 
-// A question or an answer that can't be read changes nothing and is told of.
+// A request or reply that can't be decoded changes nothing and is reported as an error.
 func TestMalformedConfirmations(t *testing.T) {
 	f := New(1)
-	for _, n := range []message.Message{{Kind: ConfirmRequest}, {Kind: ConfirmReply}, {Kind: ConfirmReply, Body: message.Pack(confirmHeader{1}, []byte{1, 0})}} {
+	for _, n := range []message.Message{{Kind: ConfirmRequest}, {Kind: ConfirmReply},
+		{Kind: ConfirmReply, Body: message.Pack(confirmHeader{1}, []byte{1, 0})}} {
 		out := f.Step(0, n)
 		if len(out.Errors) != 1 || len(out.AfterSync) != 0 || len(f.Confirmations) != 0 {
 			t.Errorf("%v: %v", n, out)
--- a/internal/cluster/configpush/feed.go
+++ b/internal/cluster/configpush/feed.go
@@ -1,4 +1,4 @@
-// Package configpush brings numbered news to every node and counts acknowledgements (design 4).
+// Package configpush distributes versioned values to every node and tracks acknowledgements (docs/design.md, section 4).
 package configpush
 
 import (
@@ -10,7 +10,7 @@
 	"seamshunt/internal/units"
 )
 
-// The notes of news.
+// The messages of configpush.
 const (
 	Push = message.KindConfigPush + iota
 	Ack
@@ -24,17 +24,18 @@
 	relayCount    = 3
 )
 
+// versionHeader precedes a key, and its value in a push.
 type versionHeader struct{ Version uint64 }
 
-// confirmHeader marks a question to vouchers, and its answers, with the time by the asker's clock.
+// confirmHeader marks a request for confirmation, and the replies to it, with the time on the requester's clock.
 type confirmHeader struct{ AskedAt uint64 }
 
-// Item is one key's newest news.
+// Item is the newest value of a key.
 type Item struct {
 	Key        string
 	Version    units.Version
 	Data       []byte
-	ReceivedAt units.Time // when this node had it; the time isn't sent
+	ReceivedAt units.Time // when this node received it; not sent to others
 }
 
 type pendingPush struct {
@@ -43,31 +44,31 @@
 	version units.Version
 }
 
-// Feed is one node's state machine of the numbered values that are spread to all nodes: what it holds, what it pushes and
-// who has acknowledged it. It isn't safe for concurrent use.
+// Feed is one node's state machine for the versioned values that all nodes hold: the values, the pending pushes and the
+// acknowledgements. It isn't safe for concurrent use.
 type Feed struct {
 	Items           map[string]*Item
 	Digest          uint64
-	Changes         []Item                                    // what changed since the daemon last looked
-	Acks            map[string]map[units.NodeID]units.Version // who has acknowledged what, on the pushing side
-	requestedAt     map[units.NodeID]units.Time               // when a neighbour was last asked for its news
+	Changes         []Item                                    // items applied since the program last emptied the list
+	Acks            map[string]map[units.NodeID]units.Version // on the node that pushes: versions acknowledged, by key and node
+	requestedAt     map[units.NodeID]units.Time               // when each peer was last sent a Pull
 	confirmAskedAt  units.Time
-	selfSalt        string                          // salt for drawing whom to relay to
-	pending         map[string]*pendingPush         // news on its way
-	Confirmations   map[units.NodeID]confirmation   // a starting node's confirmations
-	StoredVersions  func() map[string]units.Version // a controller's numbers on disk; nil on a router
-	lastDigest      uint64                          // the digest at the last beat
-	digestChangedAt units.Time                      // when that was found changed
-	relayDue        bool                            // something new came from a neighbour since the last tick
+	selfSalt        string                          // this node's id, a salt for choosing relay targets
+	pending         map[string]*pendingPush         // pushes not acknowledged by all nodes yet, by key
+	Confirmations   map[units.NodeID]confirmation   // replies to a starting node's requests
+	StoredVersions  func() map[string]units.Version // returns the versions on a controller's disk; nil on a router
+	lastDigest      uint64                          // the digest at the last call of PushAndPull
+	digestChangedAt units.Time                      // when lastDigest last changed
+	relayDue        bool                            // a peer pushed something new since the last tick
 }
 
-// New gives an empty one.
+// New returns an empty feed.
 func New(self units.NodeID) *Feed {
-	return &Feed{selfSalt: self.String(), Items: map[string]*Item{}, Acks: map[string]map[units.NodeID]units.Version{}, requestedAt: map[units.NodeID]units.Time{},
-		pending: map[string]*pendingPush{}, Confirmations: map[units.NodeID]confirmation{}}
+	return &Feed{selfSalt: self.String(), Items: map[string]*Item{}, Acks: map[string]map[units.NodeID]units.Version{},
+		requestedAt: map[units.NodeID]units.Time{}, pending: map[string]*pendingPush{}, Confirmations: map[units.NodeID]confirmation{}}
 }
 
-// Apply sets a key's news if it is newer; it never goes back.
+// Apply stores an item and reports whether its version is newer than the one held. Versions never decrease.
 func (f *Feed) Apply(it Item) bool {
 	old := f.Items[it.Key]
 	if old != nil && old.Version >= it.Version {
@@ -82,7 +83,7 @@
 	return true
 }
 
-// Publish takes a chosen value and begins to push it to the nodes given.
+// Publish applies a chosen value and starts to push it to the given nodes.
 func (f *Feed) Publish(now units.Time, it Item, to []units.NodeID) (out message.Effects) {
 	it.ReceivedAt = now
 	f.Apply(it)
@@ -99,7 +100,7 @@
 	return message.Pack(versionHeader{uint64(it.Version)}, []byte(it.Key), it.Data)
 }
 
-// Tick pushes again to those that have not acknowledged and still live, and to newcomers.
+// Tick repeats pending pushes to the live nodes that haven't acknowledged them, and relays new versions.
 func (f *Feed) Tick(now units.Time, live []units.NodeID) (out message.Effects) {
 	for _, key := range message.SortedKeys(f.pending) {
 		p := f.pending[key]
@@ -123,8 +124,8 @@
 	return out
 }
 
-// relay tells a few others by number what came newly, so that they ask for what they lack: news goes round cuts that
-// part its pusher from some. The few are drawn by hash, so that every node draws others.
+// relay sends this node's versions to a few peers after a push, so that they pull what they lack: values reach nodes that
+// are partitioned from the node that pushes. The peers are chosen by hash, so that every node chooses different ones.
 func (f *Feed) relay(live []units.NodeID, out *message.Effects) {
 	if !f.relayDue {
 		return
@@ -140,7 +141,7 @@
 	}
 }
 
-// RequestMissing is told that a neighbour's digest differs: the two exchange what each lacks.
+// RequestMissing sends this node's versions to a peer whose digest differs, so that both exchange what the other lacks.
 func (f *Feed) RequestMissing(now units.Time, from units.NodeID) (out message.Effects) {
 	if t, ok := f.requestedAt[from]; ok && now.Sub(t) < retryInterval {
 		return out
@@ -180,7 +181,7 @@
 	return m, err
 }
 
-// Step takes one note.
+// Step handles one message.
 func (f *Feed) Step(now units.Time, msg message.Message) (out message.Effects) {
 	var h versionHeader
 	var key, data []byte
@@ -221,7 +222,7 @@
 	}
 }
 
-// handlePull sends what the neighbour lacks, and asks back when it is ahead.
+// handlePull sends what the peer lacks, and pulls in turn if the peer holds newer versions.
 func (f *Feed) handlePull(now units.Time, from units.NodeID, theirs map[string]units.Version, out *message.Effects) {
 	for _, k := range message.SortedKeys(f.Items) {
 		it := f.Items[k]
--- a/internal/cluster/configpush/push_pull_test.go
+++ b/internal/cluster/configpush/push_pull_test.go
@@ -8,7 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// Whose digest differs is asked, unless it was told before this node's own news last changed.
+// A peer with a different digest is sent a Pull, unless the digest was received before this node's own values last
+// changed.
 func TestPullOnDifferentDigest(t *testing.T) {
 	f, now := New(1), units.Time(time.Hour)
 	member := func(digest uint64, digestAt units.Time) []membership.Member {
@@ -25,26 +26,26 @@
 		return count
 	}
 	if pulls(member(7, now)) != 1 {
-		t.Error("a starting node asks nobody")
+		t.Error("a starting node sends no Pull")
 	}
 	now = now.Add(time.Second)
 	before := now.Add(-10 * time.Millisecond)
 	f.Apply(Item{Key: "config", Version: 4})
 	if pulls(member(7, before)) != 0 {
-		t.Error("an old digest counts")
+		t.Error("Pull sent for a digest from before the last change")
 	}
 	now = now.Add(100 * time.Millisecond)
 	if pulls(member(7, before)) != 0 {
-		t.Error("an old digest counts a beat later")
+		t.Error("Pull sent for an old digest at the next call")
 	}
 	if pulls(member(f.Digest, now)) != 0 {
-		t.Error("one that holds the same is asked")
+		t.Error("Pull sent to a peer with the same digest")
 	}
 	if pulls(member(7, now)) != 1 {
-		t.Error("one that still differs is not asked")
+		t.Error("no Pull sent to a peer whose digest still differs")
 	}
 	now = now.Add(digestValidity)
 	if pulls(member(7, now.Add(-digestValidity))) != 0 {
-		t.Error("a digest counts for ever")
+		t.Error("Pull sent for an expired digest")
 	}
 }
--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery holds what the platform was seen to list: one sighting per pool and asker, no disk, no
-// majority (design 5).
+// Package discovery merges the workers that the platform lists, as observed by several nodes. It keeps the latest
+// observation per pool and observer, and needs no disk and no majority (docs/design.md, section 5).
 package discovery
 
 import (
@@ -16,42 +16,45 @@
 	"seamshunt/internal/units"
 )
 
-// KeyPrefix begins the keys of sightings in the news: workers/POOL/ASKER.
+// KeyPrefix begins the keys under which configpush distributes observations: workers/POOL/OBSERVER.
 const KeyPrefix = "workers/"
 
-// rewarmSlack is how much longer a worker must look to stay cold than it should before it counts as cold anew (start).
+// rewarmSlack is by how much a worker's remaining warm-up time must exceed the expected one before the worker counts as
+// warming up again.
 const rewarmSlack = 500 * time.Millisecond
 
-// restartSlack is how much younger a worker must look than it should before it counts as started again.
+// restartSlack is by how much a worker's age must fall short of the expected one before the worker counts as restarted.
 const restartSlack = 1500 * time.Millisecond
 
-// observation is one answer of the platform. Knew says which sightings its asker had heard of before it asked: only
-// those does it replace, since only then is it certain to be the later one.
+// observation is one answer of the platform. Known has the versions of the observations, by observer, that its observer
+// had received before the query. Only those does it supersede, since only then is it certain to be later.
 type observation struct {
 	version units.Version
 	workers []config.Worker
 	known   map[string]units.Version
 }
 
-// Catalog merges the sightings of all askers into one list of workers for each pool. It isn't safe for concurrent use.
+// Catalog merges the observations of all observers into one list of workers for each pool. It isn't safe for concurrent
+// use.
 type Catalog struct {
-	observations map[string]map[string]*observation
-	startedAt    map[string]units.Time // when each worker began, on this process's clock
+	observations map[string]map[string]*observation // by pool and observer
+	startedAt    map[string]units.Time              // when each worker started, on this process's clock
 	generation   map[string]uint64
-	warmingUntil map[string]units.Time // till when each worker is cold, where the list says how much longer it is
+	warmingUntil map[string]units.Time // end of each worker's warm-up, if the list contains the time left
 }
 
-// New has seen nothing.
+// New returns a catalog without observations.
 func New() *Catalog {
-	return &Catalog{observations: map[string]map[string]*observation{}, startedAt: map[string]units.Time{}, generation: map[string]uint64{}, warmingUntil: map[string]units.Time{}}
+	return &Catalog{observations: map[string]map[string]*observation{}, startedAt: map[string]units.Time{},
+		generation: map[string]uint64{}, warmingUntil: map[string]units.Time{}}
 }
 
-// Key names an asker's sightings of a pool in the news.
+// Key returns the configpush key of an observer's observations of a pool.
 func Key(pool string, observer units.NodeID) string {
 	return KeyPrefix + pool + "/" + observer.String()
 }
 
-// Apply takes a sighting from the news, and gives the pool that it is of.
+// Apply adds an observation distributed by configpush, and returns its pool.
 func (c *Catalog) Apply(now units.Time, key string, version units.Version, data []byte) (string, error) {
 	pool, observer, _ := strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
 	workers, err := config.ReadWorkers(data)
@@ -82,19 +85,19 @@
 	return pool, nil
 }
 
-// List merges what stands: sightings that no later one replaced. Where two can't be ordered, a worker that either
-// marks as leaving is leaving, and one that either lists is listed.
+// List merges the observations of a pool that no later one supersedes. If two can't be ordered, a worker that either of
+// them marks as leaving is leaving, and a worker that either of them lists is listed.
 func (c *Catalog) List(pool string) []config.Worker {
 	byObserver, merged := c.observations[pool], map[string]config.Worker{}
-	for _, id := range message.SortedKeys(byObserver) {
-		s, superseded := byObserver[id], false
-		for b, t := range byObserver {
-			superseded = superseded || b != id && t.known[id] >= s.version && !(s.known[b] >= t.version)
+	for _, observer := range message.SortedKeys(byObserver) {
+		o, superseded := byObserver[observer], false
+		for other, p := range byObserver {
+			superseded = superseded || other != observer && p.known[observer] >= o.version && !(o.known[other] >= p.version)
 		}
 		if superseded {
 			continue
 		}
-		for _, w := range s.workers {
+		for _, w := range o.workers {
 			x, ok := merged[w.ID]
 			if ok {
 				leaving := x.Leaving || w.Leaving
@@ -106,17 +109,17 @@
 			merged[w.ID] = w
 		}
 	}
-	l := make([]config.Worker, 0, len(merged))
+	workers := make([]config.Worker, 0, len(merged))
 	for _, id := range message.SortedKeys(merged) {
-		l = append(l, merged[id])
+		workers = append(workers, merged[id])
 	}
-	return l
+	return workers
 }
 
-// StartTimes says when each worker began, as far as is known.
+// StartTimes returns when each known worker started.
 func (c *Catalog) StartTimes() map[string]units.Time { return c.startedAt }
 
-// Query is one question to the platform: its number, and which sightings its asker had heard of when it began.
+// Query is a query to the platform: its version, and the observations that its observer had received when it started.
 type Query struct {
 	Pool      string
 	Version   units.Version
@@ -124,8 +127,8 @@
 	known     map[string]units.Version
 }
 
-// NewQuery begins a question. Wall is the asker's calendar in milliseconds; a number also goes past every one that the
-// asker is known to have given, so a wrong calendar costs nothing.
+// NewQuery starts a query. Its version is wallMillis, the observer's wall clock in milliseconds, or more if needed to exceed
+// every known version of this observer, so a wrong wall clock does no harm.
 func (c *Catalog) NewQuery(now units.Time, pool string, self units.NodeID, wallMillis int64) Query {
 	q := Query{Pool: pool, Version: units.Version(max(1, wallMillis)), StartedAt: now, known: map[string]units.Version{}}
 	for k, s := range c.observations[pool] {
@@ -137,7 +140,8 @@
 	return q
 }
 
-// RecordAnswer takes the platform's answer and gives the news that it makes; nothing when it says what is known already.
+// RecordAnswer compares the platform's answer with the catalog. It returns the observation to distribute, or false if the
+// answer contains nothing new.
 func (c *Catalog) RecordAnswer(q Query, workers []config.Worker) ([]byte, bool) {
 	workers = slices.Clone(workers)
 	slices.SortFunc(workers, func(x, y config.Worker) int { return cmp.Compare(x.ID, y.ID) })
@@ -151,7 +155,7 @@
 		k, ok := known[w.ID]
 		restarted := !ok || k.Addr != w.Addr || k.Service != w.Service || c.restarted(q.StartedAt, w)
 		if w.Life = k.Life; restarted {
-			w.Life = uint64(q.Version) // started, or started again: it warms anew
+			w.Life = uint64(q.Version) // started or restarted: it warms up again
 		}
 		changed = changed || restarted || k.Zone != w.Zone || k.Leaving != w.Leaving || k.Slots != w.Slots
 	}
@@ -167,8 +171,8 @@
 	return v.MarshalTo(nil), true
 }
 
-// restarted says whether a worker that is known looks as if it had been started again, or had turned cold again. Lists that
-// name a worker's service tell how much longer it is cold, others how old it is (design 13).
+// restarted reports whether a known worker seems to have been restarted or to be warming up again. Lists that name a
+// worker's service contain its remaining warm-up time, others its age (docs/design.md, section 13).
 func (c *Catalog) restarted(now units.Time, w *config.Worker) bool {
 	if w.Service != "" {
 		return w.Cold > 0 && now.Add(w.Cold).Sub(c.warmingUntil[w.ID]) > rewarmSlack
@@ -176,14 +180,14 @@
 	return now.Add(-w.Age).Sub(c.startedAt[w.ID]) > restartSlack
 }
 
-// Schedule paces one node's questions: a node may ask for its share of the fleet's rate, and shares never add up to more
-// than the whole (design 5).
+// Schedule limits one node's queries to its share of the fleet's rate. The shares never add up to more than 1
+// (docs/design.md, section 5).
 type Schedule struct {
 	credit    time.Duration
 	updatedAt units.Time
 }
 
-// Due says whether a question may go out now; gap is the fleet's least gap between two.
+// Due reports whether a query may be sent now; interval is the fleet's minimum interval between two queries.
 func (t *Schedule) Due(now units.Time, share float64, interval time.Duration) bool {
 	elapsed := min(now.Sub(t.updatedAt), interval)
 	t.updatedAt = now
@@ -195,7 +199,8 @@
 	return true
 }
 
-// Next says how long nothing can be due if the share stays as it is. Time is credited a gap at a time at the most.
+// Next returns how long no query can become due if the share stays the same. It is at most about one interval, since Due
+// credits no more than that at a time.
 func (t *Schedule) Next(now units.Time, share float64, interval time.Duration) time.Duration {
 	wait := interval
 	if share > 0 {
--- a/internal/cluster/discovery/discovery_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -42,9 +42,9 @@
 	walk(all, nil)
 }
 
-// Two askers that do not hear of each other. The first asked before the mark, but its answer is told on late and
-// bears the higher number; the second saw the mark. In every order of what arrives, the mark stands as soon as it
-// was heard, until a list whose asker knew of it takes it back.
+// Two observers query the platform without knowing of each other's queries. One query starts before a worker is marked as
+// leaving, but its answer is distributed late and has the higher version; the other sees the mark. In every order of
+// arrival the mark holds once received, until a list whose observer knew of the mark clears it.
 func TestObservationsInAnyOrder(t *testing.T) {
 	a, b := New(), New()
 	apply := func(n *Catalog, s update) {
@@ -56,7 +56,7 @@
 		q := n.NewQuery(0, "main", self, wallMillis)
 		data, changed := n.RecordAnswer(q, l)
 		if !changed {
-			t.Fatalf("no news of %v", l)
+			t.Fatalf("nothing new in %v", l)
 		}
 		s := update{Key("main", self), q.Version, data}
 		apply(n, s)
@@ -64,13 +64,13 @@
 	}
 	first := observe(a, 1, 100, workerList(time.Hour))
 	apply(b, first)
-	early := b.NewQuery(0, "main", 2, 900)                          // asked before the mark, told on late: list(joined)
-	mark := observe(a, 1, 200, workerList(time.Hour, "w2"))         // does not know of that question
+	early := b.NewQuery(0, "main", 2, 900)                          // starts before the mark, distributed late
+	mark := observe(a, 1, 200, workerList(time.Hour, "w2"))         // doesn't know of that query
 	data, _ := b.RecordAnswer(early, workerList(2 * time.Hour)[:1]) // the platform did not list w2 yet
 	late := update{Key("main", 2), early.Version, data}
 	apply(b, late)
 	apply(b, mark)
-	again := observe(b, 2, 901, workerList(time.Hour)) // not leaving any more, and its asker knew of the mark
+	again := observe(b, 2, 901, workerList(time.Hour)) // no longer leaving, and its observer knew of the mark
 	all := []update{first, mark, late, again}
 	permutations(len(all), func(o []int) {
 		v := New()
@@ -83,28 +83,28 @@
 				leaving = leaving || w.ID == "w2" && w.Leaving
 			}
 			if leaving != (marked && !cleared) {
-				t.Errorf("order %v, after %d: marked %v, taken back %v, leaving %v", o, i, marked, cleared, leaving)
+				t.Errorf("order %v, after %d: marked %v, cleared %v, leaving %v", o, i, marked, cleared, leaving)
 			}
 		}
 	})
 }
 
-// A worker started again in its place, or listed again after it was gone, warms anew everywhere; an old list that
-// comes late makes nothing young.
+// A worker that restarts in place, or is listed again after it was missing, warms up again in every catalog. An old list
+// that arrives late doesn't make a worker newer.
 func TestWorkerRestarts(t *testing.T) {
 	n, v := New(), New()
 	at := func(s int) units.Time { return units.Time(time.Duration(s) * time.Second) }
 	step := func(sec int, l []config.Worker, want bool) {
 		t.Helper()
-		l[0].Age += time.Duration(sec) * time.Second // w1 runs on
+		l[0].Age += time.Duration(sec) * time.Second // w1 keeps running
 		q := n.NewQuery(at(sec), "main", 1, int64(sec)*1000)
 		data, changed := n.RecordAnswer(q, l)
 		if changed != want {
-			t.Errorf("at %d s news %v", sec, changed)
+			t.Errorf("at %d s changed is %v", sec, changed)
 		}
 		if changed {
 			for i, x := range []*Catalog{n, v} {
-				// The other hears of it four seconds late.
+				// The other catalog receives it four seconds later.
 				if _, err := x.Apply(at(sec+4*i), Key("main", 1), q.Version, data); err != nil {
 					t.Fatal(err)
 				}
@@ -113,21 +113,21 @@
 	}
 	step(10, workerList(10*time.Second), true)
 	step(20, workerList(20*time.Second), false)
-	step(30, workerList(time.Second), true) // started again in place at 29 s
+	step(30, workerList(time.Second), true) // restarted in place at 29 s
 	if got := v.StartTimes()["w2"]; got != at(33) {
 		t.Errorf("started at %v", time.Duration(got))
 	}
 	if got := v.StartTimes()["w1"]; got != at(4).Add(-time.Hour) {
-		t.Errorf("the other one was made younger: %v", time.Duration(got))
+		t.Errorf("the start time of the other worker changed: %v", time.Duration(got))
 	}
-	step(40, workerList(11 * time.Second)[:1], true) // gone
-	step(50, workerList(0), true)                    // listed again, cold
+	step(40, workerList(11 * time.Second)[:1], true) // not listed
+	step(50, workerList(0), true)                    // listed again, just started
 	if got := n.StartTimes()["w2"]; got != at(50) {
 		t.Errorf("listed again: %v", time.Duration(got))
 	}
 }
 
-// A number goes past every one given before, whatever the calendar says; what can't be read changes nothing.
+// A query's version exceeds every earlier one even if the wall clock is set back. An invalid update changes nothing.
 func TestVersionsAndInvalidUpdates(t *testing.T) {
 	n := New()
 	q := n.NewQuery(0, "main", 1, 5000)
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	if q := n.NewQuery(0, "main", 1, 10); q.Version != 5001 {
-		t.Errorf("after a calendar set back: number %d", q.Version)
+		t.Errorf("after the wall clock was set back: version %d", q.Version)
 	}
 	for i, bad := range []string{"", "{}", `{"workers":[{"id":""}]}`, `{"workers":3}`, `{"workers":[],"knew":4}`} {
 		if _, err := n.Apply(0, Key("main", 2), units.Version(i+1), []byte(bad)); (err == nil) != (i == 4) || len(n.List("main")) != 2 {
--- a/internal/cluster/discovery/warmup_test.go
+++ b/internal/cluster/discovery/warmup_test.go
@@ -8,8 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// Lists that name services and say how much longer a worker is cold: it warms anew, under a higher life, when that rises
-// again or its service is another; that it falls as time goes by is no news.
+// Lists that name services contain each worker's remaining warm-up time. If that rises or the service changes, the worker
+// warms up again under a higher generation. That it falls as time passes is no change.
 func TestWorkerWarmsUpAgain(t *testing.T) {
 	const ms = units.Time(time.Millisecond)
 	c := New()
@@ -20,10 +20,10 @@
 		now = at
 		version++
 		w.ID, w.Addr, w.Age = "w", "a", time.Hour
-		a := c.NewQuery(now, "*", 1, version)
-		data, changed := c.RecordAnswer(a, []config.Worker{w})
+		q := c.NewQuery(now, "*", 1, version)
+		data, changed := c.RecordAnswer(q, []config.Worker{w})
 		if changed {
-			if _, err := c.Apply(now+10*ms, Key("*", 1), a.Version, data); err != nil {
+			if _, err := c.Apply(now+10*ms, Key("*", 1), q.Version, data); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -33,14 +33,14 @@
 		return config.Worker{Service: "s", Slots: 4, Cold: d}
 	}
 	for i, x := range []struct {
-		at   units.Time
-		w    config.Worker
-		news bool
-		life uint64
+		at         units.Time
+		w          config.Worker
+		changed    bool
+		generation uint64
 	}{
 		{0, warming(3 * time.Second), true, 1},
 		{1000 * ms, warming(2 * time.Second), false, 1},
-		{2000 * ms, warming(1300 * time.Millisecond), false, 1}, // lists trail unevenly
+		{2000 * ms, warming(1300 * time.Millisecond), false, 1}, // lists lag by varying amounts
 		{4000 * ms, warming(0), false, 1},
 		{60000 * ms, warming(0), false, 1},
 		{61000 * ms, warming(2500 * time.Millisecond), true, 8 - 2},
@@ -53,17 +53,17 @@
 	} {
 		changed := observe(x.at, x.w)
 		w := c.List("*")[0]
-		if changed != x.news || w.Life != x.life {
-			t.Errorf("look %d: news %v, life %d; %v and %d wanted", i, changed, w.Life, x.news, x.life)
+		if changed != x.changed || w.Life != x.generation {
+			t.Errorf("list %d: changed %v, generation %d; want %v and %d", i, changed, w.Life, x.changed, x.generation)
 		}
 		if w.Service != x.w.Service || w.Slots != x.w.Slots {
-			t.Errorf("look %d: listed as %+v", i, w)
+			t.Errorf("list %d: listed as %+v", i, w)
 		}
 	}
 }
 
-// A poller that sleeps till the next question can be due asks no more than its share allows, hardly less, and wakes no
-// more often than once a gap beside its questions.
+// A poller that sleeps as long as Next says sends no more queries than its share allows and hardly fewer. Apart from its
+// queries it wakes up at most once per interval.
 func TestScheduleWakeups(t *testing.T) {
 	const interval = 500 * time.Millisecond
 	for _, share := range []float64{1, 0.5, 1.0 / 3, 0} {
@@ -79,7 +79,7 @@
 		}
 		want := share * float64(100*time.Second/interval)
 		if float64(asked) > want+1 || float64(asked) < want*0.97-2 || woke > 2*int(100*time.Second/interval)+2 {
-			t.Errorf("share %.2f: asked %d times in 100 s, %.0f allowed; woke %d times", share, asked, want, woke)
+			t.Errorf("share %.2f: %d queries in 100 s, %.0f allowed; %d wake-ups", share, asked, want, woke)
 		}
 	}
 }
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -61,7 +61,8 @@
 }
 
 func (m *Gossip) encodeItems(seq uint64, target units.NodeID, items [][]byte) []byte {
-	return message.Pack(probeHeader{Seq: seq, FeedDigest: m.FeedDigest, Target: uint64(target), TableDigest: m.digest()}, message.PackList(items))
+	return message.Pack(probeHeader{Seq: seq, FeedDigest: m.FeedDigest, Target: uint64(target), TableDigest: m.digest()},
+		message.PackList(items))
 }
 
 func (x *Member) encode() []byte {
@@ -100,8 +101,8 @@
 		if err := message.Unpack(t, &item, &addr, &httpAddr, &zone); err != nil {
 			return h, nil, err
 		}
-		members = append(members, Member{Node: units.NodeID(item.Node), Incarnation: item.Incarnation, Flags: item.Flags, State: State(item.State),
-			Role: Role(item.Role), Addr: string(addr), HTTPAddr: string(httpAddr), Zone: string(zone)})
+		members = append(members, Member{Node: units.NodeID(item.Node), Incarnation: item.Incarnation, Flags: item.Flags,
+			State: State(item.State), Role: Role(item.Role), Addr: string(addr), HTTPAddr: string(httpAddr), Zone: string(zone)})
 	}
 	return h, members, nil
 }
--- a/internal/cluster/transport/engine.go
+++ b/internal/cluster/transport/engine.go
@@ -46,7 +46,8 @@
 // Open listens on addr and passes received messages to the handlers.
 func Open(self units.NodeID, addr string, group *tasks.Group, handlers Handlers) (*Transport, error) {
 	t := &Transport{Self: self, tasks: group, handlers: handlers, conns: map[string]*peerConn{}, addrs: map[units.NodeID]string{}}
-	engine, err := gnet.NewClient(&eventHandler{transport: t}, gnet.WithLogger(discardLogger{}), gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
+	engine, err := gnet.NewClient(&eventHandler{transport: t}, gnet.WithLogger(discardLogger{}),
+		gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 	if err != nil {
 		return nil, fmt.Errorf("transport: %w", err)
 	}
--- a/internal/cluster/transport/http.go
+++ b/internal/cluster/transport/http.go
@@ -11,7 +11,8 @@
 
 // HTTPRequest sends one HTTP request to an address, on a connection of its own and with fasthttp's retries turned off. It
 // returns the status, the body and the Number header of the response.
-func HTTPRequest(method, addr, path string, body []byte, header map[string]string, timeout time.Duration) (int, []byte, string, error) {
+func HTTPRequest(method, addr, path string, body []byte, header map[string]string,
+	timeout time.Duration) (int, []byte, string, error) {
 	client := &fasthttp.HostClient{Addr: addr, MaxIdemponentCallAttempts: 1,
 		Dial:       func(a string) (net.Conn, error) { return shield.Dial(a, timeout) },
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
