--- a/internal/cluster/configpush/confirm.go
+++ b/internal/cluster/configpush/confirm.go
@@ -36,15 +36,15 @@
 // set, so any majority of an old set includes a member whose disk holds the version of a newer set.
 func (f *Feed) Confirm(now units.Time, all []membership.Member, self units.NodeID, voters []units.NodeID,
 	startedAt units.Time) (ok bool, out message.Effects) {
-	core, peers := LivePeers(all, self)
+	controllers, peers := LivePeers(all, self)
 	ok = len(voters) > 0 && f.confirmedBy(now, voters)
-	if !ok && len(core) == 0 && now.Sub(startedAt) > noControllerGrace && len(peers) > 0 {
+	if !ok && len(controllers) == 0 && now.Sub(startedAt) > noControllerGrace && len(peers) > 0 {
 		ok = f.confirmedBy(now, peers)
 	}
 	if !ok && now.Sub(f.confirmAskedAt) > confirmInterval {
 		f.confirmAskedAt = now
 		request := message.Pack(confirmHeader{uint64(now)})
-		for _, n := range append(core, peers...) {
+		for _, n := range append(controllers, peers...) {
 			out.Send(n, ConfirmRequest, request)
 		}
 	}
@@ -52,17 +52,17 @@
 }
 
 // LivePeers returns the live controllers and the live routers that serve, without this node.
-func LivePeers(all []membership.Member, self units.NodeID) (core, peers []units.NodeID) {
+func LivePeers(all []membership.Member, self units.NodeID) (controllers, routers []units.NodeID) {
 	for _, m := range all {
 		switch {
 		case m.State > membership.Suspect || m.Node == self:
 		case m.Role == membership.Controller:
-			core = append(core, m.Node)
+			controllers = append(controllers, m.Node)
 		case m.Flags&membership.Ready != 0:
-			peers = append(peers, m.Node)
+			routers = append(routers, m.Node)
 		}
 	}
-	return core, peers
+	return controllers, routers
 }
 
 // confirmedBy reports whether a majority of voters has a recent confirmation and none of these holds a newer version.
--- a/internal/cluster/configpush/feed.go
+++ b/internal/cluster/configpush/feed.go
@@ -131,12 +131,12 @@
 		return
 	}
 	f.relayDue = false
-	l := slices.Clone(live)
-	salt := units.Hex(f.Digest) + units.Hex(uint64(len(l)))
-	slices.SortFunc(l, func(x, y units.NodeID) int {
+	targets := slices.Clone(live)
+	salt := units.Hex(f.Digest) + units.Hex(uint64(len(targets)))
+	slices.SortFunc(targets, func(x, y units.NodeID) int {
 		return cmp.Compare(units.Mix(salt, f.selfSalt, x.String()), units.Mix(salt, f.selfSalt, y.String()))
 	})
-	for _, n := range l[:min(relayCount, len(l))] {
+	for _, n := range targets[:min(relayCount, len(targets))] {
 		out.Send(n, Pull, f.encodeVersions(f.versions()))
 	}
 }
--- a/internal/cluster/discovery/discovery_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -65,13 +65,13 @@
 	first := observe(a, 1, 100, workerList(time.Hour))
 	apply(b, first)
 	early := b.NewQuery(0, "main", 2, 900)                          // starts before the mark, distributed late
-	mark := observe(a, 1, 200, workerList(time.Hour, "w2"))         // doesn't know of that query
+	marking := observe(a, 1, 200, workerList(time.Hour, "w2"))      // doesn't know of that query
 	data, _ := b.RecordAnswer(early, workerList(2 * time.Hour)[:1]) // the platform did not list w2 yet
 	late := update{Key("main", 2), early.Version, data}
 	apply(b, late)
-	apply(b, mark)
+	apply(b, marking)
 	again := observe(b, 2, 901, workerList(time.Hour)) // no longer leaving, and its observer knew of the mark
-	all := []update{first, mark, late, again}
+	all := []update{first, marking, late, again}
 	permutations(len(all), func(o []int) {
 		v := New()
 		marked, cleared := false, false
@@ -92,18 +92,18 @@
 // A worker that restarts in place, or is listed again after it was missing, warms up again in every catalog. An old list
 // that arrives late doesn't make a worker newer.
 func TestWorkerRestarts(t *testing.T) {
-	n, v := New(), New()
+	first, second := New(), New()
 	at := func(s int) units.Time { return units.Time(time.Duration(s) * time.Second) }
 	step := func(sec int, l []config.Worker, want bool) {
 		t.Helper()
 		l[0].Age += time.Duration(sec) * time.Second // w1 keeps running
-		q := n.NewQuery(at(sec), "main", 1, int64(sec)*1000)
-		data, changed := n.RecordAnswer(q, l)
+		q := first.NewQuery(at(sec), "main", 1, int64(sec)*1000)
+		data, changed := first.RecordAnswer(q, l)
 		if changed != want {
 			t.Errorf("at %d s changed is %v", sec, changed)
 		}
 		if changed {
-			for i, x := range []*Catalog{n, v} {
+			for i, x := range []*Catalog{first, second} {
 				// The other catalog receives it four seconds later.
 				if _, err := x.Apply(at(sec+4*i), Key("main", 1), q.Version, data); err != nil {
 					t.Fatal(err)
@@ -114,36 +114,36 @@
 	step(10, workerList(10*time.Second), true)
 	step(20, workerList(20*time.Second), false)
 	step(30, workerList(time.Second), true) // restarted in place at 29 s
-	if got := v.StartTimes()["w2"]; got != at(33) {
+	if got := second.StartTimes()["w2"]; got != at(33) {
 		t.Errorf("started at %v", time.Duration(got))
 	}
-	if got := v.StartTimes()["w1"]; got != at(4).Add(-time.Hour) {
+	if got := second.StartTimes()["w1"]; got != at(4).Add(-time.Hour) {
 		t.Errorf("the start time of the other worker changed: %v", time.Duration(got))
 	}
 	step(40, workerList(11 * time.Second)[:1], true) // not listed
 	step(50, workerList(0), true)                    // listed again, just started
-	if got := n.StartTimes()["w2"]; got != at(50) {
+	if got := first.StartTimes()["w2"]; got != at(50) {
 		t.Errorf("listed again: %v", time.Duration(got))
 	}
 }
 
 // A query's version exceeds every earlier one even if the wall clock is set back. An invalid update changes nothing.
 func TestVersionsAndInvalidUpdates(t *testing.T) {
-	n := New()
-	q := n.NewQuery(0, "main", 1, 5000)
-	data, _ := n.RecordAnswer(q, workerList(0))
-	if _, err := n.Apply(0, Key("main", 1), q.Version, data); err != nil {
+	c := New()
+	q := c.NewQuery(0, "main", 1, 5000)
+	data, _ := c.RecordAnswer(q, workerList(0))
+	if _, err := c.Apply(0, Key("main", 1), q.Version, data); err != nil {
 		t.Fatal(err)
 	}
-	if q := n.NewQuery(0, "main", 1, 10); q.Version != 5001 {
+	if q := c.NewQuery(0, "main", 1, 10); q.Version != 5001 {
 		t.Errorf("after the wall clock was set back: version %d", q.Version)
 	}
 	for i, bad := range []string{"", "{}", `{"workers":[{"id":""}]}`, `{"workers":3}`, `{"workers":[],"knew":4}`} {
-		if _, err := n.Apply(0, Key("main", 2), units.Version(i+1), []byte(bad)); (err == nil) != (i == 4) || len(n.List("main")) != 2 {
-			t.Errorf("%q: %v, %d listed", bad, err, len(n.List("main")))
+		if _, err := c.Apply(0, Key("main", 2), units.Version(i+1), []byte(bad)); (err == nil) != (i == 4) || len(c.List("main")) != 2 {
+			t.Errorf("%q: %v, %d listed", bad, err, len(c.List("main")))
 		}
 	}
-	if fmt.Sprint(n.List("none")) != "[]" {
+	if fmt.Sprint(c.List("none")) != "[]" {
 		t.Error("an unknown pool has workers")
 	}
 }
--- a/internal/cluster/membership/introduction_test.go
+++ b/internal/cluster/membership/introduction_test.go
@@ -12,17 +12,17 @@
 // After a partition in which each side declared the other dead, all nodes still learn of all others within seconds.
 func TestIntroductionsHealAPartition(t *testing.T) {
 	const n = 12
-	ms, at, now := map[units.NodeID]*Gossip{}, map[string]units.NodeID{}, units.Time(1e10)
+	nodes, byAddr, now := map[units.NodeID]*Gossip{}, map[string]units.NodeID{}, units.Time(1e10)
 	var ids []units.NodeID
 	for i := units.NodeID(1); i <= n; i++ {
 		ids = append(ids, i)
-		at[newMember(i).Addr] = i
+		byAddr[newMember(i).Addr] = i
 	}
 	for _, i := range ids {
-		ms[i] = newGossip(i, ids...)
+		nodes[i] = newGossip(i, ids...)
 	}
 	side := func(i units.NodeID) bool { return i <= n/2 }
-	for _, m := range ms {
+	for _, m := range nodes {
 		for _, x := range m.members {
 			if side(x.Node) != side(m.Self) {
 				m.setState(x, Dead, now)
@@ -39,24 +39,24 @@
 		for _, x := range out.Messages {
 			x.From = from
 			if x.Addr != "" {
-				x.To = at[x.Addr]
+				x.To = byAddr[x.Addr]
 				_, l, err := decode(x.Body)
 				if err != nil {
 					t.Fatal(err)
 				}
 				intros, longest = intros+1, max(longest, len(l))
 			}
-			deliver(x.To, ms[x.To].Step(now, x))
+			deliver(x.To, nodes[x.To].Step(now, x))
 		}
 	}
 	ticks := 0
 	for incomplete := true; incomplete && ticks < 200; ticks++ {
 		now = now.Add(50 * time.Millisecond)
 		for _, i := range ids {
-			deliver(i, ms[i].Tick(now))
+			deliver(i, nodes[i].Tick(now))
 		}
 		incomplete = false
-		for _, m := range ms {
+		for _, m := range nodes {
 			incomplete = incomplete || len(m.Live(Router)) != n
 		}
 	}
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -14,12 +14,12 @@
 // never changes.
 func TestSnapshotAndDigestMatchTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	ms, now := map[units.NodeID]*Gossip{}, units.Time(1e9)
+	nodes, now := map[units.NodeID]*Gossip{}, units.Time(1e9)
 	for n := units.NodeID(1); n <= 9; n++ {
-		ms[n] = New(newMember(n), []string{"a" + units.NodeID(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
+		nodes[n] = New(newMember(n), []string{"a" + units.NodeID(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
 	}
 	type given struct{ list, copy []Member }
-	var old []given
+	var returned []given
 	check := func(m *Gossip) {
 		t.Helper()
 		want := uint64(0)
@@ -37,7 +37,7 @@
 		if !slices.Equal(all, l) {
 			t.Fatalf("All returns\n%v, want\n%v", all, l)
 		}
-		old = append(old, given{all, slices.Clone(all)})
+		returned = append(returned, given{all, slices.Clone(all)})
 	}
 	var inFlight []message.Message
 	send := func(from units.NodeID, out message.Effects) {
@@ -55,7 +55,7 @@
 	for range 6000 {
 		now = now.Add(40 * time.Millisecond)
 		n := 1 + rng.Uint64N(9)
-		m := ms[units.NodeID(n)]
+		m := nodes[units.NodeID(n)]
 		switch rng.IntN(400) {
 		case 0:
 			m.SetFlag(Ready, rng.IntN(2) == 0)
@@ -66,7 +66,7 @@
 			check(m)
 			m = New(newMember(m.Self), m.seeds, m.rng)
 			m.members[m.Self].Incarnation = uint64(now)
-			ms[m.Self] = m
+			nodes[m.Self] = m
 		case 3:
 			now = now.Add(11 * time.Minute) // dead members are removed
 		}
@@ -75,14 +75,14 @@
 		for range min(3, len(inFlight)) {
 			x := inFlight[0]
 			inFlight = inFlight[1:]
-			send(x.To, ms[x.To].Step(now, x))
-			check(ms[x.To])
+			send(x.To, nodes[x.To].Step(now, x))
+			check(nodes[x.To])
 		}
 		for _, x := range m.All() {
 			seen[x.State]++
 		}
 	}
-	for _, g := range old {
+	for _, g := range returned {
 		if !slices.Equal(g.list, g.copy) {
 			t.Fatal("a slice returned by All has changed")
 		}
--- a/internal/cluster/transport/compression_test.go
+++ b/internal/cluster/transport/compression_test.go
@@ -47,9 +47,9 @@
 // A compressed body that can't be decompressed, or that exceeds the maximum size, is counted and dropped. Its connection
 // stays open.
 func TestInvalidCompressedBody(t *testing.T) {
-	got := make(chan message.Message, 16)
-	x := openTransport(t, func(n message.Message) { got <- n })
-	c, err := net.Dial("tcp", x.addrs[1])
+	received := make(chan message.Message, 16)
+	transport := openTransport(t, func(n message.Message) { received <- n })
+	c, err := net.Dial("tcp", transport.addrs[1])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,11 +62,11 @@
 	if _, err := c.Write(bytes.Join([][]byte{broken, large, good}, nil)); err != nil {
 		t.Fatal(err)
 	}
-	if n := <-got; len(n.Body) != 1000 {
+	if n := <-received; len(n.Body) != 1000 {
 		t.Errorf("received a body of %d bytes", len(n.Body))
 	}
-	if x.BadFrames.Load() != 2 {
-		t.Errorf("%d bad frames counted, want 2", x.BadFrames.Load())
+	if transport.BadFrames.Load() != 2 {
+		t.Errorf("%d bad frames counted, want 2", transport.BadFrames.Load())
 	}
 }
 
--- a/internal/cluster/transport/engine_test.go
+++ b/internal/cluster/transport/engine_test.go
@@ -20,24 +20,24 @@
 // reopened, and the failure is reported.
 func TestListenerIsReopened(t *testing.T) {
 	addr := testutil.Addr(t)
-	c := tasks.New(clockwork.NewRealClock(), 1)
-	got, ended := make(chan message.Message, 1), make(chan error, 8)
-	x, err := Open(1, addr, c, Handlers{Receive: func(n message.Message) { got <- n }, ListenerFailed: func(err error) { ended <- err }})
+	group := tasks.New(clockwork.NewRealClock(), 1)
+	received, ended := make(chan message.Message, 1), make(chan error, 8)
+	transport, err := Open(1, addr, group, Handlers{Receive: func(n message.Message) { received <- n }, ListenerFailed: func(err error) { ended <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { x.Close(); c.Stop(time.Second) })
-	x.mu.Lock()
-	x.listener.Close()
-	x.mu.Unlock()
+	t.Cleanup(func() { transport.Close(); group.Stop(time.Second) })
+	transport.mu.Lock()
+	transport.listener.Close()
+	transport.mu.Unlock()
 	if err := <-ended; err == nil {
 		t.Error("ListenerFailed was called without an error")
 	}
-	testutil.Until(t, "the listener is reopened", func() bool { return delivers(addr, got) })
+	testutil.Until(t, "the listener is reopened", func() bool { return delivers(addr, received) })
 }
 
 // delivers reports whether a message sent by a peer arrives.
-func delivers(addr string, got <-chan message.Message) bool {
+func delivers(addr string, received <-chan message.Message) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
@@ -47,7 +47,7 @@
 		return false
 	}
 	select {
-	case <-got:
+	case <-received:
 		return true
 	case <-time.After(time.Second):
 		return false
@@ -57,9 +57,9 @@
 // Guards CONFIG: for lack of file descriptors a peer's connection can't be accepted. It is accepted once descriptors are
 // available.
 func TestAcceptAfterDescriptorShortage(t *testing.T) {
-	got := make(chan message.Message, 8)
-	x := openTransport(t, func(n message.Message) { got <- n })
-	addr, err := net.ResolveTCPAddr("tcp", x.addrs[1])
+	received := make(chan message.Message, 8)
+	transport := openTransport(t, func(n message.Message) { received <- n })
+	addr, err := net.ResolveTCPAddr("tcp", transport.addrs[1])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-got:
+	case <-received:
 	case <-time.After(10 * time.Second):
 		t.Error("the peer's message is not received")
 	}
--- a/internal/cluster/transport/link_test.go
+++ b/internal/cluster/transport/link_test.go
@@ -56,11 +56,11 @@
 // More data than the socket buffers hold is sent while the reader doesn't read. All of it arrives complete and in order,
 // whether the sender or the event loop wrote it, and afterwards the sender writes directly again.
 func TestSlowReader(t *testing.T) {
-	x := openTransport(t, func(message.Message) {})
-	addr, got := acceptConns(t)
-	x.SetAddr(2, addr)
-	x.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 4)})
-	c := <-got
+	transport := openTransport(t, func(message.Message) {})
+	addr, accepted := acceptConns(t)
+	transport.SetAddr(2, addr)
+	transport.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 4)})
+	c := <-accepted
 	defer c.Close()
 	readBody(t, c)
 	body := func(i int) []byte { // no repetition, so that it isn't compressed
@@ -73,11 +73,11 @@
 	}
 	const count = 400
 	for i := range count {
-		x.Send(message.Message{To: 2, Kind: 77, Body: body(i)})
+		transport.Send(message.Message{To: 2, Kind: 77, Body: body(i)})
 	}
-	x.mu.Lock()
-	l := x.conns[addr].link
-	x.mu.Unlock()
+	transport.mu.Lock()
+	l := transport.conns[addr].link
+	transport.mu.Unlock()
 	l.mu.Lock()
 	buffered := l.buffered
 	l.mu.Unlock()
@@ -90,7 +90,7 @@
 		}
 	}
 	for i := 0; buffered; i++ { // after each message the loop checks whether it has data left to write
-		x.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 8)})
+		transport.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 8)})
 		readBody(t, c)
 		l.mu.Lock()
 		buffered = l.buffered && i < 1000
@@ -103,15 +103,15 @@
 
 // A connection that the peer closed is redialed, and nothing is written to its old descriptor, which may have been reused.
 func TestClosedConnectionIsRedialed(t *testing.T) {
-	x := openTransport(t, func(message.Message) {})
-	addr, got := acceptConns(t)
-	x.SetAddr(2, addr)
+	transport := openTransport(t, func(message.Message) {})
+	addr, accepted := acceptConns(t)
+	transport.SetAddr(2, addr)
 	for i := range 5 {
 		var c net.Conn
 		for c == nil { // messages sent before the close is detected are lost
-			x.Send(message.Message{To: 2, Kind: 77, Body: []byte{byte(i)}})
+			transport.Send(message.Message{To: 2, Kind: 77, Body: []byte{byte(i)}})
 			select {
-			case c = <-got:
+			case c = <-accepted:
 			case <-time.After(time.Millisecond):
 			}
 		}
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -21,22 +21,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := tasks.New(clockwork.NewRealClock(), 1)
-	x, err := Open(1, addr, c, Handlers{Receive: receive})
+	group := tasks.New(clockwork.NewRealClock(), 1)
+	transport, err := Open(1, addr, group, Handlers{Receive: receive})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.SetAddr(1, addr)
-	t.Cleanup(func() { x.Close(); c.Stop(time.Second) })
-	return x
+	transport.SetAddr(1, addr)
+	t.Cleanup(func() { transport.Close(); group.Stop(time.Second) })
+	return transport
 }
 
 // Invalid frames close their connection and are counted. The process and valid connections keep working
 // (docs/design.md, section 1).
 func TestBadFrames(t *testing.T) {
-	got := make(chan message.Message, 16)
-	x := openTransport(t, func(n message.Message) { got <- n })
-	addr := x.addrs[1]
+	received := make(chan message.Message, 16)
+	transport := openTransport(t, func(n message.Message) { received <- n })
+	addr := transport.addrs[1]
 	good := encodeFrame(message.Message{From: 9, To: 1, Kind: 77, Body: []byte("hello")})
 	huge := append([]byte(nil), good...)
 	huge[3] = 0xff
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bad := x.BadFrames.Load()
+		bad := transport.BadFrames.Load()
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil && !bytes.Contains([]byte(err.Error()), []byte("reset")) {
 			t.Errorf("%s: the connection is not closed: %v", name, err)
 		}
-		if x.BadFrames.Load() != bad+1 {
+		if transport.BadFrames.Load() != bad+1 {
 			t.Errorf("%s is not counted", name)
 		}
 		c.Close()
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		if n := <-got; n.Kind != 77 || string(n.Body) != "hello" || n.From != 9 {
+		if n := <-received; n.Kind != 77 || string(n.Body) != "hello" || n.From != 9 {
 			t.Errorf("message %d is %v", i, n)
 		}
 	}
@@ -88,10 +88,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := openTransport(t, func(message.Message) {})
+	transport := openTransport(t, func(message.Message) {})
 	reported := make(chan string, 1)
-	x.handlers.ConnectionRefused = func(a string) { reported <- a }
-	x.Send(message.Message{Addr: free, Kind: 77})
+	transport.handlers.ConnectionRefused = func(a string) { reported <- a }
+	transport.Send(message.Message{Addr: free, Kind: 77})
 	select {
 	case a := <-reported:
 		if a != free {
--- a/internal/router/idempotency/claim.go
+++ b/internal/router/idempotency/claim.go
@@ -9,15 +9,18 @@
 	"seamshunt/internal/units"
 )
 
-// Claim asks the holders, and the core's disks, for a key under a token that is this node's own.
-func (s *Claimant) Claim(now units.Time, token uint64, key string, holders []units.NodeID) (out message.Effects) {
-	p := &pendingClaim{key: key, holders: holders, voters: s.voters, grantedBy: map[units.NodeID]bool{}, startedAt: now}
-	s.pending[token] = p
-	s.sendClaims(now, token, p, &out)
+// Claim sends a claim for a key to its holders and to the voters, whose disks make it durable. The token must be unique
+// to this node.
+func (c *Claimant) Claim(now units.Time, token uint64, key string, holders []units.NodeID) (out message.Effects) {
+	p := &pendingClaim{key: key, holders: holders, voters: c.voters, grantedBy: map[units.NodeID]bool{}, startedAt: now}
+	c.pending[token] = p
+	c.sendClaims(now, token, p, &out)
 	return out
 }
 
-func (s *Claimant) sendClaims(now units.Time, token uint64, p *pendingClaim, out *message.Effects) {
+// sendClaims sends the claim to all holders, until a majority of them has granted it, and to all voters, except to those
+// that have granted it.
+func (c *Claimant) sendClaims(now units.Time, token uint64, p *pendingClaim, out *message.Effects) {
 	p.sentAt = now
 	for _, n := range p.holders {
 		if n != 0 && !p.grantedBy[n] && p.holdersGrantedAt == 0 {
@@ -31,10 +34,10 @@
 	}
 }
 
-// Spend makes a key useless for ever: the holder of its claim says that it did not run. Only a node whose claim
-// was granted may burn; to others the key's prompt may be running elsewhere.
-func (s *Claimant) Spend(key string, holders []units.NodeID) (out message.Effects) {
-	for _, n := range append(append([]units.NodeID(nil), holders...), s.voters.All()...) {
+// Spend marks a key as spent, so that it can't be claimed again. The router whose claim was granted calls it when the
+// request did not run. No other router may, since the request may be running elsewhere.
+func (c *Claimant) Spend(key string, holders []units.NodeID) (out message.Effects) {
+	for _, n := range append(append([]units.NodeID(nil), holders...), c.voters.All()...) {
 		if n != 0 {
 			out.Send(n, Spend, message.Pack(header{}, []byte(key)))
 		}
@@ -42,72 +45,73 @@
 	return out
 }
 
-func (s *Claimant) finish(token uint64, code resultcode.Code, durable bool) {
-	delete(s.pending, token)
-	s.Results = append(s.Results, Result{token, code, durable})
+func (c *Claimant) finish(token uint64, code resultcode.Code, durable bool) {
+	delete(c.pending, token)
+	c.Results = append(c.Results, Result{token, code, durable})
 }
 
-// finishIfDurable ends a claim that the holders granted: once the disks have it too, or can't be waited for.
-func (s *Claimant) finishIfDurable(now units.Time, token uint64, p *pendingClaim) {
+// tryFinish completes a claim that the holders granted, once a majority of the voters has it on disk too or isn't waited
+// for any longer.
+func (c *Claimant) tryFinish(now units.Time, token uint64, p *pendingClaim) {
 	if p.holdersGrantedAt == 0 {
 		return
 	}
 	durable := p.voters.HasMajority(p.grantedBy)
-	awaitVoters := now >= s.skipVotersUntil && len(p.voters.Members) > 0
+	awaitVoters := now >= c.skipVotersUntil && len(p.voters.Members) > 0
 	switch {
 	case durable:
-		s.skipVotersUntil = 0
+		c.skipVotersUntil = 0
 	case awaitVoters && now.Sub(p.holdersGrantedAt) < votersTimeout:
 		return
 	case awaitVoters:
-		s.skipVotersUntil = now.Add(votersBackoff)
+		c.skipVotersUntil = now.Add(votersBackoff)
 	}
 	if !durable {
-		s.notDurable[token] = p
+		c.notDurable[token] = p
 	}
-	s.finish(token, resultcode.OK, durable)
+	c.finish(token, resultcode.OK, durable)
 }
 
-// resendToVoters lets the disks know of claims that were granted without them.
-func (s *Claimant) resendToVoters(now units.Time, out *message.Effects) {
-	for _, token := range message.SortedKeys(s.notDurable) {
-		p := s.notDurable[token]
+// resendToVoters repeats claims that were granted by the holders alone until a majority of the voters has them on disk.
+func (c *Claimant) resendToVoters(now units.Time, out *message.Effects) {
+	for _, token := range message.SortedKeys(c.notDurable) {
+		p := c.notDurable[token]
 		switch {
 		case now.Sub(p.startedAt) > Retention || p.voters.HasMajority(p.grantedBy):
-			delete(s.notDurable, token)
+			delete(c.notDurable, token)
 		case now.Sub(p.sentAt) >= time.Second:
-			if p.voters.Version != s.voters.Version {
-				p.voters, p.grantedBy = s.voters, map[units.NodeID]bool{}
+			if p.voters.Version != c.voters.Version {
+				p.voters, p.grantedBy = c.voters, map[units.NodeID]bool{}
 			}
-			s.sendClaims(now, token, p, out)
+			c.sendClaims(now, token, p, out)
 		}
 	}
 }
 
-func (s *Claimant) handleReply(now units.Time, from units.NodeID, h header) {
-	if p := s.notDurable[h.Token]; p != nil {
+func (c *Claimant) handleReply(now units.Time, from units.NodeID, h header) {
+	if p := c.notDurable[h.Token]; p != nil {
 		if h.State == granted {
 			p.grantedBy[from] = true
 		}
 		if p.voters.HasMajority(p.grantedBy) {
-			s.skipVotersUntil = 0
+			c.skipVotersUntil = 0
 		}
 		return
 	}
-	p := s.pending[h.Token]
+	p := c.pending[h.Token]
 	if p == nil {
 		return
 	}
 	switch h.State {
 	case taken:
-		s.finish(h.Token, resultcode.KeyClaimed, false)
+		c.finish(h.Token, resultcode.KeyClaimed, false)
 	case spent:
-		s.finish(h.Token, resultcode.KeySpent, false)
+		c.finish(h.Token, resultcode.KeySpent, false)
 	case granted:
 		p.grantedBy[from] = true
 		if p.holdersGrantedAt == 0 && (register.QuorumSet{Members: p.holders}).HasMajority(p.grantedBy) {
 			p.holdersGrantedAt = max(now, 1)
 		}
-		s.finishIfDurable(now, h.Token, p)
+		c.tryFinish(now, h.Token, p)
 	}
 }
--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -1,5 +1,5 @@
-// Package idempotency shelters what may not repeat: a caller's key is claimed at a majority of three routers before
-// the prompt is handed over (design 8).
+// Package idempotency prevents that a request with an idempotency key runs twice: a client's key is claimed at a majority
+// of three routers before the prompt is dispatched to a worker (docs/design.md, section 8).
 package idempotency
 
 import (
@@ -11,7 +11,7 @@
 	"seamshunt/internal/units"
 )
 
-// The notes of claims.
+// The messages of claims.
 const (
 	Claim = message.KindClaim + iota
 	ClaimReply
@@ -20,7 +20,7 @@
 	CopyReply
 )
 
-// What a holder says of a key.
+// The states that a holder or voter replies for a key.
 const (
 	granted uint8 = 1 + iota
 	taken
@@ -28,60 +28,65 @@
 	abstained
 )
 
-// Spans (start values).
+// Timeouts, intervals and the number of holders of a key.
 const (
 	retryInterval   = 150 * time.Millisecond
 	claimTimeout    = 450 * time.Millisecond
-	Retention       = 10 * time.Minute // how long a key is remembered
+	Retention       = 10 * time.Minute // how long a key is kept
 	holderCount     = 3
-	votersTimeout   = 200 * time.Millisecond // how long a claim that the routers granted waits for the disks
-	votersBackoff   = 2 * time.Second        // how long they are not waited for after that
-	propagationTime = 2 * time.Second        // till all nodes know of a new machine, and so agree on a key's holders
+	votersTimeout   = 200 * time.Millisecond // how long a claim that the holders granted waits for the voters' disks
+	votersBackoff   = 2 * time.Second        // how long voters are not waited for after such a timeout
+	propagationTime = 2 * time.Second        // until all nodes know of a new machine, and so agree on a key's holders
 )
 
+// header precedes the key in claim messages.
 type header struct {
 	Token         uint64
-	VotersVersion uint64 // the set of voters that the sender knows; none between routers
+	VotersVersion uint64 // version of the sender's quorum set; 0 between routers
 	State         uint8
 }
 
+// entry is a claimed or spent key.
 type entry struct {
 	token     uint64
 	spent     bool
 	updatedAt units.Time
 }
 
+// pendingClaim is a claim of this node that isn't granted yet, or not by a majority of the voters.
 type pendingClaim struct {
 	key              string
 	holders          []units.NodeID
 	voters           register.QuorumSet
 	grantedBy        map[units.NodeID]bool
 	startedAt        units.Time
-	holdersGrantedAt units.Time // when a majority of the holders had granted
+	holdersGrantedAt units.Time // when a majority of the holders had granted it; 0 before
 	sentAt           units.Time
 }
 
-// Result of a claim: OK, Claimed, Burned or NoClaim.
+// Result is the result of a claim: OK, KeyClaimed, KeySpent or ClaimFailed.
 type Result struct {
 	Token   uint64
 	Code    resultcode.Code
-	Durable bool // on a majority of the core's disks too
+	Durable bool // on the disks of a majority of the voters too
 }
 
+// copyStatus describes the last copy received from a node.
 type copyStatus struct {
 	complete      bool
 	votersVersion units.Version
 }
 
-// Claimant is the step machine: holder of others' claims and claimant of its own callers'.
+// Claimant is a router's state machine for claims: it holds the claims of other routers and makes those of its own
+// clients.
 type Claimant struct {
 	self               units.NodeID
 	startedAt          units.Time
 	keys               map[string]entry
 	pending            map[uint64]*pendingClaim
-	notDurable         map[uint64]*pendingClaim // granted by the routers alone; the disks are told as soon as they can be
+	notDurable         map[uint64]*pendingClaim // granted by the holders alone; resent to the voters
 	voters             register.QuorumSet
-	skipVotersUntil    units.Time // till then the disks are not waited for
+	skipVotersUntil    units.Time // until then claims don't wait for the voters
 	copies             map[units.NodeID]copyStatus
 	complete           bool
 	copiesRequestedAt  units.Time
@@ -90,56 +95,57 @@
 	Results            []Result
 }
 
-// New gives a node that remembers nothing and so abstains.
+// New returns a claimant without any keys, which abstains until it has recovered them.
 func New(self units.NodeID, now units.Time) *Claimant {
-	return &Claimant{self: self, startedAt: now, keys: map[string]entry{}, pending: map[uint64]*pendingClaim{}, notDurable: map[uint64]*pendingClaim{}, copies: map[units.NodeID]copyStatus{}}
+	return &Claimant{self: self, startedAt: now, keys: map[string]entry{}, pending: map[uint64]*pendingClaim{},
+		notDurable: map[uint64]*pendingClaim{}, copies: map[units.NodeID]copyStatus{}}
 }
 
-// SetVoters sets the voters, whose disks keep claims beyond the loss of all memory.
-func (s *Claimant) SetVoters(v register.QuorumSet) { s.voters = v }
+// SetVoters sets the quorum set, whose disks keep claims even if all routers lose their memory.
+func (c *Claimant) SetVoters(v register.QuorumSet) { c.voters = v }
 
-// Tick asks again, gives up, forgets old keys, and copies what others remember after a start.
-func (s *Claimant) Tick(now units.Time, peers []units.NodeID, maxRequestTime time.Duration) (out message.Effects) {
-	for _, token := range message.SortedKeys(s.pending) {
-		p := s.pending[token]
+// Tick retries pending claims or fails them, removes expired keys, and after a start recovers the keys from other nodes.
+func (c *Claimant) Tick(now units.Time, peers []units.NodeID, maxRequestTime time.Duration) (out message.Effects) {
+	for _, token := range message.SortedKeys(c.pending) {
+		p := c.pending[token]
 		switch {
 		case p.holdersGrantedAt != 0:
-			s.finishIfDurable(now, token, p)
+			c.tryFinish(now, token, p)
 		case now.Sub(p.startedAt) >= claimTimeout:
-			s.finish(token, resultcode.ClaimFailed, false) // nothing is burned: another copy may hold the key and run
+			c.finish(token, resultcode.ClaimFailed, false) // the key isn't spent: another request may hold it and run
 		case now.Sub(p.sentAt) >= retryInterval:
-			s.sendClaims(now, token, p, &out)
+			c.sendClaims(now, token, p, &out)
 		}
 	}
-	s.resendToVoters(now, &out)
-	if now.Sub(s.sweptAt) > time.Second {
-		s.sweptAt = now
-		for k, e := range s.keys {
+	c.resendToVoters(now, &out)
+	if now.Sub(c.sweptAt) > time.Second {
+		c.sweptAt = now
+		for k, e := range c.keys {
 			if now.Sub(e.updatedAt) > Retention {
-				delete(s.keys, k)
+				delete(c.keys, k)
 			}
 		}
 	}
-	if s.complete || maxRequestTime == 0 {
+	if c.complete || maxRequestTime == 0 {
 		return out
 	}
-	s.complete = s.recoverKeys(now, peers, &out) || now.Sub(s.startedAt) > max(maxRequestTime, propagationTime)
+	c.complete = c.recoverKeys(now, peers, &out) || now.Sub(c.startedAt) > max(maxRequestTime, propagationTime)
 	return out
 }
 
-// Complete says whether this node takes part in claims.
-func (s *Claimant) Complete() bool { return s.complete }
+// Complete reports whether this node has recovered all keys and so grants claims.
+func (c *Claimant) Complete() bool { return c.complete }
 
-// Step takes one note.
-func (s *Claimant) Step(now units.Time, msg message.Message) (out message.Effects) {
+// Step handles one message.
+func (c *Claimant) Step(now units.Time, msg message.Message) (out message.Effects) {
 	var h header
 	var key []byte
 	switch msg.Kind {
 	case CopyRequest:
-		out.Send(msg.From, CopyReply, encodeCopy(s.keys, s.complete, 0))
+		out.Send(msg.From, CopyReply, encodeCopy(c.keys, c.complete, 0))
 		return out
 	case CopyReply:
-		out.AddError(s.mergeCopy(now, msg))
+		out.AddError(c.mergeCopy(now, msg))
 		return out
 	}
 	if err := message.Unpack(msg.Body, &h, &key); err != nil {
@@ -148,28 +154,29 @@
 	}
 	switch msg.Kind {
 	case Claim:
-		h.State = s.grant(now, h.Token, string(key))
+		h.State = c.grant(now, h.Token, string(key))
 		out.Send(msg.From, ClaimReply, message.Pack(h, key))
 	case Spend:
-		e := s.keys[string(key)]
+		e := c.keys[string(key)]
 		e.spent, e.updatedAt = true, now
-		s.keys[string(key)] = e
+		c.keys[string(key)] = e
 	case ClaimReply:
-		s.handleReply(now, msg.From, h)
+		c.handleReply(now, msg.From, h)
 	}
 	return out
 }
 
-func (s *Claimant) grant(now units.Time, token uint64, key string) uint8 {
-	e, ok := s.keys[key]
+// grant handles a claim as a holder and returns the state of the key.
+func (c *Claimant) grant(now units.Time, token uint64, key string) uint8 {
+	e, ok := c.keys[key]
 	switch {
 	case ok && e.spent:
 		return spent
 	case ok && e.token != token:
 		return taken
-	case !ok && !s.complete:
+	case !ok && !c.complete:
 		return abstained
 	}
-	s.keys[key] = entry{token: token, updatedAt: now}
+	c.keys[key] = entry{token: token, updatedAt: now}
 	return granted
 }
--- a/internal/router/idempotency/copy.go
+++ b/internal/router/idempotency/copy.go
@@ -7,11 +7,13 @@
 	"seamshunt/internal/units"
 )
 
+// storedEntry is an entry as it is sent in copies and stored on disk.
 type storedEntry struct {
 	Token uint64
 	Spent uint8
 }
 
+// copyHeader precedes the entries of a copy.
 type copyHeader struct {
 	VotersVersion uint64
 	Complete      uint8
@@ -24,20 +26,20 @@
 }
 
 func encodeCopy(keys map[string]entry, complete bool, votersVersion units.Version) []byte {
-	var l [][]byte
+	var items [][]byte
 	for _, k := range message.SortedKeys(keys) {
 		e := keys[k]
 		x := storedEntry{Token: e.token}
 		if e.spent {
 			x.Spent = 1
 		}
-		l = append(l, message.Pack(x, []byte(k)))
+		items = append(items, message.Pack(x, []byte(k)))
 	}
 	h := copyHeader{VotersVersion: uint64(votersVersion)}
 	if complete {
 		h.Complete = 1
 	}
-	return message.Pack(h, message.PackList(l))
+	return message.Pack(h, message.PackList(items))
 }
 
 func decodeCopy(b []byte) (h copyHeader, out []copiedEntry, err error) {
@@ -45,8 +47,8 @@
 	if err = message.Unpack(b, &h, &list); err != nil {
 		return h, nil, err
 	}
-	l, err := message.UnpackList(list)
-	for _, t := range l {
+	items, err := message.UnpackList(list)
+	for _, t := range items {
 		var x storedEntry
 		var k []byte
 		if err == nil {
@@ -57,52 +59,53 @@
 	return h, out, err
 }
 
-// mergeCopy copies a neighbour's memory, or a voter's; a key that is known here already keeps what it has, burnt staying
-// burnt.
-func (s *Claimant) mergeCopy(now units.Time, msg message.Message) error {
-	h, l, err := decodeCopy(msg.Body)
+// mergeCopy adds the keys of another router or a voter. A key that is already known here keeps its token, and is spent if
+// it is spent in either.
+func (c *Claimant) mergeCopy(now units.Time, msg message.Message) error {
+	h, copied, err := decodeCopy(msg.Body)
 	if err != nil {
 		return err
 	}
-	for _, x := range l {
-		e, ok := s.keys[x.key]
+	for _, other := range copied {
+		e, ok := c.keys[other.key]
 		if !ok {
-			e = entry{token: x.token, updatedAt: now}
+			e = entry{token: other.token, updatedAt: now}
 		}
-		e.spent = e.spent || x.spent
-		s.keys[x.key] = e
+		e.spent = e.spent || other.spent
+		c.keys[other.key] = e
 	}
-	s.copies[msg.From] = copyStatus{complete: h.Complete == 1, votersVersion: units.Version(h.VotersVersion)}
+	c.copies[msg.From] = copyStatus{complete: h.Complete == 1, votersVersion: units.Version(h.VotersVersion)}
 	return nil
 }
 
-// recoverKeys brings back what others remember after a start. It is all there once every live router has given a whole
-// memory; or, where some are as new as this one, once all have given what they have and so many voters theirs that
-// no claim on a majority of the disks can be missing.
-func (s *Claimant) recoverKeys(now units.Time, peers []units.NodeID, out *message.Effects) bool {
-	allComplete, allHeard := true, true
+// recoverKeys requests the keys of other nodes after a start and reports whether all are recovered. They are once every
+// live router has sent a complete copy. If some routers are as new as this one, they are once all routers have sent what
+// they have, and enough voters have sent complete copies that no claim on a majority of the disks can be missing.
+func (c *Claimant) recoverKeys(now units.Time, peers []units.NodeID, out *message.Effects) bool {
+	allComplete, allReplied := true, true
 	for _, n := range peers {
-		status, ok := s.copies[n]
-		allComplete, allHeard = allComplete && status.complete, allHeard && ok
+		status, ok := c.copies[n]
+		allComplete, allReplied = allComplete && status.complete, allReplied && ok
 	}
 	completeVoters := 0
-	for _, n := range s.voters.Members {
-		if status := s.copies[n]; status.complete && status.votersVersion <= s.voters.Version {
+	for _, n := range c.voters.Members {
+		if status := c.copies[n]; status.complete && status.votersVersion <= c.voters.Version {
 			completeVoters++
 		}
 	}
-	votersSuffice := len(s.voters.Members) > 0 && completeVoters >= recoveryQuorum(s.voters)
-	if now.Sub(s.startedAt) >= propagationTime && (len(peers) > 0 && allComplete || allHeard && votersSuffice) {
+	votersSuffice := len(c.voters.Members) > 0 && completeVoters >= recoveryQuorum(c.voters)
+	if now.Sub(c.startedAt) >= propagationTime && (len(peers) > 0 && allComplete || allReplied && votersSuffice) {
 		return true
 	}
-	if now.Sub(s.copiesRequestedAt) >= retryInterval {
-		s.copiesRequestedAt = now
-		retryPartial := now.Sub(s.partialRequestedAt) >= time.Second // who gave a part is asked for all of it more seldom: a memory may be long
+	if now.Sub(c.copiesRequestedAt) >= retryInterval {
+		c.copiesRequestedAt = now
+		// Nodes that sent an incomplete copy are asked again less often, since a copy may be large.
+		retryPartial := now.Sub(c.partialRequestedAt) >= time.Second
 		if retryPartial {
-			s.partialRequestedAt = now
+			c.partialRequestedAt = now
 		}
-		for _, n := range append(append([]units.NodeID(nil), peers...), s.voters.All()...) {
-			if status, ok := s.copies[n]; !ok || retryPartial && !status.complete {
+		for _, n := range append(append([]units.NodeID(nil), peers...), c.voters.All()...) {
+			if status, ok := c.copies[n]; !ok || retryPartial && !status.complete {
 				out.Send(n, CopyRequest, message.Pack(header{}))
 			}
 		}
--- a/internal/router/idempotency/holders.go
+++ b/internal/router/idempotency/holders.go
@@ -8,38 +8,38 @@
 	"seamshunt/internal/units"
 )
 
-// Holders gives the three machines that hold a key's claim: rendezvous order over all routers' addresses that are
-// known, gone or not, from different zones as far as there are any. A machine that is gone stands as zero, so that
-// losing machines never moves a key to others that know nothing of it.
+// Holders returns the three routers that hold a key's claim: the first ones in rendezvous order of all known router
+// addresses, live or not, from different zones if possible. A router that isn't live is returned as 0, so that the loss of
+// machines never moves a key to others that don't know it.
 func Holders(all []membership.Member, key string) []units.NodeID {
-	type slot struct {
+	type machine struct {
 		addr, zone string
 		node       units.NodeID
 		rank       uint64
 	}
-	byAddr := map[string]*slot{}
+	byAddr := map[string]*machine{}
 	for _, m := range all {
 		if m.Role != membership.Router {
 			continue
 		}
 		s := byAddr[m.Addr]
 		if s == nil {
-			s = &slot{addr: m.Addr, zone: m.Zone, rank: units.Mix(key, m.Addr)}
+			s = &machine{addr: m.Addr, zone: m.Zone, rank: units.Mix(key, m.Addr)}
 			byAddr[m.Addr] = s
 		}
 		if m.State <= membership.Suspect {
 			s.node = m.Node
 		}
 	}
-	l := make([]*slot, 0, len(byAddr))
+	machines := make([]*machine, 0, len(byAddr))
 	for _, s := range byAddr {
-		l = append(l, s)
+		machines = append(machines, s)
 	}
-	slices.SortFunc(l, func(a, b *slot) int { return cmp.Compare(b.rank, a.rank) })
+	slices.SortFunc(machines, func(a, b *machine) int { return cmp.Compare(b.rank, a.rank) })
 	var out []units.NodeID
 	zones := map[string]bool{}
 	for _, newZonesOnly := range []bool{true, false} {
-		for _, s := range l {
+		for _, s := range machines {
 			if len(out) < holderCount && s.addr != "" && (!newZonesOnly || !zones[s.zone]) {
 				out = append(out, s.node)
 				zones[s.zone] = true
--- a/internal/router/idempotency/registry.go
+++ b/internal/router/idempotency/registry.go
@@ -8,60 +8,61 @@
 	"seamshunt/internal/units"
 )
 
-// The records of claims on a voter's disk. An empty one ends its key.
+// The records of claims on a voter's disk. A RecordClaim without data removes its key.
 const (
 	RecordClaim uint8 = 16 + iota
 	RecordComplete
 )
 
-// voterCopy is what a voter's copy showed.
+// voterCopy describes the last copy received from a voter.
 type voterCopy struct {
 	complete bool
-	empty    bool // it holds no claim, so that it tells no more than a blank one
+	empty    bool // holds no claim, and so adds no more than an uninitialized one
 }
 
-// Registry is a voter's copy of all claims, on its disk: what routers remember is gone once they all are (design 8).
+// Registry is a voter's copy of all claims, on its disk. Routers keep claims in memory only, so that these are lost if all
+// routers stop (docs/design.md, section 8).
 type Registry struct {
 	self              units.NodeID
 	keys              map[string]entry
 	complete          bool
-	copies            map[units.NodeID]voterCopy // of the voters that answered
+	copies            map[units.NodeID]voterCopy // by voters that replied
 	copiesRequestedAt units.Time
 	sweptAt           units.Time
-	DiskFull          bool // no room on the disk: nothing new is taken
+	DiskFull          bool // nothing new is accepted
 }
 
-// LoadRegistry builds the machine from what the disk holds. How old a claim is is not on the disk, so that no calendar
-// is trusted: after a start each counts as new.
+// LoadRegistry restores the registry from the records on disk. These don't contain the age of a claim, so as not to depend
+// on the wall clock: after a start each claim counts as new.
 func LoadRegistry(self units.NodeID, now units.Time, records []message.Record) *Registry {
 	r := &Registry{self: self, keys: map[string]entry{}, copies: map[units.NodeID]voterCopy{}}
-	for _, x := range records {
-		var it storedEntry
+	for _, record := range records {
+		var stored storedEntry
 		switch {
-		case x.Kind == RecordComplete:
+		case record.Kind == RecordComplete:
 			r.complete = true
-		case x.Kind == RecordClaim && message.Unpack(x.Data, &it) == nil:
-			r.keys[x.Key] = entry{token: it.Token, spent: it.Spent == 1, updatedAt: now}
+		case record.Kind == RecordClaim && message.Unpack(record.Data, &stored) == nil:
+			r.keys[record.Key] = entry{token: stored.Token, spent: stored.Spent == 1, updatedAt: now}
 		}
 	}
 	return r
 }
 
 func claimRecord(key string, e entry) message.Record {
-	it := storedEntry{Token: e.token}
+	stored := storedEntry{Token: e.token}
 	if e.spent {
-		it.Spent = 1
+		stored.Spent = 1
 	}
-	return message.Record{Kind: RecordClaim, Key: key, Data: message.Pack(it)}
+	return message.Record{Kind: RecordClaim, Key: key, Data: message.Pack(stored)}
 }
 
-// Complete says whether this voter knows all that a majority was ever told, and so may grant.
+// Complete reports whether this voter has every claim that a majority may have stored, and so may grant new ones.
 func (r *Registry) Complete() bool { return r.complete }
 
-// Len counts the claims.
+// Len returns the number of keys.
 func (r *Registry) Len() int { return len(r.keys) }
 
-// Step takes one note; ver is the newest set of voters that this node knows of.
+// Step handles one message; votersVersion is the newest quorum set that this node knows.
 func (r *Registry) Step(now units.Time, msg message.Message, votersVersion units.Version) (out message.Effects) {
 	switch msg.Kind {
 	case CopyRequest:
@@ -70,7 +71,7 @@
 			out.AddError(err)
 			return out
 		}
-		// Who asks under a newer set is answered once this node, too, serves no older one.
+		// A request under a newer quorum set is answered only once this node, too, has stopped serving an older one.
 		if units.Version(h.VotersVersion) <= votersVersion {
 			out.SendAfterSync(msg.From, CopyReply, encodeCopy(r.keys, r.complete, votersVersion))
 		}
@@ -88,7 +89,8 @@
 	return out
 }
 
-func (r *Registry) handleClaim(now units.Time, msg message.Message, h header, key string, votersVersion units.Version, out *message.Effects) {
+func (r *Registry) handleClaim(now units.Time, msg message.Message, h header, key string, votersVersion units.Version,
+	out *message.Effects) {
 	e, ok := r.keys[key]
 	if msg.Kind == Spend {
 		if !e.spent && !r.DiskFull {
@@ -117,25 +119,25 @@
 	out.Writes = append(out.Writes, claimRecord(key, e))
 }
 
-// mergeCopy takes another voter's claims, as a blank disk must before it may grant.
+// mergeCopy adds another voter's claims. An uninitialized disk needs them before it may grant.
 func (r *Registry) mergeCopy(now units.Time, msg message.Message, out *message.Effects) {
 	if r.complete {
 		return
 	}
-	h, l, err := decodeCopy(msg.Body)
+	h, copied, err := decodeCopy(msg.Body)
 	if err != nil {
 		out.AddError(err)
 		return
 	}
-	for _, x := range l {
-		if e, ok := r.keys[x.key]; !ok || x.spent && !e.spent {
-			r.store(x.key, entry{token: x.token, spent: x.spent, updatedAt: now}, out)
+	for _, other := range copied {
+		if e, ok := r.keys[other.key]; !ok || other.spent && !e.spent {
+			r.store(other.key, entry{token: other.token, spent: other.spent, updatedAt: now}, out)
 		}
 	}
-	r.copies[msg.From] = voterCopy{complete: h.Complete == 1, empty: len(l) == 0}
+	r.copies[msg.From] = voterCopy{complete: h.Complete == 1, empty: len(copied) == 0}
 }
 
-// Tick forgets old claims, and has a blank disk copy those of the other voters.
+// Tick removes expired claims, and requests the other voters' claims for an uninitialized disk.
 func (r *Registry) Tick(now units.Time, voters register.QuorumSet) (out message.Effects) {
 	if now.Sub(r.sweptAt) > time.Second && !r.DiskFull {
 		r.sweptAt = now
@@ -149,19 +151,20 @@
 	if r.complete || !voters.Has(r.self) || r.DiskFull {
 		return out
 	}
-	complete, blank := 0, 0
+	complete, withoutClaims := 0, 0
 	for _, n := range voters.Members {
-		h, ok := r.copies[n]
-		if h.complete {
+		status, ok := r.copies[n]
+		if status.complete {
 			complete++
 		}
-		if n == r.self || ok && (!h.complete || h.empty) {
-			blank++
+		if n == r.self || ok && (!status.complete || status.empty) {
+			withoutClaims++
 		}
 	}
-	// So many meet every majority that a claim may stand on. Where every voter is blank or holds no claim, none is kept:
-	// in a new fleet those that are asked later find some whole already, which must not stop them.
-	if complete >= recoveryQuorum(voters) || blank == len(voters.Members) {
+	// A recovery quorum intersects every majority that may have stored a claim. If every voter is uninitialized or holds no
+	// claim, no claim is stored. Complete voters without claims have to count there: in a new fleet a voter that gets its
+	// replies late finds some of the others complete already.
+	if complete >= recoveryQuorum(voters) || withoutClaims == len(voters.Members) {
 		r.complete = true
 		out.Writes = append(out.Writes, message.Record{Kind: RecordComplete, Data: []byte{1}})
 		return out
@@ -177,5 +180,5 @@
 	return out
 }
 
-// recoveryQuorum counts the voters that meet every majority.
+// recoveryQuorum returns how many voters intersect every majority.
 func recoveryQuorum(v register.QuorumSet) int { return len(v.Members) - len(v.Members)/2 }
--- a/internal/router/idempotency/voter_change_test.go
+++ b/internal/router/idempotency/voter_change_test.go
@@ -19,12 +19,12 @@
 
 var (
 	claimHolders = []units.NodeID{1, 2, 3}
-	claimSets    = []register.QuorumSet{ // each replaces one voter of the set before
+	claimSets    = []register.QuorumSet{ // each replaces one voter of the previous set
 		{Version: 1, Members: []units.NodeID{11, 12, 13}},
 		{Version: 2, Members: []units.NodeID{12, 13, 14}},
 		{Version: 3, Members: []units.NodeID{13, 14, 15}},
 	}
-	claimJointSets = []register.QuorumSet{ // the same by way of joint sets
+	claimJointSets = []register.QuorumSet{ // the same changes by way of joint sets
 		{Version: 1, Members: []units.NodeID{11, 12, 13}},
 		{Version: 2, Members: []units.NodeID{11, 12, 13}, Incoming: []units.NodeID{12, 13, 14}},
 		{Version: 3, Members: []units.NodeID{12, 13, 14}},
@@ -33,22 +33,22 @@
 	}
 )
 
-// claimFleet is three holders and the disks of all sets, with messages that are lost, doubled and disordered.
+// claimFleet is three holders and the voters of all sets, with messages that are lost, duplicated and reordered.
 type claimFleet struct {
 	sets       []register.QuorumSet
 	rng        *rand.Rand
 	now        units.Time
 	claimants  map[units.NodeID]*idempotency.Claimant
 	registries map[units.NodeID]*idempotency.Registry
-	knownSet   map[units.NodeID]int // the newest set that a node knows of, by its place
+	knownSet   map[units.NodeID]int // index in sets of the newest set that a node knows
 	inFlight   []message.Message
 	granted    int
-	durable    bool // the grant stood on a majority of the disks
+	durable    bool // a grant was on a majority of the disks
 }
 
 func newClaimFleet(seed uint64, sets []register.QuorumSet) *claimFleet {
-	f := &claimFleet{sets: sets, rng: rand.New(rand.NewPCG(seed, 5)), now: units.Time(time.Minute), claimants: map[units.NodeID]*idempotency.Claimant{},
-		registries: map[units.NodeID]*idempotency.Registry{}, knownSet: map[units.NodeID]int{}}
+	f := &claimFleet{sets: sets, rng: rand.New(rand.NewPCG(seed, 5)), now: units.Time(time.Minute),
+		claimants: map[units.NodeID]*idempotency.Claimant{}, registries: map[units.NodeID]*idempotency.Registry{}, knownSet: map[units.NodeID]int{}}
 	for d := units.NodeID(11); d <= 15; d++ {
 		f.registries[d] = idempotency.LoadRegistry(d, f.now, nil)
 	}
@@ -56,14 +56,14 @@
 	return f
 }
 
-// restartClaimants loses all that the holders remember.
+// restartClaimants restarts all holders, which lose their memory.
 func (f *claimFleet) restartClaimants() {
 	for _, n := range claimHolders {
 		f.claimants[n] = idempotency.New(n, f.now)
 	}
 }
 
-// send takes a step's messages; disks write at once.
+// send queues the messages of a step; writes are synced immediately.
 func (f *claimFleet) send(from units.NodeID, out message.Effects) {
 	for _, m := range append(out.Messages, out.AfterSync...) {
 		m.From = from
@@ -71,7 +71,7 @@
 	}
 }
 
-// deliver brings some of the messages under way, in any order: one in ten is lost and one in ten comes twice.
+// deliver delivers count of the messages in flight, in random order: one in ten is lost and one in ten is duplicated.
 func (f *claimFleet) deliver(count int) {
 	for ; count > 0 && len(f.inFlight) > 0; count-- {
 		i := f.rng.IntN(len(f.inFlight))
@@ -92,46 +92,46 @@
 	}
 }
 
-// tick lets a little time pass for all.
+// tick advances the time by 50 ms, ticks all nodes and delivers messages.
 func (f *claimFleet) tick() {
 	f.now = f.now.Add(50 * time.Millisecond)
 	for d := units.NodeID(11); d <= 15; d++ {
 		f.send(d, f.registries[d].Tick(f.now, f.sets[f.knownSet[d]]))
 	}
 	for _, n := range claimHolders {
-		s := f.claimants[n]
-		s.SetVoters(f.sets[f.knownSet[n]])
+		claimant := f.claimants[n]
+		claimant.SetVoters(f.sets[f.knownSet[n]])
 		var others []units.NodeID
 		for _, o := range claimHolders {
 			if o != n {
 				others = append(others, o)
 			}
 		}
-		f.send(n, s.Tick(f.now, others, time.Hour))
-		for _, r := range s.Results {
+		f.send(n, claimant.Tick(f.now, others, time.Hour))
+		for _, r := range claimant.Results {
 			if r.Code == resultcode.OK {
 				f.granted++
 				f.durable = f.durable || r.Durable
 			}
 		}
-		s.Results = nil
+		claimant.Results = nil
 	}
 	f.deliver(len(f.inFlight))
 }
 
-// until beats until something holds.
-func (f *claimFleet) until(t *testing.T, what string, holds func() bool) {
+// until ticks until the condition holds.
+func (f *claimFleet) until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 4000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		f.tick()
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-// change brings the next set into force: a majority of the old one learns of it first, all others in any order, later.
+// change puts the next set into force: a majority of the old one learns of it first, all others later in any order.
 func (f *claimFleet) change(t *testing.T, next int) {
 	old := f.sets[next-1].Members
 	for _, i := range f.rng.Perm(len(old))[:2] {
@@ -145,7 +145,7 @@
 			f.tick()
 		}
 	}
-	f.until(t, "the new set is whole", func() bool { return f.complete(next) })
+	f.until(t, "the new set is complete", func() bool { return f.complete(next) })
 }
 
 func (f *claimFleet) complete(set int) bool {
@@ -157,17 +157,17 @@
 	return true
 }
 
-// claim asks for the key by way of a holder.
+// claim claims the key through the given holder.
 func (f *claimFleet) claim(by units.NodeID, token uint64) {
 	f.claimants[by].SetVoters(f.sets[f.knownSet[by]])
 	f.send(by, f.claimants[by].Claim(f.now, token, claimKey, claimHolders))
 }
 
-// A key that was granted and stands on the disks is granted to nobody else: not through two changes of the voters,
-// during which the claim and its copies are made, and not after all holders lost their memory behind them.
+// A key that was granted and is on a majority of the disks is never granted again: neither while the quorum set changes
+// twice, during which the claim and its copies are made, nor after all holders lose their memory.
 func TestClaimsThroughAChangeOfVoters(t *testing.T) { claimThroughChanges(t, claimSets) }
 
-// The same by way of joint sets, as the register changes its members.
+// The same with joint sets, as the register changes its members.
 func TestClaimsThroughJointSets(t *testing.T) { claimThroughChanges(t, claimJointSets) }
 
 func claimThroughChanges(t *testing.T, sets []register.QuorumSet) {
@@ -187,7 +187,7 @@
 		for next := 1; next <= half; next++ {
 			f.change(t, next)
 		}
-		for range 30 { // whatever was granted without the disks is told to them
+		for range 30 { // claims granted without the voters are resent to them
 			f.tick()
 		}
 		for next := half + 1; next < len(sets); next++ {
@@ -210,7 +210,7 @@
 		}
 	}
 	if durable < claimSeeds/4 || grantedAfter == 0 {
-		t.Errorf("granted %d times, %d of them kept on the disks, %d after the loss: too few to show anything", granted, durable, grantedAfter)
+		t.Errorf("granted %d times, %d of them durable, %d after the loss of memory: too few to prove anything", granted, durable, grantedAfter)
 	}
-	t.Logf("%d seeds: granted %d, kept on the disks %d, granted first after the loss %d", claimSeeds, granted, durable, grantedAfter)
+	t.Logf("%d seeds: granted %d, durable %d, granted first after the loss of memory %d", claimSeeds, granted, durable, grantedAfter)
 }
