--- a/internal/cluster/configpush/feed.go
+++ b/internal/cluster/configpush/feed.go
@@ -38,6 +38,7 @@
 	ReceivedAt units.Time // when this node received it; not sent to others
 }
 
+// pendingPush is a version that some nodes haven't acknowledged yet.
 type pendingPush struct {
 	unacked map[units.NodeID]bool
 	sentAt  units.Time
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -18,8 +18,8 @@
 	for n := units.NodeID(1); n <= 9; n++ {
 		nodes[n] = New(newMember(n), []string{"a" + units.NodeID(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
 	}
-	type given struct{ list, copy []Member }
-	var returned []given
+	type result struct{ list, copy []Member }
+	var returned []result
 	check := func(m *Gossip) {
 		t.Helper()
 		want := uint64(0)
@@ -37,7 +37,7 @@
 		if !slices.Equal(all, l) {
 			t.Fatalf("All returns\n%v, want\n%v", all, l)
 		}
-		returned = append(returned, given{all, slices.Clone(all)})
+		returned = append(returned, result{all, slices.Clone(all)})
 	}
 	var inFlight []message.Message
 	send := func(from units.NodeID, out message.Effects) {
@@ -95,7 +95,7 @@
 }
 
 // All and digest allocate nothing while the table doesn't change.
-func TestQuietTableIsNotCopied(t *testing.T) {
+func TestUnchangedTableIsNotCopied(t *testing.T) {
 	m := newGossip(1, 2, 3, 4, 5)
 	m.All()
 	if n := testing.AllocsPerRun(100, func() { m.All(); m.digest() }); n > 0 {
--- a/internal/cluster/transport/engine_test.go
+++ b/internal/cluster/transport/engine_test.go
@@ -16,8 +16,8 @@
 	"seamshunt/internal/testutil"
 )
 
-// Guards CONFIG: if a failed listener stayed closed, the node would never again receive messages from others. It is
-// reopened, and the failure is reported.
+// Invariant CONFIG: a listener that fails is reopened, and the failure is reported. If it stayed closed, the node would
+// never again receive messages from others.
 func TestListenerIsReopened(t *testing.T) {
 	addr := testutil.Addr(t)
 	group := tasks.New(clockwork.NewRealClock(), 1)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards CONFIG: for lack of file descriptors a peer's connection can't be accepted. It is accepted once descriptors are
-// available.
+// Invariant CONFIG: a peer's connection that can't be accepted for lack of file descriptors is accepted once descriptors
+// are available.
 func TestAcceptAfterDescriptorShortage(t *testing.T) {
 	received := make(chan message.Message, 8)
 	transport := openTransport(t, func(n message.Message) { received <- n })
@@ -67,8 +67,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	neighbour := os.NewFile(uintptr(fd), "neighbour")
-	defer neighbour.Close()
+	peer := os.NewFile(uintptr(fd), "peer")
+	defer peer.Close()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	if again := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || again != nil {
 		t.Fatal(err, again)
 	}
-	if _, err := neighbour.Write(encodeFrame(message.Message{From: 9, To: 1, Kind: 77})); err != nil {
+	if _, err := peer.Write(encodeFrame(message.Message{From: 9, To: 1, Kind: 77})); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -26,9 +26,10 @@
 	backoff    time.Duration
 }
 
+// maxQueuedFrames is how many frames a connection queues while it is being dialed; further ones are dropped.
 const maxQueuedFrames = 512
 
-// Both are short, so that a machine is reached again soon after it is back: neither a pending dial nor the backoff after
+// Both limits are short, so that a machine is reached again soon after it is back: neither a pending dial nor the backoff after
 // failed ones should delay that by much (docs/design.md, section 4).
 const (
 	dialTimeout = 400 * time.Millisecond
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -15,7 +15,7 @@
 }
 
 // Warnings are written immediately, up to a limit per window; the rest stays in memory until a dump.
-func TestWarningsAreWrittenAsTheyCome(t *testing.T) {
+func TestWarningsAreWrittenImmediately(t *testing.T) {
 	var out strings.Builder
 	r := New(64, &out)
 	start := time.Unix(1000, 0)
@@ -37,7 +37,7 @@
 }
 
 // A wall clock that jumps back does not suppress warnings.
-func TestWarningsAfterTheTimeJumpsBack(t *testing.T) {
+func TestWarningsAfterClockJumpsBack(t *testing.T) {
 	var out strings.Builder
 	r := New(64, &out)
 	at := time.Unix(1000, 0)
--- a/internal/router/idempotency/voter_change_test.go
+++ b/internal/router/idempotency/voter_change_test.go
@@ -165,10 +165,10 @@
 
 // A key that was granted and is on a majority of the disks is never granted again: neither while the quorum set changes
 // twice, during which the claim and its copies are made, nor after all holders lose their memory.
-func TestClaimsThroughAChangeOfVoters(t *testing.T) { claimThroughChanges(t, claimSets) }
+func TestClaimsDuringQuorumSetChanges(t *testing.T) { claimThroughChanges(t, claimSets) }
 
 // The same with joint sets, as the register changes its members.
-func TestClaimsThroughJointSets(t *testing.T) { claimThroughChanges(t, claimJointSets) }
+func TestClaimsDuringJointQuorumSetChanges(t *testing.T) { claimThroughChanges(t, claimJointSets) }
 
 func claimThroughChanges(t *testing.T, sets []register.QuorumSet) {
 	t.Helper()
