--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -1,3 +1,5 @@
+// Package idempotency prevents that a request with an idempotency key runs twice: a client's key is claimed at a majority
+// of three routers before the prompt is dispatched to a worker (docs/design.md, section 8).
 package idempotency
 
 import (
@@ -9,105 +11,172 @@
 	"seamshunt/internal/units"
 )
 
-// Claim asks the holders, and the core's disks, for a key under a token that is this node's own.
-func (s *Claimant) Claim(now units.Time, token uint64, key string, holders []units.NodeID) (out message.Effects) {
-	p := &pending{key: key, holders: holders, core: s.core, got: map[units.NodeID]bool{}, since: now}
-	s.pends[token] = p
-	s.ask(now, token, p, &out)
-	return out
+// The messages of claims.
+const (
+	Claim = message.KindClaim + iota
+	ClaimReply
+	Spend
+	CopyRequest
+	CopyReply
+)
+
+// The states that a holder or voter replies for a key.
+const (
+	granted uint8 = 1 + iota
+	taken
+	spent
+	abstained
+)
+
+// Timeouts, intervals and the number of holders of a key.
+const (
+	retryInterval   = 150 * time.Millisecond
+	claimTimeout    = 450 * time.Millisecond
+	Retention       = 10 * time.Minute // how long a key is kept
+	holderCount     = 3
+	votersTimeout   = 200 * time.Millisecond // how long a claim that the holders granted waits for the voters' disks
+	votersBackoff   = 2 * time.Second        // how long voters are not waited for after such a timeout
+	propagationTime = 2 * time.Second        // until all nodes know of a new machine, and so agree on a key's holders
+)
+
+// header precedes the key in claim messages.
+type header struct {
+	Token         uint64
+	VotersVersion uint64 // version of the sender's quorum set; 0 between routers
+	State         uint8
 }
 
-func (s *Claimant) ask(now units.Time, token uint64, p *pending, out *message.Effects) {
-	p.sent = now
-	for _, n := range p.holders {
-		if n != 0 && !p.got[n] && p.held == 0 {
-			out.Send(n, Claim, message.Pack(head{Token: token}, []byte(p.key)))
-		}
-	}
-	for _, n := range p.core.All() {
-		if !p.got[n] {
-			out.Send(n, Claim, message.Pack(head{Token: token, Ver: uint64(p.core.Version)}, []byte(p.key)))
-		}
-	}
+// entry is a claimed or spent key.
+type entry struct {
+	token     uint64
+	spent     bool
+	updatedAt units.Time
 }
 
-// Spend makes a key useless for ever: the holder of its claim says that it did not run. Only a node whose claim
-// was granted may burn; to others the key's prompt may be running elsewhere.
-func (s *Claimant) Spend(key string, holders []units.NodeID) (out message.Effects) {
-	for _, n := range append(append([]units.NodeID(nil), holders...), s.core.All()...) {
-		if n != 0 {
-			out.Send(n, Spend, message.Pack(head{}, []byte(key)))
-		}
-	}
-	return out
+// pendingClaim is a claim of this node that isn't granted yet, or not by a majority of the voters.
+type pendingClaim struct {
+	key              string
+	holders          []units.NodeID
+	voters           register.QuorumSet
+	grantedBy        map[units.NodeID]bool
+	startedAt        units.Time
+	holdersGrantedAt units.Time // when a majority of the holders had granted it; 0 before
+	sentAt           units.Time
 }
 
-func (s *Claimant) end(token uint64, c resultcode.Code, kept bool) {
-	delete(s.pends, token)
-	s.Results = append(s.Results, Result{token, c, kept})
+// Result is the result of a claim: OK, KeyClaimed, KeySpent or ClaimFailed.
+type Result struct {
+	Token   uint64
+	Code    resultcode.Code
+	Durable bool // on the disks of a majority of the voters too
 }
 
-// settled ends a claim that the holders granted: once the disks have it too, or can't be waited for.
-func (s *Claimant) settled(now units.Time, token uint64, p *pending) {
-	if p.held == 0 {
-		return
-	}
-	kept := p.core.HasMajority(p.got)
-	waits := now >= s.away && len(p.core.Members) > 0
-	switch {
-	case kept:
-		s.away = 0
-	case waits && now.Sub(p.held) < coreWait:
-		return
-	case waits:
-		s.away = now.Add(awayFor)
-	}
-	if !kept {
-		s.late[token] = p
-	}
-	s.end(token, resultcode.OK, kept)
+// copyStatus describes the last copy received from a node.
+type copyStatus struct {
+	complete      bool
+	votersVersion units.Version
 }
 
-// tell lets the disks know of claims that were granted without them.
-func (s *Claimant) tell(now units.Time, out *message.Effects) {
-	for _, token := range message.SortedKeys(s.late) {
-		p := s.late[token]
+// Claimant is a router's state machine for claims: it holds the claims of other routers and makes those of its own
+// clients.
+type Claimant struct {
+	self               units.NodeID
+	startedAt          units.Time
+	keys               map[string]entry
+	pending            map[uint64]*pendingClaim
+	notDurable         map[uint64]*pendingClaim // granted by the holders alone; resent to the voters
+	voters             register.QuorumSet
+	skipVotersUntil    units.Time // until then claims don't wait for the voters
+	copies             map[units.NodeID]copyStatus
+	complete           bool
+	copiesRequestedAt  units.Time
+	partialRequestedAt units.Time
+	sweptAt            units.Time
+	Results            []Result
+}
+
+// New returns a claimant without any keys, which abstains until it has recovered them.
+func New(self units.NodeID, now units.Time) *Claimant {
+	return &Claimant{self: self, startedAt: now, keys: map[string]entry{}, pending: map[uint64]*pendingClaim{},
+		notDurable: map[uint64]*pendingClaim{}, copies: map[units.NodeID]copyStatus{}}
+}
+
+// SetVoters sets the quorum set, whose disks keep claims even if all routers lose their memory.
+func (c *Claimant) SetVoters(v register.QuorumSet) { c.voters = v }
+
+// Tick retries pending claims or fails them, removes expired keys, and after a start recovers the keys from other nodes.
+func (c *Claimant) Tick(now units.Time, peers []units.NodeID, maxRequestTime time.Duration) (out message.Effects) {
+	for _, token := range message.SortedKeys(c.pending) {
+		p := c.pending[token]
 		switch {
-		case now.Sub(p.since) > Retention || p.core.HasMajority(p.got):
-			delete(s.late, token)
-		case now.Sub(p.sent) >= time.Second:
-			if p.core.Version != s.core.Version {
-				p.core, p.got = s.core, map[units.NodeID]bool{}
+		case p.holdersGrantedAt != 0:
+			c.tryFinish(now, token, p)
+		case now.Sub(p.startedAt) >= claimTimeout:
+			c.finish(token, resultcode.ClaimFailed, false) // the key isn't spent: another request may hold it and run
+		case now.Sub(p.sentAt) >= retryInterval:
+			c.sendClaims(now, token, p, &out)
+		}
+	}
+	c.resendToVoters(now, &out)
+	if now.Sub(c.sweptAt) > time.Second {
+		c.sweptAt = now
+		for k, e := range c.keys {
+			if now.Sub(e.updatedAt) > Retention {
+				delete(c.keys, k)
 			}
-			s.ask(now, token, p, out)
 		}
 	}
+	if c.complete || maxRequestTime == 0 {
+		return out
+	}
+	c.complete = c.recoverKeys(now, peers, &out) || now.Sub(c.startedAt) > max(maxRequestTime, propagationTime)
+	return out
 }
 
-func (s *Claimant) answered(now units.Time, from units.NodeID, h head) {
-	if p := s.late[h.Token]; p != nil {
-		if h.State == granted {
-			p.got[from] = true
-		}
-		if p.core.HasMajority(p.got) {
-			s.away = 0
-		}
-		return
+// Complete reports whether this node has recovered all keys and so grants claims.
+func (c *Claimant) Complete() bool { return c.complete }
+
+// Step handles one message.
+func (c *Claimant) Step(now units.Time, msg message.Message) (out message.Effects) {
+	var h header
+	var key []byte
+	switch msg.Kind {
+	case CopyRequest:
+		out.Send(msg.From, CopyReply, encodeCopy(c.keys, c.complete, 0))
+		return out
+	case CopyReply:
+		out.AddError(c.mergeCopy(now, msg))
+		return out
 	}
-	p := s.pends[h.Token]
-	if p == nil {
-		return
+	if err := message.Unpack(msg.Body, &h, &key); err != nil {
+		out.AddError(err)
+		return out
 	}
-	switch h.State {
-	case taken:
-		s.end(h.Token, resultcode.KeyClaimed, false)
-	case burned:
-		s.end(h.Token, resultcode.KeySpent, false)
-	case granted:
-		p.got[from] = true
-		if p.held == 0 && (register.QuorumSet{Members: p.holders}).HasMajority(p.got) {
-			p.held = max(now, 1)
-		}
-		s.settled(now, h.Token, p)
+	switch msg.Kind {
+	case Claim:
+		h.State = c.grant(now, h.Token, string(key))
+		out.Send(msg.From, ClaimReply, message.Pack(h, key))
+	case Spend:
+		e := c.keys[string(key)]
+		e.spent, e.updatedAt = true, now
+		c.keys[string(key)] = e
+	case ClaimReply:
+		c.handleReply(now, msg.From, h)
+	}
+	return out
+}
+
+// grant handles a claim as a holder and returns the state of the key.
+func (c *Claimant) grant(now units.Time, token uint64, key string) uint8 {
+	e, ok := c.keys[key]
+	switch {
+	case ok && e.spent:
+		return spent
+	case ok && e.token != token:
+		return taken
+	case !ok && !c.complete:
+		return abstained
 	}
+	c.keys[key] = entry{token: token, updatedAt: now}
+	return granted
 }
--- a/internal/router/idempotency/copy.go
+++ b/internal/router/idempotency/copy.go
@@ -7,103 +7,106 @@
 	"seamshunt/internal/units"
 )
 
-type item struct {
+// storedEntry is an entry as it is sent in copies and stored on disk.
+type storedEntry struct {
 	Token uint64
-	Burnt uint8
+	Spent uint8
 }
 
-type copyHead struct {
-	Ver   uint64
-	Whole uint8
+// copyHeader precedes the entries of a copy.
+type copyHeader struct {
+	VotersVersion uint64
+	Complete      uint8
 }
 
-type copied struct {
+type copiedEntry struct {
 	key   string
 	token uint64
-	burnt bool
+	spent bool
 }
 
-func pack(keys map[string]entry, whole bool, ver units.Version) []byte {
-	var l [][]byte
+func encodeCopy(keys map[string]entry, complete bool, votersVersion units.Version) []byte {
+	var items [][]byte
 	for _, k := range message.SortedKeys(keys) {
 		e := keys[k]
-		x := item{Token: e.token}
-		if e.burnt {
-			x.Burnt = 1
+		x := storedEntry{Token: e.token}
+		if e.spent {
+			x.Spent = 1
 		}
-		l = append(l, message.Pack(x, []byte(k)))
+		items = append(items, message.Pack(x, []byte(k)))
 	}
-	h := copyHead{Ver: uint64(ver)}
-	if whole {
-		h.Whole = 1
+	h := copyHeader{VotersVersion: uint64(votersVersion)}
+	if complete {
+		h.Complete = 1
 	}
-	return message.Pack(h, message.PackList(l))
+	return message.Pack(h, message.PackList(items))
 }
 
-func unpackCopy(b []byte) (h copyHead, out []copied, err error) {
+func decodeCopy(b []byte) (h copyHeader, out []copiedEntry, err error) {
 	var list []byte
 	if err = message.Unpack(b, &h, &list); err != nil {
 		return h, nil, err
 	}
-	l, err := message.UnpackList(list)
-	for _, t := range l {
-		var x item
+	items, err := message.UnpackList(list)
+	for _, t := range items {
+		var x storedEntry
 		var k []byte
 		if err == nil {
 			err = message.Unpack(t, &x, &k)
 		}
-		out = append(out, copied{string(k), x.Token, x.Burnt == 1})
+		out = append(out, copiedEntry{string(k), x.Token, x.Spent == 1})
 	}
 	return h, out, err
 }
 
-// take copies a neighbour's memory, or a voter's; a key that is known here already keeps what it has, burnt staying
-// burnt.
-func (s *Claimant) take(now units.Time, n message.Message) error {
-	h, l, err := unpackCopy(n.Body)
+// mergeCopy adds the keys of another router or a voter. A key that is already known here keeps its token, and is spent if
+// it is spent in either.
+func (c *Claimant) mergeCopy(now units.Time, msg message.Message) error {
+	h, copied, err := decodeCopy(msg.Body)
 	if err != nil {
 		return err
 	}
-	for _, x := range l {
-		e, ok := s.keys[x.key]
+	for _, other := range copied {
+		e, ok := c.keys[other.key]
 		if !ok {
-			e = entry{token: x.token, at: now}
+			e = entry{token: other.token, updatedAt: now}
 		}
-		e.burnt = e.burnt || x.burnt
-		s.keys[x.key] = e
+		e.spent = e.spent || other.spent
+		c.keys[other.key] = e
 	}
-	s.heard[n.From] = heard{whole: h.Whole == 1, ver: units.Version(h.Ver)}
+	c.copies[msg.From] = copyStatus{complete: h.Complete == 1, votersVersion: units.Version(h.VotersVersion)}
 	return nil
 }
 
-// recall brings back what others remember after a start. It is all there once every live router has given a whole
-// memory; or, where some are as new as this one, once all have given what they have and so many voters theirs that
-// no claim on a majority of the disks can be missing.
-func (s *Claimant) recall(now units.Time, peers []units.NodeID, out *message.Effects) bool {
-	allWhole, allHeard := true, true
+// recoverKeys requests the keys of other nodes after a start and reports whether all are recovered. They are once every
+// live router has sent a complete copy. If some routers are as new as this one, they are once all routers have sent what
+// they have, and enough voters have sent complete copies that no claim on a majority of the disks can be missing.
+func (c *Claimant) recoverKeys(now units.Time, peers []units.NodeID, out *message.Effects) bool {
+	allComplete, allReplied := true, true
 	for _, n := range peers {
-		h, ok := s.heard[n]
-		allWhole, allHeard = allWhole && h.whole, allHeard && ok
+		status, ok := c.copies[n]
+		allComplete, allReplied = allComplete && status.complete, allReplied && ok
 	}
-	whole := 0
-	for _, n := range s.core.Members {
-		if h := s.heard[n]; h.whole && h.ver <= s.core.Version {
-			whole++
+	completeVoters := 0
+	for _, n := range c.voters.Members {
+		if status := c.copies[n]; status.complete && status.votersVersion <= c.voters.Version {
+			completeVoters++
 		}
 	}
-	kept := len(s.core.Members) > 0 && whole >= enough(s.core)
-	if now.Sub(s.born) >= settle && (len(peers) > 0 && allWhole || allHeard && kept) {
+	votersSuffice := len(c.voters.Members) > 0 && completeVoters >= recoveryQuorum(c.voters)
+	if now.Sub(c.startedAt) >= propagationTime && (len(peers) > 0 && allComplete || allReplied && votersSuffice) {
 		return true
 	}
-	if now.Sub(s.asked) >= again {
-		s.asked = now
-		late := now.Sub(s.askedParts) >= time.Second // who gave a part is asked for all of it more seldom: a memory may be long
-		if late {
-			s.askedParts = now
+	if now.Sub(c.copiesRequestedAt) >= retryInterval {
+		c.copiesRequestedAt = now
+		// Nodes that sent an incomplete copy are asked again less often, since a copy may be large.
+		retryPartial := now.Sub(c.partialRequestedAt) >= time.Second
+		if retryPartial {
+			c.partialRequestedAt = now
 		}
-		for _, n := range append(append([]units.NodeID(nil), peers...), s.core.All()...) {
-			if h, ok := s.heard[n]; !ok || late && !h.whole {
-				out.Send(n, CopyRequest, message.Pack(head{}))
+		for _, n := range append(append([]units.NodeID(nil), peers...), c.voters.All()...) {
+			if status, ok := c.copies[n]; !ok || retryPartial && !status.complete {
+				out.Send(n, CopyRequest, message.Pack(header{}))
 			}
 		}
 	}
