--- a/internal/router/leave.go
+++ b/internal/router/leave.go
@@ -80,8 +80,8 @@
 	now := v.Tasks.Now()
 	d := newDeparture(now, time.Duration(v.Boot.DrainMs)*time.Millisecond)
 	v.departure.Store(d)
-	v.Flag(membership.Draining, true)
-	v.Flag(membership.Ready, false)
+	v.SetFlag(membership.Draining, true)
+	v.SetFlag(membership.Ready, false)
 	v.awaitQuiet(d)
 	v.Close()
 }
@@ -117,5 +117,5 @@
 	if v.readinessServer != nil {
 		_ = v.readinessServer.ShutdownWithContext(ctx)
 	}
-	v.Goodbye()
+	v.Leave()
 }
--- a/internal/router/rig_test.go
+++ b/internal/router/rig_test.go
@@ -93,7 +93,7 @@
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, nil)
-	v.Woke = nil // alone, it could never confirm its news again if the machine stood still for a second
+	v.OnResume = nil // alone, it could never confirm its news again if the machine stood still for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -71,7 +71,7 @@
 
 // New builds a router; with an adapter it speaks that world's words to clients and workers (design 11).
 func New(b *boot.Boot, outside *adapter.Adapter) *Router {
-	v := &Router{Base: node.New(b, node.Random(), membership.Router), waiting: map[uint64]chan verdict{}, claims: map[uint64]chan codes.Code{}}
+	v := &Router{Base: node.New(b, node.RandomID(), membership.Router), waiting: map[uint64]chan verdict{}, claims: map[uint64]chan codes.Code{}}
 	if v.Adapter = outside; outside != nil {
 		v.pool = upstream.NewPool(outside.Names)
 	}
@@ -81,12 +81,12 @@
 	v.claimant = idempotency.New(v.Self, v.Tasks.Now())
 	v.table = newTable()
 	v.table.watch.Lax = outside != nil
-	v.tag.Store(uint64(node.Random()) >> 1)
-	v.Woke = v.woke
-	v.Refused = v.gone
-	v.Moved = v.tickSoon
-	v.Steps[message.KindCapacity] = v.permits
-	v.Steps[message.KindClaim] = func(now units.Time, n message.Message) {
+	v.tag.Store(uint64(node.RandomID()) >> 1)
+	v.OnResume = v.woke
+	v.OnPeersEnded = v.gone
+	v.OnChange = v.tickSoon
+	v.MessageHandlers[message.KindCapacity] = v.permits
+	v.MessageHandlers[message.KindClaim] = func(now units.Time, n message.Message) {
 		v.screened(func() message.Effects { return v.claimant.Step(now, n) })
 	}
 	return v
@@ -104,7 +104,7 @@
 	}
 	v.began = v.Tasks.Now()
 	v.server = &fasthttp.Server{Handler: v.serve, Name: "router", MaxRequestBodySize: MaxBodyBytes, NoDefaultDate: true,
-		ReadTimeout: 30 * time.Second, Logger: quiet{}, ErrorHandler: v.malformed, Concurrency: v.ConnectionsMost()}
+		ReadTimeout: 30 * time.Second, Logger: quiet{}, ErrorHandler: v.malformed, Concurrency: v.MaxClientConnections()}
 	if v.Adapter != nil {
 		v.useAdapter()
 	}
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -136,7 +136,7 @@
 	v.FeedMu.Unlock()
 	if ok {
 		v.ready.Store(true)
-		v.Flag(membership.Ready, !v.leaving())
+		v.SetFlag(membership.Ready, !v.leaving())
 		v.Log.Info("news confirmed: serving")
 	}
 	v.Deliver(out)
@@ -144,7 +144,7 @@
 
 func (v *Router) unready() {
 	v.ready.Store(false)
-	v.Flag(membership.Ready, false)
+	v.SetFlag(membership.Ready, false)
 	v.FeedMu.Lock()
 	clear(v.Feed.Vouch)
 	v.FeedMu.Unlock()
--- a/internal/router/steps_test.go
+++ b/internal/router/steps_test.go
@@ -138,7 +138,7 @@
 	v := rig(t, a)
 	take(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
 	for _, k := range []message.Kind{capacity.Ask, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
-		v.Steps[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
+		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.ledgerMu.Lock()
 	kept := v.ledger.Kept(v.Tasks.Now())
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -28,10 +28,10 @@
 		v.screenTick(now) // an adapter's requests claim nothing
 	}
 	v.confirm(now)
-	if busy || v.Adapter == nil || !v.ready.Load() || !v.Calm(now) {
+	if busy || v.Adapter == nil || !v.ready.Load() || !v.MembershipStable(now) {
 		return tickGap
 	}
-	return node.Seldom
+	return node.IdleInterval
 }
 
 // tickGap is how long the next tick waits while something is due: prompts that wait, keepers that take over, a fleet that moves.
