--- a/internal/router/cancel.go
+++ b/internal/router/cancel.go
@@ -10,10 +10,10 @@
 
 // cancelledAs looks whether a request is cancelled, and gives the code of the reason; 0 while somebody waits for it.
 func cancelledAs(client *clientwatch.Request) codes.Code {
-	switch err := client.Look(); {
+	switch err := client.Check(); {
 	case err == nil:
 		return 0
-	case errors.Is(err, clientwatch.ErrRouterEnds):
+	case errors.Is(err, clientwatch.ErrRouterShutdown):
 		return codes.Draining
 	default:
 		return codes.ClientLeft
@@ -22,7 +22,7 @@
 
 // over lets go of a client whose request began at a time and stood at a stage; nothing may be under way for it any more.
 func (v *Router) over(client *clientwatch.Request, at stage, begun units.Time, whole bool) {
-	if !whole && errors.Is(client.Look(), clientwatch.ErrClientLeft) {
+	if !whole && errors.Is(client.Check(), clientwatch.ErrClientDisconnected) {
 		v.clientLeft(at, v.Tasks.Now().Sub(begun))
 	}
 	client.End()
--- a/internal/router/client_left_test.go
+++ b/internal/router/client_left_test.go
@@ -62,7 +62,7 @@
 	c.leave(t)
 	w.wake()
 	idle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w.scriptedWorker
 }
 
@@ -76,7 +76,7 @@
 	c.leave(t)
 	v.ready.Store(true)
 	idle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -91,7 +91,7 @@
 	list := []config.Worker{{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots}}
 	take(t, v, configpush.Item{Key: "workers/" + platform.Pool, Num: 2, Data: config.PackWorkers(list)})
 	idle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -106,7 +106,7 @@
 	c.leave(t)
 	v.queueMu.Unlock()
 	idle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -122,7 +122,7 @@
 	c.leave(t)
 	v.queueMu.Unlock()
 	idle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -142,7 +142,7 @@
 	c.leave(t)
 	k.reset()
 	idle(t, v)
-	v.pool.Drop(other.id)
+	v.pool.CloseIdle(other.id)
 	return other
 }
 
--- a/internal/router/late_worker.go
+++ b/internal/router/late_worker.go
@@ -18,7 +18,7 @@
 		w.paid = false
 		return true
 	}
-	if !w.v.budgetOf(service).Again(now, 0) {
+	if !w.v.budgetOf(service).AllowRetry(now, 0) {
 		return false
 	}
 	w.v.tallies.count(w.m, func(t *tally) { t.again++ })
@@ -27,9 +27,9 @@
 
 // first waits for the first thing that a try has to tell. A worker that is later than the service's habit is passed
 // over; what may repeat then leaves it, if the budget and the time left allow another (design 8).
-func (w *ownRequest) first(t *upstream.Try, s *config.Service, name string) upstream.Event {
+func (w *ownRequest) first(t *upstream.Attempt, s *config.Service, name string) upstream.Event {
 	v := w.v
-	habit, known := v.habitOf(s.Name).Late()
+	habit, known := v.habitOf(s.Name).OverdueAfter()
 	noted := !known
 	tick := time.NewTicker(lateEach)
 	defer tick.Stop()
@@ -39,15 +39,15 @@
 			return e
 		case <-w.client.Done():
 			if t.Abandon() {
-				return upstream.Event{Kind: upstream.NotSent, Err: w.client.Cause()}
+				return upstream.Event{Outcome: upstream.NotSent, Err: w.client.Cause()}
 			}
-			return upstream.Event{Kind: upstream.Unknown, Err: w.client.Cause()}
+			return upstream.Event{Outcome: upstream.Unknown, Err: w.client.Cause()}
 		case <-tick.C:
 		}
 		now := v.Tasks.Now()
 		if now > w.until {
 			t.Cancel()
-			return upstream.Event{Kind: upstream.Unknown, Err: errors.New("router: out of time")}
+			return upstream.Event{Outcome: upstream.Unknown, Err: errors.New("router: out of time")}
 		}
 		if !known || now.Sub(w.handed) < habit {
 			continue
@@ -59,7 +59,7 @@
 		if !w.m.Once && w.more(1) && w.until.Sub(now) > 2*s.First && !w.paid && w.again(s.Name, now) {
 			w.paid = true
 			t.Cancel()
-			return upstream.Event{Kind: upstream.Unknown, Err: errLate}
+			return upstream.Event{Outcome: upstream.Unknown, Err: errLate}
 		}
 	}
 }
--- a/internal/router/late_worker_test.go
+++ b/internal/router/late_worker_test.go
@@ -25,7 +25,7 @@
 			v := rig(t, a, b)
 			for range 40 {
 				v.habitOf("advice").Add(10 * time.Millisecond)
-				v.budgetOf("advice").First(v.Tasks.Now())
+				v.budgetOf("advice").RecordFirstAttempt(v.Tasks.Now())
 			}
 			c := ask(t, v, path)
 			other := hb
--- a/internal/router/own_interface.go
+++ b/internal/router/own_interface.go
@@ -62,7 +62,7 @@
 // prompt takes one request its way over the compiled rules.
 func (v *Router) prompt(ctx *fasthttp.RequestCtx, path string) {
 	v.inFlight.Add(1)
-	w := &ownRequest{v: v, ctx: ctx, begun: v.Tasks.Now(), rules: v.rules.Load(), client: v.clients.Begin(ctx.Conn()), at: stageClaim}
+	w := &ownRequest{v: v, ctx: ctx, begun: v.Tasks.Now(), rules: v.rules.Load(), client: v.clients.Watch(ctx.Conn()), at: stageClaim}
 	defer func() {
 		if !w.streaming {
 			w.over(false)
--- a/internal/router/own_interface_test.go
+++ b/internal/router/own_interface_test.go
@@ -153,7 +153,7 @@
 			testutil.Until(t, "the slot is free", func() bool {
 				v.ledgerMu.Lock()
 				defer v.ledgerMu.Unlock()
-				return v.ledger.Kept(v.Tasks.Now())[0].Lent == 0 && v.inFlight.Load() == 0
+				return v.ledger.Status(v.Tasks.Now())[0].InUse == 0 && v.inFlight.Load() == 0
 			})
 			v.stats.mu.Lock()
 			defer v.stats.mu.Unlock()
@@ -177,7 +177,7 @@
 	waiting := func() int {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
-		return v.ledger.Kept(v.Tasks.Now())[0].Waiting
+		return v.ledger.Status(v.Tasks.Now())[0].Waiting
 	}
 	c := ask(t, v, "/chat")
 	testutil.Until(t, "the third waits", func() bool { return waiting() == 1 })
--- a/internal/router/own_request.go
+++ b/internal/router/own_request.go
@@ -90,7 +90,7 @@
 		tag := v.tag.Add(1)
 		x := w.admit(now, tag, s)
 		if x.Code != codes.OK {
-			w.why, w.due = x.Code, x.Due
+			w.why, w.due = x.Code, x.ExpectedWait
 			return w.sent > 0 && w.end()
 		}
 		if v.Tasks.Now().Sub(x.at) > staleAt {
@@ -115,8 +115,8 @@
 	c := make(chan verdict, 1)
 	v.queueMu.Lock()
 	v.waiting[tag] = c
-	out := v.queue.Arrive(now, admission.Request{Tag: tag, Policy: s.Allow, Cands: cands, Tries: s.Spread + 4, Until: w.until, First: s.First, Worth: uint16(w.m.Promise.Worth),
-		Keeper: func(n string) units.Node { return keepers[n] }})
+	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: s.Allow, Candidates: cands, MaxCandidates: s.Spread + 4, Deadline: w.until, FirstTokenTime: s.First, Worth: uint16(w.m.Promise.Worth),
+		Coordinator: func(n string) units.Node { return keepers[n] }})
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
@@ -126,7 +126,7 @@
 	case <-w.client.Done():
 		v.cut(tag)
 		w.cancelled()
-		return verdict{Verdict: admission.Verdict{Code: w.why}}
+		return verdict{Decision: admission.Decision{Code: w.why}}
 	}
 }
 
@@ -153,26 +153,26 @@
 	}
 	now := v.Tasks.Now()
 	id := fmt.Sprintf("%s-%s", v.Self, strconv.FormatUint(tag, 16))
-	t := upstream.NewTry(w.client, addr, id, w.body, w.until.Sub(now))
+	t := upstream.NewAttempt(w.client, addr, id, w.body, w.until.Sub(now))
 	v.stats.hand(zone, v.Boot.Zone, len(w.body))
 	v.Tasks.Go(t.Run)
 	if w.sent == 0 {
-		v.budgetOf(s.Name).First(now)
+		v.budgetOf(s.Name).RecordFirstAttempt(now)
 	}
 	w.handed, w.at = now, stageAnswer
 	e := w.first(t, s, name)
-	if w.client.Err() != nil && e.Kind != upstream.Piece && e.Kind != upstream.Sealed {
+	if w.client.Err() != nil && e.Outcome != upstream.Partial && e.Outcome != upstream.Complete {
 		return w.brokenOff(tag, e)
 	}
-	switch e.Kind {
-	case upstream.Piece, upstream.Sealed:
-		w.client.Answering()
+	switch e.Outcome {
+	case upstream.Partial, upstream.Complete:
+		w.client.AnswerStarted()
 		v.habitOf(s.Name).Add(v.Tasks.Now().Sub(now))
 		w.stream(tag, t, e, name)
 		return true
 	case upstream.NotSent:
 		v.done(tag, false)
-		if e.Down {
+		if e.Unreachable {
 			v.markDown(name)
 		}
 		w.why = codes.NoWorker
@@ -187,7 +187,7 @@
 	w.sent++
 	w.sure = false
 	w.why = codes.Unknown
-	v.done(tag, !e.Down)
+	v.done(tag, !e.Unreachable)
 	v.markDown(name)
 	v.Log.WithError(e.Err).WithField("worker", name).Warn("a try of unknown outcome")
 	return w.m.Once && w.end()
@@ -196,7 +196,7 @@
 // brokenOff ends the way of a request that was cancelled while a worker had it, or was about to get it.
 func (w *ownRequest) brokenOff(tag uint64, e upstream.Event) bool {
 	w.cancelled()
-	if e.Kind == upstream.NotSent {
+	if e.Outcome == upstream.NotSent {
 		w.v.done(tag, false)
 		return w.end()
 	}
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -49,7 +49,7 @@
 // relay takes one request its way.
 func (v *Router) relay(ctx *fasthttp.RequestCtx) {
 	v.inFlight.Add(1)
-	w := &relay{v: v, ctx: ctx, begun: v.Tasks.Now(), client: v.clients.Begin(ctx.Conn()), at: stageAdmission}
+	w := &relay{v: v, ctx: ctx, begun: v.Tasks.Now(), client: v.clients.Watch(ctx.Conn()), at: stageAdmission}
 	defer func() {
 		if w.reply == nil {
 			w.over()
--- a/internal/router/relay_rig_test.go
+++ b/internal/router/relay_rig_test.go
@@ -127,7 +127,7 @@
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
 		open := 0
-		for _, k := range v.ledger.Kept(v.Tasks.Now()) {
+		for _, k := range v.ledger.Status(v.Tasks.Now()) {
 			if k.Open {
 				open++
 			}
@@ -135,7 +135,7 @@
 		return open == len(workers)
 	})
 	for range 20 {
-		v.budgetOf("svc").First(v.Tasks.Now())
+		v.budgetOf("svc").RecordFirstAttempt(v.Tasks.Now())
 	}
 	return v
 }
--- a/internal/router/relay_size.go
+++ b/internal/router/relay_size.go
@@ -14,12 +14,12 @@
 	w.urge = byRank(w.m)
 	if w.sized && s.Memory > 0 {
 		size(w.prompt, s, q)
-		w.urge = urgency(q.Read)
-		if aim := w.m.Promise.First * soon / 100; q.Read < aim {
-			q.Soon = max(0, aim-now.Sub(w.begun)-s.First)
+		w.urge = urgency(q.PrefillTime)
+		if aim := w.m.Promise.First * soon / 100; q.PrefillTime < aim {
+			q.MaxFirstTokenTime = max(0, aim-now.Sub(w.begun)-s.First)
 		}
 	}
-	q.Urge = w.urge
+	q.Priority = w.urge
 	cands, keepers := v.candidates(now, s, homeKey(w.prompt, w.sized))
 	if w.broke != "" && len(cands) > 1 && cands[0] == w.broke {
 		cands = append(cands[1:], cands[0])
@@ -53,9 +53,9 @@
 		}
 	}
 	shared = min(shared, p.In)
-	q.Homes, q.Full, q.Read = 1, reads(s, p.In, 0), reads(s, p.In-shared, shared)
-	q.Mem = uint32(p.In - shared + p.Out)
-	q.Away = 4*(q.Full-q.Read) + 1
+	q.PreferredCount, q.FullPrefillTime, q.PrefillTime = 1, reads(s, p.In, 0), reads(s, p.In-shared, shared)
+	q.MemoryTokens = uint32(p.In - shared + p.Out)
+	q.NonPreferredPenalty = 4*(q.FullPrefillTime-q.PrefillTime) + 1
 }
 
 // briefest is the reading time up to which a prompt is of the first urgency; each doubling is one lower.
--- a/internal/router/relay_try.go
+++ b/internal/router/relay_try.go
@@ -33,7 +33,7 @@
 		return false
 	case w.sent >= w.most() || w.ran && w.m.Once:
 		return false
-	case !w.v.budgetOf(service).Again(now, w.v.slack()):
+	case !w.v.budgetOf(service).AllowRetry(now, w.v.slack()):
 		w.why = codes.Budget
 		return false
 	}
@@ -63,7 +63,7 @@
 			continue
 		}
 		if x.Code != codes.OK {
-			w.why, w.due = x.Code, x.Due
+			w.why, w.due = x.Code, x.ExpectedWait
 			return false
 		}
 		if v.Tasks.Now().Sub(x.at) > staleAt {
@@ -99,13 +99,13 @@
 func (w *relay) admit(now units.Time, s *config.Service) (verdict, uint64) {
 	v, tag := w.v, w.v.tag.Add(1)
 	w.at = w.standing(stageAdmission)
-	q := admission.Request{Tag: tag, Policy: s.Allow, Until: w.until, First: s.First, Worth: uint16(w.m.Promise.Worth), Tries: 3}
+	q := admission.Request{Tag: tag, Policy: s.Allow, Deadline: w.until, FirstTokenTime: s.First, Worth: uint16(w.m.Promise.Worth), MaxCandidates: 3}
 	cands, keepers := v.place(now, s, w, &q)
-	q.Cands, q.Keeper = cands, func(n string) units.Node { return keepers[n] }
+	q.Candidates, q.Coordinator = cands, func(n string) units.Node { return keepers[n] }
 	c := make(chan verdict, 1)
 	v.queueMu.Lock()
 	v.waiting[tag] = c
-	out := v.queue.Arrive(now, q)
+	out := v.queue.Submit(now, q)
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
@@ -115,7 +115,7 @@
 	case <-w.client.Done():
 		v.cut(tag)
 		w.cancelled()
-		return verdict{Verdict: admission.Verdict{Code: w.why}}, tag
+		return verdict{Decision: admission.Decision{Code: w.why}}, tag
 	}
 }
 
@@ -153,19 +153,19 @@
 	now := v.Tasks.Now()
 	worker := name[len(s.Name)+1:]
 	req := w.request(worker, w.until.Sub(now))
-	o := &upstream.Order{Worker: worker, Addr: addr, ID: w.id, Req: req, Due: time.Now().Add(w.until.Sub(now)), Fresh: w.m.Once,
-		Most: v.connsOf(s)}
+	o := &upstream.Dispatch{Worker: worker, Addr: addr, ID: w.id, Request: req, Deadline: time.Now().Add(w.until.Sub(now)), SendOnce: w.m.Once,
+		MaxConns: v.connsOf(s)}
 	v.stats.hand(zone, v.Boot.Zone, len(w.body))
 	if w.sent == 0 {
-		v.budgetOf(s.Name).First(now)
+		v.budgetOf(s.Name).RecordFirstAttempt(now)
 	}
 	w.at = w.standing(stageAnswer)
 	x := v.pool.Do(w.client, o)
 	fasthttp.ReleaseRequest(req)
-	if x.Kind == upstream.Piece {
+	if x.Outcome == upstream.Partial {
 		w.sent++
 		w.ran = true
-		if w.retries(x.Resp.StatusCode()) {
+		if w.retries(x.Response.StatusCode()) {
 			x.End()
 			v.done(tag, false)
 			v.markDown(name)
@@ -175,7 +175,7 @@
 		took := v.Tasks.Now().Sub(now)
 		v.habitOf(s.Name).Add(took)
 		v.queueMu.Lock()
-		v.queue.Words(tag, took)
+		v.queue.RecordFirstToken(tag, took)
 		v.queueMu.Unlock()
 		return &run{Exchange: x, tag: tag, worker: name, service: s, handed: now}
 	}
@@ -187,30 +187,30 @@
 // unanswered notes what became of a hand-over without an answer.
 func (w *relay) unanswered(tag uint64, name string, x *upstream.Exchange) {
 	v := w.v
-	if x.Kind != upstream.NotSent {
+	if x.Outcome != upstream.NotSent {
 		w.sent++
 	}
 	switch cancelled := w.client.Err() != nil; {
-	case x.Kind == upstream.NotSent && cancelled:
+	case x.Outcome == upstream.NotSent && cancelled:
 		v.done(tag, false)
-	case x.Kind == upstream.Unknown && cancelled: // broken off here: nothing is held against the worker
+	case x.Outcome == upstream.Unknown && cancelled: // broken off here: nothing is held against the worker
 		w.ran = true
 		v.cut(tag)
-	case x.Kind == upstream.NotSent:
+	case x.Outcome == upstream.NotSent:
 		v.done(tag, false)
-		if x.Down {
+		if x.Unreachable {
 			v.markDown(name)
 		}
 		w.why = codes.NoWorker
 		v.Log.WithError(x.Err).WithField("worker", name).Warn("no connection to a worker")
-	case x.Kind == upstream.NotRun || x.Kind == upstream.Moved:
+	case x.Outcome == upstream.NotRun || x.Outcome == upstream.WorkerReplaced:
 		v.done(tag, false)
 		v.markDown(name)
 		w.why = codes.WorkerNo
 	default:
 		w.ran = true
 		w.why = codes.Unknown
-		v.done(tag, !x.Down)
+		v.done(tag, !x.Unreachable)
 		v.markDown(name)
 		v.Log.WithError(x.Err).WithField("worker", name).Warn("a try of unknown outcome")
 	}
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -15,17 +15,17 @@
 // answer passes a worker's answer on.
 func (w *relay) answer(e *run) {
 	v := w.v
-	if c := e.Resp.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
+	if c := e.Response.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
 		e.End() // a refusal that does not say that it has not run promises what nobody knows
 		v.done(e.tag, false)
 		w.end(codes.Unknown, 0)
 		return
 	}
-	w.client.Answering()
+	w.client.AnswerStarted()
 	v.tallies.count(w.m, func(t *tally) { t.firstWords(v.Tasks.Now().Sub(w.begun)) })
 	w.heads(e)
 	r := &reply{w: w, run: e}
-	r.events.Last = w.last
+	r.events.LastID = w.last
 	if w.m.Stream || e.Length() < 0 || e.Length() > whole {
 		w.reply = r
 		w.at = stageStream
@@ -49,7 +49,7 @@
 
 // heads copies the worker's status and headers, but for those that concern one connection only.
 func (w *relay) heads(e *run) {
-	out, in := &w.ctx.Response, e.Resp
+	out, in := &w.ctx.Response, e.Response
 	out.Reset()
 	in.Header.CopyTo(&out.Header)
 	for _, h := range hops {
@@ -69,7 +69,7 @@
 type reply struct {
 	w *relay
 	*run
-	events upstream.Events
+	events upstream.EventStream
 	out    []byte // whole events that are not read yet
 	buf    []byte
 	ended  bool
@@ -79,7 +79,7 @@
 
 // resumes says whether another worker may go on with this answer.
 func (r *reply) resumes() bool {
-	return r.w.m.Resume && r.Resp.StatusCode() == fasthttp.StatusOK
+	return r.w.m.Resume && r.Response.StatusCode() == fasthttp.StatusOK
 }
 
 // length gives the length to announce, -1 for chunks. What another worker may go on with can have any length: its
@@ -125,12 +125,12 @@
 		r.buf = make([]byte, 4096)
 	}
 	n, err := r.run.Read(r.buf)
-	out, bad := r.events.Whole(r.buf[:n])
+	out, bad := r.events.Append(r.buf[:n])
 	r.out = append(r.out[:0], out...)
 	switch {
 	case bad != nil:
 		err = bad
-	case err == io.EOF && r.events.Tail() > 0:
+	case err == io.EOF && r.events.PendingBytes() > 0:
 		err = errBroken // the end came in the middle of an event
 	case err == io.EOF:
 		r.ended = true
@@ -159,10 +159,10 @@
 // resume takes the stream up at another worker behind the last whole event.
 func (r *reply) resume() bool {
 	w := r.w
-	if r.events.Bare {
+	if r.events.HasEventWithoutID {
 		return false // nobody knows behind which event it broke
 	}
-	w.last, w.broke = r.events.Last, r.worker
+	w.last, w.broke = r.events.LastID, r.worker
 	r.run.End()
 	w.v.cut(r.tag)
 	r.run.tag = 0
@@ -179,13 +179,13 @@
 		if e == nil {
 			continue
 		}
-		if e.Resp.StatusCode() != 200 {
+		if e.Response.StatusCode() != 200 {
 			e.End()
 			w.v.cut(tag)
 			return false
 		}
 		r.run = e
-		r.events = upstream.Events{Last: r.events.Last}
+		r.events = upstream.EventStream{LastID: r.events.LastID}
 		return true
 	}
 }
--- a/internal/router/rig_test.go
+++ b/internal/router/rig_test.go
@@ -110,7 +110,7 @@
 	testutil.Until(t, "the router keeps its workers", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
-		k := v.ledger.Kept(v.Tasks.Now())
+		k := v.ledger.Status(v.Tasks.Now())
 		for _, x := range k {
 			if !x.Open {
 				return false
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,7 +30,7 @@
 const MaxBodyBytes = 4 << 20
 
 type verdict struct {
-	admission.Verdict
+	admission.Decision
 	at units.Time
 }
 
@@ -80,7 +80,7 @@
 	v.ledger = capacity.New(v.Self)
 	v.claimant = idempotency.New(v.Self, v.Tasks.Now())
 	v.table = newTable()
-	v.table.watch.Lax = outside != nil
+	v.table.watch.ExcludeSuspects = outside != nil
 	v.tag.Store(uint64(node.RandomID()) >> 1)
 	v.OnResume = v.woke
 	v.OnPeersEnded = v.gone
@@ -112,7 +112,7 @@
 		ln.Close()
 		return err
 	}
-	v.clientLooks.Start(v.Tasks, clientwatch.LookEvery, func(units.Time) time.Duration { return v.clients.Look(v.ending()) })
+	v.clientLooks.Start(v.Tasks, clientwatch.CheckInterval, func(units.Time) time.Duration { return v.clients.CheckAll(v.ending()) })
 	v.Serve("clients", ln, v.server.Serve)
 	v.ticks.Start(v.Tasks, tickGap, v.tick)
 	return nil
@@ -124,14 +124,14 @@
 
 // permits goes to the asking side and to the keeping side.
 func (v *Router) permits(now units.Time, n message.Message) {
-	if n.Kind != capacity.Ask && n.Kind != capacity.Return && n.Kind != capacity.Report {
+	if n.Kind != capacity.Acquire && n.Kind != capacity.Release && n.Kind != capacity.Report {
 		v.queueMu.Lock()
 		out := v.queue.Step(now, n)
 		v.deliverVerdicts(now)
 		v.queueMu.Unlock()
 		v.Deliver(out)
 	}
-	if n.Kind == capacity.Ask || n.Kind == capacity.Return || n.Kind == capacity.Report || n.Kind == capacity.ReportAsk {
+	if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
 		v.ledgerMu.Lock()
 		out := v.ledger.Step(now, n)
 		busy := v.ledger.Busy()
@@ -145,20 +145,20 @@
 
 // deliverVerdicts passes verdicts to the prompts that wait for them; the queue's lock is held.
 func (v *Router) deliverVerdicts(now units.Time) {
-	for _, x := range v.queue.Verdicts {
+	for _, x := range v.queue.Decisions {
 		if c := v.waiting[x.Tag]; c != nil {
 			delete(v.waiting, x.Tag)
 			c <- verdict{x, now}
 		}
 	}
-	v.queue.Verdicts = v.queue.Verdicts[:0]
+	v.queue.Decisions = v.queue.Decisions[:0]
 }
 
 // woke after a freeze: waiting prompts ask anew, and nothing new is taken before the news is confirmed.
 func (v *Router) woke(now units.Time) {
 	v.unready()
 	v.queueMu.Lock()
-	v.queue.Woke(now)
+	v.queue.ProcessResumed(now)
 	v.queueMu.Unlock()
 	v.tableMu.Lock()
 	v.table.fresh = true // the new keeper is told of all workers and routers
@@ -171,32 +171,32 @@
 func (v *Router) gone(now units.Time, l []units.Node) {
 	v.ledgerMu.Lock()
 	for _, n := range l {
-		v.ledger.Gone(now, n)
+		v.ledger.ProcessEnded(now, n)
 	}
 	v.ledgerMu.Unlock()
 	v.tableMu.Lock()
 	for _, n := range l {
-		v.table.watch.Void(now, n)
+		v.table.watch.ProcessEnded(now, n)
 		v.table.fresh = true
 	}
 	v.tableMu.Unlock()
 }
 
-func (v *Router) habitOf(service string) *upstream.Habit {
-	h, _ := v.habits.LoadOrStore(service, &upstream.Habit{})
-	return h.(*upstream.Habit)
+func (v *Router) habitOf(service string) *upstream.FirstTokenTimes {
+	h, _ := v.habits.LoadOrStore(service, &upstream.FirstTokenTimes{})
+	return h.(*upstream.FirstTokenTimes)
 }
 
-func (v *Router) budgetOf(service string) *upstream.Budget {
+func (v *Router) budgetOf(service string) *upstream.RetryBudget {
 	x, ok := v.budget.Load(service)
 	if !ok {
 		ratio := v.Boot.Bounds.RetryRatio
 		if v.Adapter != nil {
 			ratio *= retryPart
 		}
-		x, _ = v.budget.LoadOrStore(service, &upstream.Budget{Ratio: ratio})
+		x, _ = v.budget.LoadOrStore(service, &upstream.RetryBudget{Ratio: ratio})
 	}
-	return x.(*upstream.Budget)
+	return x.(*upstream.RetryBudget)
 }
 
 // retryPart leaves some of the budget for what nodes that don't see each other count differently.
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -28,14 +28,14 @@
 	catalog   *discovery.Catalog // what the platform was seen to list
 	evacuated map[string]bool    // zones
 	down      map[string]outage  // workers found dead or dark here
-	watch     *capacity.Watch
+	watch     *capacity.RouterTracker
 	peers     []capacity.Peer
 	voters    register.QuorumSet
 	fresh     bool
 }
 
 func newTable() table {
-	return table{pools: map[string][]config.Worker{}, catalog: discovery.New(), evacuated: map[string]bool{}, down: map[string]outage{}, watch: capacity.NewWatch()}
+	return table{pools: map[string][]config.Worker{}, catalog: discovery.New(), evacuated: map[string]bool{}, down: map[string]outage{}, watch: capacity.NewRouterTracker()}
 }
 
 // refresh brings news and membership into the tables and from there to the keeper.
@@ -52,7 +52,7 @@
 	defer v.tableMu.Unlock()
 	t := &v.table
 	t.fresh = t.fresh || len(fresh) > 0
-	peers, silent := t.watch.See(now, all)
+	peers, silent := t.watch.Update(now, all)
 	t.fresh = t.fresh || silent
 	if !t.fresh && slices.Equal(peers, t.peers) {
 		return
@@ -64,9 +64,9 @@
 	}
 	ws := r.Keep(t.pools, t.catalog.Start(), t.evacuated)
 	v.ledgerMu.Lock()
-	v.ledger.Workers(ws)
-	v.ledger.Allow(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, t.watch.Part(now, len(peers)))
-	v.ledger.View(peers, t.watch.Holds(r.Longest(false)))
+	v.ledger.SetWorkers(ws)
+	v.ledger.SetRateLimits(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, t.watch.RateShare(now, len(peers)))
+	v.ledger.SetRouters(peers, t.watch.RunDeadlines(r.Longest(false)))
 	v.ledgerMu.Unlock()
 }
 
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -36,14 +36,14 @@
 	size(p, s, &q)
 	// 45,000 tokens at 75 a millisecond, and 45,000 x 27,500 pairs; away from home 5,000 more, and all pairs.
 	home, away := 600*time.Millisecond+269775*time.Microsecond, 666666*time.Microsecond+272500*time.Microsecond
-	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.Read, home) || !near(q.Full, away) {
-		t.Errorf("read at home in %v, not %v; elsewhere in %v, not %v", q.Read, home, q.Full, away)
+	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.PrefillTime, home) || !near(q.FullPrefillTime, away) {
+		t.Errorf("read at home in %v, not %v; elsewhere in %v, not %v", q.PrefillTime, home, q.FullPrefillTime, away)
 	}
-	if q.Mem != 46000 || q.Homes != 1 || q.Away <= q.Full-q.Read {
+	if q.MemoryTokens != 46000 || q.PreferredCount != 1 || q.NonPreferredPenalty <= q.FullPrefillTime-q.PrefillTime {
 		t.Errorf("%+v", q)
 	}
 	p.In = 100 // parts that claim more than the whole
-	if size(p, s, &q); q.Read != 0 || q.Mem != 1000 || q.Full <= 0 {
+	if size(p, s, &q); q.PrefillTime != 0 || q.MemoryTokens != 1000 || q.FullPrefillTime <= 0 {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -61,12 +61,12 @@
 	o.Set("in_force", v.inForce(&a))
 	kept := a.NewArray()
 	v.ledgerMu.Lock()
-	for i, k := range v.ledger.Kept(now) {
+	for i, k := range v.ledger.Status(now) {
 		x := a.NewObject()
 		x.Set("worker", a.NewString(k.Worker))
 		x.Set("open", flag(&a, k.Open))
-		x.Set("lent", a.NewNumberInt(k.Lent))
-		x.Set("cap", a.NewNumberInt(k.Cap))
+		x.Set("lent", a.NewNumberInt(k.InUse))
+		x.Set("cap", a.NewNumberInt(k.Capacity))
 		x.Set("waiting", a.NewNumberInt(k.Waiting))
 		kept.SetArrayItem(i, x)
 	}
@@ -74,7 +74,7 @@
 	o.Set("keeps", kept)
 	flight := a.NewObject()
 	v.queueMu.Lock()
-	for w, n := range v.queue.Flight {
+	for w, n := range v.queue.InFlight {
 		flight.Set(w, a.NewNumberInt(n))
 	}
 	v.queueMu.Unlock()
--- a/internal/router/steps_test.go
+++ b/internal/router/steps_test.go
@@ -55,7 +55,7 @@
 	testutil.Until(t, "both workers are kept", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
-		k := v.ledger.Kept(v.Tasks.Now())
+		k := v.ledger.Status(v.Tasks.Now())
 		return len(k) == 2 && k[0].Open && k[1].Open
 	})
 	ask(t, v, "/stepped")
@@ -66,7 +66,7 @@
 	testutil.Until(t, "one waits", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
-		return v.ledger.Kept(v.Tasks.Now())[0].Waiting == 1
+		return v.ledger.Status(v.Tasks.Now())[0].Waiting == 1
 	})
 	if status, body := ask(t, v, "/plain").reply(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"not_run":true`) {
 		t.Errorf("no step named: %d %s", status, body)
@@ -137,13 +137,13 @@
 	a, _ := scripted(t)
 	v := rig(t, a)
 	take(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
-	for _, k := range []message.Kind{capacity.Ask, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
+	for _, k := range []message.Kind{capacity.Acquire, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
 		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.ledgerMu.Lock()
-	kept := v.ledger.Kept(v.Tasks.Now())
+	kept := v.ledger.Status(v.Tasks.Now())
 	v.ledgerMu.Unlock()
-	if len(kept) != 1 || kept[0].Lent != 0 {
+	if len(kept) != 1 || kept[0].InUse != 0 {
 		t.Errorf("kept %+v", kept)
 	}
 	if _, b, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -51,7 +51,7 @@
 }
 
 // stream begins the caller's answer; the rest is read from the try as it comes.
-func (w *ownRequest) stream(tag uint64, t *upstream.Try, first upstream.Event, worker string) {
+func (w *ownRequest) stream(tag uint64, t *upstream.Attempt, first upstream.Event, worker string) {
 	w.streaming, w.at = true, stageStream
 	s := &stream{w: w, tag: tag, t: t, worker: worker, e: &first}
 	w.v.tallies.count(w.m, func(t *tally) { t.firstWords(w.v.Tasks.Now().Sub(w.begun)) })
@@ -70,7 +70,7 @@
 type stream struct {
 	w      *ownRequest
 	tag    uint64
-	t      *upstream.Try
+	t      *upstream.Attempt
 	worker string
 	e      *upstream.Event
 	rest   []byte
@@ -90,7 +90,7 @@
 			return 0, err
 		}
 		s.rest = e.Line
-		s.whole = e.Kind == upstream.Sealed
+		s.whole = e.Outcome == upstream.Complete
 	}
 	n := copy(p, s.rest)
 	s.rest = s.rest[n:]
@@ -107,7 +107,7 @@
 	defer timeout.Stop()
 	select {
 	case e := <-s.t.Events:
-		if e.Kind == upstream.Piece || e.Kind == upstream.Sealed {
+		if e.Outcome == upstream.Partial || e.Outcome == upstream.Complete {
 			return &e, nil
 		}
 		if s.w.client.Err() != nil {
--- a/internal/router/tally.go
+++ b/internal/router/tally.go
@@ -28,8 +28,8 @@
 	waited     time.Duration
 	held       time.Duration // by all streams that ended
 	ended      uint64
-	first      upstream.Habit
-	lasting    upstream.Habit // how long requests took from their reading to the end of their whole answers
+	first      upstream.FirstTokenTimes
+	lasting    upstream.FirstTokenTimes // how long requests took from their reading to the end of their whole answers
 	firstAsked units.Time
 	secs       [60]struct {
 		at int64
@@ -70,7 +70,7 @@
 // lasted gives what was seen of a mapping's latest requests.
 func (t *tallies) lasted(now units.Time, m *config.Mapping) (seen lasted) {
 	t.count(m, func(x *tally) {
-		if longest, measured := x.lasting.At(1); measured >= lastedLeast {
+		if longest, measured := x.lasting.Quantile(1); measured >= lastedLeast {
 			seen = lasted{longest: longest, watched: now.Sub(x.firstAsked)}
 		}
 	})
@@ -126,8 +126,8 @@
 		}{{"asked", x.asked}, {"first_kept", x.kept}, {"first_missed", x.missed}, {"on_time", x.whole}, {"refused", x.refused}, {"again", x.again}, {"ended", x.ended}} {
 			y.Set(c.name, a.NewNumberInt(int(c.n)))
 		}
-		half, _ := x.first.At(0.5)
-		most, _ := x.first.At(0.95)
+		half, _ := x.first.Quantile(0.5)
+		most, _ := x.first.Quantile(0.95)
 		y.Set("first_ms_median", a.NewNumberInt(int(half.Milliseconds())))
 		y.Set("first_ms_95th", a.NewNumberInt(int(most.Milliseconds())))
 		y.Set("refused_after_ms", a.NewNumberInt(int(x.waited.Milliseconds()/int64(max(1, x.refused)))))
--- a/internal/router/tries_test.go
+++ b/internal/router/tries_test.go
@@ -16,7 +16,7 @@
 	b, hb := scripted(t)
 	v := rig(t, a, b)
 	for range 50 {
-		v.budgetOf("advice").First(v.Tasks.Now()) // the budget would allow it
+		v.budgetOf("advice").RecordFirstAttempt(v.Tasks.Now()) // the budget would allow it
 	}
 	c := ask(t, v, "/notice")
 	var h hand
@@ -41,7 +41,7 @@
 	b, hb := scripted(t)
 	v := rig(t, a, b)
 	for range 20 {
-		v.budgetOf("advice").First(v.Tasks.Now())
+		v.budgetOf("advice").RecordFirstAttempt(v.Tasks.Now())
 	}
 	c := ask(t, v, "/notice")
 	var h, next hand
@@ -115,8 +115,8 @@
 // The budget holds further tries to a fifth of the first ones over any ten seconds, with no free minimum.
 func TestBudget(t *testing.T) {
 	t.Parallel()
-	var b upstream.Budget
-	if b.Again(0, 0) {
+	var b upstream.RetryBudget
+	if b.AllowRetry(0, 0) {
 		t.Error("a further try without any first one")
 	}
 	type try struct {
@@ -127,10 +127,10 @@
 	for i := range 4000 {
 		now := units.Time(i) * 10_000_000 // 10 ms
 		if i%3 == 0 && (i/500)%2 == 0 {
-			b.First(now)
+			b.RecordFirstAttempt(now)
 			l = append(l, try{now, false})
 		}
-		if b.Again(now, 0) {
+		if b.AllowRetry(now, 0) {
 			l = append(l, try{now, true})
 		}
 	}
@@ -161,12 +161,12 @@
 
 // A few further tries are allowed on top of the share, where the world grants an allowance: each node takes its part.
 func TestSlackOfBudget(t *testing.T) {
-	b := upstream.Budget{Ratio: 0.1}
+	b := upstream.RetryBudget{Ratio: 0.1}
 	for range 20 {
-		b.First(0)
+		b.RecordFirstAttempt(0)
 	}
 	n := 0
-	for b.Again(0, 2) {
+	for b.AllowRetry(0, 2) {
 		n++
 	}
 	if n != 4 {
--- a/internal/router/with_adapter.go
+++ b/internal/router/with_adapter.go
@@ -25,7 +25,7 @@
 	w.CloseOnShutdown = true
 	w.DisablePreParseMultipartForm = true
 	w.ReduceMemoryUsage = true
-	v.Tasks.Every(time.Second, func(units.Time) { v.pool.Sweep() })
+	v.Tasks.Every(time.Second, func(units.Time) { v.pool.CloseExpired() })
 }
 
 // proper says whether a request may be passed on: none whose end two readers could see at different places, none of a
--- a/internal/router/woke_test.go
+++ b/internal/router/woke_test.go
@@ -10,8 +10,8 @@
 func lent(v *Router) (n int, open bool) {
 	v.ledgerMu.Lock()
 	defer v.ledgerMu.Unlock()
-	for _, k := range v.ledger.Kept(v.Tasks.Now()) {
-		return k.Lent, k.Open
+	for _, k := range v.ledger.Status(v.Tasks.Now()) {
+		return k.InUse, k.Open
 	}
 	return 0, false
 }
--- a/internal/router/words_test.go
+++ b/internal/router/words_test.go
@@ -32,7 +32,7 @@
 	testutil.Until(t, "the router keeps both workers", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
-		k := v.ledger.Kept(v.Tasks.Now())
+		k := v.ledger.Status(v.Tasks.Now())
 		return len(k) == 2 && k[0].Open && k[1].Open
 	})
 	return v, big, small
