--- a/internal/router/admission/request.go
+++ b/internal/router/admission/request.go
@@ -10,16 +10,16 @@
 type stage uint8
 
 const (
-	asking stage = iota
-	waiting
-	held
-	ghost // its run may still be going: the slot stays taken till its time is out
+	stageAcquiring stage = iota
+	stageWaiting
+	stageHeld
+	stageUncertain // its run may still be going: the slot stays taken till its time is out
 )
 
-type option struct {
-	name string
-	due  time.Duration
-	away time.Duration
+type waitOption struct {
+	worker       string
+	expectedWait time.Duration
+	penalty      time.Duration
 }
 
 // Request is one prompt at the door of one service.
@@ -41,20 +41,20 @@
 	MaxFirstTokenTime   time.Duration // a worker whose first words come later than this is passed by while others are free; 0: none is
 	NonPreferredPenalty time.Duration // how much sooner another worker than a home must be
 
-	stage  stage
-	worker string
-	keeper units.Node
-	next   int
-	tried  int
-	opts   []option
-	why    uint8
-	due    time.Duration
-	words  time.Duration // what its first words took
-	sent   units.Time
-	heard  units.Time
+	stage          stage
+	worker         string
+	coordinator    units.Node
+	nextCandidate  int
+	waitlistsTried int
+	waitOptions    []waitOption
+	refusalReason  uint8
+	shortestWait   time.Duration
+	firstToken     time.Duration // what its first words took
+	sentAt         units.Time
+	heardAt        units.Time
 }
 
-// home says whether a worker holds the shared parts of the prompt.
-func (r *Request) home(worker string) bool {
+// isPreferred says whether a worker holds the shared parts of the prompt.
+func (r *Request) isPreferred(worker string) bool {
 	return slices.Contains(r.Candidates[:min(r.PreferredCount, len(r.Candidates))], worker)
 }
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -12,40 +12,40 @@
 
 // Tick gives up what can't be met any more, and passes over keepers that say nothing.
 func (h *Queue) Tick(now units.Time) (out message.Effects) {
-	for _, r := range h.sorted() {
+	for _, r := range h.requestsByTag() {
 		switch r.stage {
-		case asking:
-			if now.Sub(r.sent) >= silent {
-				h.drop(r, &out)
-				h.mute[r.keeper] = now.Add(muteFor)
-				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
+		case stageAcquiring:
+			if now.Sub(r.sentAt) >= replyTimeout {
+				h.sendRelease(r, &out)
+				h.unresponsive[r.coordinator] = now.Add(unresponsiveFor)
+				h.handleRefusal(now, r, capacity.ReasonNoReply, 0, &out)
 			}
-		case waiting:
+		case stageWaiting:
 			switch {
 			case now.Add(r.FirstTokenTime) > r.Deadline:
-				h.drop(r, &out)
-				h.shed(r, codes.WaitLate)
-			case now.Sub(r.heard) >= lostAt:
-				h.drop(r, &out)
-				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
-			case now.Sub(r.sent) >= again:
-				heard := r.heard
-				h.ask(now, r, true, &out)
-				r.heard = heard
+				h.sendRelease(r, &out)
+				h.refuse(r, codes.WaitLate)
+			case now.Sub(r.heardAt) >= coordinatorTimeout:
+				h.sendRelease(r, &out)
+				h.handleRefusal(now, r, capacity.ReasonNoReply, 0, &out)
+			case now.Sub(r.sentAt) >= acquireRepeat:
+				heard := r.heardAt
+				h.sendAcquire(now, r, true, &out)
+				r.heardAt = heard
 			}
-		case ghost:
-			if now > r.Deadline.Add(grace) {
-				h.drop(r, &out)
-				delete(h.reqs, r.Tag)
+		case stageUncertain:
+			if now > r.Deadline.Add(expiryGrace) {
+				h.sendRelease(r, &out)
+				delete(h.requests, r.Tag)
 			}
 		}
 	}
 	return out
 }
 
-func (h *Queue) sorted() []*Request {
-	l := make([]*Request, 0, len(h.reqs))
-	for _, r := range h.reqs {
+func (h *Queue) requestsByTag() []*Request {
+	l := make([]*Request, 0, len(h.requests))
+	for _, r := range h.requests {
 		l = append(l, r)
 	}
 	slices.SortFunc(l, func(a, b *Request) int {
@@ -57,141 +57,141 @@
 	return l
 }
 
-// drop voids an ask, so that a late grant has nobody, or gives a ghost's slot back.
-func (h *Queue) drop(r *Request, out *message.Effects) {
-	to := r.keeper
-	if r.stage == ghost {
-		to = h.keeper(r)
+// sendRelease voids an ask, so that a late grant has nobody, or gives a ghost's slot back.
+func (h *Queue) sendRelease(r *Request, out *message.Effects) {
+	to := r.coordinator
+	if r.stage == stageUncertain {
+		to = h.currentCoordinator(r)
 	}
 	if to != 0 {
 		out.Send(to, capacity.Release, capacity.Pack(capacity.Header{Tag: r.Tag}, r.worker))
 	}
 }
 
-// refused takes a keeper's no, or its silence, and goes on to the next worker.
-func (h *Queue) refused(now units.Time, r *Request, reason uint8, due time.Duration, out *message.Effects) {
-	if r.why == 0 || reason == capacity.ReasonQueueFull || reason == capacity.ReasonTooLate && r.why != capacity.ReasonQueueFull {
-		r.why = reason
+// handleRefusal takes a keeper's no, or its silence, and goes on to the next worker.
+func (h *Queue) handleRefusal(now units.Time, r *Request, reason uint8, expectedWait time.Duration, out *message.Effects) {
+	if r.refusalReason == 0 || reason == capacity.ReasonQueueFull || reason == capacity.ReasonTooLate && r.refusalReason != capacity.ReasonQueueFull {
+		r.refusalReason = reason
 	}
-	if due > 0 && (r.due == 0 || due < r.due) {
-		r.due = due
+	if expectedWait > 0 && (r.shortestWait == 0 || expectedWait < r.shortestWait) {
+		r.shortestWait = expectedWait
 	}
-	if r.stage == asking {
+	if r.stage == stageAcquiring {
 		if reason == capacity.ReasonBusy {
-			o := option{name: r.worker, due: due}
-			if !r.home(r.worker) {
-				o.away = r.NonPreferredPenalty
+			option := waitOption{worker: r.worker, expectedWait: expectedWait}
+			if !r.isPreferred(r.worker) {
+				option.penalty = r.NonPreferredPenalty
 			}
-			r.opts = append(r.opts, o)
+			r.waitOptions = append(r.waitOptions, option)
 		}
-		h.knee(now, r, out)
+		h.admitWithPermit(now, r, out)
 		return
 	}
-	h.queue(now, r, out)
+	h.joinWaitlist(now, r, out)
 }
 
 // Step takes one note for the node that asks.
 func (h *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == capacity.Audit {
-		name, l, _, err := capacity.UnpackReport(n.Body)
+		name, permits, _, err := capacity.UnpackReport(n.Body)
 		out.Fail(err)
-		for _, x := range l {
-			if h.reqs[x.Tag] == nil {
+		for _, x := range permits {
+			if h.requests[x.Tag] == nil {
 				out.Send(n.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
 			}
 		}
 		return out
 	}
-	delete(h.mute, n.From)
-	b, name, err := capacity.Unpack(n.Body)
+	delete(h.unresponsive, n.From)
+	header, name, err := capacity.Unpack(n.Body)
 	if err != nil {
 		out.Fail(err)
 		return out
 	}
 	if n.Kind == capacity.ReportRequest {
-		h.report(now, n.From, name, &out)
+		h.sendReport(now, n.From, name, &out)
 		return out
 	}
-	if b.Capacity > 0 {
-		h.Loads[name] = Load{InUse: int(b.InUse), Capacity: int(b.Capacity), Waiting: int(b.Wait), PrefillBacklog: time.Duration(b.PrefillTime) * time.Microsecond, UpdatedAt: now}
+	if header.Capacity > 0 {
+		h.Loads[name] = Load{InUse: int(header.InUse), Capacity: int(header.Capacity), Waiting: int(header.Wait), PrefillBacklog: time.Duration(header.PrefillTime) * time.Microsecond, UpdatedAt: now}
 	}
-	r := h.reqs[b.Tag]
-	mine := r != nil && r.stage <= waiting && r.worker == name && r.keeper == n.From
+	r := h.requests[header.Tag]
+	current := r != nil && r.stage <= stageWaiting && r.worker == name && r.coordinator == n.From
 	switch n.Kind {
 	case capacity.Grant:
-		h.granted(now, n.From, r, mine, b, name, &out)
+		h.handleGrant(now, n.From, r, current, header, name, &out)
 	case capacity.Refusal:
-		if mine {
-			h.refused(now, r, b.Reason, units.Millis(b.TimeLeft).Span(), &out)
+		if current {
+			h.handleRefusal(now, r, header.Reason, units.Millis(header.TimeLeft).Span(), &out)
 		}
 	case capacity.Queued:
-		if mine {
-			r.heard = now
-			r.due = units.Millis(b.TimeLeft).Span()
+		if current {
+			r.heardAt = now
+			r.shortestWait = units.Millis(header.TimeLeft).Span()
 		}
 	}
 	return out
 }
 
-func (h *Queue) granted(now units.Time, from units.Node, r *Request, mine bool, b capacity.Header, name string, out *message.Effects) {
-	if r != nil && r.stage >= held && r.worker == name {
+func (h *Queue) handleGrant(now units.Time, from units.Node, r *Request, current bool, header capacity.Header, name string, out *message.Effects) {
+	if r != nil && r.stage >= stageHeld && r.worker == name {
 		return // the same grant again
 	}
-	back := capacity.Pack(capacity.Header{Tag: b.Tag}, name)
-	if k, ok := h.loyal[name]; !mine || ok && k != from {
-		out.Send(from, capacity.Release, back)
-		if mine {
-			h.refused(now, r, capacity.ReasonNotCoordinator, 0, out)
+	release := capacity.Pack(capacity.Header{Tag: header.Tag}, name)
+	if k, ok := h.reportedTo[name]; !current || ok && k != from {
+		out.Send(from, capacity.Release, release)
+		if current {
+			h.handleRefusal(now, r, capacity.ReasonNotCoordinator, 0, out)
 		}
 		return
 	}
 	if now.Add(r.FirstTokenTime) > r.Deadline {
-		out.Send(from, capacity.Release, back)
-		h.shed(r, codes.WaitLate)
+		out.Send(from, capacity.Release, release)
+		h.refuse(r, codes.WaitLate)
 		return
 	}
-	h.enter(now, r)
+	h.admit(now, r)
 }
 
-// report tells a new keeper all that is held of a worker; from then on only its grants count (design 6).
-func (h *Queue) report(now units.Time, from units.Node, name string, out *message.Effects) {
-	h.loyal[name] = from
-	var l []capacity.HeldPermit
-	for _, r := range h.sorted() {
-		if r.worker == name && r.stage >= held && r.keeper != 0 {
-			l = append(l, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), MemoryTokens: r.MemoryTokens})
+// sendReport tells a new keeper all that is held of a worker; from then on only its grants count (design 6).
+func (h *Queue) sendReport(now units.Time, from units.Node, name string, out *message.Effects) {
+	h.reportedTo[name] = from
+	var permits []capacity.HeldPermit
+	for _, r := range h.requestsByTag() {
+		if r.worker == name && r.stage >= stageHeld && r.coordinator != 0 {
+			permits = append(permits, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), MemoryTokens: r.MemoryTokens})
 		}
 	}
-	out.Send(from, capacity.Report, capacity.PackReport(name, l, len(h.lately(now, name))))
+	out.Send(from, capacity.Report, capacity.PackReport(name, permits, len(h.sentLastSecond(now, name))))
 }
 
-// lately lists what went to a worker in the last second.
-func (h *Queue) lately(now units.Time, name string) []units.Time {
-	l := h.sent[name]
+// sentLastSecond lists what went to a worker in the last second.
+func (h *Queue) sentLastSecond(now units.Time, name string) []units.Time {
+	l := h.recentlySent[name]
 	for len(l) > 0 && now.Sub(l[0]) > time.Second {
 		l = l[1:]
 	}
-	h.sent[name] = l
+	h.recentlySent[name] = l
 	return l
 }
 
 // Pending counts the prompts that are not in yet.
 func (h *Queue) Pending() int {
-	k := 0
-	for _, r := range h.reqs {
-		if r.stage <= waiting {
-			k++
+	count := 0
+	for _, r := range h.requests {
+		if r.stage <= stageWaiting {
+			count++
 		}
 	}
-	return k
+	return count
 }
 
 // ProcessResumed distrusts every permit after a freeze: what ran out is gone, and what waits asks anew (design 6).
 func (h *Queue) ProcessResumed(now units.Time) {
-	for _, r := range h.reqs {
-		if r.stage <= waiting {
-			r.sent = now.Add(-lostAt)
-			r.heard = r.sent
+	for _, r := range h.requests {
+		if r.stage <= stageWaiting {
+			r.sentAt = now.Add(-coordinatorTimeout)
+			r.heardAt = r.sentAt
 		}
 	}
 }
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -11,187 +11,187 @@
 
 // Spans of the keeping (start values).
 const (
-	grace      = 500 * time.Millisecond // what a run may last past its time left
-	audit      = time.Second
-	reask      = 200 * time.Millisecond
-	burst      = 300 * time.Millisecond // after a process is known to be gone, till its runs are broken off
-	adaptGap   = time.Second
-	strangeFor = 5 * time.Second // till membership must show a router that was heard of
+	runGrace            = 500 * time.Millisecond // what a run may last past its time left
+	auditInterval       = time.Second
+	reportRetryInterval = 200 * time.Millisecond
+	disconnectGrace     = 300 * time.Millisecond // after a process is known to be gone, till its runs are broken off
+	adaptInterval       = time.Second
+	unlistedRouterTTL   = 5 * time.Second // till membership must show a router that was heard of
 )
 
-type permit struct {
+type permitKey struct {
 	node units.Node
 	tag  uint64
 }
 
-type ask struct {
-	permit
-	until units.Time // its deadline
-	worth uint16
-	read  time.Duration
-	urge  uint8
-	mem   uint32
-	since units.Time
-}
-
-type loan struct {
-	until units.Time
-	since units.Time
-	mem   uint32
-	reads time.Duration // what reading it takes a usual worker; 0 when others are read before it
-}
-
-// keep is one worker in this node's keeping.
-type keep struct {
-	open    bool
-	lent    map[permit]*loan
-	list    []ask // by deadline
-	need    map[units.Node]bool
-	late    map[units.Node]bool // routers that came into view with the book open: they are asked too
-	sent    units.Time
-	silent  map[units.Node]units.Time // until when a silent node may still hold what it was lent before
-	turn    time.Duration
-	hold    time.Duration // mean time that a slot is held
-	back    units.Time
-	cap     float64
-	waitSum time.Duration
-	waitN   int
-	adapted units.Time
-	begun   units.Time
-	engine
+type acquireRequest struct {
+	permitKey
+	deadline     units.Time // its deadline
+	worth        uint16
+	prefillTime  time.Duration
+	priority     uint8
+	memoryTokens uint32
+	queuedAt     units.Time
+}
+
+type permit struct {
+	expiresAt    units.Time
+	grantedAt    units.Time
+	memoryTokens uint32
+	prefillTime  time.Duration // what reading it takes a usual worker; 0 when others are read before it
+}
+
+// workerState is one worker in this node's keeping.
+type workerState struct {
+	open                bool
+	granted             map[permitKey]*permit
+	waitlist            []acquireRequest // by deadline
+	awaitingReports     map[units.Node]bool
+	lateRouters         map[units.Node]bool // routers that came into view with the book open: they are asked too
+	reportsRequestedAt  units.Time
+	unreachableUntil    map[units.Node]units.Time // until when a silent node may still hold what it was lent before
+	releaseInterval     time.Duration
+	meanHoldTime        time.Duration // mean time that a slot is held
+	lastReleaseAt       units.Time
+	adaptiveCapacity    float64
+	waitSum             time.Duration
+	waitCount           int
+	adaptedAt           units.Time
+	collectionStartedAt units.Time
+	engineState
 }
 
 // Ledger is the keeper's step machine.
 type Ledger struct {
-	self    units.Node
-	workers map[string]Worker
-	routers []Peer
-	holds   map[units.Node]units.Time // processes not live, till when their runs may still be going
-	keeps   map[string]*keep
-	strange map[units.Node]units.Time // routers that took a worker over before membership showed them here
-	moved   bool                      // the workers or the routers are not those that the keepers were worked out for
-	audited units.Time
-	excess  float64
-	slack   int
-	part    float64
+	self             units.Node
+	workers          map[string]Worker
+	routers          []Peer
+	runDeadlines     map[units.Node]units.Time // processes not live, till when their runs may still be going
+	coordinated      map[string]*workerState
+	unlistedRouters  map[units.Node]units.Time // routers that took a worker over before membership showed them here
+	assignmentsStale bool                      // the workers or the routers are not those that the keepers were worked out for
+	lastAuditAt      units.Time
+	rateExcess       float64
+	rateSlack        int
+	rateShare        float64
 }
 
 // New begins a node that keeps nothing.
 func New(self units.Node) *Ledger {
-	return &Ledger{self: self, workers: map[string]Worker{}, keeps: map[string]*keep{}, holds: map[units.Node]units.Time{}, strange: map[units.Node]units.Time{}, excess: 1, part: 1}
+	return &Ledger{self: self, workers: map[string]Worker{}, coordinated: map[string]*workerState{}, runDeadlines: map[units.Node]units.Time{}, unlistedRouters: map[units.Node]units.Time{}, rateExcess: 1, rateShare: 1}
 }
 
 // SetWorkers sets what there is to keep.
-func (g *Ledger) SetWorkers(w map[string]Worker) {
-	if !maps.Equal(g.workers, w) {
-		g.workers, g.moved = w, true
+func (g *Ledger) SetWorkers(workers map[string]Worker) {
+	if !maps.Equal(g.workers, workers) {
+		g.workers, g.assignmentsStale = workers, true
 	}
 }
 
 // SetRouters takes membership's view: the live routers, and till when others' runs may still be going.
-func (g *Ledger) SetRouters(routers []Peer, holds map[units.Node]units.Time) {
-	g.moved = g.moved || !slices.Equal(g.routers, routers)
+func (g *Ledger) SetRouters(routers []Peer, runDeadlines map[units.Node]units.Time) {
+	g.assignmentsStale = g.assignmentsStale || !slices.Equal(g.routers, routers)
 	for _, v := range routers {
 		if !slices.ContainsFunc(g.routers, func(o Peer) bool { return o.Node == v.Node }) {
-			for _, k := range g.keeps {
-				k.late[v.Node] = true
+			for _, state := range g.coordinated {
+				state.lateRouters[v.Node] = true
 			}
 		}
 	}
-	g.routers, g.holds = routers, holds
+	g.routers, g.runDeadlines = routers, runDeadlines
 }
 
 // ProcessEnded frees what a process held that is known to have ended: the kernel broke its runs' wires off.
 func (g *Ledger) ProcessEnded(now units.Time, n units.Node) {
-	for _, k := range g.keeps {
-		for p, l := range k.lent {
+	for _, state := range g.coordinated {
+		for p, l := range state.granted {
 			if p.node == n {
-				l.until = min(l.until, now.Add(burst))
+				l.expiresAt = min(l.expiresAt, now.Add(disconnectGrace))
 			}
 		}
-		k.list = slices.DeleteFunc(k.list, func(a ask) bool { return a.node == n })
+		state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.node == n })
 	}
 }
 
 // Tick takes over what fell to this node, gives up what did not, and ends what ran out.
 func (g *Ledger) Tick(now units.Time) (out message.Effects) {
 	var names []string
-	if g.moved {
+	if g.assignmentsStale {
 		names = message.Keys(g.workers)
 	}
-	g.moved = false
+	g.assignmentsStale = false
 	for _, name := range names {
-		w := g.workers[name]
-		mine := Coordinator(g.routers, name, w.Zone) == g.self
-		k := g.keeps[name]
-		if mine && k == nil {
-			g.begin(now, name, &out)
+		worker := g.workers[name]
+		mine := Coordinator(g.routers, name, worker.Zone) == g.self
+		state := g.coordinated[name]
+		if mine && state == nil {
+			g.startCoordinating(now, name, &out)
 		}
-		if !mine && k != nil {
-			g.cede(name, k, &out)
+		if !mine && state != nil {
+			g.stopCoordinating(name, state, &out)
 		}
 	}
-	for _, name := range message.Keys(g.keeps) {
-		k := g.keeps[name]
+	for _, name := range message.Keys(g.coordinated) {
+		state := g.coordinated[name]
 		if _, ok := g.workers[name]; !ok {
-			g.cede(name, k, &out)
+			g.stopCoordinating(name, state, &out)
 			continue
 		}
-		for p, l := range k.lent {
-			if now >= l.until {
-				k.drop(p)
+		for p, permit := range state.granted {
+			if now >= permit.expiresAt {
+				state.removePermit(p)
 			}
 		}
-		if !k.open {
-			g.collect(now, name, k, &out)
+		if !state.open {
+			g.collectReports(now, name, state, &out)
 			continue
 		}
-		g.latecomers(now, name, k, &out)
-		g.adapt(now, name, k)
-		g.serve(now, name, k, &out)
+		g.queryLateRouters(now, name, state, &out)
+		g.adaptCapacity(now, name, state)
+		g.serveWaitlist(now, name, state, &out)
 	}
-	if now.Sub(g.audited) >= audit {
-		g.audited = now
-		g.audit(now, &out)
+	if now.Sub(g.lastAuditAt) >= auditInterval {
+		g.lastAuditAt = now
+		g.sendAudits(now, &out)
 	}
 	return out
 }
 
 // TakeOver begins the keeping of one worker, as Tick does when it falls to this node.
 func (g *Ledger) TakeOver(now units.Time, name string) (out message.Effects) {
-	g.begin(now, name, &out)
+	g.startCoordinating(now, name, &out)
 	return out
 }
 
-// begin asks every live router what it holds; until all have said so, nothing is lent.
-func (g *Ledger) begin(now units.Time, name string, out *message.Effects) {
-	k := &keep{lent: map[permit]*loan{}, adapted: now, begun: now, silent: maps.Clone(g.holds), late: map[units.Node]bool{}}
-	g.keeps[name] = k
-	g.recollect(now, name, k, out)
+// startCoordinating asks every live router what it holds; until all have said so, nothing is lent.
+func (g *Ledger) startCoordinating(now units.Time, name string, out *message.Effects) {
+	state := &workerState{granted: map[permitKey]*permit{}, adaptedAt: now, collectionStartedAt: now, unreachableUntil: maps.Clone(g.runDeadlines), lateRouters: map[units.Node]bool{}}
+	g.coordinated[name] = state
+	g.restartCollection(now, name, state, out)
 }
 
-// recollect asks all nodes for their reports, and with them for their trust. A keeper also does so when it meets a
+// restartCollection asks all nodes for their reports, and with them for their trust. A keeper also does so when it meets a
 // node that has last reported to another: while views differed, that one took the worker over, and no grant of
 // this keeper's would be taken there.
-func (g *Ledger) recollect(now units.Time, name string, k *keep, out *message.Effects) {
-	k.open, k.need, k.sent, k.begun = false, map[units.Node]bool{}, now.Add(-reask), now
-	for _, n := range g.live(now) {
-		k.need[n] = true
+func (g *Ledger) restartCollection(now units.Time, name string, state *workerState, out *message.Effects) {
+	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.Node]bool{}, now.Add(-reportRetryInterval), now
+	for _, n := range g.liveRouters(now) {
+		state.awaitingReports[n] = true
 	}
-	g.collect(now, name, k, out)
+	g.collectReports(now, name, state, out)
 }
 
-// live lists the routers that may hold something: those that membership shows, and those that it does not show yet.
-func (g *Ledger) live(now units.Time) []units.Node {
+// liveRouters lists the routers that may hold something: those that membership shows, and those that it does not show yet.
+func (g *Ledger) liveRouters(now units.Time) []units.Node {
 	var l []units.Node
 	for _, v := range g.routers {
 		l = append(l, v.Node)
 	}
-	for _, n := range message.Keys(g.strange) {
-		_, gone := g.holds[n]
+	for _, n := range message.Keys(g.unlistedRouters) {
+		_, gone := g.runDeadlines[n]
 		switch {
-		case gone || slices.Contains(l, n) || now.Sub(g.strange[n]) > strangeFor:
-			delete(g.strange, n)
+		case gone || slices.Contains(l, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
+			delete(g.unlistedRouters, n)
 		default:
 			l = append(l, n)
 		}
@@ -199,42 +199,42 @@
 	return l
 }
 
-func (g *Ledger) collect(now units.Time, name string, k *keep, out *message.Effects) {
-	live := g.live(now)
-	for n := range k.need {
+func (g *Ledger) collectReports(now units.Time, name string, state *workerState, out *message.Effects) {
+	live := g.liveRouters(now)
+	for n := range state.awaitingReports {
 		if slices.Contains(live, n) {
 			continue
 		}
-		delete(k.need, n)
-		k.silent[n] = g.holds[n]
+		delete(state.awaitingReports, n)
+		state.unreachableUntil[n] = g.runDeadlines[n]
 	}
-	for n := range k.silent {
+	for n := range state.unreachableUntil {
 		if slices.Contains(live, n) { // it was not lost after all, and can say itself what it holds
-			delete(k.silent, n)
-			k.need[n] = true
-			k.sent = now.Add(-reask)
+			delete(state.unreachableUntil, n)
+			state.awaitingReports[n] = true
+			state.reportsRequestedAt = now.Add(-reportRetryInterval)
 		}
 	}
-	lax := g.workers[name].QuickTakeover && (len(k.need) == 0 || now.Sub(k.begun) >= laxFor)
-	if len(k.need) == 0 || lax {
-		if lax || now >= k.holdTil() {
-			k.open = true
-			g.serve(now, name, k, out)
+	lax := g.workers[name].QuickTakeover && (len(state.awaitingReports) == 0 || now.Sub(state.collectionStartedAt) >= quickTakeoverWait)
+	if len(state.awaitingReports) == 0 || lax {
+		if lax || now >= state.unreachableDeadline() {
+			state.open = true
+			g.serveWaitlist(now, name, state, out)
 		}
 		return
 	}
-	if now.Sub(k.sent) >= reask {
-		k.sent = now
-		for _, n := range message.Keys(k.need) {
+	if now.Sub(state.reportsRequestedAt) >= reportRetryInterval {
+		state.reportsRequestedAt = now
+		for _, n := range message.Keys(state.awaitingReports) {
 			out.Send(n, ReportRequest, Pack(Header{}, name))
 		}
 	}
 }
 
-// cede lets those that wait ask elsewhere.
-func (g *Ledger) cede(name string, k *keep, out *message.Effects) {
-	for _, a := range k.list {
+// stopCoordinating lets those that wait ask elsewhere.
+func (g *Ledger) stopCoordinating(name string, state *workerState, out *message.Effects) {
+	for _, a := range state.waitlist {
 		out.Send(a.node, Refusal, Pack(Header{Tag: a.tag, Reason: ReasonNotCoordinator}, name))
 	}
-	delete(g.keeps, name)
+	delete(g.coordinated, name)
 }
--- /dev/null
+++ b/internal/router/capacity/maintenance.go
@@ -0,0 +1,79 @@
+package capacity
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"seamshunt/internal/cluster/message"
+	"seamshunt/internal/units"
+)
+
+// sortedPermits lists what is lent, in order.
+func (k *workerState) sortedPermits() []permitKey {
+	l := make([]permitKey, 0, len(k.granted))
+	for p := range k.granted {
+		l = append(l, p)
+	}
+	slices.SortFunc(l, func(a, b permitKey) int { return cmp.Or(cmp.Compare(a.node, b.node), cmp.Compare(a.tag, b.tag)) })
+	return l
+}
+
+// sendAudits asks holders about permits that have been out for a while; they return what they don't know.
+func (g *Ledger) sendAudits(now units.Time, out *message.Effects) {
+	for _, name := range message.Keys(g.coordinated) {
+		state := g.coordinated[name]
+		by := map[units.Node][]HeldPermit{}
+		for _, p := range state.sortedPermits() {
+			if now.Sub(state.granted[p].grantedAt) >= auditInterval {
+				by[p.node] = append(by[p.node], HeldPermit{Tag: p.tag})
+			}
+		}
+		for _, n := range message.Keys(by) {
+			out.Send(n, Audit, PackReport(name, by[n], 0))
+		}
+	}
+}
+
+// adaptCapacity is the optional AIMD, keyed on waiting time only.
+func (g *Ledger) adaptCapacity(now units.Time, name string, state *workerState) {
+	worker := g.workers[name]
+	if !worker.Adaptive || now.Sub(state.adaptedAt) < adaptInterval {
+		return
+	}
+	state.adaptedAt = now
+	if state.adaptiveCapacity == 0 {
+		state.adaptiveCapacity = float64(worker.Capacity)
+	}
+	if state.waitCount > 0 && state.waitSum/time.Duration(state.waitCount) > worker.TargetWait {
+		state.adaptiveCapacity = max(float64(worker.MinCapacity), state.adaptiveCapacity*0.8)
+	} else {
+		state.adaptiveCapacity = min(float64(worker.Capacity), state.adaptiveCapacity+1)
+	}
+	state.waitSum, state.waitCount = 0, 0
+}
+
+// queryLateRouters asks routers that came into view after the book was opened what they hold. A newcomer holds nothing; but
+// this node may be the newcomer, and have opened its book while it knew few of the others.
+func (g *Ledger) queryLateRouters(now units.Time, name string, state *workerState, out *message.Effects) {
+	if len(state.lateRouters) == 0 || now.Sub(state.reportsRequestedAt) < reportRetryInterval {
+		return
+	}
+	state.reportsRequestedAt = now
+	live := g.liveRouters(now)
+	for _, n := range message.Keys(state.lateRouters) {
+		if !slices.Contains(live, n) {
+			delete(state.lateRouters, n)
+			continue
+		}
+		out.Send(n, ReportRequest, Pack(Header{}, name))
+	}
+}
+
+// unreachableDeadline is when the last silent node's runs are over.
+func (k *workerState) unreachableDeadline() (t units.Time) {
+	for _, x := range k.unreachableUntil {
+		t = max(t, x)
+	}
+	return t
+}
--- a/internal/router/capacity/note.go
+++ b/internal/router/capacity/message.go
@@ -65,10 +65,10 @@
 }
 
 // PackReport lays out what a node holds of a worker, and how much it sent there in the last second.
-func PackReport(worker string, l []HeldPermit, sent int) []byte {
-	items := make([][]byte, len(l))
-	for i, x := range l {
-		items[i] = message.Pack(x)
+func PackReport(worker string, permits []HeldPermit, sent int) []byte {
+	items := make([][]byte, len(permits))
+	for i, permit := range permits {
+		items[i] = message.Pack(permit)
 	}
 	return message.Pack(Header{InUse: uint16(min(sent, 65535))}, []byte(worker), message.PackList(items))
 }
@@ -81,15 +81,15 @@
 		return "", nil, 0, err
 	}
 	items, err := message.UnpackList(list)
-	var l []HeldPermit
+	var permits []HeldPermit
 	for _, t := range items {
-		var x HeldPermit
+		var permit HeldPermit
 		if err == nil {
-			err = message.Unpack(t, &x)
+			err = message.Unpack(t, &permit)
 		}
-		l = append(l, x)
+		permits = append(permits, permit)
 	}
-	return string(w), l, int(h.InUse), err
+	return string(w), permits, int(h.InUse), err
 }
 
 // Worker is what a keeper must know of one worker.
@@ -121,19 +121,19 @@
 // Coordinator gives the router that keeps a worker: rendezvous order, the worker's zone first.
 func Coordinator(routers []Peer, worker, zone string) units.Node {
 	var best units.Node
-	var top uint64
-	own := false
-	for _, v := range routers {
-		near := v.Zone == zone
-		if v.Draining {
+	var bestRank uint64
+	bestInZone := false
+	for _, router := range routers {
+		inZone := router.Zone == zone
+		if router.Draining {
 			continue
 		}
-		if own && !near {
+		if bestInZone && !inZone {
 			continue
 		}
-		x := units.Mix(worker, v.Node.String())
-		if best == 0 || near && !own || x > top {
-			best, top, own = v.Node, x, near
+		rank := units.Mix(worker, router.Node.String())
+		if best == 0 || inZone && !bestInZone || rank > bestRank {
+			best, bestRank, bestInZone = router.Node, rank, inZone
 		}
 	}
 	return best
--- a/internal/router/capacity/rate_test.go
+++ b/internal/router/capacity/rate_test.go
@@ -11,7 +11,7 @@
 // A worker may turn cold unseen: in no second does it get more than the fleet's bound, less the margin, however many ask,
 // wait and return; a keeper that sees half of the routers lends half; one that takes over counts what each node sent in the
 // last second.
-func TestRateOfAColdWorker(t *testing.T) {
+func TestRateOfAWarmingUpWorker(t *testing.T) {
 	for _, x := range []struct {
 		part float64
 		sent int
--- a/internal/router/capacity/watch.go
+++ b/internal/router/capacity/router_tracker.go
@@ -10,49 +10,49 @@
 // RouterTracker keeps what membership says of the routers: who is live, who fell silent and since when, and
 // who is known to have ended.
 type RouterTracker struct {
-	ExcludeSuspects bool // one that is only suspected keeps no worker: a needless change costs a few notes, a dark keeper seconds
-	lost            map[units.Node]units.Time
-	void            map[units.Node]units.Time
+	ExcludeSuspects  bool // one that is only suspected keeps no worker: a needless change costs a few notes, a dark keeper seconds
+	unreachableSince map[units.Node]units.Time
+	endedAt          map[units.Node]units.Time
 }
 
 // NewRouterTracker gives an empty one.
 func NewRouterTracker() *RouterTracker {
-	return &RouterTracker{lost: map[units.Node]units.Time{}, void: map[units.Node]units.Time{}}
+	return &RouterTracker{unreachableSince: map[units.Node]units.Time{}, endedAt: map[units.Node]units.Time{}}
 }
 
 // ProcessEnded notes that a process has ended: its wires are broken, it holds nothing.
-func (w *RouterTracker) ProcessEnded(now units.Time, n units.Node) {
-	if _, ok := w.void[n]; !ok {
-		delete(w.lost, n)
-		w.void[n] = now
+func (w *RouterTracker) ProcessEnded(now units.Time, node units.Node) {
+	if _, ok := w.endedAt[node]; !ok {
+		delete(w.unreachableSince, node)
+		w.endedAt[node] = now
 	}
 }
 
 // Update takes membership's list. Changed says whether somebody fell silent since the last look.
 func (w *RouterTracker) Update(now units.Time, all []membership.Member) (peers []Peer, changed bool) {
-	here := map[string]bool{}
+	aliveAddrs := map[string]bool{}
 	for _, m := range all {
 		if m.Role == membership.Router && m.State <= membership.Suspect {
-			here[m.Addr] = true
+			aliveAddrs[m.Addr] = true
 		}
 	}
 	for _, m := range all {
 		if m.Role != membership.Router {
 			continue
 		}
-		if m.State > membership.Suspect && here[m.Addr] {
+		if m.State > membership.Suspect && aliveAddrs[m.Addr] {
 			w.ProcessEnded(now, m.Node) // its machine runs another process in its place
 		}
 		switch {
 		case m.State <= membership.Suspect:
-			delete(w.lost, m.Node)
+			delete(w.unreachableSince, m.Node)
 			peers = append(peers, Peer{Node: m.Node, Zone: m.Zone, Draining: m.Flags&membership.Draining != 0 || w.ExcludeSuspects && m.State == membership.Suspect})
 		case m.State == membership.Left:
-			delete(w.lost, m.Node)
+			delete(w.unreachableSince, m.Node)
 		default:
-			_, void := w.void[m.Node]
-			if _, ok := w.lost[m.Node]; !ok && !void {
-				w.lost[m.Node] = now
+			_, void := w.endedAt[m.Node]
+			if _, ok := w.unreachableSince[m.Node]; !ok && !void {
+				w.unreachableSince[m.Node] = now
 				changed = true
 			}
 		}
@@ -60,15 +60,15 @@
 	return peers, changed
 }
 
-// lostFor is how long one that fell silent is held to be at work behind a cut, when rates are shared.
-const lostFor = 30 * time.Second
+// unreachableCountsFor is how long one that fell silent is held to be at work behind a cut, when rates are shared.
+const unreachableCountsFor = 30 * time.Second
 
 // RateShare is the share of a cold worker's rate that this node's side may lend: as many as it sees live of all that may be at
 // work, and never under a half, since a cut has two sides (design 12).
 func (w *RouterTracker) RateShare(now units.Time, live int) float64 {
 	n := 0
-	for _, t := range w.lost {
-		if now.Sub(t) < lostFor {
+	for _, t := range w.unreachableSince {
+		if now.Sub(t) < unreachableCountsFor {
 			n++
 		}
 	}
@@ -79,11 +79,11 @@
 // silent for the longest time left there is, those known to have ended for as long as workers take to notice.
 func (w *RouterTracker) RunDeadlines(longest time.Duration) map[units.Node]units.Time {
 	m := map[units.Node]units.Time{}
-	for n, t := range w.lost {
-		m[n] = t.Add(longest + grace)
+	for n, t := range w.unreachableSince {
+		m[n] = t.Add(longest + runGrace)
 	}
-	for n, t := range w.void {
-		m[n] = t.Add(burst)
+	for n, t := range w.endedAt {
+		m[n] = t.Add(disconnectGrace)
 	}
 	return m
 }
--- a/internal/router/capacity/watch_test.go
+++ b/internal/router/capacity/router_tracker_test.go
@@ -10,7 +10,7 @@
 
 // A cold worker's rate is shared with those that may be at work behind a cut; a process whose machine runs another in its
 // place, and one that was silent for long, are none of them. Two halves of a cut lend no more than the whole.
-func TestPartOfRates(t *testing.T) {
+func TestRateShare(t *testing.T) {
 	router := func(n units.Node, addr string, s membership.State) membership.Member {
 		return membership.Member{Node: n, Role: membership.Router, Addr: addr, State: s}
 	}
@@ -42,7 +42,7 @@
 }
 
 // Where a keeper need not be strict, one that is suspected holds what it was lent, and keeps no worker meanwhile.
-func TestSuspectKeepsNothing(t *testing.T) {
+func TestSuspectCoordinatesNothing(t *testing.T) {
 	all := []membership.Member{{Node: 1, Role: membership.Router, Addr: "a"}, {Node: 2, Role: membership.Router, Addr: "b", State: membership.Suspect}}
 	for _, lax := range []bool{false, true} {
 		w := NewRouterTracker()
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -13,21 +13,21 @@
 	if n.Kind == Report {
 		name, held, sent, err := UnpackReport(n.Body)
 		out.Fail(err)
-		if k := g.keeps[name]; err == nil && k != nil && (!k.open || k.late[n.From]) {
+		if state := g.coordinated[name]; err == nil && state != nil && (!state.open || state.lateRouters[n.From]) {
 			for _, h := range held {
-				if p := (permit{n.From, h.Tag}); k.lent[p] == nil {
-					k.lent[p] = &loan{until: now.Add(units.Millis(h.TimeLeft).Span() + grace), since: now, mem: h.MemoryTokens}
-					k.mem += int(h.MemoryTokens)
+				if p := (permitKey{n.From, h.Tag}); state.granted[p] == nil {
+					state.granted[p] = &permit{expiresAt: now.Add(units.Millis(h.TimeLeft).Span() + runGrace), grantedAt: now, memoryTokens: h.MemoryTokens}
+					state.memoryTokens += int(h.MemoryTokens)
 				}
 			}
 			for range sent {
-				k.ring = append(k.ring, now)
+				state.recentGrants = append(state.recentGrants, now)
 			}
-			delete(k.need, n.From)
-			if delete(k.late, n.From); k.open {
+			delete(state.awaitingReports, n.From)
+			if delete(state.lateRouters, n.From); state.open {
 				return out
 			}
-			g.collect(now, name, k, &out)
+			g.collectReports(now, name, state, &out)
 		}
 		return out
 	}
@@ -36,8 +36,8 @@
 		out.Fail(err)
 		return out
 	}
-	k := g.keeps[name]
-	if k == nil {
+	state := g.coordinated[name]
+	if state == nil {
 		if n.Kind == Acquire {
 			out.Send(n.From, Refusal, Pack(Header{Tag: h.Tag, Reason: ReasonNotCoordinator}, name))
 		}
@@ -46,176 +46,176 @@
 	switch n.Kind {
 	case ReportRequest:
 		if n.From != g.self {
-			g.moved = true
+			g.assignmentsStale = true
 			if !slices.ContainsFunc(g.routers, func(v Peer) bool { return v.Node == n.From }) {
-				g.strange[n.From] = now
+				g.unlistedRouters[n.From] = now
 			}
-			g.cede(name, k, &out) // another has taken the worker over; if views differ, the taking over is repeated
+			g.stopCoordinating(name, state, &out) // another has taken the worker over; if views differ, the taking over is repeated
 		}
 	case Acquire:
-		g.asked(now, n.From, name, k, h, &out)
+		g.handleAcquire(now, n.From, name, state, h, &out)
 	case Release:
-		if l := k.lent[permit{n.From, h.Tag}]; l != nil && h.PrefillTime > 0 {
-			k.learn(l.reads, time.Duration(h.PrefillTime)*time.Microsecond)
+		if l := state.granted[permitKey{n.From, h.Tag}]; l != nil && h.PrefillTime > 0 {
+			state.learnSlowdown(l.prefillTime, time.Duration(h.PrefillTime)*time.Microsecond)
 		}
-		g.returned(now, name, k, permit{n.From, h.Tag}, h.Wait == 1, &out)
+		g.handleRelease(now, name, state, permitKey{n.From, h.Tag}, h.Wait == 1, &out)
 	}
 	return out
 }
 
-func (g *Ledger) state(now units.Time, name string, k *keep, h Header) Header {
-	h.InUse, h.Capacity = uint16(len(k.lent)), uint16(g.Capacity(now, name))
-	h.Wait = uint8(min(255, len(k.list)))
-	h.ReleaseInterval = uint16(min(k.gap(max(1, int(h.Capacity)))/time.Millisecond, 65535))
-	k.read(now)
-	h.PrefillTime = uint32(min(k.backlog(len(k.line))/time.Microsecond, 1<<32-1))
+func (g *Ledger) addState(now units.Time, name string, state *workerState, h Header) Header {
+	h.InUse, h.Capacity = uint16(len(state.granted)), uint16(g.Capacity(now, name))
+	h.Wait = uint8(min(255, len(state.waitlist)))
+	h.ReleaseInterval = uint16(min(state.meanReleaseInterval(max(1, int(h.Capacity)))/time.Millisecond, 65535))
+	state.advancePrefill(now)
+	h.PrefillTime = uint32(min(state.prefillBacklog(len(state.prefillQueue))/time.Microsecond, 1<<32-1))
 	return h
 }
 
-// gap is the mean time between two returned slots.
-func (k *keep) gap(capacity int) time.Duration {
-	if k.turn == 0 {
-		return k.hold / time.Duration(capacity)
+// meanReleaseInterval is the mean time between two returned slots.
+func (k *workerState) meanReleaseInterval(capacity int) time.Duration {
+	if k.releaseInterval == 0 {
+		return k.meanHoldTime / time.Duration(capacity)
 	}
-	return k.turn
+	return k.releaseInterval
 }
 
-func (g *Ledger) asked(now units.Time, from units.Node, name string, k *keep, h Header, out *message.Effects) {
-	p := permit{from, h.Tag}
-	if k.lent[p] != nil {
-		out.Send(from, Grant, Pack(g.state(now, name, k, Header{Tag: h.Tag}), name))
+func (g *Ledger) handleAcquire(now units.Time, from units.Node, name string, state *workerState, header Header, out *message.Effects) {
+	key := permitKey{from, header.Tag}
+	if state.granted[key] != nil {
+		out.Send(from, Grant, Pack(g.addState(now, name, state, Header{Tag: header.Tag}), name))
 		return
 	}
-	if h.Reason == ReasonNotCoordinator && k.open {
-		g.recollect(now, name, k, out)
+	if header.Reason == ReasonNotCoordinator && state.open {
+		g.restartCollection(now, name, state, out)
 	}
-	left := units.Millis(h.TimeLeft).Span()
-	wait := k.gap(max(1, g.Capacity(now, name)))
-	for i, a := range k.list {
-		if a.permit == p {
-			out.Send(from, Queued, Pack(g.state(now, name, k, Header{Tag: h.Tag, TimeLeft: uint32(units.ToMillis(wait * time.Duration(i+1)))}), name))
+	timeLeft := units.Millis(header.TimeLeft).Span()
+	interval := state.meanReleaseInterval(max(1, g.Capacity(now, name)))
+	for i, a := range state.waitlist {
+		if a.permitKey == key {
+			out.Send(from, Queued, Pack(g.addState(now, name, state, Header{Tag: header.Tag, TimeLeft: uint32(units.ToMillis(interval * time.Duration(i+1)))}), name))
 			return
 		}
 	}
-	r := Header{Tag: h.Tag}
-	c := g.Capacity(now, name)
-	if c == 0 {
-		r.Reason = ReasonClosed
-		out.Send(from, Refusal, Pack(g.state(now, name, k, r), name))
+	reply := Header{Tag: header.Tag}
+	capacity := g.Capacity(now, name)
+	if capacity == 0 {
+		reply.Reason = ReasonClosed
+		out.Send(from, Refusal, Pack(g.addState(now, name, state, reply), name))
 		return
 	}
-	w := g.workers[name]
-	me := ask{permit: p, until: now.Add(left), worth: h.Worth, read: time.Duration(h.PrefillTime) * time.Microsecond, urge: h.Priority, mem: h.MemoryTokens, since: now}
-	late, pace := k.words(now, me), k.due(now, g.rate(now, w))
-	busy := h.Wait == 0 && h.MaxFirstTokenTime > 0 && late > units.Millis(h.MaxFirstTokenTime).Span()
-	if k.open && len(k.lent) < c && len(k.list) == 0 && !busy && pace == 0 && k.fits(w, me.mem) {
-		g.lend(now, name, k, me, out)
+	worker := g.workers[name]
+	request := acquireRequest{permitKey: key, deadline: now.Add(timeLeft), worth: header.Worth, prefillTime: time.Duration(header.PrefillTime) * time.Microsecond, priority: header.Priority, memoryTokens: header.MemoryTokens, queuedAt: now}
+	firstToken, rateDelay := state.firstTokenTime(now, request), state.rateDelay(now, g.maxRate(now, worker))
+	tooSlow := header.Wait == 0 && header.MaxFirstTokenTime > 0 && firstToken > units.Millis(header.MaxFirstTokenTime).Span()
+	if state.open && len(state.granted) < capacity && len(state.waitlist) == 0 && !tooSlow && rateDelay == 0 && state.hasMemoryFor(worker, request.memoryTokens) {
+		g.grant(now, name, state, request, out)
 		return
 	}
-	at, yield := g.place(now, name, k, me)
-	due := wait * time.Duration(at+1)
-	if len(k.lent)+at < c {
-		due = max(pace, late) // a slot is free for it: only the reports, the rate or the reading are waited for
+	position, displaced := g.findPosition(now, name, state, request)
+	expectedWait := interval * time.Duration(position+1)
+	if len(state.granted)+position < capacity {
+		expectedWait = max(rateDelay, firstToken) // a slot is free for it: only the reports, the rate or the reading are waited for
 	}
-	if !k.open && !w.QuickTakeover {
-		due = max(due, k.holdTil().Sub(now))
+	if !state.open && !worker.QuickTakeover {
+		expectedWait = max(expectedWait, state.unreachableDeadline().Sub(now))
 	}
-	r.TimeLeft = uint32(units.ToMillis(due))
+	reply.TimeLeft = uint32(units.ToMillis(expectedWait))
 	switch {
-	case len(k.list)-len(yield) >= w.MaxWaiting:
-		r.Reason = ReasonQueueFull
-	case due+w.FirstTokenTime > left:
-		r.Reason = ReasonTooLate
-	case h.Wait == 0:
-		r.Reason = ReasonBusy
-	}
-	if r.Reason != 0 {
-		out.Send(from, Refusal, Pack(g.state(now, name, k, r), name))
+	case len(state.waitlist)-len(displaced) >= worker.MaxWaiting:
+		reply.Reason = ReasonQueueFull
+	case expectedWait+worker.FirstTokenTime > timeLeft:
+		reply.Reason = ReasonTooLate
+	case header.Wait == 0:
+		reply.Reason = ReasonBusy
+	}
+	if reply.Reason != 0 {
+		out.Send(from, Refusal, Pack(g.addState(now, name, state, reply), name))
 		return
 	}
-	for _, a := range yield {
-		k.list = slices.DeleteFunc(k.list, func(b ask) bool { return a.permit == b.permit })
-		out.Send(a.node, Refusal, Pack(g.state(now, name, k, Header{Tag: a.tag, Reason: ReasonQueueFull}), name))
+	for _, a := range displaced {
+		state.waitlist = slices.DeleteFunc(state.waitlist, func(b acquireRequest) bool { return a.permitKey == b.permitKey })
+		out.Send(a.node, Refusal, Pack(g.addState(now, name, state, Header{Tag: a.tag, Reason: ReasonQueueFull}), name))
 	}
-	k.list = slices.Insert(k.list, at, me)
-	out.Send(from, Queued, Pack(g.state(now, name, k, r), name))
+	state.waitlist = slices.Insert(state.waitlist, position, request)
+	out.Send(from, Queued, Pack(g.addState(now, name, state, reply), name))
 }
 
-func (g *Ledger) lend(now units.Time, name string, k *keep, a ask, out *message.Effects) {
-	k.lent[a.permit] = &loan{until: a.until.Add(grace), since: now, mem: a.mem, reads: a.read}
-	if k.read(now); len(k.line) > 0 {
-		k.lent[a.permit].reads = 0 // behind others its time tells nothing of the speed
-	}
-	k.granted(now, g.workers[name], a)
-	k.waitSum += now.Sub(a.since)
-	k.waitN++
-	out.Send(a.node, Grant, Pack(g.state(now, name, k, Header{Tag: a.tag}), name))
+func (g *Ledger) grant(now units.Time, name string, state *workerState, request acquireRequest, out *message.Effects) {
+	state.granted[request.permitKey] = &permit{expiresAt: request.deadline.Add(runGrace), grantedAt: now, memoryTokens: request.memoryTokens, prefillTime: request.prefillTime}
+	if state.advancePrefill(now); len(state.prefillQueue) > 0 {
+		state.granted[request.permitKey].prefillTime = 0 // behind others its time tells nothing of the speed
+	}
+	state.recordGrant(now, g.workers[name], request)
+	state.waitSum += now.Sub(request.queuedAt)
+	state.waitCount++
+	out.Send(request.node, Grant, Pack(g.addState(now, name, state, Header{Tag: request.tag}), name))
 }
 
-// serve lends free slots to the earliest deadlines. What can no longer be met is told so at once, wherever
+// serveWaitlist lends free slots to the earliest deadlines. What can no longer be met is told so at once, wherever
 // it stands in the list: nothing is held back until its time has run out.
-func (g *Ledger) serve(now units.Time, name string, k *keep, out *message.Effects) {
-	w := g.workers[name]
-	c := g.Capacity(now, name)
-	for c > 0 && k.open && len(k.list) > 0 && len(k.lent) < c {
-		a := k.list[0]
-		if a.until < now.Add(w.FirstTokenTime) || k.due(now, g.rate(now, w)) > 0 || !k.fits(w, a.mem) {
+func (g *Ledger) serveWaitlist(now units.Time, name string, state *workerState, out *message.Effects) {
+	worker := g.workers[name]
+	capacity := g.Capacity(now, name)
+	for capacity > 0 && state.open && len(state.waitlist) > 0 && len(state.granted) < capacity {
+		a := state.waitlist[0]
+		if a.deadline < now.Add(worker.FirstTokenTime) || state.rateDelay(now, g.maxRate(now, worker)) > 0 || !state.hasMemoryFor(worker, a.memoryTokens) {
 			break
 		}
-		k.list = k.list[1:]
-		g.lend(now, name, k, a, out)
+		state.waitlist = state.waitlist[1:]
+		g.grant(now, name, state, a, out)
 	}
-	gap, left := k.gap(max(1, c)), k.list[:0:0]
-	shed := func(a ask, reason uint8, due time.Duration) {
-		out.Send(a.node, Refusal, Pack(g.state(now, name, k, Header{Tag: a.tag, Reason: reason, TimeLeft: uint32(units.ToMillis(due))}), name))
+	interval, remaining := state.meanReleaseInterval(max(1, capacity)), state.waitlist[:0:0]
+	shed := func(a acquireRequest, reason uint8, expectedWait time.Duration) {
+		out.Send(a.node, Refusal, Pack(g.addState(now, name, state, Header{Tag: a.tag, Reason: reason, TimeLeft: uint32(units.ToMillis(expectedWait))}), name))
 	}
-	for _, a := range k.list {
-		late := func() bool {
-			return len(left) > 0 && a.until < now.Add(gap*time.Duration(len(left)+1)+w.FirstTokenTime)
+	for _, a := range state.waitlist {
+		tooLate := func() bool {
+			return len(remaining) > 0 && a.deadline < now.Add(interval*time.Duration(len(remaining)+1)+worker.FirstTokenTime)
 		}
-		if c == 0 {
+		if capacity == 0 {
 			shed(a, ReasonClosed, 0)
 			continue
 		}
-		for late() {
-			i := least(left, a.worth, len(left))
+		for tooLate() {
+			i := lowestWorth(remaining, a.worth, len(remaining))
 			if i < 0 {
 				break
 			}
-			shed(left[i], ReasonTooLate, gap*time.Duration(len(left)+1))
-			left = slices.Delete(left, i, i+1)
+			shed(remaining[i], ReasonTooLate, interval*time.Duration(len(remaining)+1))
+			remaining = slices.Delete(remaining, i, i+1)
 		}
-		if a.until < now.Add(w.FirstTokenTime) || late() {
-			shed(a, ReasonTooLate, gap*time.Duration(len(left)+1))
+		if a.deadline < now.Add(worker.FirstTokenTime) || tooLate() {
+			shed(a, ReasonTooLate, interval*time.Duration(len(remaining)+1))
 			continue
 		}
-		left = append(left, a)
+		remaining = append(remaining, a)
 	}
-	k.list = left
+	state.waitlist = remaining
 }
 
-func (g *Ledger) returned(now units.Time, name string, k *keep, p permit, unsure bool, out *message.Effects) {
-	k.list = slices.DeleteFunc(k.list, func(a ask) bool { return a.permit == p })
-	l := k.lent[p]
-	if l == nil || unsure {
+func (g *Ledger) handleRelease(now units.Time, name string, state *workerState, key permitKey, uncertain bool, out *message.Effects) {
+	state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.permitKey == key })
+	l := state.granted[key]
+	if l == nil || uncertain {
 		return // an unsure run keeps its slot till its own end
 	}
-	k.drop(p)
-	k.hold = ewma(k.hold, now.Sub(l.since))
-	if busy := len(k.list) > 0; busy && k.back != 0 {
-		k.turn = ewma(k.turn, min(now.Sub(k.back), 5*time.Second))
+	state.removePermit(key)
+	state.meanHoldTime = ewma(state.meanHoldTime, now.Sub(l.grantedAt))
+	if busy := len(state.waitlist) > 0; busy && state.lastReleaseAt != 0 {
+		state.releaseInterval = ewma(state.releaseInterval, min(now.Sub(state.lastReleaseAt), 5*time.Second))
 	}
-	k.back = now
-	if k.open {
-		g.serve(now, name, k, out)
+	state.lastReleaseAt = now
+	if state.open {
+		g.serveWaitlist(now, name, state, out)
 	}
 }
 
-// drop takes a permit out of the book.
-func (k *keep) drop(p permit) {
-	if l := k.lent[p]; l != nil {
-		k.mem -= int(l.mem)
-		delete(k.lent, p)
+// removePermit takes a permit out of the book.
+func (k *workerState) removePermit(p permitKey) {
+	if l := k.granted[p]; l != nil {
+		k.memoryTokens -= int(l.memoryTokens)
+		delete(k.granted, p)
 	}
 }
 
@@ -238,8 +238,8 @@
 // Status lists all that this node keeps.
 func (g *Ledger) Status(now units.Time) []WorkerStatus {
 	var l []WorkerStatus
-	for n, k := range g.keeps {
-		l = append(l, WorkerStatus{n, k.open, len(k.lent), g.Capacity(now, n), len(k.list)})
+	for n, state := range g.coordinated {
+		l = append(l, WorkerStatus{n, state.open, len(state.granted), g.Capacity(now, n), len(state.waitlist)})
 	}
 	slices.SortFunc(l, func(a, b WorkerStatus) int {
 		if a.Worker < b.Worker {
--- a/internal/router/clientwatch/clientwatch.go
+++ b/internal/router/clientwatch/clientwatch.go
@@ -23,8 +23,8 @@
 	ErrClientDisconnected = errors.New("clientwatch: the client has left")
 	// ErrRouterShutdown says that the router is about to end and no answer had begun.
 	ErrRouterShutdown = errors.New("clientwatch: the router is about to end")
-	// errEnded releases what still hangs on the context of a request that is over.
-	errEnded = errors.New("clientwatch: the request is over")
+	// errRequestEnded releases what still hangs on the context of a request that is over.
+	errRequestEnded = errors.New("clientwatch: the request is over")
 )
 
 // Watcher looks at the clients of all requests under way. One goroutine calls Look; the rest may be called from any.
@@ -32,7 +32,7 @@
 	wake     func(within time.Duration) // has Look called
 	mu       sync.Mutex
 	requests map[*Request]struct{}
-	round    []*Request // those of the round under way, kept for its memory
+	batch    []*Request // those of the round under way, kept for its memory
 }
 
 // New makes a watcher. It calls wake when the first request is under way.
@@ -67,17 +67,17 @@
 // next look may wait, 0 for as long as nothing is under way.
 func (w *Watcher) CheckAll(routerEnds bool) time.Duration {
 	w.mu.Lock()
-	w.round = w.round[:0]
+	w.batch = w.batch[:0]
 	for r := range w.requests {
-		w.round = append(w.round, r)
+		w.batch = append(w.batch, r)
 	}
 	w.mu.Unlock()
-	for _, r := range w.round {
+	for _, r := range w.batch {
 		if r.Check() == nil && routerEnds && !r.answering.Load() {
 			r.cancel(ErrRouterShutdown)
 		}
 	}
-	clear(w.round)
+	clear(w.batch)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.requests) == 0 {
@@ -105,5 +105,5 @@
 	r.watcher.mu.Lock()
 	delete(r.watcher.requests, r)
 	r.watcher.mu.Unlock()
-	r.cancel(errEnded)
+	r.cancel(errRequestEnded)
 }
--- a/internal/router/clientwatch/clientwatch_test.go
+++ b/internal/router/clientwatch/clientwatch_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// pair gives both ends of a connection.
-func pair(t testing.TB) (router net.Conn, client *net.TCPConn) {
+// connPair gives both ends of a connection.
+func connPair(t testing.TB) (router net.Conn, client *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,26 +30,26 @@
 	return r, c.(*net.TCPConn)
 }
 
-// watcher counts how often it is woken.
-func watcher() (w *Watcher, woken *int) {
+// newWatcher counts how often it is woken.
+func newWatcher() (w *Watcher, woken *int) {
 	woken = new(int)
 	return New(func(time.Duration) { *woken++ }), woken
 }
 
-// awaitEnd waits until the end that the other side sent has come: what is read then is that end.
-func awaitEnd(router net.Conn) { _, _ = router.Read(make([]byte, 1)) }
+// awaitEOF waits until the end that the other side sent has come: what is read then is that end.
+func awaitEOF(router net.Conn) { _, _ = router.Read(make([]byte, 1)) }
 
 // A client that closes its connection, or its write side alone, or resets it, is found at the next look, and all that
 // hangs on the context ends with that reason.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn) error{
 		"closes":        (*net.TCPConn).Close,
 		"closes writes": (*net.TCPConn).CloseWrite,
 		"resets":        func(c *net.TCPConn) error { _ = c.SetLinger(0); return c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := watcher()
-			router, client := pair(t)
+			w, _ := newWatcher()
+			router, client := connPair(t)
 			r := w.Watch(router)
 			defer r.End()
 			if again := w.CheckAll(false); again != CheckInterval || r.Err() != nil || r.Check() != nil {
@@ -60,7 +60,7 @@
 			if err := leave(client); err != nil {
 				t.Fatal(err)
 			}
-			awaitEnd(router)
+			awaitEOF(router)
 			w.CheckAll(false)
 			if !errors.Is(r.Cause(), ErrClientDisconnected) || !errors.Is(context.Cause(child), ErrClientDisconnected) {
 				t.Fatal(r.Cause(), context.Cause(child))
@@ -70,23 +70,23 @@
 }
 
 // A look of one's own finds a client gone without any round.
-func TestLookNow(t *testing.T) {
-	w, _ := watcher()
-	router, client := pair(t)
+func TestCheckNow(t *testing.T) {
+	w, _ := newWatcher()
+	router, client := connPair(t)
 	r := w.Watch(router)
 	defer r.End()
 	client.Close()
-	awaitEnd(router)
+	awaitEOF(router)
 	if err := r.Check(); !errors.Is(err, ErrClientDisconnected) || r.Err() == nil {
 		t.Fatal(err)
 	}
 }
 
 // A router that is about to end cancels what has no answer yet, and nothing else.
-func TestRouterEnds(t *testing.T) {
-	w, _ := watcher()
-	routerA, _ := pair(t)
-	routerB, _ := pair(t)
+func TestRouterShutdown(t *testing.T) {
+	w, _ := newWatcher()
+	routerA, _ := connPair(t)
+	routerB, _ := connPair(t)
 	waits, answered := w.Watch(routerA), w.Watch(routerB)
 	defer waits.End()
 	defer answered.End()
@@ -99,12 +99,12 @@
 
 // The watcher is woken by the first request alone, and rests once none is under way.
 func TestWatcherRests(t *testing.T) {
-	w, woken := watcher()
+	w, woken := newWatcher()
 	if w.CheckAll(false) != 0 {
 		t.Error("it looks on with nothing under way")
 	}
-	a, _ := pair(t)
-	b, _ := pair(t)
+	a, _ := connPair(t)
+	b, _ := connPair(t)
 	first, second := w.Watch(a), w.Watch(b)
 	if *woken != 1 {
 		t.Errorf("woken %d times, want once", *woken)
@@ -125,7 +125,7 @@
 
 // Requests begin, end and lose their clients in any order while rounds go on: one is cancelled for its client exactly if
 // that left before its end.
-func TestRandomLeavings(t *testing.T) {
+func TestRandomDisconnects(t *testing.T) {
 	for seed := range uint64(20) {
 		w := New(func(time.Duration) {})
 		over := make(chan struct{})
@@ -141,7 +141,7 @@
 			}
 		})
 		for n := range uint64(16) {
-			router, client := pair(t)
+			router, client := connPair(t)
 			requests.Go(func() {
 				rng := rand.New(rand.NewPCG(seed, n))
 				leaves := rng.IntN(2) == 0
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -25,15 +25,15 @@
 
 // Policies by name; a new one is a new line here and nothing elsewhere.
 var Policies = map[string]func(*Placer, Query) []string{
-	"prefix": (*Placer).prefix,
-	"least":  (*Placer).least,
-	"turn":   (*Placer).turn,
-	"home":   (*Placer).home,
+	"prefix": (*Placer).byZonePrefix,
+	"least":  (*Placer).leastLoaded,
+	"turn":   (*Placer).roundRobin,
+	"home":   (*Placer).byFleetPrefix,
 }
 
 // Placer holds what policies remember between prompts.
 type Placer struct {
-	next atomic.Uint64
+	rotation atomic.Uint64
 }
 
 // Fingerprint names a prompt's shared prefix: its first bytes.
@@ -44,7 +44,7 @@
 // Rank lists workers, best first.
 func (w *Placer) Rank(policy string, q Query) []string { return Policies[policy](w, q) }
 
-func names(l []Candidate) []string {
+func candidateNames(l []Candidate) []string {
 	s := make([]string, len(l))
 	for i, x := range l {
 		s[i] = x.Name
@@ -53,7 +53,7 @@
 }
 
 // prefix: the own zone's first few in rendezvous order hold the prefix; behind them the least loaded.
-func (w *Placer) prefix(q Query) []string {
+func (w *Placer) byZonePrefix(q Query) []string {
 	type ranked struct {
 		Candidate
 		rank uint64
@@ -64,12 +64,12 @@
 	}
 	slices.SortFunc(l, func(a, b ranked) int {
 		if near := (a.Zone == q.Zone); near != (b.Zone == q.Zone) {
-			return flip(near)
+			return firstIf(near)
 		}
-		return flip(a.rank > b.rank)
+		return firstIf(a.rank > b.rank)
 	})
 	if len(l) > q.PreferredCount {
-		slices.SortStableFunc(l[q.PreferredCount:], func(a, b ranked) int { return byLoad(a.Candidate, b.Candidate, q.Zone) })
+		slices.SortStableFunc(l[q.PreferredCount:], func(a, b ranked) int { return compareLoad(a.Candidate, b.Candidate, q.Zone) })
 	}
 	s := make([]string, len(l))
 	for i, x := range l {
@@ -80,30 +80,30 @@
 
 // home: one order for the whole fleet, whatever the zone, so that a long shared part is read by few workers; behind
 // the first few, and where nothing is shared, the least loaded.
-func (w *Placer) home(q Query) []string {
+func (w *Placer) byFleetPrefix(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	if q.Prefix == 0 {
-		rotate(l, int(w.next.Add(1)))
-		slices.SortStableFunc(l, func(a, b Candidate) int { return byLoad(a, b, "") })
-		return names(l)
+		rotate(l, int(w.rotation.Add(1)))
+		slices.SortStableFunc(l, func(a, b Candidate) int { return compareLoad(a, b, "") })
+		return candidateNames(l)
 	}
 	rank := func(s Candidate) uint64 { return units.Mix(units.Hex(q.Prefix), s.Name) }
-	slices.SortFunc(l, func(a, b Candidate) int { return flip(rank(a) > rank(b)) })
+	slices.SortFunc(l, func(a, b Candidate) int { return firstIf(rank(a) > rank(b)) })
 	if len(l) > q.PreferredCount {
-		slices.SortStableFunc(l[q.PreferredCount:], func(a, b Candidate) int { return byLoad(a, b, "") })
+		slices.SortStableFunc(l[q.PreferredCount:], func(a, b Candidate) int { return compareLoad(a, b, "") })
 	}
-	return names(l)
+	return candidateNames(l)
 }
 
-func flip(first bool) int {
+func firstIf(first bool) int {
 	if first {
 		return -1
 	}
 	return 1
 }
 
-// byLoad puts the less loaded first; a worker in another zone must be much less loaded to come before.
-func byLoad(a, b Candidate, zone string) int {
+// compareLoad puts the less loaded first; a worker in another zone must be much less loaded to come before.
+func compareLoad(a, b Candidate, zone string) int {
 	x, y := a.Load, b.Load
 	if a.Zone != zone && zone != "" {
 		x += 0.5
@@ -121,18 +121,18 @@
 }
 
 // least: the least loaded first, the own zone preferred.
-func (w *Placer) least(q Query) []string {
+func (w *Placer) leastLoaded(q Query) []string {
 	l := slices.Clone(q.Candidates)
-	rotate(l, int(w.next.Add(1)))
-	slices.SortStableFunc(l, func(a, b Candidate) int { return byLoad(a, b, q.Zone) })
-	return names(l)
+	rotate(l, int(w.rotation.Add(1)))
+	slices.SortStableFunc(l, func(a, b Candidate) int { return compareLoad(a, b, q.Zone) })
+	return candidateNames(l)
 }
 
 // turn: each in its turn, whatever the zone.
-func (w *Placer) turn(q Query) []string {
+func (w *Placer) roundRobin(q Query) []string {
 	l := slices.Clone(q.Candidates)
-	rotate(l, int(w.next.Add(1)))
-	return names(l)
+	rotate(l, int(w.rotation.Add(1)))
+	return candidateNames(l)
 }
 
 func rotate(l []Candidate, by int) {
--- a/internal/router/upstream/answer_test.go
+++ b/internal/router/upstream/answer_test.go
@@ -13,38 +13,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// script is a connection that gives its bytes in pieces and then ends.
-type script struct {
+// scriptedConn is a connection that gives its bytes in pieces and then ends.
+type scriptedConn struct {
 	net.Conn
-	b     []byte
+	data  []byte
 	sizes []byte
-	i     int
+	reads int
 }
 
-func (s *script) Read(b []byte) (int, error) {
-	if len(s.b) == 0 {
+func (s *scriptedConn) Read(b []byte) (int, error) {
+	if len(s.data) == 0 {
 		return 0, io.EOF
 	}
 	n := len(b)
 	if len(s.sizes) > 0 {
-		n = min(n, 1+int(s.sizes[s.i%len(s.sizes)]))
-		s.i++
+		n = min(n, 1+int(s.sizes[s.reads%len(s.sizes)]))
+		s.reads++
 	}
-	n = copy(b[:n], s.b)
-	s.b = s.b[n:]
+	n = copy(b[:n], s.data)
+	s.data = s.data[n:]
 	return n, nil
 }
 
-func (s *script) SetDeadline(time.Time) error     { return nil }
-func (s *script) SetReadDeadline(time.Time) error { return nil }
+func (s *scriptedConn) SetDeadline(time.Time) error     { return nil }
+func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-// given is an exchange whose request, of that id, has just been written.
-func given(answer, id string, sizes ...byte) *Exchange {
+// exchangeWithAnswer is an exchange whose request, of that id, has just been written.
+func exchangeWithAnswer(answer, id string, sizes ...byte) *Exchange {
 	q := &fasthttp.Request{}
 	q.Header.SetMethod("POST")
-	x := &Exchange{o: Dispatch{ID: id, Request: q}, Response: &fasthttp.Response{}}
-	x.c = &conn{Conn: &script{b: []byte(answer), sizes: sizes}}
-	x.r = bufio.NewReaderSize(x.c, bufSize)
+	x := &Exchange{dispatch: Dispatch{ID: id, Request: q}, Response: &fasthttp.Response{}}
+	x.conn = &conn{Conn: &scriptedConn{data: []byte(answer), sizes: sizes}}
+	x.reader = bufio.NewReaderSize(x.conn, bufferSize)
 	return x
 }
 
@@ -58,11 +58,11 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"), []byte{2})
 	f.Fuzz(func(t *testing.T, s, sizes []byte) {
 		run := func(sizes []byte) (*Exchange, []byte, error) {
-			x := given(string(s), "a", sizes...)
-			if err := x.await(names); err != nil {
+			x := exchangeWithAnswer(string(s), "a", sizes...)
+			if err := x.awaitAnswer(names); err != nil {
 				return x, nil, err
 			}
-			b, err := io.ReadAll(x.rest())
+			b, err := io.ReadAll(x.bodyReader())
 			return x, b, err
 		}
 		x, b, err := run(nil)
--- a/internal/router/upstream/try.go
+++ b/internal/router/upstream/attempt.go
@@ -77,34 +77,34 @@
 // Cancel breaks the connection off, so that the worker stops the run.
 func (t *Attempt) Cancel() { t.cancel() }
 
-// counted tells whether any byte left.
-type counted struct {
+// countingConn tells whether any byte left.
+type countingConn struct {
 	net.Conn
-	n int64
+	written int64
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.n += int64(n)
+	c.written += int64(n)
 	return n, err
 }
 
 // Run does the try; it ends with exactly one event that is no piece.
 func (t *Attempt) Run() {
-	t.tell(t.run())
+	t.emit(t.execute())
 }
 
-// tell passes an event on, unless nobody wants it any more.
-func (t *Attempt) tell(e Event) {
+// emit passes an event on, unless nobody wants it any more.
+func (t *Attempt) emit(e Event) {
 	select {
 	case t.Events <- e:
 	case <-t.ctx.Done():
 	}
 }
 
-func (t *Attempt) run() Event {
-	due := time.Now().Add(t.TimeLeft)
-	nc, err := shield.DialContext(t.ctx, t.Addr, min(t.TimeLeft, dialMost))
+func (t *Attempt) execute() Event {
+	deadline := time.Now().Add(t.TimeLeft)
+	nc, err := shield.DialContext(t.ctx, t.Addr, min(t.TimeLeft, dialTimeout))
 	if err != nil {
 		return Event{Outcome: NotSent, Err: err, Unreachable: t.ctx.Err() == nil}
 	}
@@ -117,30 +117,30 @@
 	if !t.state.CompareAndSwap(pending, sending) {
 		return Event{Outcome: NotSent, Err: context.Cause(t.ctx)}
 	}
-	_ = nc.SetDeadline(due)
-	c := &counted{Conn: nc}
+	_ = nc.SetDeadline(deadline)
+	c := &countingConn{Conn: nc}
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + t.Addr + "/v1/generate")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
 	req.Header.Set("Request-Id", t.ID)
-	req.Header.Set("Time-Left-Ms", strconv.Itoa(int(max(0, time.Until(due))/time.Millisecond)))
+	req.Header.Set("Time-Left-Ms", strconv.Itoa(int(max(0, time.Until(deadline))/time.Millisecond)))
 	req.SetBodyRaw(t.Body)
 	w := bufio.NewWriter(c)
 	if err = req.Write(w); err == nil {
 		err = w.Flush()
 	}
 	if err != nil {
-		if c.n == 0 {
+		if c.written == 0 {
 			return Event{Outcome: NotSent, Err: err}
 		}
 		return Event{Outcome: Unknown, Err: err}
 	}
-	return t.read(bufio.NewReader(nc))
+	return t.readAnswer(bufio.NewReader(nc))
 }
 
-func (t *Attempt) read(r *bufio.Reader) Event {
+func (t *Attempt) readAnswer(r *bufio.Reader) Event {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	resp.StreamBody = true
@@ -152,47 +152,47 @@
 		body = io.MultiReader()
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return t.refusal(resp.StatusCode(), body)
+		return t.classifyRefusal(resp.StatusCode(), body)
 	}
 	if id := string(resp.Header.Peek("Request-Id")); id != t.ID {
 		return Event{Outcome: Unknown, Err: fmt.Errorf("upstream: answer for request %q", id)}
 	}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 4096), MaxLineBytes)
-	s := NewStreamVerifier(t.ID)
-	begun := false
+	verifier := NewStreamVerifier(t.ID)
+	started := false
 	var seal []byte
 	for lines.Scan() {
-		done, err := s.VerifyLine(lines.Bytes())
+		done, err := verifier.VerifyLine(lines.Bytes())
 		if err != nil {
-			return broken(begun, err)
+			return brokenAnswer(started, err)
 		}
 		line := append(append([]byte(nil), lines.Bytes()...), '\n')
 		if done {
 			seal = line // kept until the answer has ended properly behind it
 			continue
 		}
-		begun = true
-		t.tell(Event{Outcome: Partial, Line: line})
+		started = true
+		t.emit(Event{Outcome: Partial, Line: line})
 	}
 	if err := lines.Err(); err != nil {
-		return broken(begun, err)
+		return brokenAnswer(started, err)
 	}
-	if !s.Complete() {
-		return broken(begun, errors.New("upstream: the answer ends without a seal"))
+	if !verifier.Complete() {
+		return brokenAnswer(started, errors.New("upstream: the answer ends without a seal"))
 	}
 	return Event{Outcome: Complete, Line: seal}
 }
 
-func broken(begun bool, err error) Event {
-	if begun {
+func brokenAnswer(started bool, err error) Event {
+	if started {
 		return Event{Outcome: Broken, Err: err}
 	}
 	return Event{Outcome: Unknown, Err: err}
 }
 
 // refusal: only a refusal that names the request and says that it has not run is believed.
-func (t *Attempt) refusal(status int, body io.Reader) Event {
+func (t *Attempt) classifyRefusal(status int, body io.Reader) Event {
 	b, err := io.ReadAll(io.LimitReader(body, 4096))
 	if err == nil && status == fasthttp.StatusServiceUnavailable {
 		if v, err := fastjson.ParseBytes(b); err == nil && v.Exists("ran") && !v.GetBool("ran") &&
--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -14,52 +14,52 @@
 // testCaller is a caller that a test cancels.
 type testCaller struct {
 	context.Context
-	looks atomic.Int64
+	checks atomic.Int64
 }
 
 // Check gives what the context tells.
 func (c *testCaller) Check() error {
-	c.looks.Add(1)
+	c.checks.Add(1)
 	return context.Cause(c)
 }
 
-// waiting is a caller that waits until the test is over.
-func waiting(t testing.TB) *testCaller {
-	c, _ := cancellable(t)
+// waitingCaller is a caller that waits until the test is over.
+func waitingCaller(t testing.TB) *testCaller {
+	c, _ := cancellableCaller(t)
 	return c
 }
 
-// errLeft is why a test cancels its caller.
-var errLeft = errors.New("the test's caller left")
+// errCallerLeft is why a test cancels its caller.
+var errCallerLeft = errors.New("the test's caller left")
 
-// cancellable is a caller that leaves when the test says so.
-func cancellable(t testing.TB) (caller *testCaller, leave func()) {
+// cancellableCaller is a caller that leaves when the test says so.
+func cancellableCaller(t testing.TB) (caller *testCaller, leave func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	t.Cleanup(func() { cancel(nil) })
-	return &testCaller{Context: ctx}, func() { cancel(errLeft) }
+	return &testCaller{Context: ctx}, func() { cancel(errCallerLeft) }
 }
 
-// closed plays a worker that takes a request, says a little, does a thing and tells when the connection has ended.
-func closed(t *testing.T, say string, then func()) (addr string, ended chan struct{}) {
+// serveOneRequest plays a worker that takes a request, says a little, does a thing and tells when the connection has ended.
+func serveOneRequest(t *testing.T, say string, then func()) (addr string, ended chan struct{}) {
 	ended = make(chan struct{})
-	return serve(t, func(w *wire) {
-		w.get()
-		w.say(say)
+	return serveScript(t, func(w *workerConn) {
+		w.readRequest()
+		w.send(say)
 		then()
-		w.ended()
+		w.awaitClose()
 		close(ended)
 	}), ended
 }
 
 // A caller that leaves while the head is awaited, at whatever point of it, ends the wait and the connection.
-func TestCallerLeavesBeforeTheHead(t *testing.T) {
+func TestCallerLeavesBeforeTheHeader(t *testing.T) {
 	for _, say := range []string{"", "HTTP/1.1 200 OK\nAttempt", "HTTP/1.1 200 OK\nAttempt-Id: old\nContent-Length: 9\n\nold"} {
-		caller, leave := cancellable(t)
-		addr, ended := closed(t, say, leave)
+		caller, leave := cancellableCaller(t)
+		addr, ended := serveOneRequest(t, say, leave)
 		p := NewPool(names)
-		x := p.Do(caller, order(addr, "a"))
-		if x.Outcome != Unknown || !errors.Is(x.Err, errLeft) || caller.looks.Load() != 1 {
-			t.Fatal(x.Outcome, x.Err, caller.looks.Load())
+		x := p.Do(caller, newDispatch(addr, "a"))
+		if x.Outcome != Unknown || !errors.Is(x.Err, errCallerLeft) || caller.checks.Load() != 1 {
+			t.Fatal(x.Outcome, x.Err, caller.checks.Load())
 		}
 		x.End()
 		<-ended
@@ -69,14 +69,14 @@
 
 // For a caller that has left already nothing is sent, neither over a new connection nor over a kept one, and the
 // connection is kept for others.
-func TestNothingIsSentForNobody(t *testing.T) {
+func TestNothingIsSentWithoutCaller(t *testing.T) {
 	p := NewPool(names)
-	addr := serve(t, echo)
+	addr := serveScript(t, echo)
 	for _, kept := range []bool{false, true} {
-		caller, leave := cancellable(t)
-		late := &leavesAtLook{caller, leave}
-		x := p.Do(late, order(addr, "left"))
-		if x.Outcome != NotSent || !errors.Is(x.Err, errLeft) || x.Unreachable || x.Reused != kept {
+		caller, leave := cancellableCaller(t)
+		late := &callerLeavingAtCheck{caller, leave}
+		x := p.Do(late, newDispatch(addr, "left"))
+		if x.Outcome != NotSent || !errors.Is(x.Err, errCallerLeft) || x.Unreachable || x.Reused != kept {
 			t.Fatal(x.Outcome, x.Err, x.Unreachable, x.Reused)
 		}
 		x.End()
@@ -85,49 +85,49 @@
 	if n := p.Stats.Abandoned.Load(); n != 2 {
 		t.Errorf("%d requests were abandoned, want 2", n)
 	}
-	if y := want(t, p, order(addr, "b"), "b"); !y.Reused {
+	if y := wantAnswer(t, p, newDispatch(addr, "b"), "b"); !y.Reused {
 		t.Error("the connection was not used again")
 	}
 }
 
-// leavesAtLook is a caller that is found gone by the look right before the request would leave.
-type leavesAtLook struct {
+// callerLeavingAtCheck is a caller that is found gone by the look right before the request would leave.
+type callerLeavingAtCheck struct {
 	*testCaller
 	leave func()
 }
 
-func (c *leavesAtLook) Check() error {
+func (c *callerLeavingAtCheck) Check() error {
 	c.leave()
 	return c.testCaller.Check()
 }
 
 // A caller that leaves while a connection is made ends the attempt; nothing is held against the worker.
 func TestCallerLeavesWhileConnecting(t *testing.T) {
-	caller, leave := cancellable(t)
+	caller, leave := cancellableCaller(t)
 	p, l := NewPool(names), netfault.Silent(t)
 	got := make(chan *Exchange)
-	go func() { got <- p.Do(caller, order(l.Addr().String(), "a")) }()
+	go func() { got <- p.Do(caller, newDispatch(l.Addr().String(), "a")) }()
 	leave()
 	x := <-got
-	if x.Outcome != NotSent || !errors.Is(x.Err, errLeft) || x.Unreachable {
+	if x.Outcome != NotSent || !errors.Is(x.Err, errCallerLeft) || x.Unreachable {
 		t.Error(x.Outcome, x.Err, x.Unreachable)
 	}
 	x.End()
-	if s := &p.Stats; s.Cancelled.Load() != 1 || s.TimedOut.Load() != 0 || len(p.hosts) != 0 {
-		t.Errorf("%d cancelled, %d timed out, %d hosts", s.Cancelled.Load(), s.TimedOut.Load(), len(p.hosts))
+	if s := &p.Stats; s.Cancelled.Load() != 1 || s.TimedOut.Load() != 0 || len(p.workers) != 0 {
+		t.Errorf("%d cancelled, %d timed out, %d hosts", s.Cancelled.Load(), s.TimedOut.Load(), len(p.workers))
 	}
 }
 
 // A worker that answers no attempt to connect within the whole span is down; one that had less time may not be.
-func TestSilentWorkerIsDown(t *testing.T) {
+func TestSilentWorkerIsUnreachable(t *testing.T) {
 	l := netfault.Silent(t)
 	p := NewPool(names)
-	if x := wantKind(t, p, order(l.Addr().String(), "a"), NotSent); !x.Unreachable {
+	if x := wantOutcome(t, p, newDispatch(l.Addr().String(), "a"), NotSent); !x.Unreachable {
 		t.Error("not down after the whole span", x.Err)
 	}
-	o := order(l.Addr().String(), "b")
-	o.Deadline = time.Now().Add(dialMost / 5)
-	if x := wantKind(t, p, o, NotSent); x.Unreachable {
+	o := newDispatch(l.Addr().String(), "b")
+	o.Deadline = time.Now().Add(dialTimeout / 5)
+	if x := wantOutcome(t, p, o, NotSent); x.Unreachable {
 		t.Error("down after a fifth of the span", x.Err)
 	}
 	if n := p.Stats.TimedOut.Load(); n != 2 {
@@ -136,16 +136,16 @@
 }
 
 // Once the head has come, silence is the caller's to judge: the rest comes when it comes.
-func TestSilenceBehindTheHead(t *testing.T) {
+func TestSilenceAfterTheHeader(t *testing.T) {
 	next := make(chan struct{})
-	addr := serve(t, func(w *wire) {
-		w.get()
-		w.say("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 2\n\na")
+	addr := serveScript(t, func(w *workerConn) {
+		w.readRequest()
+		w.send("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 2\n\na")
 		<-next
-		w.say("b")
-		w.ended()
+		w.send("b")
+		w.awaitClose()
 	})
-	x := NewPool(names).Do(waiting(t), order(addr, "a"))
+	x := NewPool(names).Do(waitingCaller(t), newDispatch(addr, "a"))
 	defer x.End()
 	if x.Outcome != Partial {
 		t.Fatal(x.Outcome, x.Err)
@@ -164,11 +164,11 @@
 // connection's next order.
 func TestCallerLeavesDuringTheAnswer(t *testing.T) {
 	p := NewPool(names)
-	addr, ended := closed(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", func() {})
-	caller, leave := cancellable(t)
-	x := p.Do(caller, order(addr, "a"))
+	addr, ended := serveOneRequest(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", func() {})
+	caller, leave := cancellableCaller(t)
+	x := p.Do(caller, newDispatch(addr, "a"))
 	var b [9]byte
-	if n, err := io.ReadFull(x.rest(), b[:3]); n != 3 || err != nil {
+	if n, err := io.ReadFull(x.bodyReader(), b[:3]); n != 3 || err != nil {
 		t.Fatal(n, err)
 	}
 	got := make(chan error)
@@ -177,7 +177,7 @@
 		got <- err
 	}()
 	leave()
-	if err := <-got; !errors.Is(err, errLeft) {
+	if err := <-got; !errors.Is(err, errCallerLeft) {
 		t.Fatal(err)
 	}
 	x.End()
@@ -185,20 +185,20 @@
 	wantCounts(t, p, 0, 1)
 
 	// What was cancelled behind a whole body isn't used again either; what ended before can't be cancelled any more.
-	addr = serve(t, echo)
+	addr = serveScript(t, echo)
 	p = NewPool(names)
-	caller, leave = cancellable(t)
-	x = p.Do(caller, order(addr, "a"))
-	_, _ = io.ReadAll(x.rest())
+	caller, leave = cancellableCaller(t)
+	x = p.Do(caller, newDispatch(addr, "a"))
+	_, _ = io.ReadAll(x.bodyReader())
 	leave()
 	x.End()
 	wantCounts(t, p, 0, 1)
-	caller, leave = cancellable(t)
-	x = p.Do(caller, order(addr, "b"))
-	_, _ = io.ReadAll(x.rest())
+	caller, leave = cancellableCaller(t)
+	x = p.Do(caller, newDispatch(addr, "b"))
+	_, _ = io.ReadAll(x.bodyReader())
 	x.End()
 	leave()
-	if y := want(t, p, order(addr, "c"), "c"); !y.Reused {
+	if y := wantAnswer(t, p, newDispatch(addr, "c"), "c"); !y.Reused {
 		t.Fatal("a connection of others was cancelled")
 	}
 }
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	dialMost = 500 * time.Millisecond
-	ackMost  = 3 * time.Second // what was sent is acknowledged within it, or the machine is dark
+	dialTimeout = 500 * time.Millisecond
+	ackTimeout  = 3 * time.Second // what was sent is acknowledged within it, or the machine is dark
 )
 
 // Stats counts what became of connections and requests.
@@ -27,45 +27,45 @@
 }
 
 // dial makes a connection. Go sets TCP_NODELAY itself.
-func (p *Pool) dial(ctx context.Context, o *Dispatch) (*conn, error) {
-	left := time.Until(o.Deadline)
+func (p *Pool) dial(ctx context.Context, dispatch *Dispatch) (*conn, error) {
+	left := time.Until(dispatch.Deadline)
 	if left <= 0 {
-		return nil, fmt.Errorf("upstream: no time left to dial %s", o.Addr)
+		return nil, fmt.Errorf("upstream: no time left to dial %s", dispatch.Addr)
 	}
-	nc, err := shield.DialContext(ctx, o.Addr, min(dialMost, left))
+	netConn, err := shield.DialContext(ctx, dispatch.Addr, min(dialTimeout, left))
 	if err != nil {
-		return nil, p.dialFailed(ctx, err, left)
+		return nil, p.dialError(ctx, err, left)
 	}
 	p.Stats.Connected.Add(1)
-	socket.GiveUpAfter(nc, ackMost)
+	socket.GiveUpAfter(netConn, ackTimeout)
 	now := time.Now()
-	return &conn{Conn: nc, at: now, until: now.Add(idleFor)}, nil
+	return &conn{Conn: netConn, lastReadAt: now, idleUntil: now.Add(defaultIdleTime)}, nil
 }
 
-// dialFailed counts a connection that was not made, and gives the reason. A worker is silent only if it had the whole span.
-func (p *Pool) dialFailed(ctx context.Context, err error, left time.Duration) error {
+// dialError counts a connection that was not made, and gives the reason. A worker is silent only if it had the whole span.
+func (p *Pool) dialError(ctx context.Context, err error, left time.Duration) error {
 	if reason := context.Cause(ctx); reason != nil {
 		p.Stats.Cancelled.Add(1)
 		return reason
 	}
-	if refused(err) {
+	if connectionRefused(err) {
 		p.Stats.Refused.Add(1)
 		return err
 	}
 	p.Stats.TimedOut.Add(1)
-	if left >= dialMost {
-		return fmt.Errorf("%w: %w", errSilent, err)
+	if left >= dialTimeout {
+		return fmt.Errorf("%w: %w", errConnectTimeout, err)
 	}
 	return err
 }
 
-// errSilent says that a worker answered no attempt to connect within the whole span for it.
-var errSilent = errors.New("upstream: no answer to an attempt to connect")
+// errConnectTimeout says that a worker answered no attempt to connect within the whole span for it.
+var errConnectTimeout = errors.New("upstream: no answer to an attempt to connect")
 
-// refused says whether an attempt to connect failed because nobody listens there.
-func refused(err error) bool {
+// connectionRefused says whether an attempt to connect failed because nobody listens there.
+func connectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
 // unreachable says whether an attempt to connect failed for a reason that lies with the worker.
-func unreachable(err error) bool { return refused(err) || errors.Is(err, errSilent) }
+func unreachable(err error) bool { return connectionRefused(err) || errors.Is(err, errConnectTimeout) }
--- a/internal/router/upstream/events.go
+++ b/internal/router/upstream/event_stream.go
@@ -17,20 +17,20 @@
 	HasEventWithoutID bool   // one of them bore data and no id: behind it nobody can go on exactly
 	Ended             bool   // the last of them says that it is the end, as some streams do
 
-	rest []byte // what is kept, behind what was given out last
-	out  int    // how much of rest was given out
-	line int    // where its first line begins that is not read yet
-	seen int    // up to where no end of that line is
-	err  error
-	ev   event
+	buffer    []byte // what is kept, behind what was given out last
+	delivered int    // how much of rest was given out
+	lineStart int    // where its first line begins that is not read yet
+	scanned   int    // up to where no end of that line is
+	err       error
+	current   event
 }
 
 // event is the event that is being read.
 type event struct {
-	id    []byte
-	named bool
-	data  bool
-	end   bool
+	id      []byte
+	hasID   bool
+	hasData bool
+	isEnd   bool
 }
 
 // Append appends b and gives the whole events that are now complete; they are valid until the next call and no longer
@@ -39,73 +39,73 @@
 	if e.err != nil {
 		return nil, e.err
 	}
-	kept := len(e.rest) - e.out
+	kept := len(e.buffer) - e.delivered
 	buf := b
 	if kept > 0 {
-		if e.out > 0 {
-			copy(e.rest, e.rest[e.out:])
+		if e.delivered > 0 {
+			copy(e.buffer, e.buffer[e.delivered:])
 		}
-		e.rest = append(e.rest[:kept], b...)
-		buf = e.rest
+		e.buffer = append(e.buffer[:kept], b...)
+		buf = e.buffer
 	}
-	e.out = 0
-	whole := 0
+	e.delivered = 0
+	completeEnd := 0
 	for e.err == nil {
-		i := bytes.IndexByte(buf[e.seen:], '\n')
+		i := bytes.IndexByte(buf[e.scanned:], '\n')
 		if i < 0 {
-			e.seen = len(buf)
-			if e.seen-whole > MaxEventBytes {
+			e.scanned = len(buf)
+			if e.scanned-completeEnd > MaxEventBytes {
 				e.err = fmt.Errorf("upstream: an event of more than %d bytes", MaxEventBytes)
 			}
 			break
 		}
-		l := bytes.TrimSuffix(buf[e.line:e.seen+i], []byte("\r"))
-		e.seen += i + 1
-		e.line = e.seen
-		if len(l) > 0 {
-			e.ev.field(l)
+		line := bytes.TrimSuffix(buf[e.lineStart:e.scanned+i], []byte("\r"))
+		e.scanned += i + 1
+		e.lineStart = e.scanned
+		if len(line) > 0 {
+			e.current.parseField(line)
 			continue
 		}
-		if e.err = e.close(e.seen - whole); e.err == nil {
-			whole = e.seen
+		if e.err = e.endEvent(e.scanned - completeEnd); e.err == nil {
+			completeEnd = e.scanned
 		}
 	}
 	if kept > 0 {
-		e.out = whole
+		e.delivered = completeEnd
 	} else {
-		e.rest = append(e.rest[:0], buf[whole:]...)
+		e.buffer = append(e.buffer[:0], buf[completeEnd:]...)
 	}
-	e.line -= whole
-	e.seen -= whole
-	return buf[:whole], e.err
+	e.lineStart -= completeEnd
+	e.scanned -= completeEnd
+	return buf[:completeEnd], e.err
 }
 
 // PendingBytes gives how many bytes are kept of an event that is not whole yet.
-func (e *EventStream) PendingBytes() int { return len(e.rest) - e.out }
+func (e *EventStream) PendingBytes() int { return len(e.buffer) - e.delivered }
 
-// field reads one line of an event.
-func (v *event) field(l []byte) {
+// parseField reads one line of an event.
+func (v *event) parseField(l []byte) {
 	name, value, _ := bytes.Cut(l, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "id":
-		v.id, v.named = append(v.id[:0], value...), true
+		v.id, v.hasID = append(v.id[:0], value...), true
 	case "data":
-		v.data = true
-		v.end = v.end || string(value) == "[DONE]"
+		v.hasData = true
+		v.isEnd = v.isEnd || string(value) == "[DONE]"
 	case "event":
-		v.end = v.end || string(value) == "end" || string(value) == "done"
+		v.isEnd = v.isEnd || string(value) == "end" || string(value) == "done"
 	}
 }
 
-// close ends the event of so many bytes.
-func (e *EventStream) close(size int) error {
-	v := e.ev
-	e.ev = event{id: v.id[:0]}
+// endEvent ends the event of so many bytes.
+func (e *EventStream) endEvent(size int) error {
+	v := e.current
+	e.current = event{id: v.id[:0]}
 	if size > MaxEventBytes {
 		return fmt.Errorf("upstream: an event of %d bytes", size)
 	}
-	if v.named {
+	if v.hasID {
 		id, err := strconv.ParseUint(string(v.id), 10, 64)
 		if err != nil {
 			return fmt.Errorf("upstream: an event's id %q is no number", v.id)
@@ -117,10 +117,10 @@
 		}
 		e.LastID = string(v.id)
 	}
-	if v.named || v.data {
+	if v.hasID || v.hasData {
 		e.Count++
-		e.Ended = v.end
-		e.HasEventWithoutID = e.HasEventWithoutID || v.data && !v.named
+		e.Ended = v.isEnd
+		e.HasEventWithoutID = e.HasEventWithoutID || v.hasData && !v.hasID
 	}
 	return nil
 }
--- a/internal/router/upstream/events_test.go
+++ b/internal/router/upstream/event_stream_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// split feeds a stream in pieces of the sizes given, in turn, and gives all that came out.
-func split(e *EventStream, s []byte, sizes []byte) (out []byte, err error) {
+// feedInChunks feeds a stream in pieces of the sizes given, in turn, and gives all that came out.
+func feedInChunks(e *EventStream, s []byte, sizes []byte) (out []byte, err error) {
 	for i := 0; len(s) > 0; i++ {
 		n := len(s)
 		if len(sizes) > 0 {
@@ -29,7 +29,7 @@
 	return out, nil
 }
 
-func TestEventsWhole(t *testing.T) {
+func TestEventStreamCompleteEvents(t *testing.T) {
 	for _, x := range []struct {
 		in, out, last string
 		n             int
@@ -53,7 +53,7 @@
 			if size > 0 {
 				sizes = []byte{byte(size)}
 			}
-			out, err := split(&e, []byte(x.in), sizes)
+			out, err := feedInChunks(&e, []byte(x.in), sizes)
 			if string(out) != x.out || (err != nil) != x.bad || e.LastID != x.last || e.Count != x.n {
 				t.Fatalf("%q in pieces of %d: %q, %v, last %s of %d", x.in, size, out, err, e.LastID, e.Count)
 			}
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestEventsGoOnBehindLast(t *testing.T) {
+func TestEventStreamResumesAfterLastID(t *testing.T) {
 	e := EventStream{LastID: "5"}
 	if _, err := e.Append([]byte("id: 5\ndata: a\n\n")); err == nil {
 		t.Fatal("a piece twice")
@@ -83,16 +83,16 @@
 	}
 }
 
-func TestEventsBound(t *testing.T) {
+func TestEventStreamLimitsEventSize(t *testing.T) {
 	line := "data: " + strings.Repeat("x", 1017) + "\n"
 	for _, size := range []int{1, 255} {
 		var e EventStream
-		out, err := split(&e, []byte(strings.Repeat(line, 1024)+"\n"), []byte{byte(size)})
+		out, err := feedInChunks(&e, []byte(strings.Repeat(line, 1024)+"\n"), []byte{byte(size)})
 		if err == nil || len(out) > 0 {
 			t.Fatal("an event over the bound is let by")
 		}
 		e = EventStream{}
-		if out, err = split(&e, []byte(strings.Repeat(line, 1023)+"\n"), []byte{byte(size)}); err != nil || len(out) == 0 {
+		if out, err = feedInChunks(&e, []byte(strings.Repeat(line, 1023)+"\n"), []byte{byte(size)}); err != nil || len(out) == 0 {
 			t.Fatal(err)
 		}
 	}
@@ -105,8 +105,8 @@
 	f.Add([]byte("id:1\n\r\nid: 3\n\nid: 2"), []byte{0, 5})
 	f.Fuzz(func(t *testing.T, s, sizes []byte) {
 		var a, b EventStream
-		x, errA := split(&a, s, nil)
-		y, errB := split(&b, s, sizes)
+		x, errA := feedInChunks(&a, s, nil)
+		y, errB := feedInChunks(&b, s, sizes)
 		state := func(e *EventStream, err error) string {
 			return fmt.Sprint(e.LastID, e.Count, e.HasEventWithoutID, e.Ended, err)
 		}
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	bufSize     = 4096
-	headMost    = 1 << 16
-	surplusMost = 3
-	interimMost = 8
-	smallMost   = 4096 // of a refusal's body
-	drainFor    = 50 * time.Millisecond
+	bufferSize        = 4096
+	maxHeaderBytes    = 1 << 16
+	maxSurplusAnswers = 3
+	maxInterimAnswers = 8
+	maxRefusalBytes   = 4096 // of a refusal's body
+	drainTimeout      = 50 * time.Millisecond
 )
 
 // Dispatch is one request to one worker.
@@ -40,65 +40,65 @@
 	Reused      bool
 	Response    *fasthttp.Response // the head; valid until End
 
-	p      *Pool
-	o      Dispatch
-	c      *conn
-	r      *bufio.Reader
-	body   body
-	length int
-	keep   bool // the worker allows that the connection is used again
-	early  bool // the worker closed before the whole request was written; an answer may lie there all the same
-	done   bool
+	pool        *Pool
+	dispatch    Dispatch
+	conn        *conn
+	reader      *bufio.Reader
+	body        body
+	length      int
+	keepAlive   bool // the worker allows that the connection is used again
+	closedEarly bool // the worker closed before the whole request was written; an answer may lie there all the same
+	ended       bool
 }
 
 // Do sends one request for a caller and awaits the head of its answer. End must follow. Once nobody waits any more nothing is
 // sent, and what is awaited ends with the caller's reason.
-func (p *Pool) Do(caller Caller, o *Dispatch) *Exchange {
-	x := &Exchange{p: p, o: *o, Response: fasthttp.AcquireResponse()}
-	defer func() { x.o.Request = nil }()
-	for again := false; ; again = true {
+func (p *Pool) Do(caller Caller, dispatch *Dispatch) *Exchange {
+	x := &Exchange{pool: p, dispatch: *dispatch, Response: fasthttp.AcquireResponse()}
+	defer func() { x.dispatch.Request = nil }()
+	for redial := false; ; redial = true {
 		var err error
-		if x.c, x.Reused, err = p.take(caller, o, again); err != nil {
+		if x.conn, x.Reused, err = p.acquire(caller, dispatch, redial); err != nil {
 			x.Unreachable = unreachable(err)
 			return x.fail(NotSent, err)
 		}
 		if err = caller.Check(); err != nil {
 			p.Stats.Abandoned.Add(1)
-			p.put(x.c, x.c.until)
-			x.c = nil
+			p.putBack(x.conn, x.conn.idleUntil)
+			x.conn = nil
 			return x.fail(NotSent, err)
 		}
-		x.c.begin(caller, o)
+		x.conn.startDispatch(caller, dispatch)
 		if err = x.send(); err == nil {
 			break
 		}
-		sent := x.c.sent > 0
-		if sent && refusedToRead(err) {
-			x.early = true
+		sent := x.conn.bytesSent > 0
+		if sent && closedByWorker(err) {
+			x.closedEarly = true
 			break
 		}
-		if retry := !sent && x.Reused && !again; !retry {
+		if retry := !sent && x.Reused && !redial; !retry {
 			if sent {
 				return x.fail(Unknown, err)
 			}
 			return x.fail(NotSent, err)
 		}
-		x.shut()
+		x.closeConn()
 	}
-	if x.early {
-		x.c.due = earlier(x.c.due, time.Now().Add(drainFor))
-		x.c.readUntil(x.c.due)
+	if x.closedEarly {
+		x.conn.deadline = earlier(x.conn.deadline, time.Now().Add(drainTimeout))
+		x.conn.limitReads(x.conn.deadline)
 	}
-	x.r = readers.Get().(*bufio.Reader)
-	x.r.Reset(x.c)
-	if err := x.await(p.n); err != nil {
-		if x.c.err != nil {
-			err = x.c.err // what fasthttp makes of it says less
+	x.reader = readerPool.Get().(*bufio.Reader)
+	x.reader.Reset(x.conn)
+	if err := x.awaitAnswer(p.names); err != nil {
+		if x.conn.readErr != nil {
+			err = x.conn.readErr // what fasthttp makes of it says less
 		}
 		return x.fail(Unknown, err)
 	}
 	if x.Outcome != Partial {
-		x.drain()
+		x.drainBody()
 	}
 	return x
 }
@@ -106,118 +106,118 @@
 // fail ends an exchange without an answer.
 func (x *Exchange) fail(k Outcome, err error) *Exchange {
 	x.Outcome, x.Err = k, err
-	x.shut()
+	x.closeConn()
 	return x
 }
 
-// shut closes the connection, if there is one, and gives the buffer back.
-func (x *Exchange) shut() {
-	if x.r != nil && x.r.Size() == bufSize {
-		x.r.Reset(nil)
-		readers.Put(x.r)
+// closeConn closes the connection, if there is one, and gives the buffer back.
+func (x *Exchange) closeConn() {
+	if x.reader != nil && x.reader.Size() == bufferSize {
+		x.reader.Reset(nil)
+		readerPool.Put(x.reader)
 	}
-	x.r = nil
-	if x.c != nil {
-		x.c.release()
-		x.p.drop(x.c)
-		x.c = nil
+	x.reader = nil
+	if x.conn != nil {
+		x.conn.releaseCaller()
+		x.pool.discard(x.conn)
+		x.conn = nil
 	}
 }
 
-// await reads heads until one is this request's.
-func (x *Exchange) await(n adapter.Names) error {
+// awaitAnswer reads heads until one is this request's.
+func (x *Exchange) awaitAnswer(names adapter.Names) error {
 	surplus, interim := 0, 0
 	for {
-		if err := x.head(); err != nil {
+		if err := x.readHeader(); err != nil {
 			return err
 		}
-		h := &x.Response.Header
-		s := h.StatusCode()
-		if s < 200 {
-			if interim++; interim > interimMost || s == fasthttp.StatusSwitchingProtocols {
-				return fmt.Errorf("upstream: an interim answer %d too many", s)
+		header := &x.Response.Header
+		status := header.StatusCode()
+		if status < 200 {
+			if interim++; interim > maxInterimAnswers || status == fasthttp.StatusSwitchingProtocols {
+				return fmt.Errorf("upstream: an interim answer %d too many", status)
 			}
 			continue
 		}
-		ids := h.PeekAll(n.Try)
+		ids := header.PeekAll(names.Try)
 		if len(ids) > 1 {
 			return fmt.Errorf("upstream: an answer of %d ids", len(ids))
 		}
-		x.body = body{left: h.ContentLength()}
-		if s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
-			x.body.left = 0
+		x.body = body{remaining: header.ContentLength()}
+		if status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
+			x.body.remaining = 0
 		}
-		if len(ids) == 1 && string(ids[0]) != x.o.ID {
-			if surplus++; surplus > surplusMost {
+		if len(ids) == 1 && string(ids[0]) != x.dispatch.ID {
+			if surplus++; surplus > maxSurplusAnswers {
 				return fmt.Errorf("upstream: %d surplus answers, the last for %q", surplus, ids[0])
 			}
-			if _, err := io.Copy(io.Discard, x.rest()); err != nil {
+			if _, err := io.Copy(io.Discard, x.bodyReader()); err != nil {
 				return err
 			}
-			if h.ConnectionClose() {
+			if header.ConnectionClose() {
 				return fmt.Errorf("upstream: closed behind an answer for %q", ids[0])
 			}
 			continue
 		}
-		return x.judge(n, s, len(ids) == 1)
+		return x.classify(names, status, len(ids) == 1)
 	}
 }
 
-// judge says what an answer means that is no other request's. A success without the id is never passed on.
-func (x *Exchange) judge(n adapter.Names, s int, named bool) error {
-	h := &x.Response.Header
-	head := x.o.Request.Header.IsHead()
-	if head {
-		x.body.left = 0
+// classify says what an answer means that is no other request's. A success without the id is never passed on.
+func (x *Exchange) classify(names adapter.Names, status int, hasID bool) error {
+	header := &x.Response.Header
+	isHead := x.dispatch.Request.Header.IsHead()
+	if isHead {
+		x.body.remaining = 0
 	}
-	x.length = x.body.left
-	x.keep = !h.ConnectionClose() && !head && !x.early // a surplus answer to HEAD could not be measured
+	x.length = x.body.remaining
+	x.keepAlive = !header.ConnectionClose() && !isHead && !x.closedEarly // a surplus answer to HEAD could not be measured
 	switch {
-	case !named && x.Reused: // it may be the surplus refusal of an earlier request
-		return fmt.Errorf("upstream: an answer %d without an id on a connection that others used", s)
-	case s == fasthttp.StatusMisdirectedRequest:
-		x.Outcome, x.keep = WorkerReplaced, false
+	case !hasID && x.Reused: // it may be the surplus refusal of an earlier request
+		return fmt.Errorf("upstream: an answer %d without an id on a connection that others used", status)
+	case status == fasthttp.StatusMisdirectedRequest:
+		x.Outcome, x.keepAlive = WorkerReplaced, false
 		x.Err = errors.New("upstream: another worker is there now")
-	case (s == 400 || s == 429 || s == 503) && len(h.Peek(n.NotRun)) > 0:
+	case (status == 400 || status == 429 || status == 503) && len(header.Peek(names.NotRun)) > 0:
 		x.Outcome = NotRun
-		x.Err = fmt.Errorf("upstream: worker refused with %d", s)
-	case !named:
-		return fmt.Errorf("upstream: an answer %d without an id", s)
-	case x.body.left < -1:
-		return fmt.Errorf("upstream: an answer %d whose end can't be known", s)
+		x.Err = fmt.Errorf("upstream: worker refused with %d", status)
+	case !hasID:
+		return fmt.Errorf("upstream: an answer %d without an id", status)
+	case x.body.remaining < -1:
+		return fmt.Errorf("upstream: an answer %d whose end can't be known", status)
 	}
 	return nil
 }
 
-// head reads one head; what can't become one is known at its first bytes.
-func (x *Exchange) head() error {
-	const mark = "HTTP/1."
-	for i := range len(mark) {
-		b, err := x.r.Peek(i + 1)
+// readHeader reads one head; what can't become one is known at its first bytes.
+func (x *Exchange) readHeader() error {
+	const protocol = "HTTP/1."
+	for i := range len(protocol) {
+		b, err := x.reader.Peek(i + 1)
 		if err != nil {
 			return err
 		}
-		if b[i] != mark[i] {
+		if b[i] != protocol[i] {
 			return fmt.Errorf("upstream: bytes that are no answer: %q", b)
 		}
 	}
-	var small *fasthttp.ErrSmallBuffer
-	err := x.Response.Header.Read(x.r)
-	if errors.As(err, &small) {
-		x.r = bufio.NewReaderSize(x.r, headMost)
-		err = x.Response.Header.Read(x.r)
+	var smallBuffer *fasthttp.ErrSmallBuffer
+	err := x.Response.Header.Read(x.reader)
+	if errors.As(err, &smallBuffer) {
+		x.reader = bufio.NewReaderSize(x.reader, maxHeaderBytes)
+		err = x.Response.Header.Read(x.reader)
 	}
 	return err
 }
 
-// drain takes a refusal's body, so that the connection can be used again; it waits for little.
-func (x *Exchange) drain() {
-	if x.length < -1 || x.length > smallMost {
+// drainBody takes a refusal's body, so that the connection can be used again; it waits for little.
+func (x *Exchange) drainBody() {
+	if x.length < -1 || x.length > maxRefusalBytes {
 		return
 	}
-	x.c.readUntil(earlier(x.c.due, time.Now().Add(drainFor)))
-	b, err := io.ReadAll(io.LimitReader(x.rest(), smallMost+1))
-	if err == nil && x.body.ended() {
+	x.conn.limitReads(earlier(x.conn.deadline, time.Now().Add(drainTimeout)))
+	b, err := io.ReadAll(io.LimitReader(x.bodyReader(), maxRefusalBytes+1))
+	if err == nil && x.body.complete() {
 		x.Response.SetBody(b)
 	}
 }
--- a/internal/router/upstream/exchange_test.go
+++ b/internal/router/upstream/exchange_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// once answers the first request of the first connection so, and the rest well. It closes that one only when told.
-func once(t *testing.T, answer string, shut bool) string {
-	return serve(t, func(w *wire) {
-		if w.n == 0 {
-			if _, ok := w.get(); ok {
-				w.say(answer)
+// answerFirst answers the first request of the first connection so, and the rest well. It closes that one only when told.
+func answerFirst(t *testing.T, answer string, shut bool) string {
+	return serveScript(t, func(w *workerConn) {
+		if w.index == 0 {
+			if _, ok := w.readRequest(); ok {
+				w.send(answer)
 			}
 			if shut {
 				return
@@ -26,23 +26,23 @@
 }
 
 // What a client sent goes on as it was.
-func TestExchangeChangesNothing(t *testing.T) {
+func TestExchangeForwardsRequestUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	const sent = "POST /a//b/../%2e%2F?x=%20y&&z HTTP/1.1\nHost: site.example\nContent-Length: 6\nX-One: 1\nAttempt-Id: a\n\nprompt"
-	addr := serve(t, func(w *wire) {
+	addr := serveScript(t, func(w *workerConn) {
 		b := make([]byte, len(strings.ReplaceAll(sent, "\n", "\r\n")))
 		_, _ = io.ReadFull(w.r, b)
 		got <- string(b)
-		w.say("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 0\n\n")
-		w.ended()
+		w.send("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 0\n\n")
+		w.awaitClose()
 	})
-	o := order(addr, "a")
+	o := newDispatch(addr, "a")
 	o.Request.Header.Del("Attempt-Id")
 	o.Request.Header.SetRequestURI("/a//b/../%2e%2F?x=%20y&&z")
 	o.Request.Header.Set("X-One", "1")
 	o.Request.Header.Set("Attempt-Id", "a")
 	_ = o.Request.URI() // as a look at the path would do
-	want(t, NewPool(names), o, "")
+	wantAnswer(t, NewPool(names), o, "")
 	if s := <-got; s != strings.ReplaceAll(sent, "\n", "\r\n") {
 		t.Fatalf("%q", s)
 	}
@@ -50,12 +50,12 @@
 
 func TestExchangeLargeBodyAndHead(t *testing.T) {
 	big := strings.Repeat("x", 1<<20)
-	addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nX-Long: "+strings.Repeat("y", 20000)+"\nContent-Length: 1048576\n\n"+big, false)
-	o := order(addr, "a")
+	addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nX-Long: "+strings.Repeat("y", 20000)+"\nContent-Length: 1048576\n\n"+big, false)
+	o := newDispatch(addr, "a")
 	o.Request.SetBodyString(big)
 	p := NewPool(names)
-	want(t, p, o, big)
-	want(t, p, order(addr, "b"), "b")
+	wantAnswer(t, p, o, big)
+	wantAnswer(t, p, newDispatch(addr, "b"), "b")
 }
 
 func TestExchangeAnswers(t *testing.T) {
@@ -103,13 +103,13 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			p := NewPool(names)
-			addr := once(t, x.answer, false)
-			b, y, err := all(t, p, order(addr, "a"))
+			addr := answerFirst(t, x.answer, false)
+			b, y, err := doAndRead(t, p, newDispatch(addr, "a"))
 			if y.Outcome != x.kind || b != x.body || (err != nil) != (x.broken || x.kind != Partial) {
 				t.Fatalf("kind %d, body %q, error %v", y.Outcome, b, err)
 			}
 			wantCounts(t, p, x.idle, 1)
-			if y := want(t, p, order(addr, "b"), "b"); y.Reused != (x.idle == 1) {
+			if y := wantAnswer(t, p, newDispatch(addr, "b"), "b"); y.Reused != (x.idle == 1) {
 				t.Fatalf("reused %v", y.Reused)
 			}
 		})
@@ -117,7 +117,7 @@
 }
 
 // An answer that is cut off anywhere never ends as a whole one.
-func TestExchangeCutAnywhere(t *testing.T) {
+func TestExchangeTruncatedAnywhere(t *testing.T) {
 	for _, x := range []string{
 		"HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 3\n\nabc",
 		"HTTP/1.1 200 OK\nAttempt-Id: a\nTransfer-Encoding: chunked\n\n2\nab\n1\nc\n0\nX: y\n\n",
@@ -125,10 +125,10 @@
 	} {
 		x = strings.ReplaceAll(x, "\n", "\r\n")
 		for i := range len(x) {
-			y := given(x[:i], "a")
-			err := y.await(names)
+			y := exchangeWithAnswer(x[:i], "a")
+			err := y.awaitAnswer(names)
 			if err == nil {
-				_, err = io.ReadAll(y.rest())
+				_, err = io.ReadAll(y.bodyReader())
 			}
 			if err == nil {
 				t.Fatalf("cut at %d, it ends as whole: %q", i, x[:i])
@@ -137,13 +137,13 @@
 	}
 }
 
-func TestExchangeCutInTheBody(t *testing.T) {
+func TestExchangeTruncatedInTheBody(t *testing.T) {
 	for _, s := range []string{
 		"Content-Length: 9\n\nabc", "Transfer-Encoding: chunked\n\n9\nabc", "Transfer-Encoding: chunked\n\n3\nabc\n", "Transfer-Encoding: chunked\n\n3\nabc\n0\n",
 	} {
 		p := NewPool(names)
-		addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\n"+s, true)
-		b, x, err := all(t, p, order(addr, "a"))
+		addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\n"+s, true)
+		b, x, err := doAndRead(t, p, newDispatch(addr, "a"))
 		if x.Outcome != Partial || b != "abc" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
 			t.Fatalf("%q: kind %d, body %q, error %v", s, x.Outcome, b, err)
 		}
@@ -153,22 +153,22 @@
 
 func TestExchangeUnknownAfterSilence(t *testing.T) {
 	p := NewPool(names)
-	addr := once(t, "", true)
-	if x := wantKind(t, p, order(addr, "a"), Unknown); x.Unreachable {
+	addr := answerFirst(t, "", true)
+	if x := wantOutcome(t, p, newDispatch(addr, "a"), Unknown); x.Unreachable {
 		t.Fatal("down though it took the request")
 	}
-	o := order(serve(t, (*wire).ended), "b")
+	o := newDispatch(serveScript(t, (*workerConn).awaitClose), "b")
 	o.Worker, o.Deadline = "v", time.Now().Add(20*time.Millisecond)
-	if x := wantKind(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) {
+	if x := wantOutcome(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) {
 		t.Fatal(x.Err)
 	}
 }
 
-func TestExchangeReadEndsAtDue(t *testing.T) {
-	addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", false)
-	o := order(addr, "a")
+func TestExchangeReadEndsAtDeadline(t *testing.T) {
+	addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", false)
+	o := newDispatch(addr, "a")
 	o.Deadline = time.Now().Add(200 * time.Millisecond)
-	b, _, err := all(t, NewPool(names), o)
+	b, _, err := doAndRead(t, NewPool(names), o)
 	if b != "abc" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(b, err)
 	}
@@ -176,11 +176,11 @@
 
 func TestExchangeHead(t *testing.T) {
 	p := NewPool(names)
-	addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\n", false)
-	o := order(addr, "a")
+	addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\n", false)
+	o := newDispatch(addr, "a")
 	o.Request.ResetBody()
 	o.Request.Header.SetMethod("HEAD")
-	if x := want(t, p, o, ""); x.Length() != 0 {
+	if x := wantAnswer(t, p, o, ""); x.Length() != 0 {
 		t.Fatal(x.Length())
 	}
 	wantCounts(t, p, 0, 1)
@@ -188,8 +188,8 @@
 
 func TestExchangeRefusalKeepsItsBody(t *testing.T) {
 	p := NewPool(names)
-	addr := once(t, "HTTP/1.1 503 Full\nNot-Run: 1\nRetry-After: 0.3\nContent-Length: 2\n\nno", false)
-	x := p.Do(waiting(t), order(addr, "a"))
+	addr := answerFirst(t, "HTTP/1.1 503 Full\nNot-Run: 1\nRetry-After: 0.3\nContent-Length: 2\n\nno", false)
+	x := p.Do(waitingCaller(t), newDispatch(addr, "a"))
 	if x.Outcome != NotRun || string(x.Response.Body()) != "no" || string(x.Response.Header.Peek("Retry-After")) != "0.3" {
 		t.Fatal(x.Outcome, x.Err, x.Response)
 	}
@@ -200,8 +200,8 @@
 	wantCounts(t, p, 1, 1)
 	// One whose body doesn't come is believed all the same; only its connection is lost.
 	p = NewPool(names)
-	addr, ended := closed(t, "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 2\n\nn", func() {})
-	x = p.Do(waiting(t), order(addr, "a"))
+	addr, ended := serveOneRequest(t, "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 2\n\nn", func() {})
+	x = p.Do(waitingCaller(t), newDispatch(addr, "a"))
 	if x.Outcome != NotRun || bytes.Contains(x.Response.Body(), []byte("n")) {
 		t.Fatal(x.Outcome, x.Err)
 	}
--- a/internal/router/upstream/habit.go
+++ b/internal/router/upstream/first_token_times.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	habitMost  = 256
-	habitLeast = 32
-	habitFloor = 300 * time.Millisecond
+	maxSamples      = 256
+	minSamples      = 32
+	minOverdueAfter = 300 * time.Millisecond
 )
 
 // FirstTokenTimes remembers the last times to first words, from the hand-over on (design 8).
 type FirstTokenTimes struct {
-	mu   sync.Mutex
-	ring []time.Duration
-	next int
+	mu      sync.Mutex
+	samples []time.Duration
+	next    int
 }
 
 // Add takes one.
 func (h *FirstTokenTimes) Add(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.ring) < habitMost {
-		h.ring = append(h.ring, d)
+	if len(h.samples) < maxSamples {
+		h.samples = append(h.samples, d)
 		return
 	}
-	h.ring[h.next] = d
-	h.next = (h.next + 1) % habitMost
+	h.samples[h.next] = d
+	h.next = (h.next + 1) % maxSamples
 }
 
 // Quantile gives the time that a share of them kept, and how many there are.
 func (h *FirstTokenTimes) Quantile(q float64) (time.Duration, int) {
 	h.mu.Lock()
-	l := slices.Clone(h.ring)
+	l := slices.Clone(h.samples)
 	h.mu.Unlock()
 	if len(l) == 0 {
 		return 0, 0
@@ -47,5 +47,5 @@
 // few measured there is no habit.
 func (h *FirstTokenTimes) OverdueAfter() (time.Duration, bool) {
 	d, n := h.Quantile(0.99)
-	return max(2*d, habitFloor), n >= habitLeast
+	return max(2*d, minOverdueAfter), n >= minSamples
 }
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -14,8 +14,8 @@
 const SendOnceMaxIdle = 300 * time.Millisecond
 
 const (
-	idleFor   = 4 * time.Second // without a Keep-Alive in the answer
-	idleLeast = 500 * time.Millisecond
+	defaultIdleTime = 4 * time.Second // without a Keep-Alive in the answer
+	minIdleTime     = 500 * time.Millisecond
 )
 
 // ErrNoConn says that this node has as many connections to the worker as it may.
@@ -24,28 +24,28 @@
 // Pool holds idle connections to workers, each belonging to one worker id: another worker may come to listen at the
 // same address (design 8 and 11). Idle ones hold no buffers.
 type Pool struct {
-	Stats Stats
-	n     adapter.Names
-	mu    sync.Mutex
-	hosts map[string]*host
+	Stats   Stats
+	names   adapter.Names
+	mu      sync.Mutex
+	workers map[string]*workerConns
 }
 
-// host is one worker: idle connections, the newest last, and how many are open in all.
-type host struct {
-	addr string
-	open int
-	era  int // a connection of an older one is closed when it comes back
-	idle []*conn
+// workerConns is one worker: idle connections, the newest last, and how many are open in all.
+type workerConns struct {
+	addr       string
+	openCount  int
+	generation int // a connection of an older one is closed when it comes back
+	idle       []*conn
 }
 
 // NewPool makes an empty one.
-func NewPool(n adapter.Names) *Pool { return &Pool{n: n, hosts: map[string]*host{}} }
+func NewPool(n adapter.Names) *Pool { return &Pool{names: n, workers: map[string]*workerConns{}} }
 
 // Idle gives how many connections to a worker wait for use.
 func (p *Pool) Idle(worker string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[worker]; h != nil {
+	if h := p.workers[worker]; h != nil {
 		return len(h.idle)
 	}
 	return 0
@@ -58,9 +58,9 @@
 func (p *Pool) CloseIdle(worker string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[worker]; h != nil {
-		h.empty()
-		p.tidy(worker, h)
+	if h := p.workers[worker]; h != nil {
+		h.closeIdle()
+		p.removeUnused(worker, h)
 	}
 }
 
@@ -69,121 +69,121 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for worker, h := range p.hosts {
+	for worker, h := range p.workers {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				h.close(c)
+				h.closeConn(c)
 			}
 		}
 		clear(h.idle[len(kept):])
 		h.idle = kept
-		p.tidy(worker, h)
+		p.removeUnused(worker, h)
 	}
 }
 
-func (p *Pool) tidy(worker string, h *host) {
-	if h.open == 0 {
-		delete(p.hosts, worker)
+func (p *Pool) removeUnused(worker string, h *workerConns) {
+	if h.openCount == 0 {
+		delete(p.workers, worker)
 	}
 }
 
-func (h *host) close(c *conn) {
+func (h *workerConns) closeConn(c *conn) {
 	c.Close()
-	h.open--
+	h.openCount--
 }
 
-func (h *host) empty() {
+func (h *workerConns) closeIdle() {
 	for _, c := range h.idle {
-		h.close(c)
+		h.closeConn(c)
 	}
 	h.idle = nil
-	h.era++
+	h.generation++
 }
 
-// pop takes the newest idle connection, if it may be used. Callers hold the lock.
-func (h *host) pop(o *Dispatch, now time.Time) *conn {
+// takeIdle takes the newest idle connection, if it may be used. Callers hold the lock.
+func (h *workerConns) takeIdle(dispatch *Dispatch, now time.Time) *conn {
 	for len(h.idle) > 0 {
 		i := len(h.idle) - 1
 		c := h.idle[i]
-		if o.SendOnce && now.Sub(c.at) > SendOnceMaxIdle {
+		if dispatch.SendOnce && now.Sub(c.lastReadAt) > SendOnceMaxIdle {
 			return nil
 		}
 		h.idle[i], h.idle = nil, h.idle[:i]
-		if now.Before(c.until) && !c.ids.has(o.ID) { // a surplus answer would bear the same id
+		if now.Before(c.idleUntil) && !c.recentIDs.has(dispatch.ID) { // a surplus answer would bear the same id
 			return c
 		}
-		h.close(c)
+		h.closeConn(c)
 	}
 	return nil
 }
 
-// take gives a connection to the order's worker: an idle one that is well or, with fresh, a new one.
-func (p *Pool) take(ctx context.Context, o *Dispatch, fresh bool) (c *conn, reused bool, err error) {
+// acquire gives a connection to the order's worker: an idle one that is well or, with fresh, a new one.
+func (p *Pool) acquire(ctx context.Context, dispatch *Dispatch, forceNew bool) (c *conn, reused bool, err error) {
 	now := time.Now()
 	for {
 		p.mu.Lock()
-		h := p.hosts[o.Worker]
+		h := p.workers[dispatch.Worker]
 		if h == nil {
-			h = &host{addr: o.Addr}
-			p.hosts[o.Worker] = h
+			h = &workerConns{addr: dispatch.Addr}
+			p.workers[dispatch.Worker] = h
 		}
-		if h.addr != o.Addr {
-			h.empty()
-			h.addr = o.Addr
+		if h.addr != dispatch.Addr {
+			h.closeIdle()
+			h.addr = dispatch.Addr
 		}
-		if !fresh {
-			if c = h.pop(o, now); c != nil {
+		if !forceNew {
+			if c = h.takeIdle(dispatch, now); c != nil {
 				p.mu.Unlock()
 				if socket.Peek(c.Conn) == socket.Quiet {
 					return c, true, nil
 				}
-				p.drop(c)
+				p.discard(c)
 				continue
 			}
 		}
-		if o.MaxConns > 0 && h.open >= o.MaxConns {
+		if dispatch.MaxConns > 0 && h.openCount >= dispatch.MaxConns {
 			if len(h.idle) == 0 {
 				p.mu.Unlock()
 				return nil, false, ErrNoConn
 			}
-			h.close(h.idle[0])
+			h.closeConn(h.idle[0])
 			h.idle = append(h.idle[:0], h.idle[1:]...)
 		}
-		h.open++
-		era := h.era
+		h.openCount++
+		generation := h.generation
 		p.mu.Unlock()
-		if c, err = p.dial(ctx, o); err != nil {
+		if c, err = p.dial(ctx, dispatch); err != nil {
 			p.mu.Lock()
-			h.open--
-			p.tidy(o.Worker, h)
+			h.openCount--
+			p.removeUnused(dispatch.Worker, h)
 			p.mu.Unlock()
 			return nil, false, err
 		}
-		c.host, c.worker, c.era = h, o.Worker, era
+		c.pooled, c.worker, c.generation = h, dispatch.Worker, generation
 		return c, false, nil
 	}
 }
 
-// put takes a connection back that may be used again until a time.
-func (p *Pool) put(c *conn, until time.Time) {
+// putBack takes a connection back that may be used again until a time.
+func (p *Pool) putBack(c *conn, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := c.host; c.era == h.era && time.Now().Before(until) {
-		c.until = until
+	if h := c.pooled; c.generation == h.generation && time.Now().Before(until) {
+		c.idleUntil = until
 		h.idle = append(h.idle, c)
 		return
 	}
-	c.host.close(c)
-	p.tidy(c.worker, c.host)
+	c.pooled.closeConn(c)
+	p.removeUnused(c.worker, c.pooled)
 }
 
-// drop closes a connection that is not to be used again.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection that is not to be used again.
+func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.host.close(c)
-	p.tidy(c.worker, c.host)
+	c.pooled.closeConn(c)
+	p.removeUnused(c.worker, c.pooled)
 }
--- a/internal/router/upstream/budget.go
+++ b/internal/router/upstream/retry_budget.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	budgetSpan = 10 * time.Second
-	budgetSlot = 100 * time.Millisecond
-	slots      = int(budgetSpan / budgetSlot)
+	budgetWindow = 10 * time.Second
+	bucketLength = 100 * time.Millisecond
+	bucketCount  = int(budgetWindow / bucketLength)
 )
 
-type slot struct {
-	at           int64
-	first, again int
+type bucket struct {
+	index                  int64
+	firstAttempts, retries int
 }
 
 // RetryBudget holds a service's further tries to a share of this node's own first tries over ten seconds, a fifth unless said
 // otherwise (design 8, 11).
 type RetryBudget struct {
 	mu    sync.Mutex
-	ring  [slots]slot
+	ring  [bucketCount]bucket
 	Ratio float64
 }
 
-func (b *RetryBudget) slot(now units.Time) *slot {
-	at := int64(now) / int64(budgetSlot)
-	s := &b.ring[at%int64(slots)]
-	if s.at != at {
-		*s = slot{at: at}
+func (b *RetryBudget) currentBucket(now units.Time) *bucket {
+	at := int64(now) / int64(bucketLength)
+	s := &b.ring[at%int64(bucketCount)]
+	if s.index != at {
+		*s = bucket{index: at}
 	}
 	return s
 }
@@ -38,7 +38,7 @@
 // RecordFirstAttempt counts a first try.
 func (b *RetryBudget) RecordFirstAttempt(now units.Time) {
 	b.mu.Lock()
-	b.slot(now).first++
+	b.currentBucket(now).firstAttempts++
 	b.mu.Unlock()
 }
 
@@ -46,21 +46,21 @@
 func (b *RetryBudget) AllowRetry(now units.Time, slack int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.slot(now)
-	first, again := 0, 0
+	s := b.currentBucket(now)
+	firstAttempts, retries := 0, 0
 	for i := range b.ring {
-		if x := &b.ring[i]; x.at > s.at-int64(slots) {
-			first += x.first
-			again += x.again
+		if x := &b.ring[i]; x.index > s.index-int64(bucketCount) {
+			firstAttempts += x.firstAttempts
+			retries += x.retries
 		}
 	}
 	ratio := b.Ratio
 	if ratio <= 0 {
 		ratio = 0.2
 	}
-	if float64(again+1) > ratio*float64(first)+float64(slack) {
+	if float64(retries+1) > ratio*float64(firstAttempts)+float64(slack) {
 		return false
 	}
-	s.again++
+	s.retries++
 	return true
 }
--- a/internal/router/upstream/send.go
+++ b/internal/router/upstream/send.go
@@ -10,19 +10,19 @@
 )
 
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufSize) }}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufSize) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
 // send writes header and body by themselves: Request.Write would make path and host anew from a parsed URI.
 func (x *Exchange) send() error {
-	h, b := &x.o.Request.Header, x.o.Request.Body()
+	h, b := &x.dispatch.Request.Header, x.dispatch.Request.Body()
 	h.SetNoDefaultContentType(true)
 	if len(b) > 0 || !h.IsGet() && !h.IsHead() || h.ContentLength() > 0 || len(h.Peek(fasthttp.HeaderTransferEncoding)) > 0 {
 		h.SetContentLength(len(b))
 	}
-	w := writers.Get().(*bufio.Writer)
-	w.Reset(x.c)
+	w := writerPool.Get().(*bufio.Writer)
+	w.Reset(x.conn)
 	err := h.Write(w)
 	if err == nil {
 		_, err = w.Write(b)
@@ -31,11 +31,11 @@
 		err = w.Flush()
 	}
 	w.Reset(nil)
-	writers.Put(w)
+	writerPool.Put(w)
 	return err
 }
 
-// refusedToRead says whether a write failed because the worker closed or reset the connection.
-func refusedToRead(err error) bool {
+// closedByWorker says whether a write failed because the worker closed or reset the connection.
+func closedByWorker(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/router/upstream/seal.go
+++ b/internal/router/upstream/stream_verifier.go
@@ -19,51 +19,53 @@
 
 // StreamVerifier checks a worker's stream line by line.
 type StreamVerifier struct {
-	id     string
-	next   int
-	bytes  int
-	sum    hash.Hash
-	sealed bool
-	p      fastjson.Parser
+	id        string
+	nextPiece int
+	textBytes int
+	digest    hash.Hash
+	sealed    bool
+	parser    fastjson.Parser
 }
 
 // NewStreamVerifier begins the check of the answer to request id.
-func NewStreamVerifier(id string) *StreamVerifier { return &StreamVerifier{id: id, sum: sha256.New()} }
+func NewStreamVerifier(id string) *StreamVerifier {
+	return &StreamVerifier{id: id, digest: sha256.New()}
+}
 
 // VerifyLine takes one line of the stream. It says whether the line was the seal; an error means the answer is not whole.
 func (s *StreamVerifier) VerifyLine(b []byte) (bool, error) {
 	if s.sealed {
 		return false, errors.New("upstream: a line after the seal")
 	}
-	v, err := s.p.ParseBytes(b)
+	v, err := s.parser.ParseBytes(b)
 	if err != nil {
 		return false, fmt.Errorf("upstream: a line that is no JSON: %w", err)
 	}
 	if x := v.Get("seal"); x != nil {
-		return true, s.check(x)
+		return true, s.verifySeal(x)
 	}
-	n, err := intOf(v, "n")
+	n, err := intField(v, "n")
 	if err != nil {
 		return false, err
 	}
-	if n != s.next {
-		return false, fmt.Errorf("upstream: piece %d where %d is due", n, s.next)
+	if n != s.nextPiece {
+		return false, fmt.Errorf("upstream: piece %d where %d is due", n, s.nextPiece)
 	}
 	t := v.Get("text")
 	if t == nil || t.Type() != fastjson.TypeString {
 		return false, fmt.Errorf("upstream: piece %d has no text", n)
 	}
 	text := t.GetStringBytes()
-	s.next++
-	s.bytes += len(text)
-	if s.bytes > MaxAnswerBytes {
+	s.nextPiece++
+	s.textBytes += len(text)
+	if s.textBytes > MaxAnswerBytes {
 		return false, fmt.Errorf("upstream: an answer of more than %d bytes", MaxAnswerBytes)
 	}
-	s.sum.Write(text)
+	s.digest.Write(text)
 	return false, nil
 }
 
-func intOf(v *fastjson.Value, name string) (int, error) {
+func intField(v *fastjson.Value, name string) (int, error) {
 	x := v.Get(name)
 	if x == nil {
 		return 0, fmt.Errorf("upstream: %s is missing", name)
@@ -75,22 +77,22 @@
 	return n, nil
 }
 
-func (s *StreamVerifier) check(x *fastjson.Value) error {
+func (s *StreamVerifier) verifySeal(x *fastjson.Value) error {
 	if id := string(x.GetStringBytes("id")); id != s.id {
 		return fmt.Errorf("upstream: sealed for request %q", id)
 	}
-	n, err := intOf(x, "pieces")
+	n, err := intField(x, "pieces")
 	if err != nil {
 		return err
 	}
-	l, err := intOf(x, "bytes")
+	l, err := intField(x, "bytes")
 	if err != nil {
 		return err
 	}
-	if n != s.next || l != s.bytes {
-		return fmt.Errorf("upstream: sealed %d pieces of %d bytes, came %d of %d", n, l, s.next, s.bytes)
+	if n != s.nextPiece || l != s.textBytes {
+		return fmt.Errorf("upstream: sealed %d pieces of %d bytes, came %d of %d", n, l, s.nextPiece, s.textBytes)
 	}
-	if d := string(x.GetStringBytes("digest")); d != hex.EncodeToString(s.sum.Sum(nil)) {
+	if d := string(x.GetStringBytes("digest")); d != hex.EncodeToString(s.digest.Sum(nil)) {
 		return errors.New("upstream: the digest does not fit")
 	}
 	s.sealed = true
--- a/internal/router/upstream/seal_test.go
+++ b/internal/router/upstream/stream_verifier_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func lines(id string, texts ...string) []string {
+func sealedLines(id string, texts ...string) []string {
 	h, n := sha256.New(), 0
 	var l []string
 	for i, t := range texts {
@@ -18,8 +18,8 @@
 	return append(l, fmt.Sprintf(`{"seal":{"id":%q,"pieces":%d,"bytes":%d,"digest":%q}}`, id, len(texts), n, hex.EncodeToString(h.Sum(nil))))
 }
 
-// whole feeds lines to a seal and says whether the answer counts as whole.
-func whole(id string, l []string) bool {
+// verifies feeds lines to a seal and says whether the answer counts as whole.
+func verifies(id string, l []string) bool {
 	s := NewStreamVerifier(id)
 	for _, x := range l {
 		if _, err := s.VerifyLine([]byte(x)); err != nil {
@@ -30,12 +30,12 @@
 }
 
 // Every way of damaging a sealed answer of three pieces must be seen; the undamaged one must pass (design 8).
-func TestSealSeesEveryDamage(t *testing.T) {
-	good := lines("r1", "a", "bb", "ccc")
-	if !whole("r1", good) {
+func TestVerifierDetectsEveryDamage(t *testing.T) {
+	good := sealedLines("r1", "a", "bb", "ccc")
+	if !verifies("r1", good) {
 		t.Fatal("a good answer is not taken")
 	}
-	if whole("r2", good) {
+	if verifies("r2", good) {
 		t.Error("another request's answer is taken")
 	}
 	var bad [][]string
@@ -50,19 +50,19 @@
 			}
 		}
 	}
-	other := lines("r1", "a", "xx", "ccc")
+	other := sealedLines("r1", "a", "xx", "ccc")
 	bad = append(bad, []string{good[0], other[1], good[2], good[3]}) // spliced from two runs
 	bad = append(bad, append(append([]string(nil), good...), `{"n":3,"text":"d"}`))
 	bad = append(bad, []string{good[0], "no json", good[2], good[3]}, nil)
 	for i, x := range bad {
-		if whole("r1", x) {
+		if verifies("r1", x) {
 			t.Errorf("damage %d is taken as whole: %v", i, x)
 		}
 	}
 }
 
 // A piece out of its turn is refused as it comes, not only by the seal: it must never reach the caller.
-func TestSealStopsAtThePiece(t *testing.T) {
+func TestVerifierRejectsPieceOutOfOrder(t *testing.T) {
 	for _, x := range []string{`{"n":0,"text":"a"}`, `{"n":2,"text":"c"}`, `{"n":-1,"text":"c"}`, `{"n":1}`, `{"text":"b"}`, `{"n":1,"text":7}`} {
 		s := NewStreamVerifier("r1")
 		if _, err := s.VerifyLine([]byte(`{"n":0,"text":"a"}`)); err != nil {
--- a/internal/router/upstream/owed_test.go
+++ b/internal/router/upstream/surplus_answer_test.go
@@ -21,26 +21,26 @@
 	const kept = 16 // others behind which a surplus answer may still come
 	for others := range kept {
 		p := NewPool(names)
-		addr := serve(t, func(w *wire) {
-			if w.n > 0 {
+		addr := serveScript(t, func(w *workerConn) {
+			if w.index > 0 {
 				echo(w)
 				return
 			}
-			w.get()
-			w.say("HTTP/1.1 503 Full\nAttempt-Id: a\nNot-Run: 1\nContent-Length: 0\n\n")
+			w.readRequest()
+			w.send("HTTP/1.1 503 Full\nAttempt-Id: a\nNot-Run: 1\nContent-Length: 0\n\n")
 			for range others {
-				id, _ := w.get()
-				w.say("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: 0\n\n")
+				id, _ := w.readRequest()
+				w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: 0\n\n")
 			}
-			if _, ok := w.get(); ok { // the same id came once more: its old refusal is due first
-				w.say("HTTP/1.1 503 Full\nAttempt-Id: a\nNot-Run: 1\nContent-Length: 0\n\n")
+			if _, ok := w.readRequest(); ok { // the same id came once more: its old refusal is due first
+				w.send("HTTP/1.1 503 Full\nAttempt-Id: a\nNot-Run: 1\nContent-Length: 0\n\n")
 			}
 		})
-		wantKind(t, p, order(addr, "a"), NotRun)
+		wantOutcome(t, p, newDispatch(addr, "a"), NotRun)
 		for i := range others {
-			want(t, p, order(addr, fmt.Sprint("other", i)), "")
+			wantAnswer(t, p, newDispatch(addr, fmt.Sprint("other", i)), "")
 		}
-		if x := want(t, p, order(addr, "a"), "a"); x.Reused {
+		if x := wantAnswer(t, p, newDispatch(addr, "a"), "a"); x.Reused {
 			t.Fatalf("behind %d others, the id goes over its old connection", others)
 		}
 	}
@@ -48,24 +48,24 @@
 
 // A refusal without an id is believed where nobody else asked before; on a connection that others used it may be a
 // surplus one of theirs, and proves nothing.
-func TestUnnamedRefusalOnAUsedConnection(t *testing.T) {
+func TestRefusalWithoutIDOnAUsedConnection(t *testing.T) {
 	for _, status := range []int{400, 421, 429, 503} {
 		refusal := fmt.Sprintf("HTTP/1.1 %d No\nNot-Run: 1\nContent-Length: 0\n\n", status)
-		addr := serve(t, func(w *wire) {
-			if w.n == 0 {
-				w.get()
-				w.say("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 0\n\n")
+		addr := serveScript(t, func(w *workerConn) {
+			if w.index == 0 {
+				w.readRequest()
+				w.send("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 0\n\n")
 			}
-			w.get()
-			w.say(refusal)
-			w.ended()
+			w.readRequest()
+			w.send(refusal)
+			w.awaitClose()
 		})
 		p := NewPool(names)
-		want(t, p, order(addr, "a"), "")
-		if x := wantKind(t, p, order(addr, "b"), Unknown); !x.Reused {
+		wantAnswer(t, p, newDispatch(addr, "a"), "")
+		if x := wantOutcome(t, p, newDispatch(addr, "b"), Unknown); !x.Reused {
 			t.Fatal("not on the used connection")
 		}
-		if x := p.Do(waiting(t), order(addr, "c")); x.Outcome != NotRun && x.Outcome != WorkerReplaced || x.Reused {
+		if x := p.Do(waitingCaller(t), newDispatch(addr, "c")); x.Outcome != NotRun && x.Outcome != WorkerReplaced || x.Reused {
 			t.Fatalf("%d on a new connection: kind %d", status, x.Outcome)
 		} else {
 			x.End()
@@ -73,31 +73,31 @@
 	}
 }
 
-// cutting lets some bytes through and then fails as a connection that the worker closed.
-type cutting struct {
+// truncatingConn lets some bytes through and then fails as a connection that the worker closed.
+type truncatingConn struct {
 	*net.TCPConn
-	left  int
-	cut   syscall.Errno
-	ready chan struct{} // closed once the worker has closed
+	writable     int
+	errno        syscall.Errno
+	workerClosed chan struct{} // closed once the worker has closed
 }
 
-func (c *cutting) Write(b []byte) (int, error) {
-	n, _ := c.TCPConn.Write(b[:min(c.left, len(b))])
-	if c.left -= n; n == len(b) {
+func (c *truncatingConn) Write(b []byte) (int, error) {
+	n, _ := c.TCPConn.Write(b[:min(c.writable, len(b))])
+	if c.writable -= n; n == len(b) {
 		return n, nil
 	}
-	<-c.ready
-	return n, os.NewSyscallError("write", c.cut)
+	<-c.workerClosed
+	return n, os.NewSyscallError("write", c.errno)
 }
 
-// frozen stands still before each read.
-type frozen struct {
+// pausedConn stands still before each read.
+type pausedConn struct {
 	*net.TCPConn
-	thaw func()
+	awaitResume func()
 }
 
-func (f *frozen) Read(b []byte) (int, error) {
-	f.thaw()
+func (f *pausedConn) Read(b []byte) (int, error) {
+	f.awaitResume()
 	return f.TCPConn.Read(b)
 }
 
@@ -115,22 +115,22 @@
 			{"", Unknown},
 		} {
 			full := make(chan struct{})
-			addr := serve(t, func(w *wire) {
-				w.get()
-				w.say("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 0\n\n")
+			addr := serveScript(t, func(w *workerConn) {
+				w.readRequest()
+				w.send("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 0\n\n")
 				var b [1]byte
 				_, _ = io.ReadFull(w.r, b[:])
-				w.say(x.say)
+				w.send(x.say)
 				_ = w.Conn.Close()
 				close(full)
 			})
 			p := NewPool(names)
-			want(t, p, order(addr, "a"), "")
-			c := p.hosts["w"].idle[0]
-			c.Conn = &cutting{shield.Bare(c.Conn).(*net.TCPConn), 4000, cut, full}
-			o := order(addr, "b")
+			wantAnswer(t, p, newDispatch(addr, "a"), "")
+			c := p.workers["w"].idle[0]
+			c.Conn = &truncatingConn{shield.Bare(c.Conn).(*net.TCPConn), 4000, cut, full}
+			o := newDispatch(addr, "b")
 			o.Request.SetBodyString(strings.Repeat("x", 1<<16))
-			y := p.Do(waiting(t), o)
+			y := p.Do(waitingCaller(t), o)
 			if y.Outcome != x.kind || !y.Reused {
 				t.Fatalf("%v, %q: kind %d, %v", cut, x.say, y.Outcome, y.Err)
 			}
@@ -142,26 +142,26 @@
 
 // A router that stood still until every deadline had passed: the answer that lies in its socket meanwhile is nobody's
 // any more, and its connection isn't used again.
-func TestFrozenPastTheDeadline(t *testing.T) {
+func TestPausedPastTheDeadline(t *testing.T) {
 	written := make(chan struct{})
-	addr := serve(t, func(w *wire) {
-		id, _ := w.get()
-		w.say("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: 0\n\n")
+	addr := serveScript(t, func(w *workerConn) {
+		id, _ := w.readRequest()
+		w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: 0\n\n")
 		close(written)
-		w.ended()
+		w.awaitClose()
 	})
 	p := NewPool(names)
-	o := order(addr, "a")
+	o := newDispatch(addr, "a")
 	o.Deadline = time.Now().Add(200 * time.Millisecond)
 	due, cancel := context.WithDeadline(t.Context(), o.Deadline.Add(50*time.Millisecond))
 	defer cancel()
-	c, _, err := p.take(waiting(t), o, false)
+	c, _, err := p.acquire(waitingCaller(t), o, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Conn = &frozen{shield.Bare(c.Conn).(*net.TCPConn), func() { <-written; <-due.Done() }}
-	p.put(c, time.Now().Add(soon))
-	if x := wantKind(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) || !x.Reused {
+	c.Conn = &pausedConn{shield.Bare(c.Conn).(*net.TCPConn), func() { <-written; <-due.Done() }}
+	p.putBack(c, time.Now().Add(testTimeout))
+	if x := wantOutcome(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) || !x.Reused {
 		t.Fatal(x.Err, x.Reused)
 	}
 	wantCounts(t, p, 0, 1)
