--- a/internal/router/admission/busy.go
+++ b/internal/router/admission/busy.go
@@ -1,6 +1,7 @@
 package admission
 
-// Busy says whether a prompt waits for anything but the end of its run: only then has a tick something to do.
+// Busy reports whether any request is waiting for admission, or for the slot of an uncertain run to come back. Otherwise
+// Tick has nothing to do.
 func (h *Queue) Busy() bool {
 	for _, r := range h.requests {
 		if r.stage != stageHeld {
--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -1,4 +1,5 @@
-// Package admission is admission on the node that took the prompt (design 6): in, wait, or refused at once.
+// Package admission decides, on the router that received a request, whether the request is sent to a worker, waits for a
+// slot, or is refused at once (docs/design.md, section 6).
 package admission
 
 import (
@@ -10,64 +11,64 @@
 	"seamshunt/internal/units"
 )
 
-// Policies by name. Knee is the paper's: a cap, a bounded waitlist by deadline, early shedding. Open is none,
-// for comparisons.
+// Policies lists the admission policies by name. "knee" follows the paper: a capacity limit per worker, a bounded waitlist
+// ordered by deadline, and early refusal. "open" admits everything, for comparisons.
 var Policies = map[string]func(*Queue, units.Time, *Request, *message.Effects){
 	"knee": (*Queue).admitWithPermit,
 	"open": (*Queue).admitAll,
 }
 
-// Spans (start values).
 const (
-	replyTimeout        = 150 * time.Millisecond // a keeper that says nothing for so long is passed over
-	acquireRepeat       = 300 * time.Millisecond // a waiting prompt's ask is repeated
-	coordinatorTimeout  = 900 * time.Millisecond // a waiting prompt's keeper that says nothing for so long is given up
+	replyTimeout        = 150 * time.Millisecond // without a reply for this long, the next worker is tried
+	acquireRepeat       = 300 * time.Millisecond // how often a waiting request repeats its acquire message
+	coordinatorTimeout  = 900 * time.Millisecond // a waiting request gives up a coordinator that is silent for this long
 	expiryGrace         = 500 * time.Millisecond
-	disconnectDetection = 300 * time.Millisecond // a worker notices a broken wire within this
-	unresponsiveFor     = time.Second            // a keeper that said nothing is asked last for so long
-	maxWaitlists        = 3                      // how many waitlists one prompt may try
+	disconnectDetection = 300 * time.Millisecond // a worker notices a closed connection within this time
+	unresponsiveFor     = time.Second            // how long a coordinator that didn't reply is asked last
+	maxWaitlists        = 3                      // waitlists that one request may try
 )
 
-// Decision is what becomes of a prompt.
+// Decision is the result of admission for one request.
 type Decision struct {
 	Tag          uint64
-	Worker       string // set when it goes in
+	Worker       string // set when the request is admitted
 	Code         codes.Code
-	ExpectedWait time.Duration // when refused: how long the shortest waitlist seen would take
+	ExpectedWait time.Duration // when refused: the shortest wait that a coordinator expected
 }
 
-// Load is what was last heard of a worker.
+// Load is the last known load of a worker, from its coordinator's replies.
 type Load struct {
 	InUse, Capacity, Waiting int
-	PrefillBacklog           time.Duration // how long it still reads what it was sent
+	PrefillBacklog           time.Duration // the time that the prefill of the prompts sent to it still takes
 	UpdatedAt                units.Time
 }
 
-// Queue is the step machine.
+// Queue is the admission state machine of one router. Its methods return the messages to send.
 type Queue struct {
 	self         units.Node
 	requests     map[uint64]*Request
-	InFlight     map[string]int // this node's own prompts in flight, per worker
-	reportedTo   map[string]units.Node
-	unresponsive map[units.Node]units.Time // keepers that said nothing, till when they are asked last
-	recentlySent map[string][]units.Time   // what went to a worker in the last second
+	InFlight     map[string]int            // this router's requests in flight, per worker
+	reportedTo   map[string]units.Node     // the coordinator of each worker that last received a report
+	unresponsive map[units.Node]units.Time // coordinators that didn't reply, and until when they are asked last
+	recentlySent map[string][]units.Time   // when requests went to a worker, over the last second
 	Loads        map[string]Load
 	Decisions    []Decision
 }
 
-// New gives an empty one.
+// New returns an empty queue.
 func New(self units.Node) *Queue {
-	return &Queue{self: self, requests: map[uint64]*Request{}, InFlight: map[string]int{}, reportedTo: map[string]units.Node{}, unresponsive: map[units.Node]units.Time{}, recentlySent: map[string][]units.Time{}, Loads: map[string]Load{}}
+	return &Queue{self: self, requests: map[uint64]*Request{}, InFlight: map[string]int{}, reportedTo: map[string]units.Node{},
+		unresponsive: map[units.Node]units.Time{}, recentlySent: map[string][]units.Time{}, Loads: map[string]Load{}}
 }
 
-// Submit takes a prompt in at the door.
+// Submit starts admission of a request. The result appears in Decisions.
 func (h *Queue) Submit(now units.Time, r Request) (out message.Effects) {
 	h.requests[r.Tag] = &r
 	Policies[r.Policy](h, now, &r, &out)
 	return out
 }
 
-// admitAll lets everything in at the first worker.
+// admitAll admits every request, to its first candidate.
 func (h *Queue) admitAll(now units.Time, r *Request, out *message.Effects) {
 	if len(r.Candidates) == 0 {
 		h.refuse(r, codes.NoWorker)
@@ -77,14 +78,15 @@
 	h.admit(now, r)
 }
 
-// admitWithPermit asks the candidates' keepers for a free slot in turn, then waits where the wait is shortest.
+// admitWithPermit asks the candidates' coordinators for a free slot one after the other. If none has one, the request joins
+// a waitlist.
 func (h *Queue) admitWithPermit(now units.Time, r *Request, out *message.Effects) {
 	for r.nextCandidate < len(r.Candidates) && r.nextCandidate < r.MaxCandidates {
 		r.worker = r.Candidates[r.nextCandidate]
 		r.nextCandidate++
 		r.coordinator = r.Coordinator(r.worker)
 		if now < h.unresponsive[r.coordinator] && r.nextCandidate < len(r.Candidates) {
-			r.MaxCandidates++ // the next one is asked in its place
+			r.MaxCandidates++ // try one more candidate instead
 			continue
 		}
 		if r.coordinator != 0 {
@@ -95,7 +97,8 @@
 	h.joinWaitlist(now, r, out)
 }
 
-// joinWaitlist joins the waitlist with the shortest expected wait that still leaves time for an answer.
+// joinWaitlist joins the waitlist with the shortest expected wait that still leaves time for an answer, and refuses the request if
+// there is none.
 func (h *Queue) joinWaitlist(now units.Time, r *Request, out *message.Effects) {
 	best := -1
 	for i, option := range r.waitOptions {
@@ -131,7 +134,8 @@
 }
 
 func (h *Queue) sendAcquire(now units.Time, r *Request, wait bool, out *message.Effects) {
-	header := capacity.Header{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), Worth: r.Worth, MemoryTokens: r.MemoryTokens, Priority: r.Priority, MaxFirstTokenTime: uint32(units.ToMillis(r.MaxFirstTokenTime))}
+	header := capacity.Header{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), Worth: r.Worth,
+		MemoryTokens: r.MemoryTokens, Priority: r.Priority, MaxFirstTokenTime: uint32(units.ToMillis(r.MaxFirstTokenTime))}
 	header.PrefillTime = toMicroseconds(r.PrefillTime)
 	if !r.isPreferred(r.worker) {
 		header.PrefillTime = toMicroseconds(r.FullPrefillTime)
@@ -161,15 +165,15 @@
 	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.shortestWait})
 }
 
-// RecordFirstToken notes how long a prompt's first words took; the keeper learns of it with the slot's return.
+// RecordFirstToken records a request's time to first token. The coordinator receives it when the slot is released.
 func (h *Queue) RecordFirstToken(tag uint64, took time.Duration) {
 	if r := h.requests[tag]; r != nil {
 		r.firstToken = took
 	}
 }
 
-// Done gives a prompt's slot back when its stream ended, or when its caller went away.
-// Unsure says that the run may still be going.
+// Done releases a request's slot once its stream has ended or its client has disconnected. If uncertain, the run may still
+// be in progress, and the slot stays taken until the request's deadline.
 func (h *Queue) Done(now units.Time, tag uint64, uncertain bool) (out message.Effects) {
 	r := h.requests[tag]
 	if r == nil {
@@ -191,7 +195,7 @@
 	return out
 }
 
-// Abort is Done for a run whose wire this node broke off: its slot comes back once the worker had time to notice.
+// Abort is Done for a run whose connection this router closed. The slot is released once the worker has had time to notice.
 func (h *Queue) Abort(now units.Time, tag uint64) (out message.Effects) {
 	if r := h.requests[tag]; r != nil && r.stage == stageHeld {
 		r.Deadline = now.Add(disconnectDetection - expiryGrace)
@@ -208,7 +212,7 @@
 	}
 }
 
-// currentCoordinator is whoever this node last reported to, else whom it asked.
+// currentCoordinator returns the coordinator that last received a report of the worker, or else the one that was asked.
 func (h *Queue) currentCoordinator(r *Request) units.Node {
 	if k, ok := h.reportedTo[r.worker]; ok {
 		return k
--- a/internal/router/admission/request.go
+++ b/internal/router/admission/request.go
@@ -13,33 +13,34 @@
 	stageAcquiring stage = iota
 	stageWaiting
 	stageHeld
-	stageUncertain // its run may still be going: the slot stays taken till its time is out
+	stageUncertain // the run may still be in progress: the slot stays taken until the deadline
 )
 
+// waitOption is a worker whose waitlist the request may join.
 type waitOption struct {
 	worker       string
 	expectedWait time.Duration
-	penalty      time.Duration
+	penalty      time.Duration // added to the wait when options are compared; 0 for a preferred worker
 }
 
-// Request is one prompt at the door of one service.
+// Request is one request for admission to a service.
 type Request struct {
 	Tag            uint64
 	Policy         string
 	Candidates     []string // workers, best first
-	MaxCandidates  int      // how many of them may be asked for a free slot
+	MaxCandidates  int      // how many candidates may be asked for a free slot
 	Deadline       units.Time
-	FirstTokenTime time.Duration
-	Worth          uint16 // of its promise
+	FirstTokenTime time.Duration // what must be left until the deadline for a useful run
+	Worth          uint16        // of the request's service promise; higher ones displace lower ones in a waitlist
 	Coordinator    func(worker string) units.Node
 
-	PreferredCount      int           // the first so many of Cands hold the shared parts of its prompt
-	PrefillTime         time.Duration // what reading its prompt takes a home
-	FullPrefillTime     time.Duration // and any other worker
-	Priority            uint8         // its urgency at the worker
-	MemoryTokens        uint32        // tokens of memory that its run needs
-	MaxFirstTokenTime   time.Duration // a worker whose first words come later than this is passed by while others are free; 0: none is
-	NonPreferredPenalty time.Duration // how much sooner another worker than a home must be
+	PreferredCount      int           // the first PreferredCount candidates have the prompt's shared prefix cached
+	PrefillTime         time.Duration // expected prefill time on a preferred worker
+	FullPrefillTime     time.Duration // expected prefill time on any other worker
+	Priority            uint8         // priority at the worker, 0 the highest
+	MemoryTokens        uint32        // memory that the run needs, in tokens
+	MaxFirstTokenTime   time.Duration // workers expected to take longer are skipped while others are free; 0 skips none
+	NonPreferredPenalty time.Duration // how much shorter the wait must be to choose a worker that isn't preferred
 
 	stage          stage
 	worker         string
@@ -48,13 +49,13 @@
 	waitlistsTried int
 	waitOptions    []waitOption
 	refusalReason  uint8
-	shortestWait   time.Duration
-	firstToken     time.Duration // what its first words took
-	sentAt         units.Time
-	heardAt        units.Time
+	shortestWait   time.Duration // the wait that coordinators expected: the shortest, or the latest while queued
+	firstToken     time.Duration // measured time to first token
+	sentAt         units.Time    // the last acquire message
+	heardAt        units.Time    // the coordinator's last reply
 }
 
-// isPreferred says whether a worker holds the shared parts of the prompt.
+// isPreferred reports whether a worker has the prompt's shared prefix cached.
 func (r *Request) isPreferred(worker string) bool {
 	return slices.Contains(r.Candidates[:min(r.PreferredCount, len(r.Candidates))], worker)
 }
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -10,7 +10,8 @@
 	"seamshunt/internal/units"
 )
 
-// Tick gives up what can't be met any more, and passes over keepers that say nothing.
+// Tick refuses requests that can't meet their deadline any more, skips coordinators that don't reply, and releases the slots
+// of uncertain runs whose time is over.
 func (h *Queue) Tick(now units.Time) (out message.Effects) {
 	for _, r := range h.requestsByTag() {
 		switch r.stage {
@@ -57,7 +58,7 @@
 	return l
 }
 
-// sendRelease voids an ask, so that a late grant has nobody, or gives a ghost's slot back.
+// sendRelease withdraws an acquire request, so that no late grant keeps a slot taken, or releases the slot of an uncertain run.
 func (h *Queue) sendRelease(r *Request, out *message.Effects) {
 	to := r.coordinator
 	if r.stage == stageUncertain {
@@ -68,9 +69,11 @@
 	}
 }
 
-// handleRefusal takes a keeper's no, or its silence, and goes on to the next worker.
+// handleRefusal records a coordinator's refusal or missing reply, and tries the next worker. A full queue is the reason that
+// is kept for the client, then a deadline that can't be met.
 func (h *Queue) handleRefusal(now units.Time, r *Request, reason uint8, expectedWait time.Duration, out *message.Effects) {
-	if r.refusalReason == 0 || reason == capacity.ReasonQueueFull || reason == capacity.ReasonTooLate && r.refusalReason != capacity.ReasonQueueFull {
+	if r.refusalReason == 0 || reason == capacity.ReasonQueueFull ||
+		reason == capacity.ReasonTooLate && r.refusalReason != capacity.ReasonQueueFull {
 		r.refusalReason = reason
 	}
 	if expectedWait > 0 && (r.shortestWait == 0 || expectedWait < r.shortestWait) {
@@ -90,7 +93,7 @@
 	h.joinWaitlist(now, r, out)
 }
 
-// Step takes one note for the node that asks.
+// Step handles one message from a coordinator.
 func (h *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == capacity.Audit {
 		name, permits, _, err := capacity.UnpackReport(n.Body)
@@ -113,7 +116,8 @@
 		return out
 	}
 	if header.Capacity > 0 {
-		h.Loads[name] = Load{InUse: int(header.InUse), Capacity: int(header.Capacity), Waiting: int(header.Wait), PrefillBacklog: time.Duration(header.PrefillTime) * time.Microsecond, UpdatedAt: now}
+		h.Loads[name] = Load{InUse: int(header.InUse), Capacity: int(header.Capacity), Waiting: int(header.Wait),
+			PrefillBacklog: time.Duration(header.PrefillTime) * time.Microsecond, UpdatedAt: now}
 	}
 	r := h.requests[header.Tag]
 	current := r != nil && r.stage <= stageWaiting && r.worker == name && r.coordinator == n.From
@@ -133,9 +137,10 @@
 	return out
 }
 
-func (h *Queue) handleGrant(now units.Time, from units.Node, r *Request, current bool, header capacity.Header, name string, out *message.Effects) {
+func (h *Queue) handleGrant(now units.Time, from units.Node, r *Request, current bool, header capacity.Header,
+	name string, out *message.Effects) {
 	if r != nil && r.stage >= stageHeld && r.worker == name {
-		return // the same grant again
+		return // a repeated grant
 	}
 	release := capacity.Pack(capacity.Header{Tag: header.Tag}, name)
 	if k, ok := h.reportedTo[name]; !current || ok && k != from {
@@ -153,19 +158,21 @@
 	h.admit(now, r)
 }
 
-// sendReport tells a new keeper all that is held of a worker; from then on only its grants count (design 6).
+// sendReport reports all permits held for a worker to its new coordinator. From then on only that coordinator's grants are
+// accepted (docs/design.md, section 6).
 func (h *Queue) sendReport(now units.Time, from units.Node, name string, out *message.Effects) {
 	h.reportedTo[name] = from
 	var permits []capacity.HeldPermit
 	for _, r := range h.requestsByTag() {
 		if r.worker == name && r.stage >= stageHeld && r.coordinator != 0 {
-			permits = append(permits, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), MemoryTokens: r.MemoryTokens})
+			permits = append(permits, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))),
+				MemoryTokens: r.MemoryTokens})
 		}
 	}
 	out.Send(from, capacity.Report, capacity.PackReport(name, permits, len(h.sentLastSecond(now, name))))
 }
 
-// sentLastSecond lists what went to a worker in the last second.
+// sentLastSecond returns the times of the requests that went to a worker in the last second.
 func (h *Queue) sentLastSecond(now units.Time, name string) []units.Time {
 	l := h.recentlySent[name]
 	for len(l) > 0 && now.Sub(l[0]) > time.Second {
@@ -175,7 +182,7 @@
 	return l
 }
 
-// Pending counts the prompts that are not in yet.
+// Pending returns the number of requests that are neither admitted nor refused yet.
 func (h *Queue) Pending() int {
 	count := 0
 	for _, r := range h.requests {
@@ -186,7 +193,8 @@
 	return count
 }
 
-// ProcessResumed distrusts every permit after a freeze: what ran out is gone, and what waits asks anew (design 6).
+// ProcessResumed is called after the process was paused: messages may have been missed, so the next Tick gives up the
+// coordinators of all waiting requests and asks anew (docs/design.md, section 6).
 func (h *Queue) ProcessResumed(now units.Time) {
 	for _, r := range h.requests {
 		if r.stage <= stageWaiting {
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -1,4 +1,4 @@
-// Package placement is placement: which workers a prompt may be offered, in which order (design 7).
+// Package placement ranks the workers that a request may be sent to (docs/design.md, section 7).
 package placement
 
 import (
@@ -8,22 +8,22 @@
 	"seamshunt/internal/units"
 )
 
-// Candidate is one worker that could take the prompt.
+// Candidate is one worker that could serve the request.
 type Candidate struct {
 	Name string
 	Zone string
-	Load float64 // last known share of its cap in use, its waitlist counted; late and never trusted for admission
+	Load float64 // last known share of its capacity in use, waitlist included; stale, so never used for admission
 }
 
-// Query is what a policy may look at.
+// Query is the input of a placement policy.
 type Query struct {
-	Prefix         uint64
-	Zone           string // the node's own
-	PreferredCount int
+	Prefix         uint64 // fingerprint of the prompt's shared prefix; 0 if there is none
+	Zone           string // the router's own zone
+	PreferredCount int    // how many workers should serve one prefix
 	Candidates     []Candidate
 }
 
-// Policies by name; a new one is a new line here and nothing elsewhere.
+// Policies lists the placement policies by name. A new policy needs no other registration.
 var Policies = map[string]func(*Placer, Query) []string{
 	"prefix": (*Placer).byZonePrefix,
 	"least":  (*Placer).leastLoaded,
@@ -31,17 +31,17 @@
 	"home":   (*Placer).byFleetPrefix,
 }
 
-// Placer holds what policies remember between prompts.
+// Placer holds the state that policies keep between requests.
 type Placer struct {
 	rotation atomic.Uint64
 }
 
-// Fingerprint names a prompt's shared prefix: its first bytes.
+// Fingerprint hashes the first n bytes of a prompt, which identify its shared prefix.
 func Fingerprint(prompt []byte, n int) uint64 {
 	return units.Mix(string(prompt[:min(n, len(prompt))]))
 }
 
-// Rank lists workers, best first.
+// Rank returns the workers' names, best first.
 func (w *Placer) Rank(policy string, q Query) []string { return Policies[policy](w, q) }
 
 func candidateNames(l []Candidate) []string {
@@ -52,7 +52,8 @@
 	return s
 }
 
-// prefix: the own zone's first few in rendezvous order hold the prefix; behind them the least loaded.
+// byZonePrefix puts first the preferred workers of the prefix, chosen by rendezvous hashing with the router's zone first, and
+// sorts the others by load.
 func (w *Placer) byZonePrefix(q Query) []string {
 	type ranked struct {
 		Candidate
@@ -78,8 +79,8 @@
 	return s
 }
 
-// home: one order for the whole fleet, whatever the zone, so that a long shared part is read by few workers; behind
-// the first few, and where nothing is shared, the least loaded.
+// byFleetPrefix ranks by rendezvous hashing regardless of the zone, so that only few workers in the whole fleet prefill a long
+// shared prefix. Workers behind the preferred ones, and all workers if there is no shared prefix, are sorted by load.
 func (w *Placer) byFleetPrefix(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	if q.Prefix == 0 {
@@ -95,6 +96,7 @@
 	return candidateNames(l)
 }
 
+// firstIf returns the result of a comparison: -1 if the first operand comes first, 1 otherwise.
 func firstIf(first bool) int {
 	if first {
 		return -1
@@ -102,7 +104,7 @@
 	return 1
 }
 
-// compareLoad puts the less loaded first; a worker in another zone must be much less loaded to come before.
+// compareLoad sorts by load. With a zone given, a worker in another zone must be less loaded by 0.5 to come first.
 func compareLoad(a, b Candidate, zone string) int {
 	x, y := a.Load, b.Load
 	if a.Zone != zone && zone != "" {
@@ -120,7 +122,7 @@
 	return 0
 }
 
-// least: the least loaded first, the own zone preferred.
+// leastLoaded sorts by load and prefers the router's zone.
 func (w *Placer) leastLoaded(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	rotate(l, int(w.rotation.Add(1)))
@@ -128,7 +130,7 @@
 	return candidateNames(l)
 }
 
-// turn: each in its turn, whatever the zone.
+// roundRobin rotates through the workers regardless of the zone.
 func (w *Placer) roundRobin(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	rotate(l, int(w.rotation.Add(1)))
