--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/units"
 )
@@ -32,7 +32,7 @@
 type Decision struct {
 	Tag          uint64
 	Worker       string // set when the request is admitted
-	Code         codes.Code
+	Code         resultcode.Code
 	ExpectedWait time.Duration // when refused: the shortest wait that a coordinator expected
 }
 
@@ -45,20 +45,20 @@
 
 // Queue is the admission state machine of one router. Its methods return the messages to send.
 type Queue struct {
-	self         units.Node
+	self         units.NodeID
 	requests     map[uint64]*Request
-	InFlight     map[string]int            // this router's requests in flight, per worker
-	reportedTo   map[string]units.Node     // the coordinator of each worker that last received a report
-	unresponsive map[units.Node]units.Time // coordinators that didn't reply, and until when they are asked last
-	recentlySent map[string][]units.Time   // when requests went to a worker, over the last second
+	InFlight     map[string]int              // this router's requests in flight, per worker
+	reportedTo   map[string]units.NodeID     // the coordinator of each worker that last received a report
+	unresponsive map[units.NodeID]units.Time // coordinators that didn't reply, and until when they are asked last
+	recentlySent map[string][]units.Time     // when requests went to a worker, over the last second
 	Loads        map[string]Load
 	Decisions    []Decision
 }
 
 // New returns an empty queue.
-func New(self units.Node) *Queue {
-	return &Queue{self: self, requests: map[uint64]*Request{}, InFlight: map[string]int{}, reportedTo: map[string]units.Node{},
-		unresponsive: map[units.Node]units.Time{}, recentlySent: map[string][]units.Time{}, Loads: map[string]Load{}}
+func New(self units.NodeID) *Queue {
+	return &Queue{self: self, requests: map[uint64]*Request{}, InFlight: map[string]int{}, reportedTo: map[string]units.NodeID{},
+		unresponsive: map[units.NodeID]units.Time{}, recentlySent: map[string][]units.Time{}, Loads: map[string]Load{}}
 }
 
 // Submit starts admission of a request. The result appears in Decisions.
@@ -71,7 +71,7 @@
 // admitAll admits every request, to its first candidate.
 func (h *Queue) admitAll(now units.Time, r *Request, out *message.Effects) {
 	if len(r.Candidates) == 0 {
-		h.refuse(r, codes.NoWorker)
+		h.refuse(r, resultcode.NoWorker)
 		return
 	}
 	r.worker = r.Candidates[0]
@@ -114,7 +114,7 @@
 	r.waitOptions = append(r.waitOptions[:best:best], r.waitOptions[best+1:]...)
 	if now.Add(option.expectedWait+r.FirstTokenTime) > r.Deadline {
 		r.refusalReason = capacity.ReasonTooLate
-		h.refuse(r, codes.WaitLate)
+		h.refuse(r, resultcode.DeadlineUnreachable)
 		return
 	}
 	r.waitlistsTried++
@@ -123,14 +123,14 @@
 	h.sendAcquire(now, r, true, out)
 }
 
-func refusalCode(reason uint8) codes.Code {
+func refusalCode(reason uint8) resultcode.Code {
 	switch reason {
 	case capacity.ReasonQueueFull, capacity.ReasonBusy:
-		return codes.WaitFull
+		return resultcode.QueueFull
 	case capacity.ReasonTooLate:
-		return codes.WaitLate
+		return resultcode.DeadlineUnreachable
 	}
-	return codes.NoWorker
+	return resultcode.NoWorker
 }
 
 func (h *Queue) sendAcquire(now units.Time, r *Request, wait bool, out *message.Effects) {
@@ -157,10 +157,10 @@
 	r.stage = stageHeld
 	h.InFlight[r.worker]++
 	h.recentlySent[r.worker] = append(h.sentLastSecond(now, r.worker), now)
-	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: codes.OK})
+	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: resultcode.OK})
 }
 
-func (h *Queue) refuse(r *Request, c codes.Code) {
+func (h *Queue) refuse(r *Request, c resultcode.Code) {
 	delete(h.requests, r.Tag)
 	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.shortestWait})
 }
@@ -213,7 +213,7 @@
 }
 
 // currentCoordinator returns the coordinator that last received a report of the worker, or else the one that was asked.
-func (h *Queue) currentCoordinator(r *Request) units.Node {
+func (h *Queue) currentCoordinator(r *Request) units.NodeID {
 	if k, ok := h.reportedTo[r.worker]; ok {
 		return k
 	}
--- a/internal/router/admission/request.go
+++ b/internal/router/admission/request.go
@@ -32,7 +32,7 @@
 	Deadline       units.Time
 	FirstTokenTime time.Duration // what must be left until the deadline for a useful run
 	Worth          uint16        // of the request's service promise; higher ones displace lower ones in a waitlist
-	Coordinator    func(worker string) units.Node
+	Coordinator    func(worker string) units.NodeID
 
 	PreferredCount      int           // the first PreferredCount candidates have the prompt's shared prefix cached
 	PrefillTime         time.Duration // expected prefill time on a preferred worker
@@ -44,7 +44,7 @@
 
 	stage          stage
 	worker         string
-	coordinator    units.Node
+	coordinator    units.NodeID
 	nextCandidate  int
 	waitlistsTried int
 	waitOptions    []waitOption
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/units"
 )
@@ -25,7 +25,7 @@
 			switch {
 			case now.Add(r.FirstTokenTime) > r.Deadline:
 				h.sendRelease(r, &out)
-				h.refuse(r, codes.WaitLate)
+				h.refuse(r, resultcode.DeadlineUnreachable)
 			case now.Sub(r.heardAt) >= coordinatorTimeout:
 				h.sendRelease(r, &out)
 				h.handleRefusal(now, r, capacity.ReasonNoReply, 0, &out)
@@ -126,18 +126,18 @@
 		h.handleGrant(now, n.From, r, current, header, name, &out)
 	case capacity.Refusal:
 		if current {
-			h.handleRefusal(now, r, header.Reason, units.Millis(header.TimeLeft).Span(), &out)
+			h.handleRefusal(now, r, header.Reason, units.Millis(header.TimeLeft).Duration(), &out)
 		}
 	case capacity.Queued:
 		if current {
 			r.heardAt = now
-			r.shortestWait = units.Millis(header.TimeLeft).Span()
+			r.shortestWait = units.Millis(header.TimeLeft).Duration()
 		}
 	}
 	return out
 }
 
-func (h *Queue) handleGrant(now units.Time, from units.Node, r *Request, current bool, header capacity.Header,
+func (h *Queue) handleGrant(now units.Time, from units.NodeID, r *Request, current bool, header capacity.Header,
 	name string, out *message.Effects) {
 	if r != nil && r.stage >= stageHeld && r.worker == name {
 		return // a repeated grant
@@ -152,7 +152,7 @@
 	}
 	if now.Add(r.FirstTokenTime) > r.Deadline {
 		out.Send(from, capacity.Release, release)
-		h.refuse(r, codes.WaitLate)
+		h.refuse(r, resultcode.DeadlineUnreachable)
 		return
 	}
 	h.admit(now, r)
@@ -160,7 +160,7 @@
 
 // sendReport reports all permits held for a worker to its new coordinator. From then on only that coordinator's grants are
 // accepted (docs/design.md, section 6).
-func (h *Queue) sendReport(now units.Time, from units.Node, name string, out *message.Effects) {
+func (h *Queue) sendReport(now units.Time, from units.NodeID, name string, out *message.Effects) {
 	h.reportedTo[name] = from
 	var permits []capacity.HeldPermit
 	for _, r := range h.requestsByTag() {
--- a/internal/router/cancel.go
+++ b/internal/router/cancel.go
@@ -3,20 +3,20 @@
 import (
 	"errors"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/clientwatch"
 	"seamshunt/internal/units"
 )
 
 // cancelledAs looks whether a request is cancelled, and gives the code of the reason; 0 while somebody waits for it.
-func cancelledAs(client *clientwatch.Request) codes.Code {
+func cancelledAs(client *clientwatch.Request) resultcode.Code {
 	switch err := client.Check(); {
 	case err == nil:
 		return 0
 	case errors.Is(err, clientwatch.ErrRouterShutdown):
-		return codes.Draining
+		return resultcode.Draining
 	default:
-		return codes.ClientLeft
+		return resultcode.ClientDisconnected
 	}
 }
 
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -20,7 +20,7 @@
 )
 
 type permitKey struct {
-	node units.Node
+	node units.NodeID
 	tag  uint64
 }
 
@@ -46,10 +46,10 @@
 	open                bool
 	granted             map[permitKey]*permit
 	waitlist            []acquireRequest // by deadline
-	awaitingReports     map[units.Node]bool
-	lateRouters         map[units.Node]bool // routers that came into view with the book open: they are asked too
+	awaitingReports     map[units.NodeID]bool
+	lateRouters         map[units.NodeID]bool // routers that came into view with the book open: they are asked too
 	reportsRequestedAt  units.Time
-	unreachableUntil    map[units.Node]units.Time // until when a silent node may still hold what it was lent before
+	unreachableUntil    map[units.NodeID]units.Time // until when a silent node may still hold what it was lent before
 	releaseInterval     time.Duration
 	meanHoldTime        time.Duration // mean time that a slot is held
 	lastReleaseAt       units.Time
@@ -63,13 +63,13 @@
 
 // Ledger is the keeper's step machine.
 type Ledger struct {
-	self             units.Node
+	self             units.NodeID
 	workers          map[string]Worker
 	routers          []Peer
-	runDeadlines     map[units.Node]units.Time // processes not live, till when their runs may still be going
+	runDeadlines     map[units.NodeID]units.Time // processes not live, till when their runs may still be going
 	coordinated      map[string]*workerState
-	unlistedRouters  map[units.Node]units.Time // routers that took a worker over before membership showed them here
-	assignmentsStale bool                      // the workers or the routers are not those that the keepers were worked out for
+	unlistedRouters  map[units.NodeID]units.Time // routers that took a worker over before membership showed them here
+	assignmentsStale bool                        // the workers or the routers are not those that the keepers were worked out for
 	lastAuditAt      units.Time
 	rateExcess       float64
 	rateSlack        int
@@ -77,8 +77,8 @@
 }
 
 // New begins a node that keeps nothing.
-func New(self units.Node) *Ledger {
-	return &Ledger{self: self, workers: map[string]Worker{}, coordinated: map[string]*workerState{}, runDeadlines: map[units.Node]units.Time{}, unlistedRouters: map[units.Node]units.Time{}, rateExcess: 1, rateShare: 1}
+func New(self units.NodeID) *Ledger {
+	return &Ledger{self: self, workers: map[string]Worker{}, coordinated: map[string]*workerState{}, runDeadlines: map[units.NodeID]units.Time{}, unlistedRouters: map[units.NodeID]units.Time{}, rateExcess: 1, rateShare: 1}
 }
 
 // SetWorkers sets what there is to keep.
@@ -89,7 +89,7 @@
 }
 
 // SetRouters takes membership's view: the live routers, and till when others' runs may still be going.
-func (g *Ledger) SetRouters(routers []Peer, runDeadlines map[units.Node]units.Time) {
+func (g *Ledger) SetRouters(routers []Peer, runDeadlines map[units.NodeID]units.Time) {
 	g.assignmentsStale = g.assignmentsStale || !slices.Equal(g.routers, routers)
 	for _, v := range routers {
 		if !slices.ContainsFunc(g.routers, func(o Peer) bool { return o.Node == v.Node }) {
@@ -102,7 +102,7 @@
 }
 
 // ProcessEnded frees what a process held that is known to have ended: the kernel broke its runs' wires off.
-func (g *Ledger) ProcessEnded(now units.Time, n units.Node) {
+func (g *Ledger) ProcessEnded(now units.Time, n units.NodeID) {
 	for _, state := range g.coordinated {
 		for p, l := range state.granted {
 			if p.node == n {
@@ -165,7 +165,7 @@
 
 // startCoordinating asks every live router what it holds; until all have said so, nothing is lent.
 func (g *Ledger) startCoordinating(now units.Time, name string, out *message.Effects) {
-	state := &workerState{granted: map[permitKey]*permit{}, adaptedAt: now, collectionStartedAt: now, unreachableUntil: maps.Clone(g.runDeadlines), lateRouters: map[units.Node]bool{}}
+	state := &workerState{granted: map[permitKey]*permit{}, adaptedAt: now, collectionStartedAt: now, unreachableUntil: maps.Clone(g.runDeadlines), lateRouters: map[units.NodeID]bool{}}
 	g.coordinated[name] = state
 	g.restartCollection(now, name, state, out)
 }
@@ -174,7 +174,7 @@
 // node that has last reported to another: while views differed, that one took the worker over, and no grant of
 // this keeper's would be taken there.
 func (g *Ledger) restartCollection(now units.Time, name string, state *workerState, out *message.Effects) {
-	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.Node]bool{}, now.Add(-reportRetryInterval), now
+	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.NodeID]bool{}, now.Add(-reportRetryInterval), now
 	for _, n := range g.liveRouters(now) {
 		state.awaitingReports[n] = true
 	}
@@ -182,8 +182,8 @@
 }
 
 // liveRouters lists the routers that may hold something: those that membership shows, and those that it does not show yet.
-func (g *Ledger) liveRouters(now units.Time) []units.Node {
-	var l []units.Node
+func (g *Ledger) liveRouters(now units.Time) []units.NodeID {
+	var l []units.NodeID
 	for _, v := range g.routers {
 		l = append(l, v.Node)
 	}
--- a/internal/router/capacity/maintenance.go
+++ b/internal/router/capacity/maintenance.go
@@ -23,7 +23,7 @@
 func (g *Ledger) sendAudits(now units.Time, out *message.Effects) {
 	for _, name := range message.Keys(g.coordinated) {
 		state := g.coordinated[name]
-		by := map[units.Node][]HeldPermit{}
+		by := map[units.NodeID][]HeldPermit{}
 		for _, p := range state.sortedPermits() {
 			if now.Sub(state.granted[p].grantedAt) >= auditInterval {
 				by[p.node] = append(by[p.node], HeldPermit{Tag: p.tag})
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -16,7 +16,7 @@
 		if state := g.coordinated[name]; err == nil && state != nil && (!state.open || state.lateRouters[n.From]) {
 			for _, h := range held {
 				if p := (permitKey{n.From, h.Tag}); state.granted[p] == nil {
-					state.granted[p] = &permit{expiresAt: now.Add(units.Millis(h.TimeLeft).Span() + runGrace), grantedAt: now, memoryTokens: h.MemoryTokens}
+					state.granted[p] = &permit{expiresAt: now.Add(units.Millis(h.TimeLeft).Duration() + runGrace), grantedAt: now, memoryTokens: h.MemoryTokens}
 					state.memoryTokens += int(h.MemoryTokens)
 				}
 			}
@@ -80,7 +80,7 @@
 	return k.releaseInterval
 }
 
-func (g *Ledger) handleAcquire(now units.Time, from units.Node, name string, state *workerState, header Header, out *message.Effects) {
+func (g *Ledger) handleAcquire(now units.Time, from units.NodeID, name string, state *workerState, header Header, out *message.Effects) {
 	key := permitKey{from, header.Tag}
 	if state.granted[key] != nil {
 		out.Send(from, Grant, Pack(g.addState(now, name, state, Header{Tag: header.Tag}), name))
@@ -89,7 +89,7 @@
 	if header.Reason == ReasonNotCoordinator && state.open {
 		g.restartCollection(now, name, state, out)
 	}
-	timeLeft := units.Millis(header.TimeLeft).Span()
+	timeLeft := units.Millis(header.TimeLeft).Duration()
 	interval := state.meanReleaseInterval(max(1, g.Capacity(now, name)))
 	for i, a := range state.waitlist {
 		if a.permitKey == key {
@@ -107,7 +107,7 @@
 	worker := g.workers[name]
 	request := acquireRequest{permitKey: key, deadline: now.Add(timeLeft), worth: header.Worth, prefillTime: time.Duration(header.PrefillTime) * time.Microsecond, priority: header.Priority, memoryTokens: header.MemoryTokens, queuedAt: now}
 	firstToken, rateDelay := state.firstTokenTime(now, request), state.rateDelay(now, g.maxRate(now, worker))
-	tooSlow := header.Wait == 0 && header.MaxFirstTokenTime > 0 && firstToken > units.Millis(header.MaxFirstTokenTime).Span()
+	tooSlow := header.Wait == 0 && header.MaxFirstTokenTime > 0 && firstToken > units.Millis(header.MaxFirstTokenTime).Duration()
 	if state.open && len(state.granted) < capacity && len(state.waitlist) == 0 && !tooSlow && rateDelay == 0 && state.hasMemoryFor(worker, request.memoryTokens) {
 		g.grant(now, name, state, request, out)
 		return
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -5,7 +5,7 @@
 
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/units"
 )
@@ -31,7 +31,7 @@
 	if r := v.rules.Load(); r != nil {
 		longest = max(time.Second, r.Longest(true))
 	}
-	var peers []units.Node
+	var peers []units.NodeID
 	for _, m := range v.Members() {
 		if m.Role == membership.Router && m.State <= membership.Suspect && m.Node != v.Self {
 			peers = append(peers, m.Node)
@@ -54,7 +54,7 @@
 	v := w.v
 	key := w.m.Name + "/" + w.key
 	token := v.tag.Add(1)<<8 ^ uint64(v.Self)
-	c := make(chan codes.Code, 1)
+	c := make(chan resultcode.Code, 1)
 	holders := idempotency.Holders(v.Members(), key)
 	v.screened(func() message.Effects {
 		v.claims[token] = c
@@ -62,7 +62,7 @@
 	})
 	select {
 	case code := <-c:
-		if code == codes.OK {
+		if code == resultcode.OK {
 			w.claimed, w.holders = key, holders
 		}
 		return w.claimedAs(code)
@@ -76,13 +76,13 @@
 	}
 }
 
-func (w *ownRequest) claimedAs(c codes.Code) bool {
+func (w *ownRequest) claimedAs(c resultcode.Code) bool {
 	switch c {
-	case codes.OK:
+	case resultcode.OK:
 		return false
-	case codes.Claimed:
+	case resultcode.KeyClaimed:
 		w.v.refuse(w.ctx, c, "the key is claimed already: its request ran, or may run", false, 0)
-	case codes.Burned:
+	case resultcode.KeySpent:
 		w.v.refuse(w.ctx, c, "the key's request was said not to run, and it never will: take a new key", true, 0)
 	default:
 		w.v.refuse(w.ctx, c, "the key could not be claimed: a copy of the request may run elsewhere", false, time.Second)
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -11,13 +11,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // stats counts results and hand-overs.
 type stats struct {
 	mu    sync.Mutex
-	codes map[codes.Code]uint64
+	codes map[resultcode.Code]uint64
 	hands map[string]uint64 // hand-overs by the worker's zone
 	cross uint64            // bytes of prompts handed over to another zone
 	left  [stages]uint64    // requests whose client left, by where they stood
@@ -38,18 +38,18 @@
 
 // clientLeft counts and logs a request whose client left while it stood at a stage, and how long it had stood there.
 func (v *Router) clientLeft(at stage, after time.Duration) {
-	v.stats.count(codes.ClientLeft)
+	v.stats.count(resultcode.ClientDisconnected)
 	v.stats.mu.Lock()
 	v.stats.left[at]++
 	v.stats.mu.Unlock()
 	v.Log.WithField("stage", at.String()).WithField("after", after).Info("a client left")
 }
 
-func (s *stats) count(c codes.Code) {
+func (s *stats) count(c resultcode.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.codes == nil {
-		s.codes = map[codes.Code]uint64{}
+		s.codes = map[resultcode.Code]uint64{}
 	}
 	s.codes[c]++
 }
--- a/internal/router/own_interface.go
+++ b/internal/router/own_interface.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 )
 
 // serve is the door for callers; what needs no mapping is answered here.
@@ -28,7 +28,7 @@
 }
 
 // refuse answers with a code at once; a refused caller is told when to come back.
-func (v *Router) refuse(ctx *fasthttp.RequestCtx, c codes.Code, text string, notRun bool, back time.Duration) {
+func (v *Router) refuse(ctx *fasthttp.RequestCtx, c resultcode.Code, text string, notRun bool, back time.Duration) {
 	v.stats.count(c)
 	var a fastjson.Arena
 	o := a.NewObject()
@@ -51,9 +51,9 @@
 
 // malformed answers a request that is no HTTP or is too large: it reached no rule and did not run.
 func (v *Router) malformed(ctx *fasthttp.RequestCtx, err error) {
-	c := codes.BadBody
+	c := resultcode.InvalidBody
 	if err == fasthttp.ErrBodyTooLarge {
-		c = codes.TooLarge
+		c = resultcode.RequestTooLarge
 	}
 	v.refuse(ctx, c, "the request could not be read", true, 0)
 	ctx.SetConnectionClose()
@@ -71,13 +71,13 @@
 	switch {
 	case v.leaving():
 		ctx.SetConnectionClose()
-		v.refuse(ctx, codes.Draining, "this node is leaving", true, leaveBack)
+		v.refuse(ctx, resultcode.Draining, "this node is leaving", true, leaveBack)
 		return
 	case !v.ready.Load() || w.rules == nil:
-		v.refuse(ctx, codes.NotReady, "this node has no confirmed configuration yet", true, time.Second)
+		v.refuse(ctx, resultcode.NotReady, "this node has no confirmed configuration yet", true, time.Second)
 		return
 	case over(ctx, w.rules.Limits):
-		v.refuse(ctx, codes.TooLarge, "the request is over the limits", true, 0)
+		v.refuse(ctx, resultcode.RequestTooLarge, "the request is over the limits", true, 0)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -86,7 +86,7 @@
 	}
 	do, ok := w.rules.Program.Find(routing.Ask{Host: hostOf(ctx), Path: path, Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
 	if !ok {
-		v.refuse(ctx, codes.NoMapping, "no mapping takes this request", true, 0)
+		v.refuse(ctx, resultcode.NoMapping, "no mapping takes this request", true, 0)
 		return
 	}
 	w.m = w.rules.Mappings[do[0].Mapping]
@@ -98,34 +98,34 @@
 func (w *ownRequest) read() bool {
 	ctx, v := w.ctx, w.v
 	if !ctx.IsPost() {
-		v.refuse(ctx, codes.BadBody, "a prompt is a POST", true, 0)
+		v.refuse(ctx, resultcode.InvalidBody, "a prompt is a POST", true, 0)
 		return false
 	}
 	left := ctx.Request.Header.Peek("Time-Left-Ms")
 	if len(left) == 0 {
-		v.refuse(ctx, codes.NoTimeLeft, "Time-Left-Ms is missing", true, 0)
+		v.refuse(ctx, resultcode.MissingTimeLeft, "Time-Left-Ms is missing", true, 0)
 		return false
 	}
 	n, err := strconv.ParseUint(string(left), 10, 31)
 	if err != nil || n == 0 {
-		v.refuse(ctx, codes.BadTimeLeft, "Time-Left-Ms is a whole number of milliseconds above 0", true, 0)
+		v.refuse(ctx, resultcode.InvalidTimeLeft, "Time-Left-Ms is a whole number of milliseconds above 0", true, 0)
 		return false
 	}
 	w.left = time.Duration(n) * time.Millisecond
 	w.key = string(ctx.Request.Header.Peek("Idempotency-Key"))
 	if len(w.key) > 200 {
-		v.refuse(ctx, codes.BadKey, "an Idempotency-Key has at most 200 bytes", true, 0)
+		v.refuse(ctx, resultcode.InvalidKey, "an Idempotency-Key has at most 200 bytes", true, 0)
 		return false
 	}
 	w.body = bytes.Clone(ctx.PostBody()) // outlives the handler
 	x, err := fastjson.ParseBytes(w.body)
 	if err != nil {
-		v.refuse(ctx, codes.BadBody, "the body is no JSON: "+err.Error(), true, 0)
+		v.refuse(ctx, resultcode.InvalidBody, "the body is no JSON: "+err.Error(), true, 0)
 		return false
 	}
 	p := x.Get("prompt")
 	if p == nil || p.Type() != fastjson.TypeString || len(p.GetStringBytes()) == 0 {
-		v.refuse(ctx, codes.BadBody, "prompt is missing or no text", true, 0)
+		v.refuse(ctx, resultcode.InvalidBody, "prompt is missing or no text", true, 0)
 		return false
 	}
 	w.text = p.GetStringBytes()
--- a/internal/router/own_interface_test.go
+++ b/internal/router/own_interface_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 )
 
@@ -19,19 +19,19 @@
 	for _, x := range []struct {
 		name, path, head, body string
 		status                 int
-		code                   codes.Code
+		code                   resultcode.Code
 	}{
-		{"no time left", "/chat", "", prompt, 400, codes.NoTimeLeft},
-		{"time left no number", "/chat", "Time-Left-Ms: soon\r\n", prompt, 400, codes.BadTimeLeft},
-		{"time left zero", "/chat", "Time-Left-Ms: 0\r\n", prompt, 400, codes.BadTimeLeft},
-		{"time left negative", "/chat", "Time-Left-Ms: -5\r\n", prompt, 400, codes.BadTimeLeft},
-		{"no mapping", "/other", left, prompt, 404, codes.NoMapping},
-		{"no JSON", "/chat", left, "{", 400, codes.BadBody},
-		{"no prompt", "/chat", left, "{}", 400, codes.BadBody},
-		{"prompt no text", "/chat", left, `{"prompt":7}`, 400, codes.BadBody},
-		{"prompt empty", "/chat", left, `{"prompt":""}`, 400, codes.BadBody},
-		{"long key", "/notice", left + "Idempotency-Key: " + strings.Repeat("k", 201) + "\r\n", prompt, 400, codes.BadKey},
-		{"too late", "/chat", "Time-Left-Ms: 10\r\n", prompt, 503, codes.OutOfTime},
+		{"no time left", "/chat", "", prompt, 400, resultcode.MissingTimeLeft},
+		{"time left no number", "/chat", "Time-Left-Ms: soon\r\n", prompt, 400, resultcode.InvalidTimeLeft},
+		{"time left zero", "/chat", "Time-Left-Ms: 0\r\n", prompt, 400, resultcode.InvalidTimeLeft},
+		{"time left negative", "/chat", "Time-Left-Ms: -5\r\n", prompt, 400, resultcode.InvalidTimeLeft},
+		{"no mapping", "/other", left, prompt, 404, resultcode.NoMapping},
+		{"no JSON", "/chat", left, "{", 400, resultcode.InvalidBody},
+		{"no prompt", "/chat", left, "{}", 400, resultcode.InvalidBody},
+		{"prompt no text", "/chat", left, `{"prompt":7}`, 400, resultcode.InvalidBody},
+		{"prompt empty", "/chat", left, `{"prompt":""}`, 400, resultcode.InvalidBody},
+		{"long key", "/notice", left + "Idempotency-Key: " + strings.Repeat("k", 201) + "\r\n", prompt, 400, resultcode.InvalidKey},
+		{"too late", "/chat", "Time-Left-Ms: 10\r\n", prompt, 503, resultcode.DeadlineExceeded},
 	} {
 		c := dial(t, v)
 		c.post(x.path, x.head, x.body)
@@ -157,7 +157,7 @@
 			})
 			v.stats.mu.Lock()
 			defer v.stats.mu.Unlock()
-			if n := v.stats.codes[codes.ClientLeft]; n != 1 {
+			if n := v.stats.codes[resultcode.ClientDisconnected]; n != 1 {
 				t.Errorf("%d hang-ups were noticed; the run ended for another reason", n)
 			}
 		})
--- a/internal/router/own_request.go
+++ b/internal/router/own_request.go
@@ -7,8 +7,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/clientwatch"
 	"seamshunt/internal/router/placement"
@@ -32,9 +32,9 @@
 	sent      int  // hand-overs whose bytes may have left
 	paid      bool // the next try was taken from the budget already
 	sure      bool
-	why       codes.Code
+	why       resultcode.Code
 	claimed   string // the key whose claim was granted, with its mapping
-	holders   []units.Node
+	holders   []units.NodeID
 	due       time.Duration
 	client    *clientwatch.Request
 	at        stage // where it stands
@@ -77,19 +77,19 @@
 			return w.end()
 		}
 		if w.until.Sub(now) < s.First {
-			w.why = codes.OutOfTime
+			w.why = resultcode.DeadlineExceeded
 			return w.sent > 0 && w.end()
 		}
 		if !w.more(0) {
 			return w.end()
 		}
 		if w.sent > 0 && !w.again(service, now) {
-			w.why = codes.Budget
+			w.why = resultcode.RetryBudgetExhausted
 			return w.end()
 		}
 		tag := v.tag.Add(1)
 		x := w.admit(now, tag, s)
-		if x.Code != codes.OK {
+		if x.Code != resultcode.OK {
 			w.why, w.due = x.Code, x.ExpectedWait
 			return w.sent > 0 && w.end()
 		}
@@ -102,7 +102,7 @@
 		}
 	}
 	if w.why == 0 {
-		w.why = codes.NoWorker
+		w.why = resultcode.NoWorker
 	}
 	return w.sent > 0 && w.end()
 }
@@ -116,7 +116,7 @@
 	v.queueMu.Lock()
 	v.waiting[tag] = c
 	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: s.Allow, Candidates: cands, MaxCandidates: s.Spread + 4, Deadline: w.until, FirstTokenTime: s.First, Worth: uint16(w.m.Promise.Worth),
-		Coordinator: func(n string) units.Node { return keepers[n] }})
+		Coordinator: func(n string) units.NodeID { return keepers[n] }})
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
@@ -148,7 +148,7 @@
 	addr, zone, ok := v.address(name, s)
 	if !ok || !w.m.Reaches(s.Name) {
 		v.done(tag, false)
-		w.why = codes.NoWorker
+		w.why = resultcode.NoWorker
 		return false
 	}
 	now := v.Tasks.Now()
@@ -175,18 +175,18 @@
 		if e.Unreachable {
 			v.markDown(name)
 		}
-		w.why = codes.NoWorker
+		w.why = resultcode.NoWorker
 		return false
 	case upstream.NotRun:
 		v.done(tag, false)
-		w.why = codes.WorkerNo
+		w.why = resultcode.WorkerRefused
 		w.sent++
 		return false
 	}
 	// It may have run: only a mapping that may repeat is tried again.
 	w.sent++
 	w.sure = false
-	w.why = codes.Unknown
+	w.why = resultcode.OutcomeUnknown
 	v.done(tag, !e.Unreachable)
 	v.markDown(name)
 	v.Log.WithError(e.Err).WithField("worker", name).Warn("a try of unknown outcome")
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -9,9 +9,9 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/clientwatch"
 	"seamshunt/internal/units"
 )
@@ -36,7 +36,7 @@
 	client *clientwatch.Request
 	at     stage  // where it stands
 	broke  string // the worker that broke off last
-	why    codes.Code
+	why    resultcode.Code
 	due    time.Duration
 	urge   uint8
 	reply  *reply // while a stream goes on
@@ -56,7 +56,7 @@
 		}
 	}()
 	if !proper(&ctx.Request.Header) {
-		w.end(codes.BadBody, 0)
+		w.end(resultcode.InvalidBody, 0)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 	w.rules = v.rules.Load()
 	if w.rules == nil || !v.ready.Load() {
-		w.end(codes.NotReady, 200*time.Millisecond)
+		w.end(resultcode.NotReady, 200*time.Millisecond)
 		return
 	}
 	path, host := ctx.Request.Header.RequestURI(), hostOf(ctx)
@@ -77,12 +77,12 @@
 	}
 	do, ok := w.rules.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
 	if !ok {
-		w.end(codes.NoMapping, 0)
+		w.end(resultcode.NoMapping, 0)
 		return
 	}
 	w.m = w.rules.Mappings[do[0].Mapping]
 	if over(ctx, w.rules.Limits) {
-		w.end(codes.TooLarge, 0)
+		w.end(resultcode.RequestTooLarge, 0)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -139,7 +139,7 @@
 		return false
 	}
 	w.v.tallies.count(w.m, func(t *tally) { t.refused++ })
-	w.end(codes.Draining, leaveBack)
+	w.end(resultcode.Draining, leaveBack)
 	return true
 }
 
@@ -173,9 +173,9 @@
 func (w *relay) refuse() {
 	c := w.why
 	if c == 0 {
-		c = codes.NoWorker
+		c = resultcode.NoWorker
 	}
-	if c == codes.ClientLeft {
+	if c == resultcode.ClientDisconnected {
 		w.ctx.SetConnectionClose()
 	} else {
 		w.v.tallies.count(w.m, func(t *tally) {
@@ -185,8 +185,8 @@
 	}
 	switch {
 	case w.ran:
-		w.end(codes.Unknown, 0)
-	case c == codes.ClientLeft:
+		w.end(resultcode.OutcomeUnknown, 0)
+	case c == resultcode.ClientDisconnected:
 		w.end(c, 0)
 	default:
 		s := w.rules.Services[w.m.To[0]]
@@ -195,8 +195,8 @@
 }
 
 // end answers with a code of our own. A client is told when to come back only where the request did not run.
-func (w *relay) end(c codes.Code, after time.Duration) {
-	if c != codes.ClientLeft { // counted as the client left
+func (w *relay) end(c resultcode.Code, after time.Duration) {
+	if c != resultcode.ClientDisconnected { // counted as the client left
 		w.v.stats.count(c)
 	}
 	r := &w.ctx.Response
@@ -212,17 +212,17 @@
 	r.SetBodyString(`{"code":` + strconv.Itoa(int(c)) + `,"text":"` + reasonOf(c) + "\"}\n")
 }
 
-func reasonOf(c codes.Code) string {
+func reasonOf(c resultcode.Code) string {
 	switch c {
-	case codes.NoMapping:
+	case resultcode.NoMapping:
 		return "no mapping takes this request"
-	case codes.NotReady:
+	case resultcode.NotReady:
 		return "this node has no confirmed configuration yet"
-	case codes.Unknown:
+	case resultcode.OutcomeUnknown:
 		return "the outcome is unknown: it may have run"
-	case codes.BadBody:
+	case resultcode.InvalidBody:
 		return "the request could not be read"
-	case codes.TooLarge:
+	case resultcode.RequestTooLarge:
 		return "the request is over the limits"
 	}
 	return reasons[c]
--- a/internal/router/relay_size.go
+++ b/internal/router/relay_size.go
@@ -10,7 +10,7 @@
 )
 
 // place orders the workers for one request, and says what each would have to read and hold.
-func (v *Router) place(now units.Time, s *config.Service, w *relay, q *admission.Request) ([]string, map[string]units.Node) {
+func (v *Router) place(now units.Time, s *config.Service, w *relay, q *admission.Request) ([]string, map[string]units.NodeID) {
 	w.urge = byRank(w.m)
 	if w.sized && s.Memory > 0 {
 		size(w.prompt, s, q)
--- a/internal/router/relay_try.go
+++ b/internal/router/relay_try.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/upstream"
 	"seamshunt/internal/units"
@@ -29,12 +29,12 @@
 	case w.sent == 0:
 		return true
 	case w.v.ending():
-		w.why = codes.Draining
+		w.why = resultcode.Draining
 		return false
 	case w.sent >= w.most() || w.ran && w.m.Once:
 		return false
 	case !w.v.budgetOf(service).AllowRetry(now, w.v.slack()):
-		w.why = codes.Budget
+		w.why = resultcode.RetryBudgetExhausted
 		return false
 	}
 	w.v.tallies.count(w.m, func(t *tally) { t.again++ })
@@ -50,19 +50,19 @@
 	for n := 0; n < triesMost+2; n++ { // what never left this node may look further as well
 		now := v.Tasks.Now()
 		if w.until.Sub(now) < s.First {
-			w.why = codes.OutOfTime
+			w.why = resultcode.DeadlineExceeded
 			return false
 		}
 		if !w.may(service, now) {
 			return false
 		}
 		x, tag := w.admit(now, s)
-		if x.Code == codes.NoWorker && w.sent == 0 && now.Sub(w.begun) < holdFor {
+		if x.Code == resultcode.NoWorker && w.sent == 0 && now.Sub(w.begun) < holdFor {
 			v.Tasks.Wait(w.client, keeperGap) // the workers' keepers are changing: they answer in a moment (design 11)
 			n--
 			continue
 		}
-		if x.Code != codes.OK {
+		if x.Code != resultcode.OK {
 			w.why, w.due = x.Code, x.ExpectedWait
 			return false
 		}
@@ -101,7 +101,7 @@
 	w.at = w.standing(stageAdmission)
 	q := admission.Request{Tag: tag, Policy: s.Allow, Deadline: w.until, FirstTokenTime: s.First, Worth: uint16(w.m.Promise.Worth), MaxCandidates: 3}
 	cands, keepers := v.place(now, s, w, &q)
-	q.Candidates, q.Coordinator = cands, func(n string) units.Node { return keepers[n] }
+	q.Candidates, q.Coordinator = cands, func(n string) units.NodeID { return keepers[n] }
 	c := make(chan verdict, 1)
 	v.queueMu.Lock()
 	v.waiting[tag] = c
@@ -147,7 +147,7 @@
 	addr, zone, ok := v.address(name, s)
 	if !ok || !w.m.Reaches(s.Name) {
 		v.done(tag, false)
-		w.why = codes.NoWorker
+		w.why = resultcode.NoWorker
 		return nil
 	}
 	now := v.Tasks.Now()
@@ -169,7 +169,7 @@
 			x.End()
 			v.done(tag, false)
 			v.markDown(name)
-			w.why = codes.WorkerNo
+			w.why = resultcode.WorkerRefused
 			return nil
 		}
 		took := v.Tasks.Now().Sub(now)
@@ -201,15 +201,15 @@
 		if x.Unreachable {
 			v.markDown(name)
 		}
-		w.why = codes.NoWorker
+		w.why = resultcode.NoWorker
 		v.Log.WithError(x.Err).WithField("worker", name).Warn("no connection to a worker")
 	case x.Outcome == upstream.NotRun || x.Outcome == upstream.WorkerReplaced:
 		v.done(tag, false)
 		v.markDown(name)
-		w.why = codes.WorkerNo
+		w.why = resultcode.WorkerRefused
 	default:
 		w.ran = true
-		w.why = codes.Unknown
+		w.why = resultcode.OutcomeUnknown
 		v.done(tag, !x.Unreachable)
 		v.markDown(name)
 		v.Log.WithError(x.Err).WithField("worker", name).Warn("a try of unknown outcome")
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -5,7 +5,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/upstream"
 )
 
@@ -18,7 +18,7 @@
 	if c := e.Response.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
 		e.End() // a refusal that does not say that it has not run promises what nobody knows
 		v.done(e.tag, false)
-		w.end(codes.Unknown, 0)
+		w.end(resultcode.OutcomeUnknown, 0)
 		return
 	}
 	w.client.AnswerStarted()
@@ -40,7 +40,7 @@
 		if w.try(e.service.Name) { // which takes it from the budget
 			return
 		}
-		w.end(codes.Unknown, 0)
+		w.end(resultcode.OutcomeUnknown, 0)
 		return
 	}
 	w.ctx.Response.SetBodyRaw(b)
@@ -151,7 +151,7 @@
 	if r.w.client.Err() != nil {
 		return // broken off here
 	}
-	v.stats.count(codes.BrokenStream)
+	v.stats.count(resultcode.StreamBroken)
 	v.markDown(r.worker)
 	v.Log.WithError(err).WithField("worker", r.worker).Warn("a stream broke")
 }
@@ -172,7 +172,7 @@
 			return false
 		}
 		x, tag := w.admit(now, r.service)
-		if x.Code != codes.OK {
+		if x.Code != resultcode.OK {
 			return false
 		}
 		e := w.handOver(tag, x.Worker, r.service)
@@ -215,7 +215,7 @@
 		}
 	}
 	if r.ended {
-		v.stats.count(codes.OK)
+		v.stats.count(resultcode.OK)
 		v.markUp(r.worker)
 	}
 	if w.reply == r {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -13,9 +13,9 @@
 	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/listener"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/router/clientwatch"
@@ -47,7 +47,7 @@
 	ledger          *capacity.Ledger
 	claimantMu      sync.Mutex
 	claimant        *idempotency.Claimant
-	claims          map[uint64]chan codes.Code
+	claims          map[uint64]chan resultcode.Code
 	placer          placement.Placer
 	budget          sync.Map // service to *upstream.Budget
 	habits          sync.Map // service to *upstream.Habit
@@ -71,7 +71,7 @@
 
 // New builds a router; with an adapter it speaks that world's words to clients and workers (design 11).
 func New(b *boot.Boot, outside *adapter.Adapter) *Router {
-	v := &Router{Base: node.New(b, node.RandomID(), membership.Router), waiting: map[uint64]chan verdict{}, claims: map[uint64]chan codes.Code{}}
+	v := &Router{Base: node.New(b, node.RandomID(), membership.Router), waiting: map[uint64]chan verdict{}, claims: map[uint64]chan resultcode.Code{}}
 	if v.Adapter = outside; outside != nil {
 		v.pool = upstream.NewPool(outside.Names)
 	}
@@ -168,7 +168,7 @@
 	v.tableMu.Unlock()
 }
 
-func (v *Router) gone(now units.Time, l []units.Node) {
+func (v *Router) gone(now units.Time, l []units.NodeID) {
 	v.ledgerMu.Lock()
 	for _, n := range l {
 		v.ledger.ProcessEnded(now, n)
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -19,7 +19,7 @@
 // rules is one configuration in force; a request keeps the ones that it began with.
 type rules struct {
 	*config.Config
-	num units.Num
+	num units.Version
 }
 
 // table is what news and membership say, under tableMu.
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/upstream"
 )
 
@@ -20,15 +20,15 @@
 func (w *ownRequest) refuse() {
 	c := w.why
 	if c == 0 {
-		c = codes.NoWorker
+		c = resultcode.NoWorker
 	}
-	if c == codes.ClientLeft {
+	if c == resultcode.ClientDisconnected {
 		w.ctx.SetConnectionClose()
 		w.ctx.SetStatusCode(c.Status())
 		return
 	}
 	if !w.sure {
-		w.v.refuse(w.ctx, codes.Unknown, "the outcome is unknown: it may have run", false, 0)
+		w.v.refuse(w.ctx, resultcode.OutcomeUnknown, "the outcome is unknown: it may have run", false, 0)
 		return
 	}
 	w.burn()
@@ -40,14 +40,14 @@
 	w.v.refuse(w.ctx, c, reasons[c], true, back(s.RetryAfter, s.Jitter, w.due))
 }
 
-var reasons = map[codes.Code]string{
-	codes.WaitFull:  "every waitlist is full",
-	codes.WaitLate:  "the time left does not reach to an answer",
-	codes.NoWorker:  "no worker can be reached",
-	codes.OutOfTime: "out of time",
-	codes.Draining:  "this node is leaving",
-	codes.Budget:    "no further try is left in the budget",
-	codes.WorkerNo:  "the workers refused",
+var reasons = map[resultcode.Code]string{
+	resultcode.QueueFull:            "every waitlist is full",
+	resultcode.DeadlineUnreachable:  "the time left does not reach to an answer",
+	resultcode.NoWorker:             "no worker can be reached",
+	resultcode.DeadlineExceeded:     "out of time",
+	resultcode.Draining:             "this node is leaving",
+	resultcode.RetryBudgetExhausted: "no further try is left in the budget",
+	resultcode.WorkerRefused:        "the workers refused",
 }
 
 // stream begins the caller's answer; the rest is read from the try as it comes.
@@ -115,12 +115,12 @@
 		}
 		var late net.Error
 		s.unsure = errors.As(e.Err, &late) && late.Timeout() // silence: nobody knows whether it still runs
-		v.stats.count(codes.BrokenStream)
+		v.stats.count(resultcode.StreamBroken)
 		v.markDown(s.worker)
 		v.Log.WithError(e.Err).WithField("worker", s.worker).Warn("a stream broke")
 	case <-s.w.client.Done():
 	case <-timeout.C:
-		v.stats.count(codes.OutOfTime)
+		v.stats.count(resultcode.DeadlineExceeded)
 	}
 	return nil, errBroken
 }
@@ -141,7 +141,7 @@
 		}
 	})
 	if s.whole && len(s.rest) == 0 {
-		s.w.v.stats.count(codes.OK)
+		s.w.v.stats.count(resultcode.OK)
 		s.w.v.markUp(s.worker)
 	}
 	if s.whole || s.unsure {
--- a/internal/router/with_adapter.go
+++ b/internal/router/with_adapter.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/listener"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -89,7 +89,7 @@
 }
 
 // compile reads a configuration in whichever words it was given.
-func (v *Router) compile(b []byte) (*config.Config, []*codes.Fault) {
+func (v *Router) compile(b []byte) (*config.Config, []*resultcode.Fault) {
 	if v.Adapter != nil {
 		return v.Adapter.Config(b)
 	}
--- a/internal/router/words_test.go
+++ b/internal/router/words_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/configpush"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 )
 
@@ -38,7 +38,7 @@
 	return v, big, small
 }
 
-func code(c codes.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
+func code(c resultcode.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
 
 // A mapping shared by two services reaches both; one key always the same one, and without a key it is drawn anew.
 func TestSharesOfOwnInterface(t *testing.T) {
@@ -90,19 +90,19 @@
 	left := "Time-Left-Ms: 2500\r\n"
 	c := dial(t, v)
 	fmt.Fprintf(c, "POST /part/x HTTP/1.1\r\nHost: y\r\n%sContent-Length: %d\r\n\r\n%s", left, len(prompt), prompt)
-	if status, body := c.reply(t); status != 404 || !strings.Contains(body, code(codes.NoMapping)) {
+	if status, body := c.reply(t); status != 404 || !strings.Contains(body, code(resultcode.NoMapping)) {
 		t.Errorf("another host: %d %s", status, body)
 	}
 	c = dial(t, v)
 	c.post("/free", left, `{"prompt":"`+strings.Repeat("a", 200)+`"}`)
-	if status, body := c.reply(t); status != 413 || !strings.Contains(body, code(codes.TooLarge)) || !strings.Contains(body, `"not_run":true`) {
+	if status, body := c.reply(t); status != 413 || !strings.Contains(body, code(resultcode.RequestTooLarge)) || !strings.Contains(body, `"not_run":true`) {
 		t.Errorf("over the limit: %d %s", status, body)
 	}
 	c = dial(t, v)
 	c.post("/part/lone/x", left, prompt)
 	h := <-small
 	h.Close() // it may have run, and it may repeat; but one try is all
-	if status, body := c.reply(t); !strings.Contains(body, code(codes.Unknown)) {
+	if status, body := c.reply(t); !strings.Contains(body, code(resultcode.OutcomeUnknown)) {
 		t.Errorf("one try: %d %s", status, body)
 	}
 	for range 2 { // both run: nothing is claimed for them
