--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -11,7 +11,7 @@
 
 // candidates asks the placement policy for the workers' order, and finds each one's keeper.
 func (v *Router) candidates(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
-	q := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, PreferredCount: s.Spread}
+	q := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: s.Spread}
 	keepers := map[string]units.NodeID{}
 	var over []placement.Candidate // passed over, but better than none
 	v.tableMu.Lock()
--- a/internal/router/leave.go
+++ b/internal/router/leave.go
@@ -78,7 +78,7 @@
 // Drain gives this node's duties away and lets what is under way end within the grace.
 func (v *Router) Drain() {
 	now := v.Tasks.Now()
-	d := newDeparture(now, time.Duration(v.Boot.DrainMs)*time.Millisecond)
+	d := newDeparture(now, time.Duration(v.Settings.DrainMs)*time.Millisecond)
 	v.departure.Store(d)
 	v.SetFlag(membership.Draining, true)
 	v.SetFlag(membership.Ready, false)
--- a/internal/router/own_request.go
+++ b/internal/router/own_request.go
@@ -154,7 +154,7 @@
 	now := v.Tasks.Now()
 	id := fmt.Sprintf("%s-%s", v.Self, strconv.FormatUint(tag, 16))
 	t := upstream.NewAttempt(w.client, addr, id, w.body, w.until.Sub(now))
-	v.stats.hand(zone, v.Boot.Zone, len(w.body))
+	v.stats.hand(zone, v.Settings.Zone, len(w.body))
 	v.Tasks.Go(t.Run)
 	if w.sent == 0 {
 		v.budgetOf(s.Name).RecordFirstAttempt(now)
--- a/internal/router/relay_rig_test.go
+++ b/internal/router/relay_rig_test.go
@@ -148,7 +148,7 @@
 // clientConn dials the router's front.
 func clientConn(t testing.TB, v *Router) *workerConn {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Boot.Web)
+	c, err := net.Dial("tcp", v.Settings.Web)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/relay_try.go
+++ b/internal/router/relay_try.go
@@ -155,7 +155,7 @@
 	req := w.request(worker, w.until.Sub(now))
 	o := &upstream.Dispatch{Worker: worker, Addr: addr, ID: w.id, Request: req, Deadline: time.Now().Add(w.until.Sub(now)), SendOnce: w.m.Once,
 		MaxConns: v.connsOf(s)}
-	v.stats.hand(zone, v.Boot.Zone, len(w.body))
+	v.stats.hand(zone, v.Settings.Zone, len(w.body))
 	if w.sent == 0 {
 		v.budgetOf(s.Name).RecordFirstAttempt(now)
 	}
--- a/internal/router/rig_test.go
+++ b/internal/router/rig_test.go
@@ -134,7 +134,7 @@
 
 func dial(t *testing.T, v *Router) *caller {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Boot.Web)
+	c, err := net.Dial("tcp", v.Settings.Web)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -94,7 +94,7 @@
 
 // Start opens everything and returns.
 func (v *Router) Start() error {
-	ln, err := listener.Listen(v.Boot.Web)
+	ln, err := listener.Listen(v.Settings.Web)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
@@ -190,7 +190,7 @@
 func (v *Router) budgetOf(service string) *upstream.RetryBudget {
 	x, ok := v.budget.Load(service)
 	if !ok {
-		ratio := v.Boot.Bounds.RetryRatio
+		ratio := v.Settings.Bounds.RetryRatio
 		if v.Adapter != nil {
 			ratio *= retryPart
 		}
@@ -205,11 +205,11 @@
 // slack is this node's part of the further tries that are allowed on top of the share: never more than two, since a node
 // that has just started may know few of the others.
 func (v *Router) slack() int {
-	if v.Boot.Bounds.RetrySlack == 0 {
+	if v.Settings.Bounds.RetrySlack == 0 {
 		return 0
 	}
 	v.tableMu.Lock()
 	n := len(v.table.peers)
 	v.tableMu.Unlock()
-	return min(2, v.Boot.Bounds.RetrySlack/(2*max(1, n)))
+	return min(2, v.Settings.Bounds.RetrySlack/(2*max(1, n)))
 }
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -65,7 +65,7 @@
 	ws := r.Keep(t.pools, t.catalog.Start(), t.evacuated)
 	v.ledgerMu.Lock()
 	v.ledger.SetWorkers(ws)
-	v.ledger.SetRateLimits(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, t.watch.RateShare(now, len(peers)))
+	v.ledger.SetRateLimits(v.Settings.Bounds.WarmExcess, v.Settings.Bounds.WarmSlack, t.watch.RateShare(now, len(peers)))
 	v.ledger.SetRouters(peers, t.watch.RunDeadlines(r.Longest(false)))
 	v.ledgerMu.Unlock()
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -11,7 +11,7 @@
 
 func (v *Router) health(ctx *fasthttp.RequestCtx) {
 	v.tableMu.Lock()
-	out := v.table.evacuated[v.Boot.Zone]
+	out := v.table.evacuated[v.Settings.Zone]
 	v.tableMu.Unlock()
 	if !v.ready.Load() || v.leaving() || out || v.alone() {
 		ctx.SetStatusCode(503)
@@ -43,8 +43,8 @@
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("node", a.NewString(v.Self.String()))
-	o.Set("name", a.NewString(v.Boot.Name))
-	o.Set("zone", a.NewString(v.Boot.Zone))
+	o.Set("name", a.NewString(v.Settings.Name))
+	o.Set("zone", a.NewString(v.Settings.Zone))
 	o.Set("ready", flag(&a, v.ready.Load()))
 	o.Set("leaving", flag(&a, v.leaving()))
 	o.Set("in_flight", a.NewNumberInt(int(v.inFlight.Load())))
--- a/internal/router/with_adapter.go
+++ b/internal/router/with_adapter.go
@@ -59,10 +59,10 @@
 
 // serveReadiness answers at an address of its own whether this node is ready.
 func (v *Router) serveReadiness() error {
-	if v.Boot.Ready == "" {
+	if v.Settings.Ready == "" {
 		return nil
 	}
-	ln, err := listener.Listen(v.Boot.Ready)
+	ln, err := listener.Listen(v.Settings.Ready)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
