--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -97,7 +97,7 @@
 func (h *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == capacity.Audit {
 		name, permits, _, err := capacity.UnpackReport(n.Body)
-		out.Fail(err)
+		out.AddError(err)
 		for _, x := range permits {
 			if h.requests[x.Tag] == nil {
 				out.Send(n.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
@@ -108,7 +108,7 @@
 	delete(h.unresponsive, n.From)
 	header, name, err := capacity.Unpack(n.Body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	if n.Kind == capacity.ReportRequest {
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -117,7 +117,7 @@
 func (g *Ledger) Tick(now units.Time) (out message.Effects) {
 	var names []string
 	if g.assignmentsStale {
-		names = message.Keys(g.workers)
+		names = message.SortedKeys(g.workers)
 	}
 	g.assignmentsStale = false
 	for _, name := range names {
@@ -131,7 +131,7 @@
 			g.stopCoordinating(name, state, &out)
 		}
 	}
-	for _, name := range message.Keys(g.coordinated) {
+	for _, name := range message.SortedKeys(g.coordinated) {
 		state := g.coordinated[name]
 		if _, ok := g.workers[name]; !ok {
 			g.stopCoordinating(name, state, &out)
@@ -187,7 +187,7 @@
 	for _, v := range g.routers {
 		l = append(l, v.Node)
 	}
-	for _, n := range message.Keys(g.unlistedRouters) {
+	for _, n := range message.SortedKeys(g.unlistedRouters) {
 		_, gone := g.runDeadlines[n]
 		switch {
 		case gone || slices.Contains(l, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
@@ -225,7 +225,7 @@
 	}
 	if now.Sub(state.reportsRequestedAt) >= reportRetryInterval {
 		state.reportsRequestedAt = now
-		for _, n := range message.Keys(state.awaitingReports) {
+		for _, n := range message.SortedKeys(state.awaitingReports) {
 			out.Send(n, ReportRequest, Pack(Header{}, name))
 		}
 	}
--- a/internal/router/capacity/maintenance.go
+++ b/internal/router/capacity/maintenance.go
@@ -21,7 +21,7 @@
 
 // sendAudits asks holders about permits that have been out for a while; they return what they don't know.
 func (g *Ledger) sendAudits(now units.Time, out *message.Effects) {
-	for _, name := range message.Keys(g.coordinated) {
+	for _, name := range message.SortedKeys(g.coordinated) {
 		state := g.coordinated[name]
 		by := map[units.NodeID][]HeldPermit{}
 		for _, p := range state.sortedPermits() {
@@ -29,7 +29,7 @@
 				by[p.node] = append(by[p.node], HeldPermit{Tag: p.tag})
 			}
 		}
-		for _, n := range message.Keys(by) {
+		for _, n := range message.SortedKeys(by) {
 			out.Send(n, Audit, PackReport(name, by[n], 0))
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 	state.reportsRequestedAt = now
 	live := g.liveRouters(now)
-	for _, n := range message.Keys(state.lateRouters) {
+	for _, n := range message.SortedKeys(state.lateRouters) {
 		if !slices.Contains(live, n) {
 			delete(state.lateRouters, n)
 			continue
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -12,7 +12,7 @@
 func (g *Ledger) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == Report {
 		name, held, sent, err := UnpackReport(n.Body)
-		out.Fail(err)
+		out.AddError(err)
 		if state := g.coordinated[name]; err == nil && state != nil && (!state.open || state.lateRouters[n.From]) {
 			for _, h := range held {
 				if p := (permitKey{n.From, h.Tag}); state.granted[p] == nil {
@@ -33,7 +33,7 @@
 	}
 	h, name, err := Unpack(n.Body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	state := g.coordinated[name]
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -41,7 +41,7 @@
 	core := v.table.voters
 	v.tableMu.Unlock()
 	v.screened(func() message.Effects {
-		v.claimant.Core(core)
+		v.claimant.SetVoters(core)
 		return v.claimant.Tick(now, peers, longest)
 	})
 }
@@ -93,6 +93,6 @@
 // burn keeps "not run" true for a key whose copy may still be on its way.
 func (w *ownRequest) burn() {
 	if w.claimed != "" {
-		w.v.screened(func() message.Effects { return w.v.claimant.Burn(w.claimed, w.holders) })
+		w.v.screened(func() message.Effects { return w.v.claimant.Spend(w.claimed, w.holders) })
 	}
 }
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -41,8 +41,8 @@
 // refresh brings news and membership into the tables and from there to the keeper.
 func (v *Router) refresh(now units.Time) {
 	v.FeedMu.Lock()
-	fresh := v.Feed.Fresh
-	v.Feed.Fresh = nil
+	fresh := v.Feed.Changes
+	v.Feed.Changes = nil
 	v.FeedMu.Unlock()
 	for _, it := range fresh {
 		v.news(now, it)
@@ -62,7 +62,7 @@
 	if r == nil {
 		return
 	}
-	ws := r.Keep(t.pools, t.catalog.Start(), t.evacuated)
+	ws := r.Keep(t.pools, t.catalog.StartTimes(), t.evacuated)
 	v.ledgerMu.Lock()
 	v.ledger.SetWorkers(ws)
 	v.ledger.SetRateLimits(v.Settings.Bounds.WarmExcess, v.Settings.Bounds.WarmSlack, t.watch.RateShare(now, len(peers)))
@@ -80,12 +80,12 @@
 			v.Log.WithError(faults[0]).Error("a configuration that control took does not compile here")
 			return
 		}
-		v.rules.Store(&rules{Config: c, num: it.Num})
+		v.rules.Store(&rules{Config: c, num: it.Version})
 	case "zone":
 		v.zoneNews(name, it)
 	case "workers":
 		v.tableMu.Lock()
-		pool, err := v.table.catalog.Take(now, it.Key, it.Num, it.Data)
+		pool, err := v.table.catalog.Apply(now, it.Key, it.Version, it.Data)
 		v.table.pools[pool] = v.table.catalog.List(pool)
 		v.tableMu.Unlock()
 		if err != nil {
@@ -109,14 +109,14 @@
 	v.table.evacuated[zone] = evacuated
 	v.tableMu.Unlock()
 	if changed {
-		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": it.Num}).Warn("a zone's state has changed")
+		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": it.Version}).Warn("a zone's state has changed")
 	}
 }
 
 // confirm makes a starting or woken router ready once nothing newer than its news stands anywhere (design 4).
 func (v *Router) confirm(now units.Time) {
 	all := v.Members()
-	switch core, _ := configpush.Neighbours(all, v.Self); {
+	switch core, _ := configpush.LivePeers(all, v.Self); {
 	case len(core) > 0:
 		v.static.Store(0)
 	case v.static.Load() == 0:
@@ -146,6 +146,6 @@
 	v.ready.Store(false)
 	v.SetFlag(membership.Ready, false)
 	v.FeedMu.Lock()
-	clear(v.Feed.Vouch)
+	clear(v.Feed.Confirmations)
 	v.FeedMu.Unlock()
 }
--- a/internal/router/steps_test.go
+++ b/internal/router/steps_test.go
@@ -29,12 +29,12 @@
 	t.Helper()
 	v.FeedMu.Lock()
 	for _, it := range its {
-		v.Feed.Take(it)
+		v.Feed.Apply(it)
 	}
 	v.FeedMu.Unlock()
 	marker := fmt.Sprintf("marker%d", markers.Add(1))
 	v.FeedMu.Lock()
-	v.Feed.Take(configpush.Item{Key: "zone/" + marker, Num: 1, Data: []byte(`{"evacuated":true}`)})
+	v.Feed.Apply(configpush.Item{Key: "zone/" + marker, Version: 1, Data: []byte(`{"evacuated":true}`)})
 	v.FeedMu.Unlock()
 	testutil.Until(t, "the news is looked at", func() bool {
 		v.tableMu.Lock()
@@ -50,8 +50,8 @@
 	a, big := scripted(t)
 	b, small := scripted(t)
 	v := rig(t, a)
-	take(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(stepConfig)},
-		configpush.Item{Key: "workers/side", Num: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
+	take(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(stepConfig)},
+		configpush.Item{Key: "workers/side", Version: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
 	testutil.Until(t, "both workers are kept", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
@@ -94,7 +94,7 @@
 	if _, err := c.r.ReadString('}'); err != nil {
 		t.Fatal(err)
 	}
-	take(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(stepConfig)}, configpush.Item{Key: "zone/z1", Num: 1, Data: []byte(`{"evacuated":true}`)})
+	take(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(stepConfig)}, configpush.Item{Key: "zone/z1", Version: 1, Data: []byte(`{"evacuated":true}`)})
 	if status, body := ask(t, v, "/chat").reply(t); status != 404 || !strings.Contains(body, `"code":203`) {
 		t.Errorf("the mapping is gone: %d %s", status, body)
 	}
@@ -124,8 +124,8 @@
 	t.Parallel()
 	a, _ := scripted(t)
 	v := rig(t, a)
-	take(t, v, configpush.Item{Key: "config", Num: 3, Data: []byte(stepConfig)})
-	take(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(rigConfig)})
+	take(t, v, configpush.Item{Key: "config", Version: 3, Data: []byte(stepConfig)})
+	take(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(rigConfig)})
 	if n := v.rules.Load().num; n != 3 {
 		t.Errorf("number %d in force", n)
 	}
@@ -136,8 +136,8 @@
 	t.Parallel()
 	a, _ := scripted(t)
 	v := rig(t, a)
-	take(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
-	for _, k := range []message.Kind{capacity.Acquire, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
+	take(t, v, configpush.Item{Key: "workers/main/ff", Version: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
+	for _, k := range []message.Kind{capacity.Acquire, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.CopyReply} {
 		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.ledgerMu.Lock()
--- a/internal/router/tally.go
+++ b/internal/router/tally.go
@@ -115,7 +115,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := a.NewObject()
-	for _, name := range message.Keys(t.by) {
+	for _, name := range message.SortedKeys(t.by) {
 		x := t.by[name]
 		y := a.NewObject()
 		y.Set("promise", a.NewString(x.promise))
@@ -142,7 +142,7 @@
 func (t *tallies) metrics(w io.Writer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, name := range message.Keys(t.by) {
+	for _, name := range message.SortedKeys(t.by) {
 		x := t.by[name]
 		for _, c := range []struct {
 			name string
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -20,7 +20,7 @@
 	}
 	v.queueMu.Unlock()
 	v.ledgerMu.Lock()
-	out.Join(v.ledger.Tick(now))
+	out.Append(v.ledger.Tick(now))
 	busy = busy || v.ledger.Busy()
 	v.ledgerMu.Unlock()
 	v.Deliver(out)
