--- a/internal/router/capacity/busy.go
+++ b/internal/router/capacity/busy.go
@@ -1,7 +1,7 @@
 package capacity
 
-// Busy says whether the next tick may have something to do that can't wait long: a book that is not open yet, prompts
-// that wait, routers that still have to report, or keepers to work out anew.
+// Busy reports whether the next tick may have urgent work: reports that are still being collected, waiting requests, routers
+// that still have to report, or coordinators to assign anew.
 func (g *Ledger) Busy() bool {
 	if g.assignmentsStale {
 		return true
--- a/internal/router/capacity/busy_test.go
+++ b/internal/router/capacity/busy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A keeper is busy while a book is not open or a prompt waits, and not with nothing but lent slots.
+// A ledger is busy while a state isn't open or a request waits, and not while permits are only in use.
 func TestBusy(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 3, FirstTokenTime: 50 * ms})
 	busy := func(want bool, when string) {
@@ -17,19 +17,19 @@
 	b.advance(20 * ms)
 	busy(false, "open and idle")
 	b.acquire(1, time.Second, false)
-	busy(false, "one slot lent")
+	busy(false, "one slot in use")
 	b.acquire(2, time.Second, true)
-	busy(true, "one prompt waits")
+	busy(true, "one request waits")
 	b.release(1)
-	busy(false, "it has gone in")
+	busy(false, "the waiting request was granted")
 	b.SetRouters([]Peer{{Node: 1}, {Node: 2}}, nil)
-	busy(true, "another router came")
+	busy(true, "another router appeared")
 	g := New(1)
 	g.SetWorkers(map[string]Worker{"s/w": {Capacity: 1}})
 	g.SetRouters([]Peer{{Node: 1}}, nil)
-	busy(true, "a worker to keep")
+	busy(true, "a worker to coordinate")
 	g.Tick(b.now)
 	if !g.Busy() {
-		t.Error("a book that awaits reports is no business")
+		t.Error("not busy while reports are awaited")
 	}
 }
--- a/internal/router/capacity/engine.go
+++ b/internal/router/capacity/engine.go
@@ -7,25 +7,27 @@
 	"seamshunt/internal/units"
 )
 
-// quickTakeoverWait is how long a new keeper that need not be strict waits for reports (design 12).
+// quickTakeoverWait is how long a new coordinator waits for reports if Worker.QuickTakeover is set (docs/design.md,
+// section 12).
 const quickTakeoverWait = 250 * time.Millisecond
 
-// engineState is what a keeper knows of a worker that reads prompts and holds them in memory: the knee's other side.
+// engineState is the part of a worker's state that models an inference engine: prefill work, memory and speed. It limits
+// admission in addition to the number of permits.
 type engineState struct {
-	memoryTokens int           // tokens lent
-	prefillQueue []prefillItem // what is handed over and not read yet, as the worker takes it: what it has begun is read to its end
-	updatedAt    units.Time    // when the line was worked out
-	slowdown     float64       // how much longer than a usual worker it takes, as learned; 0 is not known yet
-	recentGrants []units.Time  // grants of the last second, for the rate that a cold worker bears
+	memoryTokens int           // needed by all granted permits together
+	prefillQueue []prefillItem // dispatched prompts without a finished prefill, in order; the first one isn't preempted
+	updatedAt    units.Time    // when prefillQueue was last advanced
+	slowdown     float64       // learned prefill time relative to a typical worker; 0 if not known yet
+	recentGrants []units.Time  // grants of the last second, for the rate limit
 }
 
-// prefillItem is a prompt's unread rest, in a usual worker's time.
+// prefillItem is the rest of a prompt's prefill, in the time that a typical worker needs.
 type prefillItem struct {
 	remaining time.Duration
 	priority  uint8
 }
 
-// slowdownFactor is how much longer the worker takes than a usual one.
+// slowdownFactor returns the worker's prefill time relative to a typical worker.
 func (k *workerState) slowdownFactor() float64 {
 	if k.slowdown == 0 {
 		return 1
@@ -33,7 +35,7 @@
 	return k.slowdown
 }
 
-// advancePrefill takes out of the line what the worker has read by now.
+// advancePrefill removes from the queue the prefill work that the worker has done by now.
 func (k *workerState) advancePrefill(now units.Time) {
 	done := time.Duration(float64(now.Sub(k.updatedAt)) / k.slowdownFactor())
 	k.updatedAt = now
@@ -46,7 +48,8 @@
 	}
 }
 
-// prefillPosition is where a prompt of some urgency comes in the line: behind all that are as urgent, and what is begun.
+// prefillPosition returns where a prompt joins the prefill queue: behind those of the same or a higher priority, and behind
+// the one in progress.
 func (k *workerState) prefillPosition(priority uint8) int {
 	position := len(k.prefillQueue)
 	for position > 1 && k.prefillQueue[position-1].priority > priority {
@@ -55,7 +58,7 @@
 	return position
 }
 
-// prefillBacklog is how long the worker reads the first so many of its line.
+// prefillBacklog returns the time that the worker needs for the first n items of its prefill queue.
 func (k *workerState) prefillBacklog(n int) (sum time.Duration) {
 	for _, x := range k.prefillQueue[:n] {
 		sum += x.remaining
@@ -63,24 +66,25 @@
 	return time.Duration(float64(sum) * k.slowdownFactor())
 }
 
-// firstTokenTime is how long a prompt that is handed over now waits for its first words, as far as reading goes.
+// firstTokenTime returns the time to first token of a prompt that is dispatched now, as far as prefill determines it.
 func (k *workerState) firstTokenTime(now units.Time, request acquireRequest) time.Duration {
 	if request.prefillTime == 0 {
 		return 0
 	}
 	k.advancePrefill(now)
-	return k.prefillBacklog(k.prefillPosition(request.priority)) + time.Duration(float64(request.prefillTime)*k.slowdownFactor())
+	return k.prefillBacklog(k.prefillPosition(request.priority)) +
+		time.Duration(float64(request.prefillTime)*k.slowdownFactor())
 }
 
-// Bounds of learning a worker's speed (start values): prompts that take less tell little of it.
+// Limits of learning a worker's speed.
 const (
-	minLearnedPrefill  = 40 * time.Millisecond
-	baseFirstTokenTime = 35 * time.Millisecond // till first words with nothing to read
+	minLearnedPrefill  = 40 * time.Millisecond // shorter prefills say little about the speed
+	baseFirstTokenTime = 35 * time.Millisecond // time to first token without prefill
 	minSlowdown        = 0.5
 	maxSlowdown        = 4.0
 )
 
-// learnSlowdown takes the time to first words of a prompt that found the line empty.
+// learnSlowdown learns from the time to first token of a prompt that found the prefill queue empty.
 func (k *workerState) learnSlowdown(prefillTime, firstToken time.Duration) {
 	if prefillTime < minLearnedPrefill {
 		return
@@ -89,19 +93,20 @@
 	k.slowdown = min(maxSlowdown, max(minSlowdown, (3*k.slowdownFactor()+measured)/4))
 }
 
-// hasMemoryFor says whether the worker's memory holds one more prompt; an idle worker holds any.
+// hasMemoryFor reports whether the worker has memory for one more request. An idle worker accepts any size.
 func (k *workerState) hasMemoryFor(w Worker, mem uint32) bool {
 	return w.Memory <= 0 || k.memoryTokens == 0 || k.memoryTokens+int(mem) <= w.Memory
 }
 
-// SetRateLimits sets what a cold worker's rate may be exceeded by, and which part of the known routers this node sees live:
-// keepers on two sides of a cut then lend no more together than one would (design 12).
+// SetRateLimits sets by how much a warming-up worker's rate may be exceeded, as a factor and in requests, and the share of the
+// rate that this router may use. The share ensures that the coordinators on two sides of a network partition together grant
+// no more than one would (docs/design.md, section 12).
 func (g *Ledger) SetRateLimits(excess float64, slack int, share float64) {
 	g.rateExcess, g.rateSlack, g.rateShare = excess, slack, share
 }
 
-// maxRate is how many requests a worker may get in any one second. A worker may turn cold unseen at any moment, so the
-// bound for cold ones holds always; one that is known to be cold gets what it bears.
+// maxRate returns how many requests a worker may get in any one second. A worker may restart unnoticed at any time, so the
+// bound for warming-up workers, excess included, always holds. A worker known to be warming up gets its warm-up rate.
 func (g *Ledger) maxRate(now units.Time, worker Worker) int {
 	if worker.WarmUpRate <= 0 {
 		return 1 << 30
@@ -113,7 +118,7 @@
 	return max(1, int(maxRate*g.rateShare))
 }
 
-// rateDelay is how long the next grant must wait for the rate; zero when it may go now.
+// rateDelay returns how long the next grant must wait for the rate limit; 0 if it needn't wait.
 func (k *workerState) rateDelay(now units.Time, maxRate int) time.Duration {
 	for len(k.recentGrants) > 0 && now.Sub(k.recentGrants[0]) > time.Second {
 		k.recentGrants = k.recentGrants[1:]
@@ -124,19 +129,20 @@
 	return k.recentGrants[len(k.recentGrants)-maxRate].Add(time.Second).Sub(now) + time.Millisecond
 }
 
-// recordGrant notes a grant, and what it makes the worker read and hold.
+// recordGrant accounts for a grant's rate, prefill work and memory.
 func (k *workerState) recordGrant(now units.Time, worker Worker, request acquireRequest) {
 	if worker.WarmUpRate > 0 {
 		k.recentGrants = append(k.recentGrants, now)
 	}
 	k.advancePrefill(now)
 	if request.prefillTime > 0 {
-		k.prefillQueue = slices.Insert(k.prefillQueue, k.prefillPosition(request.priority), prefillItem{request.prefillTime, request.priority})
+		k.prefillQueue = slices.Insert(k.prefillQueue, k.prefillPosition(request.priority),
+			prefillItem{request.prefillTime, request.priority})
 	}
 	k.memoryTokens += int(request.memoryTokens)
 }
 
-// Capacity gives how many permits a worker may have out now.
+// Capacity returns how many permits of a worker may be in use now.
 func (g *Ledger) Capacity(now units.Time, name string) int {
 	worker, ok := g.workers[name]
 	if !ok || worker.Closed {
--- a/internal/router/capacity/late_router_test.go
+++ b/internal/router/capacity/late_router_test.go
@@ -7,26 +7,27 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// A keeper that opened its book while it knew few others asks whoever comes into view later, and counts what that one
-// holds: nothing more is lent than the cap bears.
+// A coordinator that opened its state while it knew few routers requests reports from routers that appear later, and counts
+// the permits they hold: no more than the capacity is in use.
 func TestLateRoutersAreQueried(t *testing.T) {
 	b := newHarness(Worker{Capacity: 2, MaxWaiting: 2, FirstTokenTime: 50 * ms})
 	b.SetRouters([]Peer{{Node: 1}, {Node: 7}}, nil)
 	b.now = b.now.Add(time.Second)
-	asked := false
+	requested := false
 	for _, n := range b.Tick(b.now).Messages {
-		asked = asked || n.To == 7 && n.Kind == ReportRequest
+		requested = requested || n.To == 7 && n.Kind == ReportRequest
 	}
-	if !asked {
-		t.Fatal("the latecomer is not asked")
+	if !requested {
+		t.Fatal("no report is requested from the late router")
 	}
 	held := []HeldPermit{{Tag: 71, TimeLeft: 5000}, {Tag: 72, TimeLeft: 5000}}
 	b.collectReplies(b.Step(b.now, message.Message{From: 7, Kind: Report, Body: PackReport("s/w", held, 0)}))
 	if k := b.acquire(1, 10*time.Second, false); k != Refusal || b.Status(b.now)[0].InUse != 2 {
-		t.Errorf("lent %d, and one more: %v", b.Status(b.now)[0].InUse, k == Grant)
+		t.Errorf("%d in use, one more granted: %v", b.Status(b.now)[0].InUse, k == Grant)
 	}
-	b.collectReplies(b.Step(b.now, message.Message{From: 7, Kind: Report, Body: PackReport("s/w", []HeldPermit{{Tag: 73, TimeLeft: 5000}}, 0)}))
+	b.collectReplies(b.Step(b.now, message.Message{From: 7, Kind: Report,
+		Body: PackReport("s/w", []HeldPermit{{Tag: 73, TimeLeft: 5000}}, 0)}))
 	if b.Status(b.now)[0].InUse != 2 {
-		t.Error("a report that nobody asked for changes the book")
+		t.Error("an unrequested report is counted")
 	}
 }
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -9,16 +9,16 @@
 	"seamshunt/internal/units"
 )
 
-// Spans of the keeping (start values).
 const (
-	runGrace            = 500 * time.Millisecond // what a run may last past its time left
-	auditInterval       = time.Second
+	runGrace            = 500 * time.Millisecond // how long a run may last past its deadline
+	auditInterval       = time.Second            // between audits, and the age from which a permit is audited
 	reportRetryInterval = 200 * time.Millisecond
-	disconnectGrace     = 300 * time.Millisecond // after a process is known to be gone, till its runs are broken off
+	disconnectGrace     = 300 * time.Millisecond // from the known end of a process until workers have stopped its runs
 	adaptInterval       = time.Second
-	unlistedRouterTTL   = 5 * time.Second // till membership must show a router that was heard of
+	unlistedRouterTTL   = 5 * time.Second // how long an unlisted router counts before the membership must list it
 )
 
+// permitKey identifies a permit by its holder and the request's tag.
 type permitKey struct {
 	node units.NodeID
 	tag  uint64
@@ -26,7 +26,7 @@
 
 type acquireRequest struct {
 	permitKey
-	deadline     units.Time // its deadline
+	deadline     units.Time
 	worth        uint16
 	prefillTime  time.Duration
 	priority     uint8
@@ -38,57 +38,58 @@
 	expiresAt    units.Time
 	grantedAt    units.Time
 	memoryTokens uint32
-	prefillTime  time.Duration // what reading it takes a usual worker; 0 when others are read before it
+	prefillTime  time.Duration // on a typical worker; 0 if other prompts are ahead in the prefill queue
 }
 
-// workerState is one worker in this node's keeping.
+// workerState is the state of one worker that this router coordinates.
 type workerState struct {
-	open                bool
+	open                bool // all reports are in: permits may be granted
 	granted             map[permitKey]*permit
-	waitlist            []acquireRequest // by deadline
+	waitlist            []acquireRequest // sorted by deadline
 	awaitingReports     map[units.NodeID]bool
-	lateRouters         map[units.NodeID]bool // routers that came into view with the book open: they are asked too
+	lateRouters         map[units.NodeID]bool // appeared after the state was opened; they must report too
 	reportsRequestedAt  units.Time
-	unreachableUntil    map[units.NodeID]units.Time // until when a silent node may still hold what it was lent before
+	unreachableUntil    map[units.NodeID]units.Time // until when an unreachable router may hold permits
 	releaseInterval     time.Duration
-	meanHoldTime        time.Duration // mean time that a slot is held
+	meanHoldTime        time.Duration // mean time that a permit is held
 	lastReleaseAt       units.Time
 	adaptiveCapacity    float64
-	waitSum             time.Duration
+	waitSum             time.Duration // of the grants since adaptedAt
 	waitCount           int
 	adaptedAt           units.Time
 	collectionStartedAt units.Time
 	engineState
 }
 
-// Ledger is the keeper's step machine.
+// Ledger is the state machine of a router as coordinator. Its methods return the messages to send.
 type Ledger struct {
 	self             units.NodeID
 	workers          map[string]Worker
 	routers          []Peer
-	runDeadlines     map[units.NodeID]units.Time // processes not live, till when their runs may still be going
+	runDeadlines     map[units.NodeID]units.Time // for processes that aren't live: when their runs are over at the latest
 	coordinated      map[string]*workerState
-	unlistedRouters  map[units.NodeID]units.Time // routers that took a worker over before membership showed them here
-	assignmentsStale bool                        // the workers or the routers are not those that the keepers were worked out for
+	unlistedRouters  map[units.NodeID]units.Time // took a worker over before the membership listed them here
+	assignmentsStale bool                        // workers or routers have changed since coordinators were assigned
 	lastAuditAt      units.Time
 	rateExcess       float64
 	rateSlack        int
 	rateShare        float64
 }
 
-// New begins a node that keeps nothing.
+// New returns a ledger that coordinates no worker.
 func New(self units.NodeID) *Ledger {
-	return &Ledger{self: self, workers: map[string]Worker{}, coordinated: map[string]*workerState{}, runDeadlines: map[units.NodeID]units.Time{}, unlistedRouters: map[units.NodeID]units.Time{}, rateExcess: 1, rateShare: 1}
+	return &Ledger{self: self, workers: map[string]Worker{}, coordinated: map[string]*workerState{},
+		runDeadlines: map[units.NodeID]units.Time{}, unlistedRouters: map[units.NodeID]units.Time{}, rateExcess: 1, rateShare: 1}
 }
 
-// SetWorkers sets what there is to keep.
+// SetWorkers sets the workers of the whole fleet.
 func (g *Ledger) SetWorkers(workers map[string]Worker) {
 	if !maps.Equal(g.workers, workers) {
 		g.workers, g.assignmentsStale = workers, true
 	}
 }
 
-// SetRouters takes membership's view: the live routers, and till when others' runs may still be going.
+// SetRouters sets the live routers, and when the runs of other processes are over at the latest.
 func (g *Ledger) SetRouters(routers []Peer, runDeadlines map[units.NodeID]units.Time) {
 	g.assignmentsStale = g.assignmentsStale || !slices.Equal(g.routers, routers)
 	for _, v := range routers {
@@ -101,7 +102,7 @@
 	g.routers, g.runDeadlines = routers, runDeadlines
 }
 
-// ProcessEnded frees what a process held that is known to have ended: the kernel broke its runs' wires off.
+// ProcessEnded frees the permits of a process that is known to have ended: the kernel has closed its runs' connections.
 func (g *Ledger) ProcessEnded(now units.Time, n units.NodeID) {
 	for _, state := range g.coordinated {
 		for p, l := range state.granted {
@@ -113,7 +114,7 @@
 	}
 }
 
-// Tick takes over what fell to this node, gives up what did not, and ends what ran out.
+// Tick takes over the workers assigned to this router, gives up the others, and removes expired permits.
 func (g *Ledger) Tick(now units.Time) (out message.Effects) {
 	var names []string
 	if g.assignmentsStale {
@@ -157,31 +158,34 @@
 	return out
 }
 
-// TakeOver begins the keeping of one worker, as Tick does when it falls to this node.
+// TakeOver starts to coordinate one worker, as Tick does when the worker is assigned to this router.
 func (g *Ledger) TakeOver(now units.Time, name string) (out message.Effects) {
 	g.startCoordinating(now, name, &out)
 	return out
 }
 
-// startCoordinating asks every live router what it holds; until all have said so, nothing is lent.
+// startCoordinating requests a report from every live router. Nothing is granted until all have reported.
 func (g *Ledger) startCoordinating(now units.Time, name string, out *message.Effects) {
-	state := &workerState{granted: map[permitKey]*permit{}, adaptedAt: now, collectionStartedAt: now, unreachableUntil: maps.Clone(g.runDeadlines), lateRouters: map[units.NodeID]bool{}}
+	state := &workerState{granted: map[permitKey]*permit{}, adaptedAt: now, collectionStartedAt: now,
+		unreachableUntil: maps.Clone(g.runDeadlines), lateRouters: map[units.NodeID]bool{}}
 	g.coordinated[name] = state
 	g.restartCollection(now, name, state, out)
 }
 
-// restartCollection asks all nodes for their reports, and with them for their trust. A keeper also does so when it meets a
-// node that has last reported to another: while views differed, that one took the worker over, and no grant of
-// this keeper's would be taken there.
+// restartCollection requests reports from all routers, which from then on accept only this coordinator's grants. A coordinator
+// also does so when a router has last reported to another one: while membership views differed, the other one took the worker
+// over, and that router would accept no grant from this one.
 func (g *Ledger) restartCollection(now units.Time, name string, state *workerState, out *message.Effects) {
-	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.NodeID]bool{}, now.Add(-reportRetryInterval), now
+	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.NodeID]bool{},
+		now.Add(-reportRetryInterval), now
 	for _, n := range g.liveRouters(now) {
 		state.awaitingReports[n] = true
 	}
 	g.collectReports(now, name, state, out)
 }
 
-// liveRouters lists the routers that may hold something: those that membership shows, and those that it does not show yet.
+// liveRouters returns the routers that may hold permits: those that the membership lists, and those that
+// it doesn't list yet.
 func (g *Ledger) liveRouters(now units.Time) []units.NodeID {
 	var l []units.NodeID
 	for _, v := range g.routers {
@@ -199,6 +203,8 @@
 	return l
 }
 
+// collectReports opens the state once all reports are in and the runs of unreachable routers are over; until then it repeats
+// the requests for reports.
 func (g *Ledger) collectReports(now units.Time, name string, state *workerState, out *message.Effects) {
 	live := g.liveRouters(now)
 	for n := range state.awaitingReports {
@@ -209,15 +215,16 @@
 		state.unreachableUntil[n] = g.runDeadlines[n]
 	}
 	for n := range state.unreachableUntil {
-		if slices.Contains(live, n) { // it was not lost after all, and can say itself what it holds
+		if slices.Contains(live, n) { // it is reachable again and can report by itself
 			delete(state.unreachableUntil, n)
 			state.awaitingReports[n] = true
 			state.reportsRequestedAt = now.Add(-reportRetryInterval)
 		}
 	}
-	lax := g.workers[name].QuickTakeover && (len(state.awaitingReports) == 0 || now.Sub(state.collectionStartedAt) >= quickTakeoverWait)
-	if len(state.awaitingReports) == 0 || lax {
-		if lax || now >= state.unreachableDeadline() {
+	quick := g.workers[name].QuickTakeover &&
+		(len(state.awaitingReports) == 0 || now.Sub(state.collectionStartedAt) >= quickTakeoverWait)
+	if len(state.awaitingReports) == 0 || quick {
+		if quick || now >= state.unreachableDeadline() {
 			state.open = true
 			g.serveWaitlist(now, name, state, out)
 		}
@@ -231,7 +238,7 @@
 	}
 }
 
-// stopCoordinating lets those that wait ask elsewhere.
+// stopCoordinating refuses the waiting requests, so that their routers ask the new coordinator.
 func (g *Ledger) stopCoordinating(name string, state *workerState, out *message.Effects) {
 	for _, a := range state.waitlist {
 		out.Send(a.node, Refusal, Pack(Header{Tag: a.tag, Reason: ReasonNotCoordinator}, name))
--- a/internal/router/capacity/ledger_test.go
+++ b/internal/router/capacity/ledger_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// ledgerHarness is one keeper of one worker, opened, with notes put in by hand.
+// ledgerHarness is the coordinator of one worker with all reports in. Tests feed it messages and collect its replies.
 type ledgerHarness struct {
 	*Ledger
 	now     units.Time
@@ -69,34 +69,35 @@
 	return false
 }
 
-// Under the cap: in. At the cap: a bounded list by deadline, and beyond it a refusal at once (design 6).
+// Below the capacity requests are granted; at the capacity they wait in a bounded waitlist ordered by deadline; beyond it they
+// are refused at once (docs/design.md, section 6).
 func TestCapacityAndWaitlist(t *testing.T) {
 	b := newHarness(Worker{Capacity: 2, MaxWaiting: 3, FirstTokenTime: 50 * ms})
 	if b.acquire(1, time.Second, false) != Grant || b.acquire(2, time.Second, false) != Grant {
-		t.Fatal("two under a cap of two")
+		t.Fatal("two requests within a capacity of two are not granted")
 	}
 	if b.acquire(3, time.Second, false) != Refusal || b.replies[2].Reason != ReasonBusy {
-		t.Fatal("a third that won't wait is told that all is busy")
+		t.Fatal("a third request that may not wait is not refused as busy")
 	}
 	for tag, left := range map[uint64]time.Duration{13: 3 * time.Second, 11: time.Second, 12: 2 * time.Second} {
 		if b.acquire(tag, left, true) != Queued {
-			t.Fatalf("%d may wait", tag)
+			t.Fatalf("request %d may wait", tag)
 		}
 	}
 	if b.acquire(14, 9*time.Second, true) != Refusal || b.replies[len(b.replies)-1].Reason != ReasonQueueFull {
-		t.Fatal("the list is bounded")
+		t.Fatal("the waitlist is not bounded")
 	}
 	for _, tag := range []uint64{11, 12, 13} {
 		b.release(1)
 		b.release(2)
 		if !b.wasGranted(tag) {
-			t.Fatalf("%d has the earliest deadline of those that wait", tag)
+			t.Fatalf("request %d has the earliest deadline but was not granted", tag)
 		}
 		b.collectReplies(b.Step(b.now, message.Message{From: 2, Kind: Release, Body: Pack(Header{Tag: tag}, "s/w")}))
 	}
 }
 
-// A deadline that the measured turnover can't meet is refused while there is still time to go elsewhere.
+// A request whose deadline can't be met at the measured release rate is refused while there is still time to go elsewhere.
 func TestRefusesUnreachableDeadlineEarly(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 9, FirstTokenTime: 100 * ms})
 	for tag := range uint64(4) {
@@ -106,12 +107,12 @@
 	}
 	b.acquire(50, 30*time.Second, true)
 	if b.acquire(51, 900*ms, true) != Refusal || b.replies[len(b.replies)-1].Reason != ReasonTooLate {
-		t.Error("a second's wait is foreseen, 0.9 s are left")
+		t.Error("not refused with an expected wait of 1 s and 0.9 s left")
 	}
 	if b.acquire(52, 5*time.Second, true) != Queued {
-		t.Error("five seconds reach")
+		t.Error("refused although 5 s are enough")
 	}
-	// The slot does not come back as foreseen: what waits is told so well before its time is out.
+	// The slot isn't released as expected: waiting requests are refused well before their deadlines.
 	b.acquire(53, 5*time.Second, true)
 	b.acquire(54, 5*time.Second, true)
 	b.advance(3500 * ms)
@@ -122,16 +123,17 @@
 		}
 	}
 	if late != 2 {
-		t.Errorf("%d of the two behind were told early", late)
+		t.Errorf("%d of the last two were refused early, want 2", late)
 	}
 }
 
-// A started worker's cap grows over its warm-up; a leaving one lends nothing and sends the waiting away.
+// A started worker's capacity grows during its warm-up. A draining worker's coordinator grants nothing and refuses the waiting
+// requests.
 func TestWarmUpAndDraining(t *testing.T) {
 	b := newHarness(Worker{Capacity: 4, MaxWaiting: 9, WarmUp: 4 * time.Second, StartedAt: units.Time(time.Hour)})
 	for s, want := range []int{1, 1, 2, 3, 4, 4} {
 		if got := b.Capacity(b.now.Add(time.Duration(s)*time.Second), "s/w"); got != want {
-			t.Errorf("after %d s the cap is %d, want %d", s, got, want)
+			t.Errorf("after %d s the capacity is %d, want %d", s, got, want)
 		}
 	}
 	b.acquire(1, 9*time.Second, true)
@@ -139,14 +141,14 @@
 	b.SetWorkers(map[string]Worker{"s/w": {Capacity: 4, MaxWaiting: 9, Closed: true}})
 	b.advance(20 * ms)
 	if last := b.replies[len(b.replies)-1]; last.Tag != 2 || last.Reason != ReasonClosed {
-		t.Errorf("who waits for a leaving worker hears %v", last)
+		t.Errorf("the reply to a request waiting for a draining worker is %v", last)
 	}
 	if b.acquire(3, 9*time.Second, false) != Refusal {
-		t.Error("a leaving worker lends")
+		t.Error("a permit of a draining worker is granted")
 	}
 }
 
-// An unsure run keeps its slot till its own deadline; a lost router's slots likewise.
+// A run that may still be in progress keeps its slot until its deadline, and so do the runs of a lost router.
 func TestUncertainRunKeepsItsSlot(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 9})
 	b.acquire(1, 2*time.Second, false)
@@ -154,15 +156,15 @@
 	b.acquire(2, 9*time.Second, true)
 	b.advance(1900 * ms)
 	if b.wasGranted(2) {
-		t.Fatal("the slot of a run that may still be going was lent")
+		t.Fatal("the slot of a run that may still be in progress was granted")
 	}
 	b.advance(800 * ms)
 	if !b.wasGranted(2) {
-		t.Error("the slot never came back")
+		t.Error("the slot was never freed")
 	}
 }
 
-// A keeper that collects its reports anew has free slots: its old turnover must not refuse who asks just then.
+// While a coordinator collects reports anew its slots are free: the release interval measured before must not cause a refusal.
 func TestFreeSlotsMeanNoWait(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 9})
 	for tag := range uint64(3) {
@@ -177,18 +179,18 @@
 	}
 	b.collectReplies(b.Step(b.now, message.Message{From: 1, Kind: Report, Body: PackReport("s/w", nil, 0)}))
 	if !b.wasGranted(9) {
-		t.Error("not lent once the reports are in")
+		t.Error("not granted once the reports are in")
 	}
 }
 
-// AIMD, keyed on waiting time only: a burst brings the cap down to its floor, long runs without waiting do not
-// touch it, and after the burst it is back at the knee. The source's own failure was a cap that stayed down.
+// The adaptive capacity depends on waiting time only: a burst lowers it to its minimum, long runs without waiting don't change
+// it, and after the burst it recovers. The original algorithm failed with a capacity that stayed low.
 func TestAdaptRecovers(t *testing.T) {
 	b := newHarness(Worker{Capacity: 8, MaxWaiting: 99, Adaptive: true, MinCapacity: 3, TargetWait: 50 * ms})
 	tag := uint64(0)
-	run := func(span time.Duration, perTick int, hold int) {
+	run := func(duration time.Duration, perTick int, hold int) {
 		var out []uint64
-		for end := b.now.Add(span); b.now < end; {
+		for end := b.now.Add(duration); b.now < end; {
 			for range perTick {
 				tag++
 				b.acquire(tag, 20*time.Second, true)
@@ -206,22 +208,22 @@
 			b.release(x)
 		}
 	}
-	run(5*time.Second, 1, 2) // slow runs, no wait
+	run(5*time.Second, 1, 2) // slow runs, no waiting
 	if c := b.Capacity(b.now, "s/w"); c != 8 {
-		t.Fatalf("without waiting the cap went to %d", c)
+		t.Fatalf("without waiting the capacity is %d, want 8", c)
 	}
 	run(20*time.Second, 6, 30)
 	low := b.Capacity(b.now, "s/w")
 	if low != 3 {
-		t.Errorf("in the burst the cap is %d, its floor 3", low)
+		t.Errorf("in the burst the capacity is %d, want the minimum 3", low)
 	}
 	run(10*time.Second, 1, 2)
 	if c := b.Capacity(b.now, "s/w"); c != 8 {
-		t.Errorf("after the burst the cap is %d, the knee 8", c)
+		t.Errorf("after the burst the capacity is %d, want 8", c)
 	}
 }
 
-// A new keeper lends nothing before every live node has reported, nor before a silent one's runs are over.
+// A new coordinator grants nothing before all live routers have reported and the runs of unreachable ones are over.
 func TestTakeoverWaitsForReports(t *testing.T) {
 	g := New(1)
 	now := units.Time(time.Hour)
@@ -236,11 +238,11 @@
 	b.collectReplies(g.Step(now, message.Message{From: 1, Kind: Report, Body: PackReport("s/w", nil, 0)}))
 	b.advance(5 * time.Second)
 	if b.wasGranted(1) {
-		t.Fatal("lent before node 2 reported")
+		t.Fatal("granted before node 2 reported")
 	}
 	b.collectReplies(g.Step(b.now, message.Message{From: 2, Kind: Report, Body: PackReport("s/w", []HeldPermit{{Tag: 7, TimeLeft: 2000}}, 0)}))
 	if !b.wasGranted(1) {
-		t.Error("not lent after all have reported and the silent one's runs are over")
+		t.Error("not granted although all have reported and the unreachable router's runs are over")
 	}
 	if b.acquire(2, 20*time.Second, true) != Queued {
 		t.Error("node 2's permit is not counted")
--- a/internal/router/capacity/maintenance.go
+++ b/internal/router/capacity/maintenance.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// sortedPermits lists what is lent, in order.
+// sortedPermits returns the granted permits, sorted by node and tag.
 func (k *workerState) sortedPermits() []permitKey {
 	l := make([]permitKey, 0, len(k.granted))
 	for p := range k.granted {
@@ -19,7 +19,7 @@
 	return l
 }
 
-// sendAudits asks holders about permits that have been out for a while; they return what they don't know.
+// sendAudits asks holders about permits older than auditInterval. They release those that they don't know.
 func (g *Ledger) sendAudits(now units.Time, out *message.Effects) {
 	for _, name := range message.SortedKeys(g.coordinated) {
 		state := g.coordinated[name]
@@ -35,7 +35,7 @@
 	}
 }
 
-// adaptCapacity is the optional AIMD, keyed on waiting time only.
+// adaptCapacity is the optional additive increase, multiplicative decrease of the capacity, driven by waiting time only.
 func (g *Ledger) adaptCapacity(now units.Time, name string, state *workerState) {
 	worker := g.workers[name]
 	if !worker.Adaptive || now.Sub(state.adaptedAt) < adaptInterval {
@@ -53,8 +53,8 @@
 	state.waitSum, state.waitCount = 0, 0
 }
 
-// queryLateRouters asks routers that came into view after the book was opened what they hold. A newcomer holds nothing; but
-// this node may be the newcomer, and have opened its book while it knew few of the others.
+// queryLateRouters requests reports from routers that appeared after the state was opened. A router that just started holds
+// nothing, but this router may be the one that just started, and may have opened while it knew only few of the others.
 func (g *Ledger) queryLateRouters(now units.Time, name string, state *workerState, out *message.Effects) {
 	if len(state.lateRouters) == 0 || now.Sub(state.reportsRequestedAt) < reportRetryInterval {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// unreachableDeadline is when the last silent node's runs are over.
+// unreachableDeadline returns when the runs of all unreachable routers are over.
 func (k *workerState) unreachableDeadline() (t units.Time) {
 	for _, x := range k.unreachableUntil {
 		t = max(t, x)
--- a/internal/router/capacity/message.go
+++ b/internal/router/capacity/message.go
@@ -1,4 +1,5 @@
-// Package capacity lends each worker's slots as permits; every worker has one keeper (design 6).
+// Package capacity grants each worker's slots as permits. Every worker has one coordinator, the router that counts its
+// permits (docs/design.md, section 6).
 package capacity
 
 import (
@@ -8,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// The notes of permits.
+// Kinds of permit messages.
 const (
 	Acquire = message.KindCapacity + iota
 	Grant
@@ -20,36 +21,36 @@
 	Report
 )
 
-// Header is the fixed part of every permit note. Spans are in milliseconds.
+// Header is the fixed part of every permit message. Times are in milliseconds unless stated otherwise.
 type Header struct {
 	Tag               uint64
-	TimeLeft          uint32 // the prompt's time left; in a No or Waiting, the expected wait
-	InUse             uint16
-	Capacity          uint16
-	Wait              uint8 // Ask: may wait; Return: the run may still be going; Waiting, No: list's length, capped
+	TimeLeft          uint32 // time until the request's deadline; in Refusal and Queued, the expected wait
+	InUse             uint16 // replies: permits in use; Report: requests sent to the worker in the last second
+	Capacity          uint16 // replies: permits that may be in use
+	Wait              uint8  // Acquire: 1: it may wait; Release: 1: the run may go on; replies: waitlist length, at most 255
 	Reason            uint8
-	Worth             uint16 // Ask: of the prompt's promise
-	ReleaseInterval   uint16 // milliseconds from one slot's return to the next, as measured
-	PrefillTime       uint32 // microseconds. Ask: that reading the prompt takes; answers: that all unread takes; Return: till first words
-	MemoryTokens      uint32 // Ask: tokens of memory that the run needs
-	MaxFirstTokenTime uint32 // Ask, not waiting: a worker whose first words would come later than so many milliseconds is no free one
-	Priority          uint8  // Ask: the prompt's urgency at the worker, 0 the most urgent
+	Worth             uint16 // Acquire: worth of the request's service promise
+	ReleaseInterval   uint16 // measured mean time between two releases
+	PrefillTime       uint32 // in microseconds. Acquire: of the prompt; replies: of the backlog; Release: time to first token
+	MemoryTokens      uint32 // Acquire: tokens of memory that the run needs
+	MaxFirstTokenTime uint32 // Acquire that may not wait: a worker with a longer time to first token doesn't count as free
+	Priority          uint8  // Acquire: the request's priority at the worker, 0 the highest
 }
 
-// Reasons of a No.
+// Reasons of a Refusal.
 const (
 	ReasonBusy uint8 = 1 + iota
 	ReasonQueueFull
 	ReasonTooLate
-	ReasonNotCoordinator // in an Ask: the asker has last reported to another node
+	ReasonNotCoordinator // in an Acquire: the sender last reported to another coordinator
 	ReasonClosed
-	ReasonNoReply // never on the wire: the asker's own finding
+	ReasonNoReply // never sent: set by the requesting router itself
 )
 
-// Pack lays a note out.
+// Pack encodes a permit message.
 func Pack(h Header, worker string) []byte { return message.Pack(h, []byte(worker)) }
 
-// Unpack is the inverse.
+// Unpack is the inverse of Pack.
 func Unpack(b []byte) (Header, string, error) {
 	var h Header
 	var w []byte
@@ -64,7 +65,8 @@
 	MemoryTokens uint32
 }
 
-// PackReport lays out what a node holds of a worker, and how much it sent there in the last second.
+// PackReport encodes the permits that a router holds for a worker, and how many requests it sent there in the
+// last second.
 func PackReport(worker string, permits []HeldPermit, sent int) []byte {
 	items := make([][]byte, len(permits))
 	for i, permit := range permits {
@@ -73,7 +75,7 @@
 	return message.Pack(Header{InUse: uint16(min(sent, 65535))}, []byte(worker), message.PackList(items))
 }
 
-// UnpackReport is the inverse; an audit has the same form.
+// UnpackReport is the inverse of PackReport. An Audit has the same form.
 func UnpackReport(b []byte) (string, []HeldPermit, int, error) {
 	var h Header
 	var w, list []byte
@@ -92,33 +94,33 @@
 	return string(w), permits, int(h.InUse), err
 }
 
-// Worker is what a keeper must know of one worker.
+// Worker is what a coordinator needs to know about one worker.
 type Worker struct {
 	Zone           string
-	Capacity       int
-	MaxWaiting     int
-	WarmUp         time.Duration
-	StartedAt      units.Time // when it began, on this process's clock
-	Closed         bool       // leaving, or its zone is evacuated: nothing new
-	Adaptive       bool
-	MinCapacity    int
-	TargetWait     time.Duration
-	FirstTokenTime time.Duration
+	Capacity       int           // permits when warmed up
+	MaxWaiting     int           // bound of the waitlist
+	WarmUp         time.Duration // duration of the warm-up
+	StartedAt      units.Time    // on this process's clock
+	Closed         bool          // draining, or its zone is evacuated: no new permits
+	Adaptive       bool          // adapt the capacity to the waiting time
+	MinCapacity    int           // lower bound of the adaptive capacity
+	TargetWait     time.Duration // mean wait above which the adaptive capacity shrinks
+	FirstTokenTime time.Duration // what must be left until a request's deadline for a useful run
 
-	Memory         int        // tokens that may be lent out; 0 for a worker that is no engine
-	WarmUpRate     float64    // requests a second that it bears while cold; 0 when any
-	WarmingUpUntil units.Time // till when it is known to be cold
-	QuickTakeover  bool       // a new keeper lends without waiting out what silent nodes may hold
+	Memory         int        // tokens that granted permits may need together; 0 if unlimited
+	WarmUpRate     float64    // requests per second that it can take while warming up; 0 if unlimited
+	WarmingUpUntil units.Time // end of the known warm-up
+	QuickTakeover  bool       // a new coordinator doesn't wait for permits that unreachable routers may hold
 }
 
-// Peer is one router in membership's view.
+// Peer is one live router according to the membership.
 type Peer struct {
 	Node     units.NodeID
 	Zone     string
-	Draining bool // it drains: it holds permits and reports them, and keeps no worker
+	Draining bool // it holds and reports permits, but coordinates no worker
 }
 
-// Coordinator gives the router that keeps a worker: rendezvous order, the worker's zone first.
+// Coordinator returns the router that coordinates a worker, by rendezvous hashing; routers in the worker's zone come first.
 func Coordinator(routers []Peer, worker, zone string) units.NodeID {
 	var best units.NodeID
 	var bestRank uint64
--- a/internal/router/capacity/position.go
+++ b/internal/router/capacity/position.go
@@ -7,8 +7,8 @@
 	"seamshunt/internal/units"
 )
 
-// lowestWorth finds, among the first n that wait, the one to yield to a prompt of more worth: the least worth, and of these
-// the one with the most time. None is -1.
+// lowestWorth returns the index, among the first n waiting requests, of the one to displace for a request of the given worth:
+// the one of lowest worth, and among equals the one with the latest deadline. It returns -1 if none has a lower worth.
 func lowestWorth(waitlist []acquireRequest, worth uint16, n int) int {
 	best := -1
 	for i, a := range waitlist[:n] {
@@ -19,9 +19,10 @@
 	return best
 }
 
-// findPosition finds where a prompt stands in the list by its deadline, and who yields to it: only prompts of less worth, and
-// only as many as it takes for it to be in time and within the bound. If that is not enough, nobody does.
-func (g *Ledger) findPosition(now units.Time, name string, state *workerState, request acquireRequest) (position int, displaced []acquireRequest) {
+// findPosition returns a request's position in the waitlist, by deadline, and the requests that it displaces: only those of
+// lower worth, and only as many as needed to meet its deadline and the bound. If that isn't enough, none is displaced.
+func (g *Ledger) findPosition(now units.Time, name string, state *workerState,
+	request acquireRequest) (position int, displaced []acquireRequest) {
 	worker, interval := g.workers[name], state.meanReleaseInterval(max(1, g.Capacity(now, name)))
 	waitlist := slices.Clone(state.waitlist)
 	for position < len(waitlist) && waitlist[position].deadline <= request.deadline {
--- a/internal/router/capacity/position_test.go
+++ b/internal/router/capacity/position_test.go
@@ -7,8 +7,8 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// With all slots lent and the list full, a prompt of more worth takes the place of the least worth, in the order of
-// deadlines; among equals the list is as it always was; who has no more worth than any is refused.
+// With all slots in use and the waitlist full, a request of higher worth displaces one of the lowest worth, and the waitlist
+// stays ordered by deadline. A request whose worth is no higher than any waiting one's is refused.
 func TestHigherWorthDisplacesLower(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 2, FirstTokenTime: 50 * ms})
 	worth := func(tag uint64, left time.Duration, w uint16) (message.Kind, Header) {
@@ -20,38 +20,38 @@
 	b.acquire(1, time.Second, false)
 	for tag, left := range map[uint64]time.Duration{11: 20 * time.Second, 12: 6 * time.Second} {
 		if k, _ := worth(tag, left, 1); k != Queued {
-			t.Fatal("there is room")
+			t.Fatal("refused although the waitlist has room")
 		}
 	}
 	if k, h := worth(13, 4*time.Second, 1); k != Refusal || h.Reason != ReasonQueueFull {
-		t.Fatal("no more worth than those that wait: refused, as ever")
+		t.Fatal("a request of equal worth is not refused")
 	}
 	at := len(b.replies)
 	if k, _ := worth(14, 4*time.Second, 3); k != Queued {
-		t.Fatal("more worth than those that wait: it waits")
+		t.Fatal("a request of higher worth may not wait")
 	}
 	out := 0
 	for i, h := range b.replies[at:] {
 		if b.kinds[at+i] == Refusal {
 			if out++; h.Tag != 11 || h.Reason != ReasonQueueFull {
-				t.Errorf("%d had to yield, with reason %d", h.Tag, h.Reason)
+				t.Errorf("request %d was displaced, with reason %d", h.Tag, h.Reason)
 			}
 		}
 	}
 	if out != 1 {
-		t.Errorf("%d had to yield", out)
+		t.Errorf("%d requests were displaced, want 1", out)
 	}
 	b.release(1)
 	if !b.wasGranted(14) || b.wasGranted(12) {
-		t.Error("the earliest deadline goes first")
+		t.Error("the earliest deadline was not granted first")
 	}
 	b.release(14)
 	if !b.wasGranted(12) {
-		t.Error("what did not have to yield still gets its turn")
+		t.Error("the request that was not displaced was not granted")
 	}
 }
 
-// Nobody yields in vain: a prompt that would be late even so is refused alone.
+// A request that would miss its deadline even after displacing others is refused, and displaces none.
 func TestNobodyIsDisplacedInVain(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 9, FirstTokenTime: 100 * ms})
 	for tag := range uint64(4) {
@@ -66,10 +66,10 @@
 	at := len(b.replies)
 	b.worth = 5
 	if b.acquire(52, 500*ms, true) != Refusal || len(b.replies) != at+1 {
-		t.Errorf("%d notes: one refusal is wanted", len(b.replies)-at)
+		t.Errorf("%d replies, want one refusal", len(b.replies)-at)
 	}
 	if b.acquire(53, 2400*ms, true) != Queued {
-		t.Error("in time once the one of less worth has yielded")
+		t.Error("refused although displacing one request meets the deadline")
 	}
 	lost := 0
 	for i, h := range b.replies[at:] {
@@ -78,6 +78,6 @@
 		}
 	}
 	if lost != 1 {
-		t.Errorf("%d of less worth had to yield, one is enough", lost)
+		t.Errorf("%d of lower worth were displaced, want 1", lost)
 	}
 }
--- a/internal/router/capacity/rate_test.go
+++ b/internal/router/capacity/rate_test.go
@@ -8,41 +8,41 @@
 	"seamshunt/internal/units"
 )
 
-// A worker may turn cold unseen: in no second does it get more than the fleet's bound, less the margin, however many ask,
-// wait and return; a keeper that sees half of the routers lends half; one that takes over counts what each node sent in the
-// last second.
+// A worker may restart unnoticed, so it never gets more requests in one second than a warming-up worker's limit, less the
+// margin, whatever mix of requests and releases comes. A coordinator that sees half of the routers grants half of that, and
+// a new coordinator counts what each router sent in the last second.
 func TestRateOfAWarmingUpWorker(t *testing.T) {
 	for _, x := range []struct {
-		part float64
-		sent int
-		most int
+		share float64
+		sent  int
+		limit int
 	}{{1, 0, 33}, {0.5, 0, 16}, {1, 30, 3}} {
 		g := New(1)
-		g.SetRateLimits(1.5, 5, x.part)
+		g.SetRateLimits(1.5, 5, x.share)
 		now := units.Time(time.Hour)
 		g.SetWorkers(map[string]Worker{"s/w": {Zone: "z", Capacity: 1000, MaxWaiting: 2000, WarmUpRate: 20, QuickTakeover: true}})
 		g.SetRouters([]Peer{{Node: 1}}, nil)
 		var grants []units.Time
-		take := func(o message.Effects) {
+		collect := func(o message.Effects) {
 			for _, n := range o.Messages {
 				if n.Kind == Grant {
 					grants = append(grants, now)
 				}
 			}
 		}
-		take(g.Tick(now))
-		take(g.Step(now, message.Message{From: 1, Kind: Report, Body: PackReport("s/w", nil, x.sent)}))
-		begun := now
+		collect(g.Tick(now))
+		collect(g.Step(now, message.Message{From: 1, Kind: Report, Body: PackReport("s/w", nil, x.sent)}))
+		start := now
 		for i := range uint64(600) {
 			h := Header{Tag: i + 1, TimeLeft: 20000, Wait: uint8(i % 2)}
-			take(g.Step(now, message.Message{From: 1, Kind: Acquire, Body: Pack(h, "s/w")}))
+			collect(g.Step(now, message.Message{From: 1, Kind: Acquire, Body: Pack(h, "s/w")}))
 			if i%3 == 0 {
-				take(g.Step(now, message.Message{From: 1, Kind: Release, Body: Pack(Header{Tag: i/2 + 1}, "s/w")}))
+				collect(g.Step(now, message.Message{From: 1, Kind: Release, Body: Pack(Header{Tag: i/2 + 1}, "s/w")}))
 			}
 			now = now.Add(5 * time.Millisecond)
-			take(g.Tick(now))
+			collect(g.Tick(now))
 		}
-		most, first := 0, 0
+		busiest, first := 0, 0
 		for i := range grants {
 			n := 0
 			for _, b := range grants[i:] {
@@ -50,16 +50,16 @@
 					n++
 				}
 			}
-			most = max(most, n)
-			if grants[i].Sub(begun) <= time.Second {
+			busiest = max(busiest, n)
+			if grants[i].Sub(start) <= time.Second {
 				first++
 			}
 		}
-		if x.sent == 0 && most != x.most || x.sent > 0 && first > x.most {
-			t.Errorf("%+v: %d in some second, %d in the first", x, most, first)
+		if x.sent == 0 && busiest != x.limit || x.sent > 0 && first > x.limit {
+			t.Errorf("%+v: %d granted in the busiest second, %d in the first", x, busiest, first)
 		}
-		if len(grants) < 2*x.most {
-			t.Errorf("%+v: only %d were lent in three seconds", x, len(grants))
+		if len(grants) < 2*x.limit {
+			t.Errorf("%+v: only %d granted in three seconds", x, len(grants))
 		}
 	}
 }
--- a/internal/router/capacity/router_tracker.go
+++ b/internal/router/capacity/router_tracker.go
@@ -7,20 +7,23 @@
 	"seamshunt/internal/units"
 )
 
-// RouterTracker keeps what membership says of the routers: who is live, who fell silent and since when, and
-// who is known to have ended.
+// RouterTracker follows the membership of the routers: which are live, which are unreachable and since when, and which
+// processes are known to have ended.
 type RouterTracker struct {
-	ExcludeSuspects  bool // one that is only suspected keeps no worker: a needless change costs a few notes, a dark keeper seconds
+	// ExcludeSuspects treats suspected routers as draining, so that they coordinate no worker: an unnecessary change of the
+	// coordinator costs a few messages, a dead coordinator costs seconds.
+	ExcludeSuspects bool
+
 	unreachableSince map[units.NodeID]units.Time
 	endedAt          map[units.NodeID]units.Time
 }
 
-// NewRouterTracker gives an empty one.
+// NewRouterTracker returns an empty tracker.
 func NewRouterTracker() *RouterTracker {
 	return &RouterTracker{unreachableSince: map[units.NodeID]units.Time{}, endedAt: map[units.NodeID]units.Time{}}
 }
 
-// ProcessEnded notes that a process has ended: its wires are broken, it holds nothing.
+// ProcessEnded records that a process has ended: its connections are closed and it holds no permits.
 func (w *RouterTracker) ProcessEnded(now units.Time, node units.NodeID) {
 	if _, ok := w.endedAt[node]; !ok {
 		delete(w.unreachableSince, node)
@@ -28,7 +31,7 @@
 	}
 }
 
-// Update takes membership's list. Changed says whether somebody fell silent since the last look.
+// Update takes the list of members. It returns the live routers, and whether one became unreachable since the last call.
 func (w *RouterTracker) Update(now units.Time, all []membership.Member) (peers []Peer, changed bool) {
 	aliveAddrs := map[string]bool{}
 	for _, m := range all {
@@ -41,12 +44,13 @@
 			continue
 		}
 		if m.State > membership.Suspect && aliveAddrs[m.Addr] {
-			w.ProcessEnded(now, m.Node) // its machine runs another process in its place
+			w.ProcessEnded(now, m.Node) // another process runs at its address
 		}
 		switch {
 		case m.State <= membership.Suspect:
 			delete(w.unreachableSince, m.Node)
-			peers = append(peers, Peer{Node: m.Node, Zone: m.Zone, Draining: m.Flags&membership.Draining != 0 || w.ExcludeSuspects && m.State == membership.Suspect})
+			peers = append(peers, Peer{Node: m.Node, Zone: m.Zone,
+				Draining: m.Flags&membership.Draining != 0 || w.ExcludeSuspects && m.State == membership.Suspect})
 		case m.State == membership.Left:
 			delete(w.unreachableSince, m.Node)
 		default:
@@ -60,11 +64,11 @@
 	return peers, changed
 }
 
-// unreachableCountsFor is how long one that fell silent is held to be at work behind a cut, when rates are shared.
+// unreachableCountsFor is how long RateShare assumes that an unreachable router is still working behind a network partition.
 const unreachableCountsFor = 30 * time.Second
 
-// RateShare is the share of a cold worker's rate that this node's side may lend: as many as it sees live of all that may be at
-// work, and never under a half, since a cut has two sides (design 12).
+// RateShare returns the share of a warming-up worker's rate that this side of a network partition may use: the share of live
+// routers among all that may be working, but at least half, since a partition has two sides (docs/design.md, section 12).
 func (w *RouterTracker) RateShare(now units.Time, live int) float64 {
 	n := 0
 	for _, t := range w.unreachableSince {
@@ -75,8 +79,8 @@
 	return max(0.5, float64(live)/float64(max(1, live+n)))
 }
 
-// RunDeadlines gives the moments until which processes that are not live may still have runs going: those that fell
-// silent for the longest time left there is, those known to have ended for as long as workers take to notice.
+// RunDeadlines returns until when the runs of processes that aren't live may still be in progress: the longest possible
+// deadline for unreachable ones, the time that workers need to notice for those known to have ended.
 func (w *RouterTracker) RunDeadlines(longest time.Duration) map[units.NodeID]units.Time {
 	m := map[units.NodeID]units.Time{}
 	for n, t := range w.unreachableSince {
--- a/internal/router/capacity/router_tracker_test.go
+++ b/internal/router/capacity/router_tracker_test.go
@@ -8,8 +8,9 @@
 	"seamshunt/internal/units"
 )
 
-// A cold worker's rate is shared with those that may be at work behind a cut; a process whose machine runs another in its
-// place, and one that was silent for long, are none of them. Two halves of a cut lend no more than the whole.
+// A warming-up worker's rate is shared with routers that may still be working behind a network partition. A process that was
+// replaced by another one at its address, or that has been unreachable for long, doesn't count. The two sides of a partition
+// together grant no more than the whole.
 func TestRateShare(t *testing.T) {
 	router := func(n units.NodeID, addr string, s membership.State) membership.Member {
 		return membership.Member{Node: n, Role: membership.Router, Addr: addr, State: s}
@@ -25,31 +26,32 @@
 	}
 	gone := router(2, "b", membership.Dead)
 	if p := see(time.Second, a, gone, c); p < 0.66 || p > 0.67 {
-		t.Errorf("one of three silent: %v", p)
+		t.Errorf("one of three unreachable: %v", p)
 	}
 	if p := see(time.Second, a, gone, router(3, "c", membership.Dead)); p != 0.5 {
-		t.Errorf("two of three silent: %v", p)
+		t.Errorf("two of three unreachable: %v", p)
 	}
 	if p := see(2*time.Second, a, gone, c, router(4, "b", membership.Alive)); p != 1 {
-		t.Errorf("started again in place: %v", p)
+		t.Errorf("restarted at the same address: %v", p)
 	}
 	if p := see(3*time.Second, a, gone, router(3, "c", membership.Dead), router(4, "b", membership.Alive)); p > 0.7 {
-		t.Errorf("another silent: %v", p)
+		t.Errorf("another unreachable: %v", p)
 	}
 	if p := see(time.Minute, a, gone, router(3, "c", membership.Dead), router(4, "b", membership.Alive)); p != 1 {
-		t.Errorf("long silent: %v", p)
+		t.Errorf("unreachable for long: %v", p)
 	}
 }
 
-// Where a keeper need not be strict, one that is suspected holds what it was lent, and keeps no worker meanwhile.
+// With ExcludeSuspects, a suspected router still holds its permits but coordinates no worker.
 func TestSuspectCoordinatesNothing(t *testing.T) {
-	all := []membership.Member{{Node: 1, Role: membership.Router, Addr: "a"}, {Node: 2, Role: membership.Router, Addr: "b", State: membership.Suspect}}
-	for _, lax := range []bool{false, true} {
+	all := []membership.Member{{Node: 1, Role: membership.Router, Addr: "a"},
+		{Node: 2, Role: membership.Router, Addr: "b", State: membership.Suspect}}
+	for _, exclude := range []bool{false, true} {
 		w := NewRouterTracker()
-		w.ExcludeSuspects = lax
+		w.ExcludeSuspects = exclude
 		peers, _ := w.Update(0, all)
-		if len(peers) != 2 || peers[1].Draining != lax {
-			t.Errorf("lax %v: %+v", lax, peers)
+		if len(peers) != 2 || peers[1].Draining != exclude {
+			t.Errorf("ExcludeSuspects %v: %+v", exclude, peers)
 		}
 	}
 }
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -8,7 +8,7 @@
 	"seamshunt/internal/units"
 )
 
-// Step takes one note for the keeper.
+// Step handles one message for the coordinator.
 func (g *Ledger) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == Report {
 		name, held, sent, err := UnpackReport(n.Body)
@@ -16,7 +16,8 @@
 		if state := g.coordinated[name]; err == nil && state != nil && (!state.open || state.lateRouters[n.From]) {
 			for _, h := range held {
 				if p := (permitKey{n.From, h.Tag}); state.granted[p] == nil {
-					state.granted[p] = &permit{expiresAt: now.Add(units.Millis(h.TimeLeft).Duration() + runGrace), grantedAt: now, memoryTokens: h.MemoryTokens}
+					state.granted[p] = &permit{expiresAt: now.Add(units.Millis(h.TimeLeft).Duration() + runGrace), grantedAt: now,
+						memoryTokens: h.MemoryTokens}
 					state.memoryTokens += int(h.MemoryTokens)
 				}
 			}
@@ -50,7 +51,8 @@
 			if !slices.ContainsFunc(g.routers, func(v Peer) bool { return v.Node == n.From }) {
 				g.unlistedRouters[n.From] = now
 			}
-			g.stopCoordinating(name, state, &out) // another has taken the worker over; if views differ, the taking over is repeated
+			// Another router has taken the worker over. If the membership views differ, this router takes it over again.
+			g.stopCoordinating(name, state, &out)
 		}
 	case Acquire:
 		g.handleAcquire(now, n.From, name, state, h, &out)
@@ -63,6 +65,7 @@
 	return out
 }
 
+// addState fills in the worker's current state for a reply.
 func (g *Ledger) addState(now units.Time, name string, state *workerState, h Header) Header {
 	h.InUse, h.Capacity = uint16(len(state.granted)), uint16(g.Capacity(now, name))
 	h.Wait = uint8(min(255, len(state.waitlist)))
@@ -72,7 +75,7 @@
 	return h
 }
 
-// meanReleaseInterval is the mean time between two returned slots.
+// meanReleaseInterval returns the mean time between two releases.
 func (k *workerState) meanReleaseInterval(capacity int) time.Duration {
 	if k.releaseInterval == 0 {
 		return k.meanHoldTime / time.Duration(capacity)
@@ -80,7 +83,9 @@
 	return k.releaseInterval
 }
 
-func (g *Ledger) handleAcquire(now units.Time, from units.NodeID, name string, state *workerState, header Header, out *message.Effects) {
+// handleAcquire grants, queues or refuses a request. A repeated request gets its current state again.
+func (g *Ledger) handleAcquire(now units.Time, from units.NodeID, name string, state *workerState, header Header,
+	out *message.Effects) {
 	key := permitKey{from, header.Tag}
 	if state.granted[key] != nil {
 		out.Send(from, Grant, Pack(g.addState(now, name, state, Header{Tag: header.Tag}), name))
@@ -93,7 +98,8 @@
 	interval := state.meanReleaseInterval(max(1, g.Capacity(now, name)))
 	for i, a := range state.waitlist {
 		if a.permitKey == key {
-			out.Send(from, Queued, Pack(g.addState(now, name, state, Header{Tag: header.Tag, TimeLeft: uint32(units.ToMillis(interval * time.Duration(i+1)))}), name))
+			out.Send(from, Queued, Pack(g.addState(now, name, state, Header{Tag: header.Tag,
+				TimeLeft: uint32(units.ToMillis(interval * time.Duration(i+1)))}), name))
 			return
 		}
 	}
@@ -105,17 +111,20 @@
 		return
 	}
 	worker := g.workers[name]
-	request := acquireRequest{permitKey: key, deadline: now.Add(timeLeft), worth: header.Worth, prefillTime: time.Duration(header.PrefillTime) * time.Microsecond, priority: header.Priority, memoryTokens: header.MemoryTokens, queuedAt: now}
+	request := acquireRequest{permitKey: key, deadline: now.Add(timeLeft), worth: header.Worth,
+		prefillTime: time.Duration(header.PrefillTime) * time.Microsecond, priority: header.Priority,
+		memoryTokens: header.MemoryTokens, queuedAt: now}
 	firstToken, rateDelay := state.firstTokenTime(now, request), state.rateDelay(now, g.maxRate(now, worker))
 	tooSlow := header.Wait == 0 && header.MaxFirstTokenTime > 0 && firstToken > units.Millis(header.MaxFirstTokenTime).Duration()
-	if state.open && len(state.granted) < capacity && len(state.waitlist) == 0 && !tooSlow && rateDelay == 0 && state.hasMemoryFor(worker, request.memoryTokens) {
+	if state.open && len(state.granted) < capacity && len(state.waitlist) == 0 && !tooSlow && rateDelay == 0 &&
+		state.hasMemoryFor(worker, request.memoryTokens) {
 		g.grant(now, name, state, request, out)
 		return
 	}
 	position, displaced := g.findPosition(now, name, state, request)
 	expectedWait := interval * time.Duration(position+1)
 	if len(state.granted)+position < capacity {
-		expectedWait = max(rateDelay, firstToken) // a slot is free for it: only the reports, the rate or the reading are waited for
+		expectedWait = max(rateDelay, firstToken) // a slot is free: it waits only for reports, the rate limit or prefill
 	}
 	if !state.open && !worker.QuickTakeover {
 		expectedWait = max(expectedWait, state.unreachableDeadline().Sub(now))
@@ -142,9 +151,10 @@
 }
 
 func (g *Ledger) grant(now units.Time, name string, state *workerState, request acquireRequest, out *message.Effects) {
-	state.granted[request.permitKey] = &permit{expiresAt: request.deadline.Add(runGrace), grantedAt: now, memoryTokens: request.memoryTokens, prefillTime: request.prefillTime}
+	state.granted[request.permitKey] = &permit{expiresAt: request.deadline.Add(runGrace), grantedAt: now,
+		memoryTokens: request.memoryTokens, prefillTime: request.prefillTime}
 	if state.advancePrefill(now); len(state.prefillQueue) > 0 {
-		state.granted[request.permitKey].prefillTime = 0 // behind others its time tells nothing of the speed
+		state.granted[request.permitKey].prefillTime = 0 // behind others, its time to first token says nothing about the speed
 	}
 	state.recordGrant(now, g.workers[name], request)
 	state.waitSum += now.Sub(request.queuedAt)
@@ -152,29 +162,31 @@
 	out.Send(request.node, Grant, Pack(g.addState(now, name, state, Header{Tag: request.tag}), name))
 }
 
-// serveWaitlist lends free slots to the earliest deadlines. What can no longer be met is told so at once, wherever
-// it stands in the list: nothing is held back until its time has run out.
+// serveWaitlist grants free slots to the waiting requests, earliest deadline first. A request anywhere in the waitlist that
+// can no longer meet its deadline is refused at once, so that it can go elsewhere while there is time.
 func (g *Ledger) serveWaitlist(now units.Time, name string, state *workerState, out *message.Effects) {
 	worker := g.workers[name]
 	capacity := g.Capacity(now, name)
 	for capacity > 0 && state.open && len(state.waitlist) > 0 && len(state.granted) < capacity {
 		a := state.waitlist[0]
-		if a.deadline < now.Add(worker.FirstTokenTime) || state.rateDelay(now, g.maxRate(now, worker)) > 0 || !state.hasMemoryFor(worker, a.memoryTokens) {
+		if a.deadline < now.Add(worker.FirstTokenTime) || state.rateDelay(now, g.maxRate(now, worker)) > 0 ||
+			!state.hasMemoryFor(worker, a.memoryTokens) {
 			break
 		}
 		state.waitlist = state.waitlist[1:]
 		g.grant(now, name, state, a, out)
 	}
 	interval, remaining := state.meanReleaseInterval(max(1, capacity)), state.waitlist[:0:0]
-	shed := func(a acquireRequest, reason uint8, expectedWait time.Duration) {
-		out.Send(a.node, Refusal, Pack(g.addState(now, name, state, Header{Tag: a.tag, Reason: reason, TimeLeft: uint32(units.ToMillis(expectedWait))}), name))
+	refuse := func(a acquireRequest, reason uint8, expectedWait time.Duration) {
+		out.Send(a.node, Refusal, Pack(g.addState(now, name, state, Header{Tag: a.tag, Reason: reason,
+			TimeLeft: uint32(units.ToMillis(expectedWait))}), name))
 	}
 	for _, a := range state.waitlist {
 		tooLate := func() bool {
 			return len(remaining) > 0 && a.deadline < now.Add(interval*time.Duration(len(remaining)+1)+worker.FirstTokenTime)
 		}
 		if capacity == 0 {
-			shed(a, ReasonClosed, 0)
+			refuse(a, ReasonClosed, 0)
 			continue
 		}
 		for tooLate() {
@@ -182,11 +194,11 @@
 			if i < 0 {
 				break
 			}
-			shed(remaining[i], ReasonTooLate, interval*time.Duration(len(remaining)+1))
+			refuse(remaining[i], ReasonTooLate, interval*time.Duration(len(remaining)+1))
 			remaining = slices.Delete(remaining, i, i+1)
 		}
 		if a.deadline < now.Add(worker.FirstTokenTime) || tooLate() {
-			shed(a, ReasonTooLate, interval*time.Duration(len(remaining)+1))
+			refuse(a, ReasonTooLate, interval*time.Duration(len(remaining)+1))
 			continue
 		}
 		remaining = append(remaining, a)
@@ -194,11 +206,12 @@
 	state.waitlist = remaining
 }
 
-func (g *Ledger) handleRelease(now units.Time, name string, state *workerState, key permitKey, uncertain bool, out *message.Effects) {
+func (g *Ledger) handleRelease(now units.Time, name string, state *workerState, key permitKey, uncertain bool,
+	out *message.Effects) {
 	state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.permitKey == key })
 	l := state.granted[key]
 	if l == nil || uncertain {
-		return // an unsure run keeps its slot till its own end
+		return // an uncertain run keeps its slot until its own deadline
 	}
 	state.removePermit(key)
 	state.meanHoldTime = ewma(state.meanHoldTime, now.Sub(l.grantedAt))
@@ -211,7 +224,7 @@
 	}
 }
 
-// removePermit takes a permit out of the book.
+// removePermit removes a permit and frees its memory.
 func (k *workerState) removePermit(p permitKey) {
 	if l := k.granted[p]; l != nil {
 		k.memoryTokens -= int(l.memoryTokens)
@@ -225,27 +238,3 @@
 	}
 	return (7*old + x) / 8
 }
-
-// WorkerStatus describes one worker in this node's keeping, for status and tests.
-type WorkerStatus struct {
-	Worker   string
-	Open     bool
-	InUse    int
-	Capacity int
-	Waiting  int
-}
-
-// Status lists all that this node keeps.
-func (g *Ledger) Status(now units.Time) []WorkerStatus {
-	var l []WorkerStatus
-	for n, state := range g.coordinated {
-		l = append(l, WorkerStatus{n, state.open, len(state.granted), g.Capacity(now, n), len(state.waitlist)})
-	}
-	slices.SortFunc(l, func(a, b WorkerStatus) int {
-		if a.Worker < b.Worker {
-			return -1
-		}
-		return 1
-	})
-	return l
-}
