--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -97,8 +97,8 @@
 	h.joinWaitlist(now, r, out)
 }
 
-// joinWaitlist joins the waitlist with the shortest expected wait that still leaves time for an answer, and refuses the request if
-// there is none.
+// joinWaitlist joins the waitlist with the shortest expected wait that still leaves time for an answer, and refuses the
+// request if there is none.
 func (h *Queue) joinWaitlist(now units.Time, r *Request, out *message.Effects) {
 	best := -1
 	for i, option := range r.waitOptions {
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -58,7 +58,8 @@
 	return l
 }
 
-// sendRelease withdraws an acquire request, so that no late grant keeps a slot taken, or releases the slot of an uncertain run.
+// sendRelease withdraws an acquire request, so that no late grant keeps a slot taken, or releases the slot of an uncertain
+// run.
 func (h *Queue) sendRelease(r *Request, out *message.Effects) {
 	to := r.coordinator
 	if r.stage == stageUncertain {
--- a/internal/router/capacity/engine.go
+++ b/internal/router/capacity/engine.go
@@ -98,9 +98,9 @@
 	return w.Memory <= 0 || k.memoryTokens == 0 || k.memoryTokens+int(mem) <= w.Memory
 }
 
-// SetRateLimits sets by how much a warming-up worker's rate may be exceeded, as a factor and in requests, and the share of the
-// rate that this router may use. The share ensures that the coordinators on two sides of a network partition together grant
-// no more than one would (docs/design.md, section 12).
+// SetRateLimits sets by how much a warming-up worker's rate may be exceeded, as a factor and in requests, and the share of
+// the rate that this router may use. The share ensures that the coordinators on two sides of a network partition together
+// grant no more than one would (docs/design.md, section 12).
 func (g *Ledger) SetRateLimits(excess float64, slack int, share float64) {
 	g.rateExcess, g.rateSlack, g.rateShare = excess, slack, share
 }
--- a/internal/router/capacity/engine_test.go
+++ b/internal/router/capacity/engine_test.go
@@ -10,8 +10,8 @@
 // newEngineHarness returns the coordinator of one inference engine with plenty of permits.
 func newEngineHarness() *ledgerHarness { return newHarness(Worker{Capacity: 100, MaxWaiting: 200}) }
 
-// acquirePrompt requests a permit for a prompt and returns the kind of the reply. The first token is due within maxFirstToken,
-// or at any time if that is 0.
+// acquirePrompt requests a permit for a prompt and returns the kind of the reply. The first token is due within
+// maxFirstToken, or at any time if that is 0.
 func (b *ledgerHarness) acquirePrompt(tag uint64, prefill time.Duration, priority uint8,
 	maxFirstToken time.Duration) message.Kind {
 	h := Header{Tag: tag, TimeLeft: 15000, PrefillTime: uint32(prefill / time.Microsecond), Priority: priority,
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -172,9 +172,9 @@
 	g.restartCollection(now, name, state, out)
 }
 
-// restartCollection requests reports from all routers, which from then on accept only this coordinator's grants. A coordinator
-// also does so when a router has last reported to another one: while membership views differed, the other one took the worker
-// over, and that router would accept no grant from this one.
+// restartCollection requests reports from all routers, which from then on accept only this coordinator's grants. A
+// coordinator also does so when a router has last reported to another one: while membership views differed, the other one
+// took the worker over, and that router would accept no grant from this one.
 func (g *Ledger) restartCollection(now units.Time, name string, state *workerState, out *message.Effects) {
 	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.NodeID]bool{},
 		now.Add(-reportRetryInterval), now
--- a/internal/router/capacity/ledger_test.go
+++ b/internal/router/capacity/ledger_test.go
@@ -69,8 +69,8 @@
 	return false
 }
 
-// Below the capacity requests are granted; at the capacity they wait in a bounded waitlist ordered by deadline; beyond it they
-// are refused at once (docs/design.md, section 6).
+// Below the capacity requests are granted; at the capacity they wait in a bounded waitlist ordered by deadline; beyond it
+// they are refused at once (docs/design.md, section 6).
 func TestCapacityAndWaitlist(t *testing.T) {
 	b := newHarness(Worker{Capacity: 2, MaxWaiting: 3, FirstTokenTime: 50 * ms})
 	if b.acquire(1, time.Second, false) != Grant || b.acquire(2, time.Second, false) != Grant {
@@ -127,8 +127,8 @@
 	}
 }
 
-// A started worker's capacity grows during its warm-up. A draining worker's coordinator grants nothing and refuses the waiting
-// requests.
+// A started worker's capacity grows during its warm-up. A draining worker's coordinator grants nothing and refuses the
+// waiting requests.
 func TestWarmUpAndDraining(t *testing.T) {
 	b := newHarness(Worker{Capacity: 4, MaxWaiting: 9, WarmUp: 4 * time.Second, StartedAt: units.Time(time.Hour)})
 	for s, want := range []int{1, 1, 2, 3, 4, 4} {
@@ -164,7 +164,7 @@
 	}
 }
 
-// While a coordinator collects reports anew its slots are free: the release interval measured before must not cause a refusal.
+// While a coordinator collects reports anew its slots are free: an earlier release interval must not cause a refusal.
 func TestFreeSlotsMeanNoWait(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 9})
 	for tag := range uint64(3) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// The adaptive capacity depends on waiting time only: a burst lowers it to its minimum, long runs without waiting don't change
-// it, and after the burst it recovers. The original algorithm failed with a capacity that stayed low.
+// The adaptive capacity depends on waiting time only: a burst lowers it to its minimum, long runs without waiting don't
+// change it, and after the burst it recovers. The original algorithm failed with a capacity that stayed low.
 func TestAdaptRecovers(t *testing.T) {
 	b := newHarness(Worker{Capacity: 8, MaxWaiting: 99, Adaptive: true, MinCapacity: 3, TargetWait: 50 * ms})
 	tag := uint64(0)
--- a/internal/router/capacity/position.go
+++ b/internal/router/capacity/position.go
@@ -7,8 +7,9 @@
 	"seamshunt/internal/units"
 )
 
-// lowestWorth returns the index, among the first n waiting requests, of the one to displace for a request of the given worth:
-// the one of lowest worth, and among equals the one with the latest deadline. It returns -1 if none has a lower worth.
+// lowestWorth returns the index, among the first n waiting requests, of the one to displace for a request of the given
+// worth: the one of lowest worth, and among equals the one with the latest deadline. It returns -1 if none has a lower
+// worth.
 func lowestWorth(waitlist []acquireRequest, worth uint16, n int) int {
 	best := -1
 	for i, a := range waitlist[:n] {
--- a/internal/router/clientwatch/clientwatch.go
+++ b/internal/router/clientwatch/clientwatch.go
@@ -1,5 +1,6 @@
-// Package clientwatch ends the work for a request when nobody waits for it any more: each request under way has a context
-// that is cancelled once its client has closed its connection, or once the router is about to end (design 8).
+// Package clientwatch cancels the work for a request once nobody waits for it any more. Each request in progress has a
+// context that is cancelled when its client has closed its connection, or when the router shuts down (docs/design.md,
+// section 8).
 package clientwatch
 
 import (
@@ -13,29 +14,29 @@
 	"seamshunt/internal/socket"
 )
 
-// CheckInterval is how often the clients of all requests under way are looked at. Whoever begins something for a request looks
-// by itself besides, so this bounds only how long what is under way goes on for nobody.
+// CheckInterval is how often the clients of all requests in progress are checked. Code that starts work for a request also
+// checks by itself, so this limits only how long work in progress continues for a disconnected client.
 const CheckInterval = 100 * time.Millisecond
 
 // Why a request is cancelled.
 var (
-	// ErrClientDisconnected says that the client has closed its connection.
-	ErrClientDisconnected = errors.New("clientwatch: the client has left")
-	// ErrRouterShutdown says that the router is about to end and no answer had begun.
-	ErrRouterShutdown = errors.New("clientwatch: the router is about to end")
-	// errRequestEnded releases what still hangs on the context of a request that is over.
-	errRequestEnded = errors.New("clientwatch: the request is over")
+	// ErrClientDisconnected reports that the client has closed its connection.
+	ErrClientDisconnected = errors.New("clientwatch: client disconnected")
+	// ErrRouterShutdown reports that the router is shutting down and no answer had started.
+	ErrRouterShutdown = errors.New("clientwatch: router is shutting down")
+	// errRequestEnded is the cause for contexts derived from a request that has ended.
+	errRequestEnded = errors.New("clientwatch: request has ended")
 )
 
-// Watcher looks at the clients of all requests under way. One goroutine calls Look; the rest may be called from any.
+// Watcher checks the clients of all requests in progress. One goroutine calls CheckAll; other methods may be called from any.
 type Watcher struct {
-	wake     func(within time.Duration) // has Look called
+	wake     func(within time.Duration) // schedules a call of CheckAll
 	mu       sync.Mutex
 	requests map[*Request]struct{}
-	batch    []*Request // those of the round under way, kept for its memory
+	batch    []*Request // requests being checked; kept to reuse its memory
 }
 
-// New makes a watcher. It calls wake when the first request is under way.
+// New returns a watcher. It calls wake when the first request starts.
 func New(wake func(within time.Duration)) *Watcher {
 	return &Watcher{wake: wake, requests: map[*Request]struct{}{}}
 }
@@ -63,9 +64,9 @@
 	return r
 }
 
-// CheckAll looks at all clients once, and cancels what has no answer yet if the router is about to end. It gives how long the
-// next look may wait, 0 for as long as nothing is under way.
-func (w *Watcher) CheckAll(routerEnds bool) time.Duration {
+// CheckAll checks all clients once. If the router is shutting down, it also cancels the requests without an answer. It returns
+// how long the next check may wait, or 0 while no request is in progress.
+func (w *Watcher) CheckAll(shuttingDown bool) time.Duration {
 	w.mu.Lock()
 	w.batch = w.batch[:0]
 	for r := range w.requests {
@@ -73,7 +74,7 @@
 	}
 	w.mu.Unlock()
 	for _, r := range w.batch {
-		if r.Check() == nil && routerEnds && !r.answering.Load() {
+		if r.Check() == nil && shuttingDown && !r.answering.Load() {
 			r.cancel(ErrRouterShutdown)
 		}
 	}
@@ -86,7 +87,7 @@
 	return CheckInterval
 }
 
-// Check looks at the client now, and gives why the request is cancelled; nil while somebody waits for it.
+// Check checks the client now. It returns why the request was cancelled, or nil while the client waits.
 func (r *Request) Check() error {
 	if r.Err() == nil && socket.HungUp(r.conn) {
 		r.cancel(ErrClientDisconnected)
@@ -94,13 +95,13 @@
 	return r.Cause()
 }
 
-// Cause gives why the request is cancelled, as far as that is known.
+// Cause returns why the request was cancelled, as far as is known, or nil.
 func (r *Request) Cause() error { return context.Cause(r.Context) }
 
-// AnswerStarted is called once a worker's answer has begun: the end of the router doesn't cancel it any more.
+// AnswerStarted is called once a worker's answer has started. Shutdown of the router then no longer cancels the request.
 func (r *Request) AnswerStarted() { r.answering.Store(true) }
 
-// End stops watching. What still hangs on the context is released.
+// End stops watching and cancels all contexts derived from the request.
 func (r *Request) End() {
 	r.watcher.mu.Lock()
 	delete(r.watcher.requests, r)
--- a/internal/router/clientwatch/clientwatch_test.go
+++ b/internal/router/clientwatch/clientwatch_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// connPair gives both ends of a connection.
+// connPair returns both ends of a connection.
 func connPair(t testing.TB) (router net.Conn, client *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,19 +30,19 @@
 	return r, c.(*net.TCPConn)
 }
 
-// newWatcher counts how often it is woken.
+// newWatcher returns a watcher and the number of its wake calls.
 func newWatcher() (w *Watcher, woken *int) {
 	woken = new(int)
 	return New(func(time.Duration) { *woken++ }), woken
 }
 
-// awaitEOF waits until the end that the other side sent has come: what is read then is that end.
+// awaitEOF waits until the other side's end of stream or reset has arrived.
 func awaitEOF(router net.Conn) { _, _ = router.Read(make([]byte, 1)) }
 
-// A client that closes its connection, or its write side alone, or resets it, is found at the next look, and all that
-// hangs on the context ends with that reason.
+// A client that closes or resets its connection, or closes only its write side, is detected by the next check, and all derived
+// contexts are cancelled with that cause.
 func TestClientDisconnects(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn) error{
+	for name, disconnect := range map[string]func(*net.TCPConn) error{
 		"closes":        (*net.TCPConn).Close,
 		"closes writes": (*net.TCPConn).CloseWrite,
 		"resets":        func(c *net.TCPConn) error { _ = c.SetLinger(0); return c.Close() },
@@ -57,7 +57,7 @@
 			}
 			child, release := context.WithCancel(r)
 			defer release()
-			if err := leave(client); err != nil {
+			if err := disconnect(client); err != nil {
 				t.Fatal(err)
 			}
 			awaitEOF(router)
@@ -69,7 +69,7 @@
 	}
 }
 
-// A look of one's own finds a client gone without any round.
+// Check detects a disconnected client without CheckAll.
 func TestCheckNow(t *testing.T) {
 	w, _ := newWatcher()
 	router, client := connPair(t)
@@ -82,26 +82,26 @@
 	}
 }
 
-// A router that is about to end cancels what has no answer yet, and nothing else.
+// A router that shuts down cancels only requests without an answer.
 func TestRouterShutdown(t *testing.T) {
 	w, _ := newWatcher()
 	routerA, _ := connPair(t)
 	routerB, _ := connPair(t)
-	waits, answered := w.Watch(routerA), w.Watch(routerB)
-	defer waits.End()
+	waiting, answered := w.Watch(routerA), w.Watch(routerB)
+	defer waiting.End()
 	defer answered.End()
 	answered.AnswerStarted()
 	w.CheckAll(true)
-	if !errors.Is(waits.Cause(), ErrRouterShutdown) || answered.Cause() != nil {
-		t.Fatal(waits.Cause(), answered.Cause())
+	if !errors.Is(waiting.Cause(), ErrRouterShutdown) || answered.Cause() != nil {
+		t.Fatal(waiting.Cause(), answered.Cause())
 	}
 }
 
-// The watcher is woken by the first request alone, and rests once none is under way.
+// Only the first request wakes the watcher, and it rests once no request is in progress.
 func TestWatcherRests(t *testing.T) {
 	w, woken := newWatcher()
 	if w.CheckAll(false) != 0 {
-		t.Error("it looks on with nothing under way")
+		t.Error("it keeps checking with no request in progress")
 	}
 	a, _ := connPair(t)
 	b, _ := connPair(t)
@@ -111,11 +111,11 @@
 	}
 	first.End()
 	if w.CheckAll(false) != CheckInterval {
-		t.Error("it rests with a request under way")
+		t.Error("it rests with a request in progress")
 	}
 	second.End()
 	if w.CheckAll(false) != 0 || first.Err() == nil {
-		t.Error("it looks on, or a request that is over holds what hangs on it")
+		t.Error("it keeps checking, or the context of an ended request is not cancelled")
 	}
 	w.Watch(a).End()
 	if *woken != 2 {
@@ -123,17 +123,17 @@
 	}
 }
 
-// Requests begin, end and lose their clients in any order while rounds go on: one is cancelled for its client exactly if
-// that left before its end.
+// Requests start, end and lose their clients in any order while CheckAll runs: a request is cancelled with
+// ErrClientDisconnected exactly if its client disconnected before the request ended.
 func TestRandomDisconnects(t *testing.T) {
 	for seed := range uint64(20) {
 		w := New(func(time.Duration) {})
-		over := make(chan struct{})
+		done := make(chan struct{})
 		var rounds, requests sync.WaitGroup
 		rounds.Go(func() {
 			for {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 					w.CheckAll(false)
@@ -144,23 +144,23 @@
 			router, client := connPair(t)
 			requests.Go(func() {
 				rng := rand.New(rand.NewPCG(seed, n))
-				leaves := rng.IntN(2) == 0
+				disconnects := rng.IntN(2) == 0
 				r := w.Watch(router)
-				if leaves {
+				if disconnects {
 					client.Close()
 					<-r.Done()
 				}
-				if left := errors.Is(r.Cause(), ErrClientDisconnected); left != leaves {
-					t.Errorf("seed %d: left %v, cancelled for it %v", seed, leaves, left)
+				if cancelled := errors.Is(r.Cause(), ErrClientDisconnected); cancelled != disconnects {
+					t.Errorf("seed %d: client disconnected %v, cancelled for it %v", seed, disconnects, cancelled)
 				}
 				r.End()
 			})
 		}
 		requests.Wait()
-		close(over)
+		close(done)
 		rounds.Wait()
 		if again := w.CheckAll(false); again != 0 {
-			t.Errorf("seed %d: something is left", seed)
+			t.Errorf("seed %d: requests are left", seed)
 		}
 	}
 }
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// byZonePrefix puts first the preferred workers of the prefix, chosen by rendezvous hashing with the router's zone first, and
-// sorts the others by load.
+// byZonePrefix puts first the preferred workers of the prefix, chosen by rendezvous hashing with the router's zone first,
+// and sorts the others by load.
 func (w *Placer) byZonePrefix(q Query) []string {
 	type ranked struct {
 		Candidate
@@ -79,8 +79,8 @@
 	return s
 }
 
-// byFleetPrefix ranks by rendezvous hashing regardless of the zone, so that only few workers in the whole fleet prefill a long
-// shared prefix. Workers behind the preferred ones, and all workers if there is no shared prefix, are sorted by load.
+// byFleetPrefix ranks by rendezvous hashing regardless of the zone, so that only few workers in the whole fleet prefill a
+// long shared prefix. Workers behind the preferred ones, and all workers if there is no shared prefix, are sorted by load.
 func (w *Placer) byFleetPrefix(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	if q.Prefix == 0 {
--- a/internal/router/upstream/answer_test.go
+++ b/internal/router/upstream/answer_test.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// scriptedConn is a connection that gives its bytes in pieces and then ends.
+// scriptedConn is a connection that returns its data in chunks of the given sizes and then ends.
 type scriptedConn struct {
 	net.Conn
 	data  []byte
@@ -38,7 +38,7 @@
 func (s *scriptedConn) SetDeadline(time.Time) error     { return nil }
 func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-// exchangeWithAnswer is an exchange whose request, of that id, has just been written.
+// exchangeWithAnswer returns an exchange whose request, with the given id, has just been written.
 func exchangeWithAnswer(answer, id string, sizes ...byte) *Exchange {
 	q := &fasthttp.Request{}
 	q.Header.SetMethod("POST")
@@ -48,8 +48,8 @@
 	return x
 }
 
-// Whatever bytes come and however they are split: what is taken for a whole answer is one to net/http too, with the
-// same status, id and body.
+// For any bytes, split in any way: what is accepted as a complete answer is also one to net/http, with the same status, id
+// and body.
 func FuzzAnswer(f *testing.F) {
 	const a = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\n"
 	f.Add([]byte(a+"Content-Length: 3\r\n\r\nabc"), []byte{0})
@@ -68,19 +68,19 @@
 		x, b, err := run(nil)
 		y, c, errY := run(sizes)
 		if (err == nil) != (errY == nil) || x.Outcome != y.Outcome || !bytes.Equal(b, c) {
-			t.Fatalf("split, it is another: %d %q %v, %d %q %v", x.Outcome, b, err, y.Outcome, c, errY)
+			t.Fatalf("the result depends on the split: %d %q %v, %d %q %v", x.Outcome, b, err, y.Outcome, c, errY)
 		}
 		if err != nil || x.Outcome != Partial {
 			return
 		}
 		if id := string(x.Response.Header.Peek("Attempt-Id")); id != "a" {
-			t.Fatalf("an answer of %q is taken", id)
+			t.Fatalf("an answer to %q was accepted", id)
 		}
 		r := bufio.NewReader(bytes.NewReader(s))
 		for {
 			z, err := http.ReadResponse(r, &http.Request{Method: "POST"})
 			if err != nil {
-				return // net/http is stricter with this one
+				return // net/http is stricter here
 			}
 			d, err := io.ReadAll(z.Body)
 			if err != nil {
@@ -90,7 +90,7 @@
 				continue
 			}
 			if !bytes.Equal(b, d) || z.StatusCode != x.Response.StatusCode() {
-				t.Fatalf("%s, not %s", fmt.Sprint(z.StatusCode, d), fmt.Sprint(x.Response.StatusCode(), b))
+				t.Fatalf("net/http reads %s, not %s", fmt.Sprint(z.StatusCode, d), fmt.Sprint(x.Response.StatusCode(), b))
 			}
 			return
 		}
--- a/internal/router/upstream/attempt.go
+++ b/internal/router/upstream/attempt.go
@@ -18,30 +18,30 @@
 	"seamshunt/internal/shield"
 )
 
-// Outcome of an event of one try.
+// Outcome classifies an event of an attempt, or the result of an exchange.
 type Outcome uint8
 
-// Piece and Seal carry a line. The others end the try.
+// Events of the outcomes Partial and Complete carry a line. All outcomes but Partial end the attempt.
 const (
-	Partial        Outcome = iota
-	Complete               // the whole answer came and its seal fits
-	NotSent                // no byte of the request left this node
-	NotRun                 // the worker sealed a refusal: it did not run and never will
-	Unknown                // it may have run
-	Broken                 // pieces came, and then the answer broke
-	WorkerReplaced         // another worker is there now: it did not run (design 11)
+	Partial        Outcome = iota // a part of the answer came; for an exchange, its header
+	Complete                      // the whole answer came and its seal is valid
+	NotSent                       // no byte of the request was sent
+	NotRun                        // the worker refused the request: it has not run and never will
+	Unknown                       // the request may have run
+	Broken                        // the answer broke off after a part of it came
+	WorkerReplaced                // another worker listens there now: the request has not run (docs/design.md, section 11)
 )
 
-// Event is one thing that happened to a try.
+// Event is one event of an attempt.
 type Event struct {
 	Outcome     Outcome
 	Line        []byte
 	Err         error
-	Unreachable bool // nobody listens there
+	Unreachable bool // no process listens there
 }
 
-// Attempt is one hand-over of a prompt to one worker, on a connection of its own that is never reused. Once its caller or the try
-// itself is cancelled nothing is sent any more, and what was sent is broken off.
+// Attempt is one dispatch of a prompt to one worker, on a connection of its own that is never reused. Once its caller or the
+// attempt itself is cancelled, nothing is sent any more, and a request that was sent is aborted by closing the connection.
 type Attempt struct {
 	Addr     string
 	ID       string
@@ -54,30 +54,30 @@
 	state    atomic.Int32
 }
 
-// States of a try. It leaves pending once, for one of the others.
+// States of an attempt. It changes once, from pending to one of the others.
 const (
 	pending   int32 = iota // nothing was sent
-	sending                // the request may have left
+	sending                // the request may have been sent
 	abandoned              // nothing was sent and nothing will be
 )
 
-// Abandon has the try send nothing. False says that the request may have left already.
+// Abandon cancels the attempt. It reports whether nothing was sent; if false, the request may have been sent already.
 func (t *Attempt) Abandon() bool {
 	t.Cancel()
 	return t.state.CompareAndSwap(pending, abandoned)
 }
 
-// NewAttempt prepares a try for a caller.
+// NewAttempt prepares an attempt for a caller. Run starts it.
 func NewAttempt(caller Caller, addr, id string, body []byte, left time.Duration) *Attempt {
 	t := &Attempt{Addr: addr, ID: id, Body: body, TimeLeft: left, Events: make(chan Event, 64), caller: caller}
 	t.ctx, t.cancel = context.WithCancel(caller)
 	return t
 }
 
-// Cancel breaks the connection off, so that the worker stops the run.
+// Cancel closes the connection, so that the worker stops the run.
 func (t *Attempt) Cancel() { t.cancel() }
 
-// countingConn tells whether any byte left.
+// countingConn counts the bytes written.
 type countingConn struct {
 	net.Conn
 	written int64
@@ -89,12 +89,12 @@
 	return n, err
 }
 
-// Run does the try; it ends with exactly one event that is no piece.
+// Run executes the attempt. It ends with exactly one event that isn't Partial.
 func (t *Attempt) Run() {
 	t.emit(t.execute())
 }
 
-// emit passes an event on, unless nobody wants it any more.
+// emit sends an event, unless the attempt has been cancelled.
 func (t *Attempt) emit(e Event) {
 	select {
 	case t.Events <- e:
@@ -155,7 +155,7 @@
 		return t.classifyRefusal(resp.StatusCode(), body)
 	}
 	if id := string(resp.Header.Peek("Request-Id")); id != t.ID {
-		return Event{Outcome: Unknown, Err: fmt.Errorf("upstream: answer for request %q", id)}
+		return Event{Outcome: Unknown, Err: fmt.Errorf("upstream: answer is for request %q", id)}
 	}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 4096), MaxLineBytes)
@@ -169,7 +169,7 @@
 		}
 		line := append(append([]byte(nil), lines.Bytes()...), '\n')
 		if done {
-			seal = line // kept until the answer has ended properly behind it
+			seal = line // held back until the answer has ended properly
 			continue
 		}
 		started = true
@@ -179,11 +179,12 @@
 		return brokenAnswer(started, err)
 	}
 	if !verifier.Complete() {
-		return brokenAnswer(started, errors.New("upstream: the answer ends without a seal"))
+		return brokenAnswer(started, errors.New("upstream: answer ends without a seal"))
 	}
 	return Event{Outcome: Complete, Line: seal}
 }
 
+// brokenAnswer returns the event of an answer that broke off. Before any part of it, the outcome is unknown.
 func brokenAnswer(started bool, err error) Event {
 	if started {
 		return Event{Outcome: Broken, Err: err}
@@ -191,14 +192,14 @@
 	return Event{Outcome: Unknown, Err: err}
 }
 
-// refusal: only a refusal that names the request and says that it has not run is believed.
+// classifyRefusal accepts a refusal as NotRun only if it names the request and states that it has not run.
 func (t *Attempt) classifyRefusal(status int, body io.Reader) Event {
 	b, err := io.ReadAll(io.LimitReader(body, 4096))
 	if err == nil && status == fasthttp.StatusServiceUnavailable {
 		if v, err := fastjson.ParseBytes(b); err == nil && v.Exists("ran") && !v.GetBool("ran") &&
 			v.Get("ran").Type() == fastjson.TypeFalse && string(v.GetStringBytes("id")) == t.ID {
-			return Event{Outcome: NotRun, Err: errors.New("upstream: worker refused")}
+			return Event{Outcome: NotRun, Err: errors.New("upstream: worker refused the request")}
 		}
 	}
-	return Event{Outcome: Unknown, Err: fmt.Errorf("upstream: worker answered %d", status)}
+	return Event{Outcome: Unknown, Err: fmt.Errorf("upstream: worker answered with status %d", status)}
 }
--- a/internal/router/upstream/body.go
+++ b/internal/router/upstream/body.go
@@ -13,18 +13,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// body reads an answer's body as it comes. Only one that is properly ended gives io.EOF (design 8).
+// body reads an answer's body as it arrives. It returns io.EOF only if the body ended properly (docs/design.md, section 8).
 type body struct {
-	remaining   int // bytes still due; -1 for chunks, less when nothing tells the end
+	remaining   int // bytes still to come; -1 for chunked encoding, lower if nothing determines the end
 	chunkReader io.Reader
-	trailer     bool // the last chunk has come; what is behind it is due
+	trailer     bool // the last chunk was read; the trailer follows
 	err         error
 }
 
-// complete says whether the whole body was read.
+// complete reports whether the whole body was read.
 func (y *body) complete() bool { return y.remaining == 0 || y.err == io.EOF }
 
-const maxTrailerLines = 32 // lines behind the last chunk
+const maxTrailerLines = 32 // lines after the last chunk
 
 func (y *body) read(r *bufio.Reader, b []byte) (n int, err error) {
 	if y.err != nil {
@@ -39,7 +39,7 @@
 			err = io.ErrUnexpectedEOF
 		}
 	case y.remaining < -1:
-		err = errors.New("upstream: a body whose end can't be known")
+		err = errors.New("upstream: body without a length or chunked encoding")
 	default:
 		n, err = y.readChunked(r, b)
 	}
@@ -61,7 +61,7 @@
 		}
 		y.trailer = true
 		if n > 0 {
-			return n, nil // the tail may not be here yet
+			return n, nil // the trailer may not have arrived yet
 		}
 	}
 	for range maxTrailerLines {
@@ -76,18 +76,18 @@
 			return 0, io.EOF
 		}
 	}
-	return 0, fmt.Errorf("upstream: more than %d lines behind the last chunk", maxTrailerLines)
+	return 0, fmt.Errorf("upstream: more than %d lines after the last chunk", maxTrailerLines)
 }
 
-// Read gives the body's bytes as they come. io.EOF comes only behind a body that is properly ended; any other error
-// means that it broke.
+// Read returns the body's bytes as they arrive. It returns io.EOF only after a body that ended properly; any other error
+// means that the body broke off.
 func (x *Exchange) Read(b []byte) (int, error) {
 	if x.reader == nil {
 		return 0, errors.New("upstream: no answer to read")
 	}
 	n, err := x.body.read(x.reader, b)
 	if err != nil && err != io.EOF && x.conn.readErr != nil {
-		err = fmt.Errorf("upstream: a broken answer: %w", x.conn.readErr)
+		err = fmt.Errorf("upstream: answer broke off: %w", x.conn.readErr)
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -96,17 +96,18 @@
 	return n, err
 }
 
-// bodyReader is the body for those who want a reader of it.
+// bodyReader returns a reader of the body.
 func (x *Exchange) bodyReader() io.Reader { return readerFunc(x.Read) }
 
 type readerFunc func([]byte) (int, error)
 
 func (r readerFunc) Read(b []byte) (int, error) { return r(b) }
 
-// Length gives the length of the body, -1 when it comes in chunks.
+// Length returns the length of the body, or -1 for chunked encoding.
 func (x *Exchange) Length() int { return x.length }
 
-// End gives the connection back, if the answer allows it, and releases the head. It must come before the caller's own end.
+// End puts the connection back into the pool, if the answer allows it, and releases the header. It must be called before the
+// caller's context is released.
 func (x *Exchange) End() {
 	if x.ended {
 		return
@@ -121,12 +122,12 @@
 	x.Response = nil
 }
 
-// connReusable says whether the answer leaves the connection fit for another order.
+// connReusable reports whether the connection can be reused after this answer.
 func (x *Exchange) connReusable() bool {
 	return x.reader != nil && x.keepAlive && x.body.complete() && x.reader.Size() == bufferSize && x.reader.Buffered() == 0
 }
 
-// idleDeadline gives how long the connection may stay idle by the answer's Keep-Alive.
+// idleDeadline returns until when the connection may stay idle according to the answer's Keep-Alive.
 func (x *Exchange) idleDeadline() time.Time {
 	d := defaultIdleTime
 	for f := range strings.SplitSeq(string(x.Response.Header.Peek("Keep-Alive")), ",") {
--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -11,35 +11,36 @@
 	"seamshunt/internal/rig/netfault"
 )
 
-// testCaller is a caller that a test cancels.
+// testCaller is a caller that a test can cancel. It counts the calls of Check.
 type testCaller struct {
 	context.Context
 	checks atomic.Int64
 }
 
-// Check gives what the context tells.
+// Check returns the context's cause.
 func (c *testCaller) Check() error {
 	c.checks.Add(1)
 	return context.Cause(c)
 }
 
-// waitingCaller is a caller that waits until the test is over.
+// waitingCaller returns a caller that waits until the end of the test.
 func waitingCaller(t testing.TB) *testCaller {
 	c, _ := cancellableCaller(t)
 	return c
 }
 
-// errCallerLeft is why a test cancels its caller.
-var errCallerLeft = errors.New("the test's caller left")
+// errCallerCancelled is the reason with which tests cancel their caller.
+var errCallerCancelled = errors.New("the test's caller was cancelled")
 
-// cancellableCaller is a caller that leaves when the test says so.
-func cancellableCaller(t testing.TB) (caller *testCaller, leave func()) {
+// cancellableCaller returns a caller and the function that cancels it.
+func cancellableCaller(t testing.TB) (caller *testCaller, cancelCaller func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	t.Cleanup(func() { cancel(nil) })
-	return &testCaller{Context: ctx}, func() { cancel(errCallerLeft) }
+	return &testCaller{Context: ctx}, func() { cancel(errCallerCancelled) }
 }
 
-// serveOneRequest plays a worker that takes a request, says a little, does a thing and tells when the connection has ended.
+// serveOneRequest serves a worker that reads a request, sends an answer, calls then and closes ended once the connection is
+// closed.
 func serveOneRequest(t *testing.T, say string, then func()) (addr string, ended chan struct{}) {
 	ended = make(chan struct{})
 	return serveScript(t, func(w *workerConn) {
@@ -51,14 +52,14 @@
 	}), ended
 }
 
-// A caller that leaves while the head is awaited, at whatever point of it, ends the wait and the connection.
-func TestCallerLeavesBeforeTheHeader(t *testing.T) {
+// A caller that is cancelled while the header is awaited, at any point of it, ends the wait and the connection.
+func TestCallerIsCancelledBeforeTheHeader(t *testing.T) {
 	for _, say := range []string{"", "HTTP/1.1 200 OK\nAttempt", "HTTP/1.1 200 OK\nAttempt-Id: old\nContent-Length: 9\n\nold"} {
-		caller, leave := cancellableCaller(t)
-		addr, ended := serveOneRequest(t, say, leave)
+		caller, cancelCaller := cancellableCaller(t)
+		addr, ended := serveOneRequest(t, say, cancelCaller)
 		p := NewPool(names)
 		x := p.Do(caller, newDispatch(addr, "a"))
-		if x.Outcome != Unknown || !errors.Is(x.Err, errCallerLeft) || caller.checks.Load() != 1 {
+		if x.Outcome != Unknown || !errors.Is(x.Err, errCallerCancelled) || caller.checks.Load() != 1 {
 			t.Fatal(x.Outcome, x.Err, caller.checks.Load())
 		}
 		x.End()
@@ -67,16 +68,16 @@
 	}
 }
 
-// For a caller that has left already nothing is sent, neither over a new connection nor over a kept one, and the
-// connection is kept for others.
+// For a caller that was cancelled before, nothing is sent over a new or an idle connection, and the connection is kept for
+// others.
 func TestNothingIsSentWithoutCaller(t *testing.T) {
 	p := NewPool(names)
 	addr := serveScript(t, echo)
-	for _, kept := range []bool{false, true} {
-		caller, leave := cancellableCaller(t)
-		late := &callerLeavingAtCheck{caller, leave}
-		x := p.Do(late, newDispatch(addr, "left"))
-		if x.Outcome != NotSent || !errors.Is(x.Err, errCallerLeft) || x.Unreachable || x.Reused != kept {
+	for _, reused := range []bool{false, true} {
+		caller, cancelCaller := cancellableCaller(t)
+		cancelledCaller := &callerCancelledAtCheck{caller, cancelCaller}
+		x := p.Do(cancelledCaller, newDispatch(addr, "left"))
+		if x.Outcome != NotSent || !errors.Is(x.Err, errCallerCancelled) || x.Unreachable || x.Reused != reused {
 			t.Fatal(x.Outcome, x.Err, x.Unreachable, x.Reused)
 		}
 		x.End()
@@ -90,26 +91,26 @@
 	}
 }
 
-// callerLeavingAtCheck is a caller that is found gone by the look right before the request would leave.
-type callerLeavingAtCheck struct {
+// callerCancelledAtCheck is a caller that is cancelled by the check right before the request would be sent.
+type callerCancelledAtCheck struct {
 	*testCaller
-	leave func()
+	cancelCaller func()
 }
 
-func (c *callerLeavingAtCheck) Check() error {
-	c.leave()
+func (c *callerCancelledAtCheck) Check() error {
+	c.cancelCaller()
 	return c.testCaller.Check()
 }
 
-// A caller that leaves while a connection is made ends the attempt; nothing is held against the worker.
-func TestCallerLeavesWhileConnecting(t *testing.T) {
-	caller, leave := cancellableCaller(t)
+// A caller that is cancelled while a connection is made ends the attempt. The worker isn't considered unreachable.
+func TestCallerIsCancelledWhileConnecting(t *testing.T) {
+	caller, cancelCaller := cancellableCaller(t)
 	p, l := NewPool(names), netfault.Silent(t)
 	got := make(chan *Exchange)
 	go func() { got <- p.Do(caller, newDispatch(l.Addr().String(), "a")) }()
-	leave()
+	cancelCaller()
 	x := <-got
-	if x.Outcome != NotSent || !errors.Is(x.Err, errCallerLeft) || x.Unreachable {
+	if x.Outcome != NotSent || !errors.Is(x.Err, errCallerCancelled) || x.Unreachable {
 		t.Error(x.Outcome, x.Err, x.Unreachable)
 	}
 	x.End()
@@ -118,24 +119,25 @@
 	}
 }
 
-// A worker that answers no attempt to connect within the whole span is down; one that had less time may not be.
+// A worker that doesn't answer a connection attempt within the whole dialTimeout is unreachable; one that had less time may
+// not be.
 func TestSilentWorkerIsUnreachable(t *testing.T) {
 	l := netfault.Silent(t)
 	p := NewPool(names)
 	if x := wantOutcome(t, p, newDispatch(l.Addr().String(), "a"), NotSent); !x.Unreachable {
-		t.Error("not down after the whole span", x.Err)
+		t.Error("not unreachable after the whole dialTimeout", x.Err)
 	}
 	o := newDispatch(l.Addr().String(), "b")
 	o.Deadline = time.Now().Add(dialTimeout / 5)
 	if x := wantOutcome(t, p, o, NotSent); x.Unreachable {
-		t.Error("down after a fifth of the span", x.Err)
+		t.Error("unreachable after a fifth of dialTimeout", x.Err)
 	}
 	if n := p.Stats.TimedOut.Load(); n != 2 {
 		t.Errorf("%d timed out, want 2", n)
 	}
 }
 
-// Once the head has come, silence is the caller's to judge: the rest comes when it comes.
+// After the header, the exchange waits for the rest of the answer however long it takes; only the caller may give it up.
 func TestSilenceAfterTheHeader(t *testing.T) {
 	next := make(chan struct{})
 	addr := serveScript(t, func(w *workerConn) {
@@ -151,7 +153,7 @@
 		t.Fatal(x.Outcome, x.Err)
 	}
 	var b [4]byte
-	if n, err := x.Read(b[:]); n != 1 || err != nil { // handed on before the rest is there
+	if n, err := x.Read(b[:]); n != 1 || err != nil { // returned before the rest has arrived
 		t.Fatal(n, err)
 	}
 	close(next)
@@ -160,12 +162,12 @@
 	}
 }
 
-// A caller that leaves in the middle of an answer ends it, and one that left behind a whole answer leaves no trace on the
-// connection's next order.
-func TestCallerLeavesDuringTheAnswer(t *testing.T) {
+// A caller that is cancelled in the middle of an answer ends it. One that is cancelled after a complete answer doesn't
+// affect the connection's next dispatch.
+func TestCallerIsCancelledDuringTheAnswer(t *testing.T) {
 	p := NewPool(names)
 	addr, ended := serveOneRequest(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", func() {})
-	caller, leave := cancellableCaller(t)
+	caller, cancelCaller := cancellableCaller(t)
 	x := p.Do(caller, newDispatch(addr, "a"))
 	var b [9]byte
 	if n, err := io.ReadFull(x.bodyReader(), b[:3]); n != 3 || err != nil {
@@ -176,29 +178,30 @@
 		_, err := x.Read(b[:])
 		got <- err
 	}()
-	leave()
-	if err := <-got; !errors.Is(err, errCallerLeft) {
+	cancelCaller()
+	if err := <-got; !errors.Is(err, errCallerCancelled) {
 		t.Fatal(err)
 	}
 	x.End()
 	<-ended
 	wantCounts(t, p, 0, 1)
 
-	// What was cancelled behind a whole body isn't used again either; what ended before can't be cancelled any more.
+	// A connection whose caller is cancelled after the whole body but before End isn't reused. After End, cancellation has
+	// no effect.
 	addr = serveScript(t, echo)
 	p = NewPool(names)
-	caller, leave = cancellableCaller(t)
+	caller, cancelCaller = cancellableCaller(t)
 	x = p.Do(caller, newDispatch(addr, "a"))
 	_, _ = io.ReadAll(x.bodyReader())
-	leave()
+	cancelCaller()
 	x.End()
 	wantCounts(t, p, 0, 1)
-	caller, leave = cancellableCaller(t)
+	caller, cancelCaller = cancellableCaller(t)
 	x = p.Do(caller, newDispatch(addr, "b"))
 	_, _ = io.ReadAll(x.bodyReader())
 	x.End()
-	leave()
+	cancelCaller()
 	if y := wantAnswer(t, p, newDispatch(addr, "c"), "c"); !y.Reused {
-		t.Fatal("a connection of others was cancelled")
+		t.Fatal("another dispatch's connection was cancelled")
 	}
 }
--- a/internal/router/upstream/conn.go
+++ b/internal/router/upstream/conn.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// conn is a connection to a worker. While it serves an order, the end of that order's caller ends every wait on it.
+// conn is a connection to a worker. While it serves a dispatch, cancellation of the caller ends every wait on it.
 type conn struct {
 	net.Conn
 	pooled     *workerConns
 	worker     string
-	generation int
-	lastReadAt time.Time // when the last bytes came
-	idleUntil  time.Time // an idle one's time
-	recentIDs  recentIDs // of its last requests
-	bytesSent  int64     // bytes that left, of this request
-	readErr    error     // what ended its last read
-	deadline   time.Time // the latest end of the order
+	generation int       // of its worker's connections when it was made
+	lastReadAt time.Time // when bytes were last received
+	idleUntil  time.Time // when an idle connection expires
+	recentIDs  recentIDs
+	bytesSent  int64     // of the current request
+	readErr    error     // of the last read
+	deadline   time.Time // of the current dispatch
 
-	caller       Caller      // nil while it is idle
-	stopWatching func() bool // ends the wait for the caller's end
+	caller       Caller      // nil while the connection is idle
+	stopWatching func() bool // stops watching for cancellation of the caller
 	mu           sync.Mutex
-	interrupted  bool // the caller's end has come
+	interrupted  bool // the caller was cancelled
 }
 
-// startDispatch readies it for one order.
+// startDispatch prepares the connection for one dispatch.
 func (c *conn) startDispatch(caller Caller, dispatch *Dispatch) {
 	c.recentIDs.add(dispatch.ID)
 	c.bytesSent, c.readErr, c.deadline, c.caller = 0, nil, dispatch.Deadline, caller
@@ -36,8 +36,8 @@
 	c.stopWatching = context.AfterFunc(caller, c.interrupt)
 }
 
-// releaseCaller lets go of the order's caller. False says that the caller's end has come meanwhile: the connection can't be used
-// for another order.
+// releaseCaller stops watching the caller. It returns false if the caller was cancelled meanwhile: the connection then can't
+// be reused.
 func (c *conn) releaseCaller() bool {
 	if c.stopWatching == nil {
 		return true
@@ -47,7 +47,7 @@
 	return stopped
 }
 
-// interrupt ends all waits, those to come too.
+// interrupt ends all current and future waits.
 func (c *conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
-// limitReads bounds reads by a time, unless the caller's end has come.
+// limitReads sets a deadline for reads, unless the caller was cancelled.
 func (c *conn) limitReads(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// cancelCause gives why a wait was ended: the caller's reason rather than the deadline that was set for it.
+// cancelCause returns why a wait ended: the caller's reason if it was cancelled, instead of the resulting deadline error.
 func (c *conn) cancelCause(err error) error {
 	if c.caller == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
@@ -86,7 +86,7 @@
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.lastReadAt = time.Now()
-		return n, nil // an error comes again
+		return n, nil // an error is returned again by the next read
 	}
 	if err != nil {
 		c.readErr = c.cancelCause(err)
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -14,16 +14,16 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	ackTimeout  = 3 * time.Second // what was sent is acknowledged within it, or the machine is dark
+	ackTimeout  = 3 * time.Second // data not acknowledged for this long means that the machine is unreachable
 )
 
-// Stats counts what became of connections and requests.
+// Stats counts connections made, failures to connect and abandoned requests.
 type Stats struct {
 	Connected atomic.Uint64
-	Refused   atomic.Uint64 // nobody listens there
-	TimedOut  atomic.Uint64 // nothing answered within the span for connecting
-	Cancelled atomic.Uint64 // nobody waited for the connection any more
-	Abandoned atomic.Uint64 // requests that were not sent, since nobody waited when the connection was there
+	Refused   atomic.Uint64 // no process listens there
+	TimedOut  atomic.Uint64 // no answer within the time for connecting
+	Cancelled atomic.Uint64 // the caller no longer waited for the connection
+	Abandoned atomic.Uint64 // requests not sent, since the caller no longer waited when the connection was ready
 }
 
 // dial makes a connection. Go sets TCP_NODELAY itself.
@@ -42,7 +42,8 @@
 	return &conn{Conn: netConn, lastReadAt: now, idleUntil: now.Add(defaultIdleTime)}, nil
 }
 
-// dialError counts a connection that was not made, and gives the reason. A worker is silent only if it had the whole span.
+// dialError counts a failure to connect and returns its reason. A timeout counts as errConnectTimeout only if the worker had
+// the whole dialTimeout.
 func (p *Pool) dialError(ctx context.Context, err error, left time.Duration) error {
 	if reason := context.Cause(ctx); reason != nil {
 		p.Stats.Cancelled.Add(1)
@@ -59,13 +60,13 @@
 	return err
 }
 
-// errConnectTimeout says that a worker answered no attempt to connect within the whole span for it.
-var errConnectTimeout = errors.New("upstream: no answer to an attempt to connect")
+// errConnectTimeout reports that a worker didn't answer a connection attempt within the whole dialTimeout.
+var errConnectTimeout = errors.New("upstream: connection attempt timed out")
 
-// connectionRefused says whether an attempt to connect failed because nobody listens there.
+// connectionRefused reports whether a connection attempt failed because no process listens there.
 func connectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// unreachable says whether an attempt to connect failed for a reason that lies with the worker.
+// unreachable reports whether a connection attempt failed for a reason on the worker's side.
 func unreachable(err error) bool { return connectionRefused(err) || errors.Is(err, errConnectTimeout) }
--- a/internal/router/upstream/event_stream.go
+++ b/internal/router/upstream/event_stream.go
@@ -6,26 +6,27 @@
 	"strconv"
 )
 
-// MaxEventBytes bounds one event of a stream.
+// MaxEventBytes limits the size of one event.
 const MaxEventBytes = 1 << 20
 
-// EventStream follows a text/event-stream as its bytes go by, and passes on whole events only: so a stream that broke can
-// go on at another worker behind the last whole one (design 8). An event ends with a blank line.
+// EventStream parses a text/event-stream as its bytes arrive and passes on only complete events, so that a stream that broke
+// off can be resumed at another worker after the last complete event (docs/design.md, section 8). An event ends with a blank
+// line.
 type EventStream struct {
-	LastID            string // the id of the last whole event; when set before the first, that one's must be above it
-	Count             int    // whole events that bore an id or data
-	HasEventWithoutID bool   // one of them bore data and no id: behind it nobody can go on exactly
-	Ended             bool   // the last of them says that it is the end, as some streams do
+	LastID            string // id of the last complete event; if set beforehand, the first event's id must be greater
+	Count             int    // complete events with an id or data
+	HasEventWithoutID bool   // one of them had data but no id: the stream can't be resumed exactly after it
+	Ended             bool   // the last of them marks the end of the stream, as some streams do
 
-	buffer    []byte // what is kept, behind what was given out last
-	delivered int    // how much of rest was given out
-	lineStart int    // where its first line begins that is not read yet
-	scanned   int    // up to where no end of that line is
+	buffer    []byte // bytes kept; the first delivered ones were returned by the last Append
+	delivered int    // length of the part of buffer that the last Append returned
+	lineStart int    // start of the first line in buffer that isn't parsed yet
+	scanned   int    // that line has no end before this position
 	err       error
 	current   event
 }
 
-// event is the event that is being read.
+// event is the event that is being parsed.
 type event struct {
 	id      []byte
 	hasID   bool
@@ -33,8 +34,8 @@
 	isEnd   bool
 }
 
-// Append appends b and gives the whole events that are now complete; they are valid until the next call and no longer
-// than b itself. An error is for good: the stream's ids don't rise, or one event is too large.
+// Append appends b and returns the events that are now complete. The result is valid only until the next call and only as
+// long as b itself. Errors are permanent: the stream's ids don't increase, or an event is too large.
 func (e *EventStream) Append(b []byte) (out []byte, err error) {
 	if e.err != nil {
 		return nil, e.err
@@ -55,7 +56,7 @@
 		if i < 0 {
 			e.scanned = len(buf)
 			if e.scanned-completeEnd > MaxEventBytes {
-				e.err = fmt.Errorf("upstream: an event of more than %d bytes", MaxEventBytes)
+				e.err = fmt.Errorf("upstream: event larger than %d bytes", MaxEventBytes)
 			}
 			break
 		}
@@ -80,10 +81,10 @@
 	return buf[:completeEnd], e.err
 }
 
-// PendingBytes gives how many bytes are kept of an event that is not whole yet.
+// PendingBytes returns how many bytes of an incomplete event are kept.
 func (e *EventStream) PendingBytes() int { return len(e.buffer) - e.delivered }
 
-// parseField reads one line of an event.
+// parseField parses one line of an event.
 func (v *event) parseField(l []byte) {
 	name, value, _ := bytes.Cut(l, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -98,21 +99,21 @@
 	}
 }
 
-// endEvent ends the event of so many bytes.
+// endEvent completes the current event, whose size is given in bytes.
 func (e *EventStream) endEvent(size int) error {
 	v := e.current
 	e.current = event{id: v.id[:0]}
 	if size > MaxEventBytes {
-		return fmt.Errorf("upstream: an event of %d bytes", size)
+		return fmt.Errorf("upstream: event of %d bytes is too large", size)
 	}
 	if v.hasID {
 		id, err := strconv.ParseUint(string(v.id), 10, 64)
 		if err != nil {
-			return fmt.Errorf("upstream: an event's id %q is no number", v.id)
+			return fmt.Errorf("upstream: event id %q is not a number", v.id)
 		}
 		if e.LastID != "" {
 			if last, err := strconv.ParseUint(e.LastID, 10, 64); err != nil || id <= last {
-				return fmt.Errorf("upstream: event %d behind event %s", id, e.LastID)
+				return fmt.Errorf("upstream: event %d after event %s", id, e.LastID)
 			}
 		}
 		e.LastID = string(v.id)
--- a/internal/router/upstream/event_stream_test.go
+++ b/internal/router/upstream/event_stream_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// feedInChunks feeds a stream in pieces of the sizes given, in turn, and gives all that came out.
+// feedInChunks feeds a stream in chunks of the given sizes, in turn, and returns all bytes that Append returned.
 func feedInChunks(e *EventStream, s []byte, sizes []byte) (out []byte, err error) {
 	for i := 0; len(s) > 0; i++ {
 		n := len(s)
@@ -18,7 +18,7 @@
 		s = s[n:]
 		o, err := e.Append(b)
 		out = append(out, o...)
-		clear(b) // whoever fed it uses it again
+		clear(b) // the caller reuses its buffer
 		if err != nil {
 			return out, err
 		}
@@ -55,14 +55,14 @@
 			}
 			out, err := feedInChunks(&e, []byte(x.in), sizes)
 			if string(out) != x.out || (err != nil) != x.bad || e.LastID != x.last || e.Count != x.n {
-				t.Fatalf("%q in pieces of %d: %q, %v, last %s of %d", x.in, size, out, err, e.LastID, e.Count)
+				t.Fatalf("%q in chunks of %d: %q, %v, last %s of %d", x.in, size, out, err, e.LastID, e.Count)
 			}
 			if !x.bad && e.PendingBytes() != len(x.in)-len(x.out) {
-				t.Fatalf("%q: tail %d", x.in, e.PendingBytes())
+				t.Fatalf("%q: %d bytes pending", x.in, e.PendingBytes())
 			}
 			if x.bad {
 				if o, err := e.Append([]byte("id: 99\n\n")); len(o) > 0 || err == nil {
-					t.Fatal("it goes on behind an error")
+					t.Fatal("it continues after an error")
 				}
 			}
 		}
@@ -72,7 +72,7 @@
 func TestEventStreamResumesAfterLastID(t *testing.T) {
 	e := EventStream{LastID: "5"}
 	if _, err := e.Append([]byte("id: 5\ndata: a\n\n")); err == nil {
-		t.Fatal("a piece twice")
+		t.Fatal("a repeated event was accepted")
 	}
 	e = EventStream{LastID: "5"}
 	if _, err := e.Append([]byte("id: 6\ndata: a\n\ndata: b\n\n")); err != nil || !e.HasEventWithoutID || e.Ended {
@@ -89,7 +89,7 @@
 		var e EventStream
 		out, err := feedInChunks(&e, []byte(strings.Repeat(line, 1024)+"\n"), []byte{byte(size)})
 		if err == nil || len(out) > 0 {
-			t.Fatal("an event over the bound is let by")
+			t.Fatal("an event above the limit was accepted")
 		}
 		e = EventStream{}
 		if out, err = feedInChunks(&e, []byte(strings.Repeat(line, 1023)+"\n"), []byte{byte(size)}); err != nil || len(out) == 0 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// However the same bytes are split, the same events come out, and they are a beginning of the bytes.
+// The same events are returned however the bytes are split, and they are a prefix of the bytes.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 2\n\n"), []byte{1, 3})
 	f.Add([]byte("\n\r\n\n: x\n\nid\n\ndata\n\n"), []byte{2})
@@ -114,10 +114,10 @@
 			t.Fatalf("%q and %q, %s and %s", x, y, state(&a, errA), state(&b, errB))
 		}
 		if !bytes.HasPrefix(s, x) || len(x) > 0 && x[len(x)-1] != '\n' {
-			t.Fatalf("%q out of %q", x, s)
+			t.Fatalf("%q is not a prefix of complete lines of %q", x, s)
 		}
 		if errA == nil && a.PendingBytes() != len(s)-len(x) {
-			t.Fatalf("tail %d of %q", a.PendingBytes(), s)
+			t.Fatalf("%d bytes pending of %q", a.PendingBytes(), s)
 		}
 	})
 }
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -15,30 +15,30 @@
 const (
 	bufferSize        = 4096
 	maxHeaderBytes    = 1 << 16
-	maxSurplusAnswers = 3
-	maxInterimAnswers = 8
+	maxSurplusAnswers = 3    // answers to other requests before this request's answer
+	maxInterimAnswers = 8    // answers of status 1xx
 	maxRefusalBytes   = 4096 // of a refusal's body
 	drainTimeout      = 50 * time.Millisecond
 )
 
-// Dispatch is one request to one worker.
+// Dispatch describes one request to one worker.
 type Dispatch struct {
 	Worker, Addr string
 	ID           string            // the value of Names.Try
-	Request      *fasthttp.Request // complete; only its length is set here, and the path is that of its header
-	Deadline     time.Time         // the latest end
-	SendOnce     bool              // not over a connection idle for longer than FreshFor: it may not be sent twice
-	MaxConns     int               // connections that this node may have open to this worker; 0 for any
+	Request      *fasthttp.Request // complete except for its Content-Length; the path is that of its header
+	Deadline     time.Time         // for the whole exchange
+	SendOnce     bool              // must not be sent twice: no connection idle for longer than SendOnceMaxIdle is used
+	MaxConns     int               // limit of this router's open connections to the worker; 0 for none
 }
 
-// Exchange is one request and its answer. Kind is Piece when a head came and Read gives the body; else NotSent,
-// NotRun, Moved or Unknown. A refusal's body, if small, is in Resp.
+// Exchange is one request and its answer. The outcome is Partial if a header came and Read returns the body; otherwise
+// NotSent, NotRun, WorkerReplaced or Unknown. A refusal's body, if small, is in Response.
 type Exchange struct {
 	Outcome     Outcome
 	Err         error
-	Unreachable bool // nobody answers an attempt to connect
+	Unreachable bool // the worker accepts no connection
 	Reused      bool
-	Response    *fasthttp.Response // the head; valid until End
+	Response    *fasthttp.Response // the header; valid until End
 
 	pool        *Pool
 	dispatch    Dispatch
@@ -46,13 +46,13 @@
 	reader      *bufio.Reader
 	body        body
 	length      int
-	keepAlive   bool // the worker allows that the connection is used again
-	closedEarly bool // the worker closed before the whole request was written; an answer may lie there all the same
+	keepAlive   bool // the worker allows reuse of the connection
+	closedEarly bool // the worker closed before the whole request was written; there may be an answer nevertheless
 	ended       bool
 }
 
-// Do sends one request for a caller and awaits the head of its answer. End must follow. Once nobody waits any more nothing is
-// sent, and what is awaited ends with the caller's reason.
+// Do sends one request for a caller and waits for the header of its answer. End must be called afterwards. Once the caller
+// no longer waits, nothing is sent, and a pending wait ends with the caller's reason.
 func (p *Pool) Do(caller Caller, dispatch *Dispatch) *Exchange {
 	x := &Exchange{pool: p, dispatch: *dispatch, Response: fasthttp.AcquireResponse()}
 	defer func() { x.dispatch.Request = nil }()
@@ -93,7 +93,7 @@
 	x.reader.Reset(x.conn)
 	if err := x.awaitAnswer(p.names); err != nil {
 		if x.conn.readErr != nil {
-			err = x.conn.readErr // what fasthttp makes of it says less
+			err = x.conn.readErr // fasthttp's error has less detail
 		}
 		return x.fail(Unknown, err)
 	}
@@ -110,7 +110,7 @@
 	return x
 }
 
-// closeConn closes the connection, if there is one, and gives the buffer back.
+// closeConn closes the connection, if there is one, and returns the buffer to its pool.
 func (x *Exchange) closeConn() {
 	if x.reader != nil && x.reader.Size() == bufferSize {
 		x.reader.Reset(nil)
@@ -124,7 +124,7 @@
 	}
 }
 
-// awaitAnswer reads heads until one is this request's.
+// awaitAnswer reads headers until it finds the one that answers this request.
 func (x *Exchange) awaitAnswer(names adapter.Names) error {
 	surplus, interim := 0, 0
 	for {
@@ -135,13 +135,13 @@
 		status := header.StatusCode()
 		if status < 200 {
 			if interim++; interim > maxInterimAnswers || status == fasthttp.StatusSwitchingProtocols {
-				return fmt.Errorf("upstream: an interim answer %d too many", status)
+				return fmt.Errorf("upstream: unexpected interim answer %d", status)
 			}
 			continue
 		}
 		ids := header.PeekAll(names.Try)
 		if len(ids) > 1 {
-			return fmt.Errorf("upstream: an answer of %d ids", len(ids))
+			return fmt.Errorf("upstream: answer has %d attempt ids", len(ids))
 		}
 		x.body = body{remaining: header.ContentLength()}
 		if status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
@@ -155,7 +155,7 @@
 				return err
 			}
 			if header.ConnectionClose() {
-				return fmt.Errorf("upstream: closed behind an answer for %q", ids[0])
+				return fmt.Errorf("upstream: connection closes after an answer for %q", ids[0])
 			}
 			continue
 		}
@@ -163,7 +163,8 @@
 	}
 }
 
-// classify says what an answer means that is no other request's. A success without the id is never passed on.
+// classify determines the outcome of an answer that doesn't belong to another request. A success without an attempt id is
+// never passed on.
 func (x *Exchange) classify(names adapter.Names, status int, hasID bool) error {
 	header := &x.Response.Header
 	isHead := x.dispatch.Request.Header.IsHead()
@@ -171,25 +172,26 @@
 		x.body.remaining = 0
 	}
 	x.length = x.body.remaining
-	x.keepAlive = !header.ConnectionClose() && !isHead && !x.closedEarly // a surplus answer to HEAD could not be measured
+	// After HEAD the length of a surplus answer would be unknown.
+	x.keepAlive = !header.ConnectionClose() && !isHead && !x.closedEarly
 	switch {
 	case !hasID && x.Reused: // it may be the surplus refusal of an earlier request
-		return fmt.Errorf("upstream: an answer %d without an id on a connection that others used", status)
+		return fmt.Errorf("upstream: answer %d without an attempt id on a reused connection", status)
 	case status == fasthttp.StatusMisdirectedRequest:
 		x.Outcome, x.keepAlive = WorkerReplaced, false
-		x.Err = errors.New("upstream: another worker is there now")
+		x.Err = errors.New("upstream: another worker listens at this address")
 	case (status == 400 || status == 429 || status == 503) && len(header.Peek(names.NotRun)) > 0:
 		x.Outcome = NotRun
-		x.Err = fmt.Errorf("upstream: worker refused with %d", status)
+		x.Err = fmt.Errorf("upstream: worker refused the request with status %d", status)
 	case !hasID:
-		return fmt.Errorf("upstream: an answer %d without an id", status)
+		return fmt.Errorf("upstream: answer %d without an attempt id", status)
 	case x.body.remaining < -1:
-		return fmt.Errorf("upstream: an answer %d whose end can't be known", status)
+		return fmt.Errorf("upstream: answer %d without a length or chunked encoding", status)
 	}
 	return nil
 }
 
-// readHeader reads one head; what can't become one is known at its first bytes.
+// readHeader reads one header. Bytes that can't be the start of one are rejected at once, without waiting for more.
 func (x *Exchange) readHeader() error {
 	const protocol = "HTTP/1."
 	for i := range len(protocol) {
@@ -198,7 +200,7 @@
 			return err
 		}
 		if b[i] != protocol[i] {
-			return fmt.Errorf("upstream: bytes that are no answer: %q", b)
+			return fmt.Errorf("upstream: not an HTTP answer: %q", b)
 		}
 	}
 	var smallBuffer *fasthttp.ErrSmallBuffer
@@ -210,7 +212,7 @@
 	return err
 }
 
-// drainBody takes a refusal's body, so that the connection can be used again; it waits for little.
+// drainBody reads a refusal's body, if it is small and comes soon, so that the connection can be reused.
 func (x *Exchange) drainBody() {
 	if x.length < -1 || x.length > maxRefusalBytes {
 		return
--- a/internal/router/upstream/exchange_test.go
+++ b/internal/router/upstream/exchange_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// answerFirst answers the first request of the first connection so, and the rest well. It closes that one only when told.
+// answerFirst answers the first request of the first connection with the given answer, and others properly. With shut, it
+// closes the first connection after the answer.
 func answerFirst(t *testing.T, answer string, shut bool) string {
 	return serveScript(t, func(w *workerConn) {
 		if w.index == 0 {
@@ -25,7 +26,7 @@
 	})
 }
 
-// What a client sent goes on as it was.
+// A client's request is forwarded unchanged.
 func TestExchangeForwardsRequestUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	const sent = "POST /a//b/../%2e%2F?x=%20y&&z HTTP/1.1\nHost: site.example\nContent-Length: 6\nX-One: 1\nAttempt-Id: a\n\nprompt"
@@ -41,7 +42,7 @@
 	o.Request.Header.SetRequestURI("/a//b/../%2e%2F?x=%20y&&z")
 	o.Request.Header.Set("X-One", "1")
 	o.Request.Header.Set("Attempt-Id", "a")
-	_ = o.Request.URI() // as a look at the path would do
+	_ = o.Request.URI() // as reading the path would do
 	wantAnswer(t, NewPool(names), o, "")
 	if s := <-got; s != strings.ReplaceAll(sent, "\n", "\r\n") {
 		t.Fatalf("%q", s)
@@ -65,7 +66,7 @@
 		name, answer string
 		kind         Outcome
 		body         string
-		broken       bool // while reading
+		broken       bool // error while reading the body
 		idle         int
 	}{
 		{"length", ok + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
@@ -106,7 +107,7 @@
 			addr := answerFirst(t, x.answer, false)
 			b, y, err := doAndRead(t, p, newDispatch(addr, "a"))
 			if y.Outcome != x.kind || b != x.body || (err != nil) != (x.broken || x.kind != Partial) {
-				t.Fatalf("kind %d, body %q, error %v", y.Outcome, b, err)
+				t.Fatalf("outcome %d, body %q, error %v", y.Outcome, b, err)
 			}
 			wantCounts(t, p, x.idle, 1)
 			if y := wantAnswer(t, p, newDispatch(addr, "b"), "b"); y.Reused != (x.idle == 1) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// An answer that is cut off anywhere never ends as a whole one.
+// A truncated answer is never taken as complete, wherever it was truncated.
 func TestExchangeTruncatedAnywhere(t *testing.T) {
 	for _, x := range []string{
 		"HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 3\n\nabc",
@@ -131,7 +132,7 @@
 				_, err = io.ReadAll(y.bodyReader())
 			}
 			if err == nil {
-				t.Fatalf("cut at %d, it ends as whole: %q", i, x[:i])
+				t.Fatalf("truncated at %d, it is taken as complete: %q", i, x[:i])
 			}
 		}
 	}
@@ -145,7 +146,7 @@
 		addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\n"+s, true)
 		b, x, err := doAndRead(t, p, newDispatch(addr, "a"))
 		if x.Outcome != Partial || b != "abc" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-			t.Fatalf("%q: kind %d, body %q, error %v", s, x.Outcome, b, err)
+			t.Fatalf("%q: outcome %d, body %q, error %v", s, x.Outcome, b, err)
 		}
 		wantCounts(t, p, 0, 1)
 	}
@@ -155,7 +156,7 @@
 	p := NewPool(names)
 	addr := answerFirst(t, "", true)
 	if x := wantOutcome(t, p, newDispatch(addr, "a"), Unknown); x.Unreachable {
-		t.Fatal("down though it took the request")
+		t.Fatal("unreachable although it took the request")
 	}
 	o := newDispatch(serveScript(t, (*workerConn).awaitClose), "b")
 	o.Worker, o.Deadline = "v", time.Now().Add(20*time.Millisecond)
@@ -198,7 +199,7 @@
 	}
 	x.End()
 	wantCounts(t, p, 1, 1)
-	// One whose body doesn't come is believed all the same; only its connection is lost.
+	// A refusal whose body doesn't arrive counts all the same; only its connection is lost.
 	p = NewPool(names)
 	addr, ended := serveOneRequest(t, "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 2\n\nn", func() {})
 	x = p.Do(waitingCaller(t), newDispatch(addr, "a"))
--- a/internal/router/upstream/first_token_times.go
+++ b/internal/router/upstream/first_token_times.go
@@ -12,14 +12,14 @@
 	minOverdueAfter = 300 * time.Millisecond
 )
 
-// FirstTokenTimes remembers the last times to first words, from the hand-over on (design 8).
+// FirstTokenTimes records the last times to first token, measured from the dispatch (docs/design.md, section 8).
 type FirstTokenTimes struct {
 	mu      sync.Mutex
 	samples []time.Duration
 	next    int
 }
 
-// Add takes one.
+// Add records one time.
 func (h *FirstTokenTimes) Add(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -31,7 +31,7 @@
 	h.next = (h.next + 1) % maxSamples
 }
 
-// Quantile gives the time that a share of them kept, and how many there are.
+// Quantile returns the given quantile of the recorded times, and how many there are.
 func (h *FirstTokenTimes) Quantile(q float64) (time.Duration, int) {
 	h.mu.Lock()
 	l := slices.Clone(h.samples)
@@ -43,8 +43,8 @@
 	return l[min(len(l)-1, int(q*float64(len(l))))], len(l)
 }
 
-// OverdueAfter gives how long first words may take before a worker is held to be dark: twice what 99 of 100 took. With too
-// few measured there is no habit.
+// OverdueAfter returns how long the first token may take before a worker is considered unreachable: twice the 99th
+// percentile. It returns false as long as there are too few measurements.
 func (h *FirstTokenTimes) OverdueAfter() (time.Duration, bool) {
 	d, n := h.Quantile(0.99)
 	return max(2*d, minOverdueAfter), n >= minSamples
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -10,7 +10,7 @@
 	"seamshunt/internal/socket"
 )
 
-// SendOnceMaxIdle is how long a connection may have been idle for what may not be sent twice.
+// SendOnceMaxIdle is how long a connection may have been idle to be used for a request that must not be sent twice.
 const SendOnceMaxIdle = 300 * time.Millisecond
 
 const (
@@ -18,11 +18,11 @@
 	minIdleTime     = 500 * time.Millisecond
 )
 
-// ErrNoConn says that this node has as many connections to the worker as it may.
-var ErrNoConn = errors.New("upstream: no connection to this worker is free")
+// ErrNoConn reports that the limit of connections to the worker is reached and all are in use.
+var ErrNoConn = errors.New("upstream: all connections to the worker are in use")
 
-// Pool holds idle connections to workers, each belonging to one worker id: another worker may come to listen at the
-// same address (design 8 and 11). Idle ones hold no buffers.
+// Pool holds idle connections to workers. Each belongs to one worker id, since another worker may later listen at the same
+// address (docs/design.md, sections 8 and 11). Idle connections hold no buffers.
 type Pool struct {
 	Stats   Stats
 	names   adapter.Names
@@ -30,18 +30,18 @@
 	workers map[string]*workerConns
 }
 
-// workerConns is one worker: idle connections, the newest last, and how many are open in all.
+// workerConns is the connections to one worker.
 type workerConns struct {
 	addr       string
-	openCount  int
-	generation int // a connection of an older one is closed when it comes back
-	idle       []*conn
+	openCount  int     // idle or in use
+	generation int     // connections of an older generation are closed when they come back
+	idle       []*conn // the most recently used last
 }
 
-// NewPool makes an empty one.
+// NewPool returns an empty pool.
 func NewPool(n adapter.Names) *Pool { return &Pool{names: n, workers: map[string]*workerConns{}} }
 
-// Idle gives how many connections to a worker wait for use.
+// Idle returns the number of idle connections to a worker.
 func (p *Pool) Idle(worker string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,10 +51,10 @@
 	return 0
 }
 
-// Dials gives the connections made so far.
+// Dials returns the number of connections made so far.
 func (p *Pool) Dials() uint64 { return p.Stats.Connected.Load() }
 
-// CloseIdle closes the idle connections of a worker that is gone; those in use close after their answer.
+// CloseIdle closes the idle connections of a removed worker. Those in use are closed after their answer.
 func (p *Pool) CloseIdle(worker string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// CloseExpired closes the idle connections that are past their time.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
@@ -103,7 +103,7 @@
 	h.generation++
 }
 
-// takeIdle takes the newest idle connection, if it may be used. Callers hold the lock.
+// takeIdle takes the most recently used idle connection, if it may be used for the dispatch. Callers hold the pool's lock.
 func (h *workerConns) takeIdle(dispatch *Dispatch, now time.Time) *conn {
 	for len(h.idle) > 0 {
 		i := len(h.idle) - 1
@@ -112,7 +112,7 @@
 			return nil
 		}
 		h.idle[i], h.idle = nil, h.idle[:i]
-		if now.Before(c.idleUntil) && !c.recentIDs.has(dispatch.ID) { // a surplus answer would bear the same id
+		if now.Before(c.idleUntil) && !c.recentIDs.has(dispatch.ID) { // a surplus answer would carry the same id
 			return c
 		}
 		h.closeConn(c)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// acquire gives a connection to the order's worker: an idle one that is well or, with fresh, a new one.
+// acquire returns a connection to the dispatch's worker: an idle one that is in order, or else, or with forceNew, a new one.
 func (p *Pool) acquire(ctx context.Context, dispatch *Dispatch, forceNew bool) (c *conn, reused bool, err error) {
 	now := time.Now()
 	for {
@@ -167,7 +167,7 @@
 	}
 }
 
-// putBack takes a connection back that may be used again until a time.
+// putBack returns a connection to the pool, where it may be reused until the given time.
 func (p *Pool) putBack(c *conn, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,7 +180,7 @@
 	p.removeUnused(c.worker, c.pooled)
 }
 
-// discard closes a connection that is not to be used again.
+// discard closes a connection that must not be reused.
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -23,12 +23,12 @@
 	}
 	wantCounts(t, p, 1, 1)
 	if c := p.workers["w"].idle[0]; c.caller != nil || c.stopWatching != nil || c.idleUntil.Sub(c.lastReadAt) != defaultIdleTime {
-		t.Fatal("the idle connection isn't as it should be")
+		t.Fatal("the idle connection still has a caller, or the wrong idle time")
 	}
-	// The same id doesn't go over a connection where its own surplus answer may lie.
+	// A request with the same id isn't sent over a connection that may hold a surplus answer to it.
 	wantAnswer(t, p, newDispatch(addr, "r4"), "r4")
 	wantCounts(t, p, 1, 2)
-	// The same address under another id is another worker.
+	// The same address with another worker id is another worker.
 	o := newDispatch(addr, "v0")
 	o.Worker = "v"
 	if x := wantAnswer(t, p, o, "v0"); x.Reused {
@@ -36,7 +36,7 @@
 	}
 	p.CloseIdle("w")
 	if p.Idle("w") != 0 || p.Idle("v") != 1 {
-		t.Fatal("Drop dropped others, or not all")
+		t.Fatal("CloseIdle closed another worker's connections, or not all of this one's")
 	}
 }
 
@@ -56,19 +56,19 @@
 		t.Fatal("the worker didn't close")
 	}
 	if x := wantAnswer(t, p, newDispatch(addr, "b"), "b"); x.Reused {
-		t.Fatal("a closed connection was used")
+		t.Fatal("a closed connection was reused")
 	}
 	wantCounts(t, p, 1, 2)
 }
 
 func TestPoolDiscardsConnectionWithUnreadBytes(t *testing.T) {
 	p := NewPool(names)
-	late := make(chan struct{})
+	sendSurplus := make(chan struct{})
 	addr := serveScript(t, func(w *workerConn) {
 		if w.index == 0 {
 			id, _ := w.readRequest()
 			w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: 0\n\n")
-			<-late
+			<-sendSurplus
 			w.send("xx")
 			w.awaitClose()
 			return
@@ -77,33 +77,33 @@
 	})
 	wantAnswer(t, p, newDispatch(addr, "a"), "")
 	wantCounts(t, p, 1, 1)
-	close(late)
+	close(sendSurplus)
 	var b [1]byte
 	if _, err := p.workers["w"].idle[0].Conn.Read(b[:]); err != nil {
 		t.Fatal(err)
 	}
 	if x := wantAnswer(t, p, newDispatch(addr, "b"), "b"); x.Reused {
-		t.Fatal("a connection with bytes on it was used")
+		t.Fatal("a connection with unread bytes was reused")
 	}
 }
 
 func TestPoolLimitsIdleTime(t *testing.T) {
 	p := NewPool(names)
-	keep := ""
+	keepAlive := ""
 	addr := serveScript(t, func(w *workerConn) {
 		for id, ok := w.readRequest(); ok; id, ok = w.readRequest() {
-			w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\n" + keep + "Content-Length: 0\n\n")
+			w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\n" + keepAlive + "Content-Length: 0\n\n")
 		}
 	})
 	for i, x := range []struct {
-		head string
-		d    time.Duration
+		header string
+		d      time.Duration
 	}{{"", 4 * time.Second}, {"Keep-Alive: timeout=7\n", 6 * time.Second}, {"Keep-Alive: max=5, Timeout=1\n", minIdleTime},
 		{"Keep-Alive: timeout=x\n", 4 * time.Second}, {"Keep-Alive: timeout=0\n", minIdleTime}} {
-		keep = x.head
+		keepAlive = x.header
 		wantAnswer(t, p, newDispatch(addr, fmt.Sprint(i)), "")
 		if c := p.workers["w"].idle[0]; c.idleUntil.Sub(c.lastReadAt) != x.d {
-			t.Errorf("%q: idle for %v", x.head, c.idleUntil.Sub(c.lastReadAt))
+			t.Errorf("%q: idle for %v", x.header, c.idleUntil.Sub(c.lastReadAt))
 		}
 	}
 	wantCounts(t, p, 1, 1)
@@ -112,42 +112,42 @@
 	o := newDispatch(addr, "once")
 	o.SendOnce = true
 	if x := wantAnswer(t, p, o, ""); x.Reused {
-		t.Fatal("a stale connection was used for what may not be sent twice")
+		t.Fatal("a stale connection was used for a request that must not be sent twice")
 	}
 	wantCounts(t, p, 2, 2)
 	p.workers["w"].idle[1].idleUntil = time.Now()
 	p.CloseExpired()
 	wantCounts(t, p, 1, 2)
 	if p.workers["w"].idle[0] != c {
-		t.Fatal("the wrong one was swept")
+		t.Fatal("the wrong connection was closed")
 	}
 	c.idleUntil = time.Now()
 	if x := wantAnswer(t, p, newDispatch(addr, "after"), ""); x.Reused {
-		t.Fatal("one past its time was used")
+		t.Fatal("an expired connection was reused")
 	}
 	p.workers["w"].idle[0].idleUntil = time.Now()
 	p.CloseExpired()
 	if len(p.workers) != 0 {
-		t.Fatal("an empty worker is kept")
+		t.Fatal("a worker without connections is kept")
 	}
 }
 
 func TestPoolLimitsOpenConnections(t *testing.T) {
 	p := NewPool(names)
 	addr := serveScript(t, echo)
-	few := func(id string) *Dispatch { o := newDispatch(addr, id); o.MaxConns = 1; return o }
-	x := p.Do(waitingCaller(t), few("a"))
+	limited := func(id string) *Dispatch { o := newDispatch(addr, id); o.MaxConns = 1; return o }
+	x := p.Do(waitingCaller(t), limited("a"))
 	if x.Outcome != Partial {
 		t.Fatal(x.Err)
 	}
-	if y := wantOutcome(t, p, few("b"), NotSent); !errors.Is(y.Err, ErrNoConn) || y.Unreachable {
+	if y := wantOutcome(t, p, limited("b"), NotSent); !errors.Is(y.Err, ErrNoConn) || y.Unreachable {
 		t.Fatal(y.Err)
 	}
-	x.End() // its body wasn't read, so the connection is closed
+	x.End() // the body wasn't read, so the connection is closed
 	wantCounts(t, p, 0, 1)
-	wantAnswer(t, p, few("c"), "c")
+	wantAnswer(t, p, limited("c"), "c")
 	p.workers["w"].idle[0].lastReadAt = time.Now().Add(-time.Second)
-	o := few("d")
+	o := limited("d")
 	o.SendOnce = true
 	wantAnswer(t, p, o, "d")
 	wantCounts(t, p, 1, 3)
@@ -169,7 +169,7 @@
 	x.End()
 	wantCounts(t, p, 0, 1)
 	if len(p.workers) != 0 {
-		t.Fatal("an empty worker is kept")
+		t.Fatal("a worker without connections is kept")
 	}
 }
 
@@ -182,24 +182,24 @@
 	l.Close()
 	p := NewPool(names)
 	if x := wantOutcome(t, p, newDispatch(addr, "a"), NotSent); !x.Unreachable {
-		t.Fatal("not down")
+		t.Fatal("not unreachable")
 	}
 	o := newDispatch(addr, "b")
 	o.Deadline = time.Now()
 	if x := wantOutcome(t, p, o, NotSent); x.Unreachable {
-		t.Fatal("down though never asked")
+		t.Fatal("unreachable although no connection was attempted")
 	}
 	if p.Dials() != 0 || len(p.workers) != 0 {
-		t.Fatal("something is left")
+		t.Fatal("connections are left")
 	}
 }
 
-// failingWriteConn fails each write before a byte leaves.
+// failingWriteConn fails each write before a byte is sent.
 type failingWriteConn struct{ *net.TCPConn }
 
 func (failingWriteConn) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-// A connection that takes no byte is given up for a new one, once.
+// A connection on which no byte can be sent is replaced by a new one, once.
 func TestPoolRedialsWhenNothingWasSent(t *testing.T) {
 	p := NewPool(names)
 	addr := serveScript(t, echo)
@@ -224,7 +224,7 @@
 			for j := range 50 {
 				id := fmt.Sprintf("r%d-%d", i, j)
 				if b, x, err := doAndRead(t, p, newDispatch(addr, id)); b != id || err != nil {
-					t.Errorf("%s: %q %v kind %d", id, b, err, x.Outcome)
+					t.Errorf("%s: %q %v outcome %d", id, b, err, x.Outcome)
 				}
 				p.CloseExpired()
 				if j == 25 {
--- a/internal/router/upstream/recent_ids.go
+++ b/internal/router/upstream/recent_ids.go
@@ -2,16 +2,16 @@
 
 import "hash/maphash"
 
-// recentIDCount is how many of its last requests a connection remembers. A worker's surplus answer comes within that many.
+// recentIDCount is how many of its last requests a connection remembers. A worker sends a surplus answer within that many.
 const recentIDCount = 16
 
 var recentIDSeed = maphash.MakeSeed()
 
-// recentIDs are the ids of a connection's last requests, hashed. Two ids that share a hash cost a needless new
-// connection, never a wrong answer.
+// recentIDs holds the hashed ids of a connection's last requests. A hash collision costs an unnecessary new connection,
+// never a wrong answer.
 type recentIDs struct {
 	hashes [recentIDCount]uint64
-	count  int // of all that were added
+	count  int // ids added so far
 }
 
 func (r *recentIDs) add(id string) {
--- a/internal/router/upstream/retry_budget.go
+++ b/internal/router/upstream/retry_budget.go
@@ -18,8 +18,8 @@
 	firstAttempts, retries int
 }
 
-// RetryBudget holds a service's further tries to a share of this node's own first tries over ten seconds, a fifth unless said
-// otherwise (design 8, 11).
+// RetryBudget limits a service's retries to a share of this router's own first attempts over ten seconds. The share is
+// Ratio, or a fifth if that isn't set (docs/design.md, sections 8 and 11).
 type RetryBudget struct {
 	mu    sync.Mutex
 	ring  [bucketCount]bucket
@@ -35,14 +35,14 @@
 	return s
 }
 
-// RecordFirstAttempt counts a first try.
+// RecordFirstAttempt counts a first attempt.
 func (b *RetryBudget) RecordFirstAttempt(now units.Time) {
 	b.mu.Lock()
 	b.currentBucket(now).firstAttempts++
 	b.mu.Unlock()
 }
 
-// AllowRetry asks for a further try, a few of which are allowed on top of the share, and counts it when it is allowed.
+// AllowRetry reports whether a retry is allowed, and counts it if so. On top of the share, slack retries are allowed.
 func (b *RetryBudget) AllowRetry(now units.Time, slack int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/upstream/send.go
+++ b/internal/router/upstream/send.go
@@ -14,7 +14,7 @@
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
-// send writes header and body by themselves: Request.Write would make path and host anew from a parsed URI.
+// send writes header and body directly, since Request.Write would rebuild path and host from a parsed URI.
 func (x *Exchange) send() error {
 	h, b := &x.dispatch.Request.Header, x.dispatch.Request.Body()
 	h.SetNoDefaultContentType(true)
@@ -35,7 +35,7 @@
 	return err
 }
 
-// closedByWorker says whether a write failed because the worker closed or reset the connection.
+// closedByWorker reports whether a write failed because the worker closed or reset the connection.
 func closedByWorker(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/router/upstream/stream_verifier.go
+++ b/internal/router/upstream/stream_verifier.go
@@ -1,4 +1,4 @@
-// Package upstream hands prompts over to workers and checks their streams (design 8).
+// Package upstream dispatches requests to workers and verifies their answers (docs/design.md, section 8).
 package upstream
 
 import (
@@ -11,13 +11,14 @@
 	"github.com/valyala/fastjson"
 )
 
-// Bounds of a worker's answer.
+// Limits of a worker's answer.
 const (
 	MaxLineBytes   = 1 << 20
 	MaxAnswerBytes = 64 << 20
 )
 
-// StreamVerifier checks a worker's stream line by line.
+// StreamVerifier verifies a worker's stream line by line. The stream consists of numbered pieces of text and ends with a
+// seal: the request's id, the number of pieces, their total length and a digest of their text.
 type StreamVerifier struct {
 	id        string
 	nextPiece int
@@ -27,19 +28,20 @@
 	parser    fastjson.Parser
 }
 
-// NewStreamVerifier begins the check of the answer to request id.
+// NewStreamVerifier returns a verifier for the answer to request id.
 func NewStreamVerifier(id string) *StreamVerifier {
 	return &StreamVerifier{id: id, digest: sha256.New()}
 }
 
-// VerifyLine takes one line of the stream. It says whether the line was the seal; an error means the answer is not whole.
+// VerifyLine verifies the next line of the stream and reports whether it was the seal. An error means that the answer is not
+// complete.
 func (s *StreamVerifier) VerifyLine(b []byte) (bool, error) {
 	if s.sealed {
-		return false, errors.New("upstream: a line after the seal")
+		return false, errors.New("upstream: line after the seal")
 	}
 	v, err := s.parser.ParseBytes(b)
 	if err != nil {
-		return false, fmt.Errorf("upstream: a line that is no JSON: %w", err)
+		return false, fmt.Errorf("upstream: line is not JSON: %w", err)
 	}
 	if x := v.Get("seal"); x != nil {
 		return true, s.verifySeal(x)
@@ -49,7 +51,7 @@
 		return false, err
 	}
 	if n != s.nextPiece {
-		return false, fmt.Errorf("upstream: piece %d where %d is due", n, s.nextPiece)
+		return false, fmt.Errorf("upstream: piece %d, want piece %d", n, s.nextPiece)
 	}
 	t := v.Get("text")
 	if t == nil || t.Type() != fastjson.TypeString {
@@ -59,7 +61,7 @@
 	s.nextPiece++
 	s.textBytes += len(text)
 	if s.textBytes > MaxAnswerBytes {
-		return false, fmt.Errorf("upstream: an answer of more than %d bytes", MaxAnswerBytes)
+		return false, fmt.Errorf("upstream: answer larger than %d bytes", MaxAnswerBytes)
 	}
 	s.digest.Write(text)
 	return false, nil
@@ -79,7 +81,7 @@
 
 func (s *StreamVerifier) verifySeal(x *fastjson.Value) error {
 	if id := string(x.GetStringBytes("id")); id != s.id {
-		return fmt.Errorf("upstream: sealed for request %q", id)
+		return fmt.Errorf("upstream: seal is for request %q", id)
 	}
 	n, err := intField(x, "pieces")
 	if err != nil {
@@ -90,14 +92,14 @@
 		return err
 	}
 	if n != s.nextPiece || l != s.textBytes {
-		return fmt.Errorf("upstream: sealed %d pieces of %d bytes, came %d of %d", n, l, s.nextPiece, s.textBytes)
+		return fmt.Errorf("upstream: seal names %d pieces of %d bytes, received %d of %d", n, l, s.nextPiece, s.textBytes)
 	}
 	if d := string(x.GetStringBytes("digest")); d != hex.EncodeToString(s.digest.Sum(nil)) {
-		return errors.New("upstream: the digest does not fit")
+		return errors.New("upstream: digest mismatch")
 	}
 	s.sealed = true
 	return nil
 }
 
-// Complete says whether the seal has come and fits.
+// Complete reports whether a valid seal has been received.
 func (s *StreamVerifier) Complete() bool { return s.sealed }
--- a/internal/router/upstream/stream_verifier_test.go
+++ b/internal/router/upstream/stream_verifier_test.go
@@ -18,7 +18,7 @@
 	return append(l, fmt.Sprintf(`{"seal":{"id":%q,"pieces":%d,"bytes":%d,"digest":%q}}`, id, len(texts), n, hex.EncodeToString(h.Sum(nil))))
 }
 
-// verifies feeds lines to a seal and says whether the answer counts as whole.
+// verifies reports whether a verifier accepts the lines as a complete answer.
 func verifies(id string, l []string) bool {
 	s := NewStreamVerifier(id)
 	for _, x := range l {
@@ -29,24 +29,25 @@
 	return s.Complete()
 }
 
-// Every way of damaging a sealed answer of three pieces must be seen; the undamaged one must pass (design 8).
+// Every kind of damage to a sealed answer of three pieces must be detected, and the undamaged answer must pass
+// (docs/design.md, section 8).
 func TestVerifierDetectsEveryDamage(t *testing.T) {
 	good := sealedLines("r1", "a", "bb", "ccc")
 	if !verifies("r1", good) {
-		t.Fatal("a good answer is not taken")
+		t.Fatal("a valid answer is rejected")
 	}
 	if verifies("r2", good) {
-		t.Error("another request's answer is taken")
+		t.Error("another request's answer is accepted")
 	}
 	var bad [][]string
 	for i := range good {
-		bad = append(bad, append(append([]string(nil), good[:i]...), good[i+1:]...)) // one missing
-		bad = append(bad, append(append([]string(nil), good[:i+1]...), good[i:]...)) // one doubled
+		bad = append(bad, append(append([]string(nil), good[:i]...), good[i+1:]...)) // one line missing
+		bad = append(bad, append(append([]string(nil), good[:i+1]...), good[i:]...)) // one line repeated
 		for j := range good {
 			if i != j {
 				x := append([]string(nil), good...)
 				x[i], x[j] = x[j], x[i]
-				bad = append(bad, x) // two in the wrong order
+				bad = append(bad, x) // two lines swapped
 			}
 		}
 	}
@@ -56,12 +57,12 @@
 	bad = append(bad, []string{good[0], "no json", good[2], good[3]}, nil)
 	for i, x := range bad {
 		if verifies("r1", x) {
-			t.Errorf("damage %d is taken as whole: %v", i, x)
+			t.Errorf("damaged answer %d is accepted: %v", i, x)
 		}
 	}
 }
 
-// A piece out of its turn is refused as it comes, not only by the seal: it must never reach the caller.
+// A piece out of order is rejected when it arrives, not only by the seal, so that it never reaches the client.
 func TestVerifierRejectsPieceOutOfOrder(t *testing.T) {
 	for _, x := range []string{`{"n":0,"text":"a"}`, `{"n":2,"text":"c"}`, `{"n":-1,"text":"c"}`, `{"n":1}`, `{"text":"b"}`, `{"n":1,"text":7}`} {
 		s := NewStreamVerifier("r1")
@@ -69,7 +70,7 @@
 			t.Fatal(err)
 		}
 		if _, err := s.VerifyLine([]byte(x)); err == nil {
-			t.Errorf("after piece 0, %s is taken", x)
+			t.Errorf("%s is accepted after piece 0", x)
 		}
 	}
 }
--- a/internal/router/upstream/surplus_answer_test.go
+++ b/internal/router/upstream/surplus_answer_test.go
@@ -15,11 +15,11 @@
 	"seamshunt/internal/shield"
 )
 
-// A connection that carried a request is never used for the same id again, however many others it carried meanwhile:
-// the first one's surplus answer may still come and would bear the right id.
+// A connection that carried a request is never used for the same id again, however many others it carried meanwhile. A
+// surplus answer to the first request may still come and would carry the right id.
 func TestSameIDNeverOnOneConnection(t *testing.T) {
-	const kept = 16 // others behind which a surplus answer may still come
-	for others := range kept {
+	const maxOthers = 16 // requests after which a surplus answer may still come
+	for others := range maxOthers {
 		p := NewPool(names)
 		addr := serveScript(t, func(w *workerConn) {
 			if w.index > 0 {
@@ -32,7 +32,7 @@
 				id, _ := w.readRequest()
 				w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: 0\n\n")
 			}
-			if _, ok := w.readRequest(); ok { // the same id came once more: its old refusal is due first
+			if _, ok := w.readRequest(); ok { // the same id again: first send a surplus refusal of the first request
 				w.send("HTTP/1.1 503 Full\nAttempt-Id: a\nNot-Run: 1\nContent-Length: 0\n\n")
 			}
 		})
@@ -41,13 +41,13 @@
 			wantAnswer(t, p, newDispatch(addr, fmt.Sprint("other", i)), "")
 		}
 		if x := wantAnswer(t, p, newDispatch(addr, "a"), "a"); x.Reused {
-			t.Fatalf("behind %d others, the id goes over its old connection", others)
+			t.Fatalf("after %d others, the same id uses its old connection", others)
 		}
 	}
 }
 
-// A refusal without an id is believed where nobody else asked before; on a connection that others used it may be a
-// surplus one of theirs, and proves nothing.
+// A refusal without an attempt id counts only on a new connection. On a reused one it may be a surplus refusal of an earlier
+// request, and proves nothing.
 func TestRefusalWithoutIDOnAUsedConnection(t *testing.T) {
 	for _, status := range []int{400, 421, 429, 503} {
 		refusal := fmt.Sprintf("HTTP/1.1 %d No\nNot-Run: 1\nContent-Length: 0\n\n", status)
@@ -66,19 +66,19 @@
 			t.Fatal("not on the used connection")
 		}
 		if x := p.Do(waitingCaller(t), newDispatch(addr, "c")); x.Outcome != NotRun && x.Outcome != WorkerReplaced || x.Reused {
-			t.Fatalf("%d on a new connection: kind %d", status, x.Outcome)
+			t.Fatalf("%d on a new connection: outcome %d", status, x.Outcome)
 		} else {
 			x.End()
 		}
 	}
 }
 
-// truncatingConn lets some bytes through and then fails as a connection that the worker closed.
+// truncatingConn writes a limited number of bytes and then fails like a connection that the worker closed.
 type truncatingConn struct {
 	*net.TCPConn
 	writable     int
 	errno        syscall.Errno
-	workerClosed chan struct{} // closed once the worker has closed
+	workerClosed chan struct{} // closed once the worker has closed the connection
 }
 
 func (c *truncatingConn) Write(b []byte) (int, error) {
@@ -90,7 +90,7 @@
 	return n, os.NewSyscallError("write", c.errno)
 }
 
-// pausedConn stands still before each read.
+// pausedConn pauses before each read.
 type pausedConn struct {
 	*net.TCPConn
 	awaitResume func()
@@ -101,10 +101,10 @@
 	return f.TCPConn.Read(b)
 }
 
-// A worker that answers and closes before the whole request has come: what it said counts all the same. Without an
-// answer the outcome is unknown. The connection is never used again, and nothing is sent a second time.
+// A worker answers and closes the connection before it has read the whole request: its answer counts all the same. Without
+// an answer the outcome is unknown. The connection is never reused, and nothing is sent a second time.
 func TestWorkerAnswersBeforeTheBody(t *testing.T) {
-	for _, cut := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET} {
+	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET} {
 		for _, x := range []struct {
 			say  string
 			kind Outcome
@@ -127,12 +127,12 @@
 			p := NewPool(names)
 			wantAnswer(t, p, newDispatch(addr, "a"), "")
 			c := p.workers["w"].idle[0]
-			c.Conn = &truncatingConn{shield.Bare(c.Conn).(*net.TCPConn), 4000, cut, full}
+			c.Conn = &truncatingConn{shield.Bare(c.Conn).(*net.TCPConn), 4000, errno, full}
 			o := newDispatch(addr, "b")
 			o.Request.SetBodyString(strings.Repeat("x", 1<<16))
 			y := p.Do(waitingCaller(t), o)
 			if y.Outcome != x.kind || !y.Reused {
-				t.Fatalf("%v, %q: kind %d, %v", cut, x.say, y.Outcome, y.Err)
+				t.Fatalf("%v, %q: outcome %d, %v", errno, x.say, y.Outcome, y.Err)
 			}
 			y.End()
 			wantCounts(t, p, 0, 1)
@@ -140,8 +140,8 @@
 	}
 }
 
-// A router that stood still until every deadline had passed: the answer that lies in its socket meanwhile is nobody's
-// any more, and its connection isn't used again.
+// A router was paused until all deadlines had passed: the answer in its socket is discarded, and the connection isn't
+// reused.
 func TestPausedPastTheDeadline(t *testing.T) {
 	written := make(chan struct{})
 	addr := serveScript(t, func(w *workerConn) {
--- a/internal/router/upstream/worker_test.go
+++ b/internal/router/upstream/worker_test.go
@@ -16,17 +16,17 @@
 
 var names = adapter.Names{Try: "Attempt-Id", NotRun: "Not-Run"}
 
-const testTimeout = 10 * time.Second // what never comes in a test that passes
+const testTimeout = 10 * time.Second // never reached in a test that passes
 
-// workerConn is the worker's end of a connection in a test.
+// workerConn is the worker's end of a connection.
 type workerConn struct {
 	t *testing.T
 	net.Conn
 	r     *bufio.Reader
-	index int // which connection it is, from 0
+	index int // number of the connection, from 0
 }
 
-// readRequest reads one request and gives its id; false when the other side has closed.
+// readRequest reads one request and returns its id, or false if the other side has closed.
 func (w *workerConn) readRequest() (string, bool) {
 	q, err := http.ReadRequest(w.r)
 	if err != nil {
@@ -47,7 +47,7 @@
 	_, _ = io.Copy(io.Discard, w.r)
 }
 
-// serveScript listens, and plays the script on each connection.
+// serveScript listens and runs the script on each connection.
 func serveScript(t *testing.T, script func(w *workerConn)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,7 +73,7 @@
 	return l.Addr().String()
 }
 
-// newDispatch makes a plain request of an id to worker "w".
+// newDispatch returns a plain request with the given id to worker "w".
 func newDispatch(addr, id string) *Dispatch {
 	q := &fasthttp.Request{}
 	q.Header.SetMethod("POST")
@@ -84,7 +84,7 @@
 	return &Dispatch{Worker: "w", Addr: addr, ID: id, Request: q, Deadline: time.Now().Add(testTimeout)}
 }
 
-// doAndRead does one order, reads its body whole and ends it.
+// doAndRead runs one dispatch, reads the whole body and ends the exchange.
 func doAndRead(t *testing.T, p *Pool, o *Dispatch) (body string, x *Exchange, err error) {
 	t.Helper()
 	x = p.Do(waitingCaller(t), o)
@@ -96,22 +96,22 @@
 	return string(b), x, err
 }
 
-// wantAnswer does one order that must go well.
+// wantAnswer runs one dispatch that must succeed with the given body.
 func wantAnswer(t *testing.T, p *Pool, o *Dispatch, body string) *Exchange {
 	t.Helper()
 	b, x, err := doAndRead(t, p, o)
 	if b != body || err != nil || x.Outcome != Partial {
-		t.Fatalf("%s: kind %d, body %q, error %v", o.ID, x.Outcome, b, err)
+		t.Fatalf("%s: outcome %d, body %q, error %v", o.ID, x.Outcome, b, err)
 	}
 	return x
 }
 
-// wantOutcome does one order that must end so.
+// wantOutcome runs one dispatch that must fail with the given outcome.
 func wantOutcome(t *testing.T, p *Pool, o *Dispatch, k Outcome) *Exchange {
 	t.Helper()
 	_, x, err := doAndRead(t, p, o)
 	if x.Outcome != k || err == nil {
-		t.Fatalf("%s: kind %d, error %v, want kind %d", o.ID, x.Outcome, err, k)
+		t.Fatalf("%s: outcome %d, error %v, want outcome %d", o.ID, x.Outcome, err, k)
 	}
 	return x
 }
@@ -123,7 +123,7 @@
 	}
 }
 
-// echo answers every request with a body of its id.
+// echo answers every request with its id as the body.
 func echo(w *workerConn) {
 	for id, ok := w.readRequest(); ok; id, ok = w.readRequest() {
 		w.send("HTTP/1.1 200 OK\nAttempt-Id: " + id + "\nContent-Length: " + length(id) + "\n\n" + id)
