--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -192,9 +192,9 @@
 		l = append(l, v.Node)
 	}
 	for _, n := range message.SortedKeys(g.unlistedRouters) {
-		_, gone := g.runDeadlines[n]
+		_, ended := g.runDeadlines[n]
 		switch {
-		case gone || slices.Contains(l, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
+		case ended || slices.Contains(l, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
 			delete(g.unlistedRouters, n)
 		default:
 			l = append(l, n)
--- a/internal/router/capacity/ledger_test.go
+++ b/internal/router/capacity/ledger_test.go
@@ -81,7 +81,7 @@
 	}
 	for tag, left := range map[uint64]time.Duration{13: 3 * time.Second, 11: time.Second, 12: 2 * time.Second} {
 		if b.acquire(tag, left, true) != Queued {
-			t.Fatalf("request %d may wait", tag)
+			t.Fatalf("request %d may wait, but was refused", tag)
 		}
 	}
 	if b.acquire(14, 9*time.Second, true) != Refusal || b.replies[len(b.replies)-1].Reason != ReasonQueueFull {
--- a/internal/router/capacity/message.go
+++ b/internal/router/capacity/message.go
@@ -107,7 +107,7 @@
 	TargetWait     time.Duration // mean wait above which the adaptive capacity shrinks
 	FirstTokenTime time.Duration // what must be left until a request's deadline for a useful run
 
-	Memory         int        // tokens that granted permits may need together; 0 if unlimited
+	Memory         int        // tokens that granted permits may need; 0 if unlimited, for a worker that is no inference engine
 	WarmUpRate     float64    // requests per second that it can take while warming up; 0 if unlimited
 	WarmingUpUntil units.Time // end of the known warm-up
 	QuickTakeover  bool       // a new coordinator doesn't wait for permits that unreachable routers may hold
--- a/internal/router/capacity/router_tracker.go
+++ b/internal/router/capacity/router_tracker.go
@@ -54,8 +54,8 @@
 		case m.State == membership.Left:
 			delete(w.unreachableSince, m.Node)
 		default:
-			_, void := w.endedAt[m.Node]
-			if _, ok := w.unreachableSince[m.Node]; !ok && !void {
+			_, ended := w.endedAt[m.Node]
+			if _, ok := w.unreachableSince[m.Node]; !ok && !ended {
 				w.unreachableSince[m.Node] = now
 				changed = true
 			}
--- a/internal/router/capacity/router_tracker_test.go
+++ b/internal/router/capacity/router_tracker_test.go
@@ -24,20 +24,20 @@
 	if p := see(0, a, b, c); p != 1 {
 		t.Errorf("all live: %v", p)
 	}
-	gone := router(2, "b", membership.Dead)
-	if p := see(time.Second, a, gone, c); p < 0.66 || p > 0.67 {
+	dead := router(2, "b", membership.Dead)
+	if p := see(time.Second, a, dead, c); p < 0.66 || p > 0.67 {
 		t.Errorf("one of three unreachable: %v", p)
 	}
-	if p := see(time.Second, a, gone, router(3, "c", membership.Dead)); p != 0.5 {
+	if p := see(time.Second, a, dead, router(3, "c", membership.Dead)); p != 0.5 {
 		t.Errorf("two of three unreachable: %v", p)
 	}
-	if p := see(2*time.Second, a, gone, c, router(4, "b", membership.Alive)); p != 1 {
+	if p := see(2*time.Second, a, dead, c, router(4, "b", membership.Alive)); p != 1 {
 		t.Errorf("restarted at the same address: %v", p)
 	}
-	if p := see(3*time.Second, a, gone, router(3, "c", membership.Dead), router(4, "b", membership.Alive)); p > 0.7 {
+	if p := see(3*time.Second, a, dead, router(3, "c", membership.Dead), router(4, "b", membership.Alive)); p > 0.7 {
 		t.Errorf("another unreachable: %v", p)
 	}
-	if p := see(time.Minute, a, gone, router(3, "c", membership.Dead), router(4, "b", membership.Alive)); p != 1 {
+	if p := see(time.Minute, a, dead, router(3, "c", membership.Dead), router(4, "b", membership.Alive)); p != 1 {
 		t.Errorf("unreachable for long: %v", p)
 	}
 }
