--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -62,44 +62,44 @@
 }
 
 // Submit starts admission of a request. The result appears in Decisions.
-func (h *Queue) Submit(now units.Time, r Request) (out message.Effects) {
-	h.requests[r.Tag] = &r
-	Policies[r.Policy](h, now, &r, &out)
+func (q *Queue) Submit(now units.Time, r Request) (out message.Effects) {
+	q.requests[r.Tag] = &r
+	Policies[r.Policy](q, now, &r, &out)
 	return out
 }
 
 // admitAll admits every request, to its first candidate.
-func (h *Queue) admitAll(now units.Time, r *Request, out *message.Effects) {
+func (q *Queue) admitAll(now units.Time, r *Request, out *message.Effects) {
 	if len(r.Candidates) == 0 {
-		h.refuse(r, resultcode.NoWorker)
+		q.refuse(r, resultcode.NoWorker)
 		return
 	}
 	r.worker = r.Candidates[0]
-	h.admit(now, r)
+	q.admit(now, r)
 }
 
 // admitWithPermit asks the candidates' coordinators for a free slot one after the other. If none has one, the request joins
 // a waitlist.
-func (h *Queue) admitWithPermit(now units.Time, r *Request, out *message.Effects) {
+func (q *Queue) admitWithPermit(now units.Time, r *Request, out *message.Effects) {
 	for r.nextCandidate < len(r.Candidates) && r.nextCandidate < r.MaxCandidates {
 		r.worker = r.Candidates[r.nextCandidate]
 		r.nextCandidate++
 		r.coordinator = r.Coordinator(r.worker)
-		if now < h.unresponsive[r.coordinator] && r.nextCandidate < len(r.Candidates) {
+		if now < q.unresponsive[r.coordinator] && r.nextCandidate < len(r.Candidates) {
 			r.MaxCandidates++ // try one more candidate instead
 			continue
 		}
 		if r.coordinator != 0 {
-			h.sendAcquire(now, r, false, out)
+			q.sendAcquire(now, r, false, out)
 			return
 		}
 	}
-	h.joinWaitlist(now, r, out)
+	q.joinWaitlist(now, r, out)
 }
 
 // joinWaitlist joins the waitlist with the shortest expected wait that still leaves time for an answer, and refuses the
 // request if there is none.
-func (h *Queue) joinWaitlist(now units.Time, r *Request, out *message.Effects) {
+func (q *Queue) joinWaitlist(now units.Time, r *Request, out *message.Effects) {
 	best := -1
 	for i, option := range r.waitOptions {
 		if best < 0 || option.expectedWait+option.penalty < r.waitOptions[best].expectedWait+r.waitOptions[best].penalty {
@@ -107,20 +107,20 @@
 		}
 	}
 	if best < 0 || r.waitlistsTried >= maxWaitlists {
-		h.refuse(r, refusalCode(r.refusalReason))
+		q.refuse(r, refusalCode(r.refusalReason))
 		return
 	}
 	option := r.waitOptions[best]
 	r.waitOptions = append(r.waitOptions[:best:best], r.waitOptions[best+1:]...)
 	if now.Add(option.expectedWait+r.FirstTokenTime) > r.Deadline {
 		r.refusalReason = capacity.ReasonTooLate
-		h.refuse(r, resultcode.DeadlineUnreachable)
+		q.refuse(r, resultcode.DeadlineUnreachable)
 		return
 	}
 	r.waitlistsTried++
 	r.worker, r.coordinator = option.worker, r.Coordinator(option.worker)
 	r.stage = stageWaiting
-	h.sendAcquire(now, r, true, out)
+	q.sendAcquire(now, r, true, out)
 }
 
 func refusalCode(reason uint8) resultcode.Code {
@@ -133,7 +133,7 @@
 	return resultcode.NoWorker
 }
 
-func (h *Queue) sendAcquire(now units.Time, r *Request, wait bool, out *message.Effects) {
+func (q *Queue) sendAcquire(now units.Time, r *Request, wait bool, out *message.Effects) {
 	header := capacity.Header{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), Worth: r.Worth,
 		MemoryTokens: r.MemoryTokens, Priority: r.Priority, MaxFirstTokenTime: uint32(units.ToMillis(r.MaxFirstTokenTime))}
 	header.PrefillTime = toMicroseconds(r.PrefillTime)
@@ -143,7 +143,7 @@
 	if wait {
 		header.Wait = 1
 	}
-	if k, ok := h.reportedTo[r.worker]; ok && k != r.coordinator {
+	if reported, ok := q.reportedTo[r.worker]; ok && reported != r.coordinator {
 		header.Reason = capacity.ReasonNotCoordinator
 	}
 	r.sentAt = now
@@ -153,69 +153,69 @@
 
 func toMicroseconds(d time.Duration) uint32 { return uint32(min(max(0, d/time.Microsecond), 1<<32-1)) }
 
-func (h *Queue) admit(now units.Time, r *Request) {
+func (q *Queue) admit(now units.Time, r *Request) {
 	r.stage = stageHeld
-	h.InFlight[r.worker]++
-	h.recentlySent[r.worker] = append(h.sentLastSecond(now, r.worker), now)
-	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: resultcode.OK})
+	q.InFlight[r.worker]++
+	q.recentlySent[r.worker] = append(q.sentLastSecond(now, r.worker), now)
+	q.Decisions = append(q.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: resultcode.OK})
 }
 
-func (h *Queue) refuse(r *Request, c resultcode.Code) {
-	delete(h.requests, r.Tag)
-	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.shortestWait})
+func (q *Queue) refuse(r *Request, c resultcode.Code) {
+	delete(q.requests, r.Tag)
+	q.Decisions = append(q.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.shortestWait})
 }
 
 // RecordFirstToken records a request's time to first token. The coordinator receives it when the slot is released.
-func (h *Queue) RecordFirstToken(tag uint64, took time.Duration) {
-	if r := h.requests[tag]; r != nil {
+func (q *Queue) RecordFirstToken(tag uint64, took time.Duration) {
+	if r := q.requests[tag]; r != nil {
 		r.firstToken = took
 	}
 }
 
 // Done releases a request's slot once its stream has ended or its client has disconnected. If uncertain, the run may still
 // be in progress, and the slot stays taken until the request's deadline.
-func (h *Queue) Done(now units.Time, tag uint64, uncertain bool) (out message.Effects) {
-	r := h.requests[tag]
+func (q *Queue) Done(now units.Time, tag uint64, uncertain bool) (out message.Effects) {
+	r := q.requests[tag]
 	if r == nil {
 		return out
 	}
 	if r.stage == stageHeld {
-		h.leaveFlight(r)
+		q.leaveFlight(r)
 	}
 	header := capacity.Header{Tag: tag, PrefillTime: toMicroseconds(r.firstToken)}
 	if uncertain && r.stage == stageHeld {
 		r.stage = stageUncertain
 		header.Wait = 1
 	} else {
-		delete(h.requests, tag)
+		delete(q.requests, tag)
 	}
 	if r.coordinator != 0 {
-		out.Send(h.currentCoordinator(r), capacity.Release, capacity.Pack(header, r.worker))
+		out.Send(q.currentCoordinator(r), capacity.Release, capacity.Pack(header, r.worker))
 	}
 	return out
 }
 
 // Abort is Done for a run whose connection this router closed. The slot is released once the worker has had time to notice.
-func (h *Queue) Abort(now units.Time, tag uint64) (out message.Effects) {
-	if r := h.requests[tag]; r != nil && r.stage == stageHeld {
+func (q *Queue) Abort(now units.Time, tag uint64) (out message.Effects) {
+	if r := q.requests[tag]; r != nil && r.stage == stageHeld {
 		r.Deadline = now.Add(disconnectDetection - expiryGrace)
-		h.leaveFlight(r)
+		q.leaveFlight(r)
 		r.stage = stageUncertain
 		return out
 	}
-	return h.Done(now, tag, false)
+	return q.Done(now, tag, false)
 }
 
-func (h *Queue) leaveFlight(r *Request) {
-	if h.InFlight[r.worker]--; h.InFlight[r.worker] <= 0 {
-		delete(h.InFlight, r.worker)
+func (q *Queue) leaveFlight(r *Request) {
+	if q.InFlight[r.worker]--; q.InFlight[r.worker] <= 0 {
+		delete(q.InFlight, r.worker)
 	}
 }
 
 // currentCoordinator returns the coordinator that last received a report of the worker, or else the one that was asked.
-func (h *Queue) currentCoordinator(r *Request) units.NodeID {
-	if k, ok := h.reportedTo[r.worker]; ok {
-		return k
+func (q *Queue) currentCoordinator(r *Request) units.NodeID {
+	if reported, ok := q.reportedTo[r.worker]; ok {
+		return reported
 	}
 	return r.coordinator
 }
--- a/internal/router/capacity/engine.go
+++ b/internal/router/capacity/engine.go
@@ -28,52 +28,52 @@
 }
 
 // slowdownFactor returns the worker's prefill time relative to a typical worker.
-func (k *workerState) slowdownFactor() float64 {
-	if k.slowdown == 0 {
+func (s *workerState) slowdownFactor() float64 {
+	if s.slowdown == 0 {
 		return 1
 	}
-	return k.slowdown
+	return s.slowdown
 }
 
 // advancePrefill removes from the queue the prefill work that the worker has done by now.
-func (k *workerState) advancePrefill(now units.Time) {
-	done := time.Duration(float64(now.Sub(k.updatedAt)) / k.slowdownFactor())
-	k.updatedAt = now
-	for len(k.prefillQueue) > 0 && k.prefillQueue[0].remaining <= done {
-		done -= k.prefillQueue[0].remaining
-		k.prefillQueue = k.prefillQueue[1:]
+func (s *workerState) advancePrefill(now units.Time) {
+	done := time.Duration(float64(now.Sub(s.updatedAt)) / s.slowdownFactor())
+	s.updatedAt = now
+	for len(s.prefillQueue) > 0 && s.prefillQueue[0].remaining <= done {
+		done -= s.prefillQueue[0].remaining
+		s.prefillQueue = s.prefillQueue[1:]
 	}
-	if len(k.prefillQueue) > 0 {
-		k.prefillQueue[0].remaining -= done
+	if len(s.prefillQueue) > 0 {
+		s.prefillQueue[0].remaining -= done
 	}
 }
 
 // prefillPosition returns where a prompt joins the prefill queue: behind those of the same or a higher priority, and behind
 // the one in progress.
-func (k *workerState) prefillPosition(priority uint8) int {
-	position := len(k.prefillQueue)
-	for position > 1 && k.prefillQueue[position-1].priority > priority {
+func (s *workerState) prefillPosition(priority uint8) int {
+	position := len(s.prefillQueue)
+	for position > 1 && s.prefillQueue[position-1].priority > priority {
 		position--
 	}
 	return position
 }
 
 // prefillBacklog returns the time that the worker needs for the first n items of its prefill queue.
-func (k *workerState) prefillBacklog(n int) (sum time.Duration) {
-	for _, x := range k.prefillQueue[:n] {
+func (s *workerState) prefillBacklog(n int) (sum time.Duration) {
+	for _, x := range s.prefillQueue[:n] {
 		sum += x.remaining
 	}
-	return time.Duration(float64(sum) * k.slowdownFactor())
+	return time.Duration(float64(sum) * s.slowdownFactor())
 }
 
 // firstTokenTime returns the time to first token of a prompt that is dispatched now, as far as prefill determines it.
-func (k *workerState) firstTokenTime(now units.Time, request acquireRequest) time.Duration {
+func (s *workerState) firstTokenTime(now units.Time, request acquireRequest) time.Duration {
 	if request.prefillTime == 0 {
 		return 0
 	}
-	k.advancePrefill(now)
-	return k.prefillBacklog(k.prefillPosition(request.priority)) +
-		time.Duration(float64(request.prefillTime)*k.slowdownFactor())
+	s.advancePrefill(now)
+	return s.prefillBacklog(s.prefillPosition(request.priority)) +
+		time.Duration(float64(request.prefillTime)*s.slowdownFactor())
 }
 
 // Limits of learning a worker's speed.
@@ -85,17 +85,17 @@
 )
 
 // learnSlowdown learns from the time to first token of a prompt that found the prefill queue empty.
-func (k *workerState) learnSlowdown(prefillTime, firstToken time.Duration) {
+func (s *workerState) learnSlowdown(prefillTime, firstToken time.Duration) {
 	if prefillTime < minLearnedPrefill {
 		return
 	}
 	measured := float64(firstToken-baseFirstTokenTime) / float64(prefillTime)
-	k.slowdown = min(maxSlowdown, max(minSlowdown, (3*k.slowdownFactor()+measured)/4))
+	s.slowdown = min(maxSlowdown, max(minSlowdown, (3*s.slowdownFactor()+measured)/4))
 }
 
 // hasMemoryFor reports whether the worker has memory for one more request. An idle worker accepts any size.
-func (k *workerState) hasMemoryFor(w Worker, mem uint32) bool {
-	return w.Memory <= 0 || k.memoryTokens == 0 || k.memoryTokens+int(mem) <= w.Memory
+func (s *workerState) hasMemoryFor(w Worker, mem uint32) bool {
+	return w.Memory <= 0 || s.memoryTokens == 0 || s.memoryTokens+int(mem) <= w.Memory
 }
 
 // SetRateLimits sets by how much a warming-up worker's rate may be exceeded, as a factor and in requests, and the share of
@@ -119,27 +119,27 @@
 }
 
 // rateDelay returns how long the next grant must wait for the rate limit; 0 if it needn't wait.
-func (k *workerState) rateDelay(now units.Time, maxRate int) time.Duration {
-	for len(k.recentGrants) > 0 && now.Sub(k.recentGrants[0]) > time.Second {
-		k.recentGrants = k.recentGrants[1:]
+func (s *workerState) rateDelay(now units.Time, maxRate int) time.Duration {
+	for len(s.recentGrants) > 0 && now.Sub(s.recentGrants[0]) > time.Second {
+		s.recentGrants = s.recentGrants[1:]
 	}
-	if len(k.recentGrants) < maxRate {
+	if len(s.recentGrants) < maxRate {
 		return 0
 	}
-	return k.recentGrants[len(k.recentGrants)-maxRate].Add(time.Second).Sub(now) + time.Millisecond
+	return s.recentGrants[len(s.recentGrants)-maxRate].Add(time.Second).Sub(now) + time.Millisecond
 }
 
 // recordGrant accounts for a grant's rate, prefill work and memory.
-func (k *workerState) recordGrant(now units.Time, worker Worker, request acquireRequest) {
+func (s *workerState) recordGrant(now units.Time, worker Worker, request acquireRequest) {
 	if worker.WarmUpRate > 0 {
-		k.recentGrants = append(k.recentGrants, now)
+		s.recentGrants = append(s.recentGrants, now)
 	}
-	k.advancePrefill(now)
+	s.advancePrefill(now)
 	if request.prefillTime > 0 {
-		k.prefillQueue = slices.Insert(k.prefillQueue, k.prefillPosition(request.priority),
+		s.prefillQueue = slices.Insert(s.prefillQueue, s.prefillPosition(request.priority),
 			prefillItem{request.prefillTime, request.priority})
 	}
-	k.memoryTokens += int(request.memoryTokens)
+	s.memoryTokens += int(request.memoryTokens)
 }
 
 // Capacity returns how many permits of a worker may be in use now.
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -103,14 +103,14 @@
 }
 
 // ProcessEnded frees the permits of a process that is known to have ended: the kernel has closed its runs' connections.
-func (g *Ledger) ProcessEnded(now units.Time, n units.NodeID) {
+func (g *Ledger) ProcessEnded(now units.Time, node units.NodeID) {
 	for _, state := range g.coordinated {
 		for p, l := range state.granted {
-			if p.node == n {
+			if p.node == node {
 				l.expiresAt = min(l.expiresAt, now.Add(disconnectGrace))
 			}
 		}
-		state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.node == n })
+		state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.node == node })
 	}
 }
 
@@ -187,20 +187,20 @@
 // liveRouters returns the routers that may hold permits: those that the membership lists, and those that
 // it doesn't list yet.
 func (g *Ledger) liveRouters(now units.Time) []units.NodeID {
-	var l []units.NodeID
+	var nodes []units.NodeID
 	for _, v := range g.routers {
-		l = append(l, v.Node)
+		nodes = append(nodes, v.Node)
 	}
 	for _, n := range message.SortedKeys(g.unlistedRouters) {
 		_, ended := g.runDeadlines[n]
 		switch {
-		case ended || slices.Contains(l, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
+		case ended || slices.Contains(nodes, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
 			delete(g.unlistedRouters, n)
 		default:
-			l = append(l, n)
+			nodes = append(nodes, n)
 		}
 	}
-	return l
+	return nodes
 }
 
 // collectReports opens the state once all reports are in and the runs of unreachable routers are over; until then it repeats
--- a/internal/router/capacity/maintenance.go
+++ b/internal/router/capacity/maintenance.go
@@ -10,9 +10,9 @@
 )
 
 // sortedPermits returns the granted permits, sorted by node and tag.
-func (k *workerState) sortedPermits() []permitKey {
-	l := make([]permitKey, 0, len(k.granted))
-	for p := range k.granted {
+func (s *workerState) sortedPermits() []permitKey {
+	l := make([]permitKey, 0, len(s.granted))
+	for p := range s.granted {
 		l = append(l, p)
 	}
 	slices.SortFunc(l, func(a, b permitKey) int { return cmp.Or(cmp.Compare(a.node, b.node), cmp.Compare(a.tag, b.tag)) })
@@ -71,8 +71,8 @@
 }
 
 // unreachableDeadline returns when the runs of all unreachable routers are over.
-func (k *workerState) unreachableDeadline() (t units.Time) {
-	for _, x := range k.unreachableUntil {
+func (s *workerState) unreachableDeadline() (t units.Time) {
+	for _, x := range s.unreachableUntil {
 		t = max(t, x)
 	}
 	return t
--- a/internal/router/capacity/position_test.go
+++ b/internal/router/capacity/position_test.go
@@ -11,7 +11,7 @@
 // stays ordered by deadline. A request whose worth is no higher than any waiting one's is refused.
 func TestHigherWorthDisplacesLower(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 2, FirstTokenTime: 50 * ms})
-	worth := func(tag uint64, left time.Duration, w uint16) (message.Kind, Header) {
+	acquireWithWorth := func(tag uint64, left time.Duration, w uint16) (message.Kind, Header) {
 		b.worth = w
 		k := b.acquire(tag, left, true)
 		b.worth = 0
@@ -19,27 +19,27 @@
 	}
 	b.acquire(1, time.Second, false)
 	for tag, left := range map[uint64]time.Duration{11: 20 * time.Second, 12: 6 * time.Second} {
-		if k, _ := worth(tag, left, 1); k != Queued {
+		if k, _ := acquireWithWorth(tag, left, 1); k != Queued {
 			t.Fatal("refused although the waitlist has room")
 		}
 	}
-	if k, h := worth(13, 4*time.Second, 1); k != Refusal || h.Reason != ReasonQueueFull {
+	if k, h := acquireWithWorth(13, 4*time.Second, 1); k != Refusal || h.Reason != ReasonQueueFull {
 		t.Fatal("a request of equal worth is not refused")
 	}
 	at := len(b.replies)
-	if k, _ := worth(14, 4*time.Second, 3); k != Queued {
+	if k, _ := acquireWithWorth(14, 4*time.Second, 3); k != Queued {
 		t.Fatal("a request of higher worth may not wait")
 	}
-	out := 0
+	displaced := 0
 	for i, h := range b.replies[at:] {
 		if b.kinds[at+i] == Refusal {
-			if out++; h.Tag != 11 || h.Reason != ReasonQueueFull {
+			if displaced++; h.Tag != 11 || h.Reason != ReasonQueueFull {
 				t.Errorf("request %d was displaced, with reason %d", h.Tag, h.Reason)
 			}
 		}
 	}
-	if out != 1 {
-		t.Errorf("%d requests were displaced, want 1", out)
+	if displaced != 1 {
+		t.Errorf("%d requests were displaced, want 1", displaced)
 	}
 	b.release(1)
 	if !b.wasGranted(14) || b.wasGranted(12) {
@@ -71,13 +71,13 @@
 	if b.acquire(53, 2400*ms, true) != Queued {
 		t.Error("refused although displacing one request meets the deadline")
 	}
-	lost := 0
+	displaced := 0
 	for i, h := range b.replies[at:] {
 		if b.kinds[at+i] == Refusal && (h.Tag == 51 || h.Tag == 54) {
-			lost++
+			displaced++
 		}
 	}
-	if lost != 1 {
-		t.Errorf("%d of lower worth were displaced, want 1", lost)
+	if displaced != 1 {
+		t.Errorf("%d of lower worth were displaced, want 1", displaced)
 	}
 }
--- a/internal/router/capacity/router_tracker.go
+++ b/internal/router/capacity/router_tracker.go
@@ -70,24 +70,24 @@
 // RateShare returns the share of a warming-up worker's rate that this side of a network partition may use: the share of live
 // routers among all that may be working, but at least half, since a partition has two sides (docs/design.md, section 12).
 func (w *RouterTracker) RateShare(now units.Time, live int) float64 {
-	n := 0
+	unreachable := 0
 	for _, t := range w.unreachableSince {
 		if now.Sub(t) < unreachableCountsFor {
-			n++
+			unreachable++
 		}
 	}
-	return max(0.5, float64(live)/float64(max(1, live+n)))
+	return max(0.5, float64(live)/float64(max(1, live+unreachable)))
 }
 
 // RunDeadlines returns until when the runs of processes that aren't live may still be in progress: the longest possible
 // deadline for unreachable ones, the time that workers need to notice for those known to have ended.
 func (w *RouterTracker) RunDeadlines(longest time.Duration) map[units.NodeID]units.Time {
-	m := map[units.NodeID]units.Time{}
+	deadlines := map[units.NodeID]units.Time{}
 	for n, t := range w.unreachableSince {
-		m[n] = t.Add(longest + runGrace)
+		deadlines[n] = t.Add(longest + runGrace)
 	}
 	for n, t := range w.endedAt {
-		m[n] = t.Add(disconnectGrace)
+		deadlines[n] = t.Add(disconnectGrace)
 	}
-	return m
+	return deadlines
 }
--- a/internal/router/capacity/status.go
+++ b/internal/router/capacity/status.go
@@ -17,15 +17,15 @@
 
 // Status returns the workers that this router coordinates, sorted by name.
 func (g *Ledger) Status(now units.Time) []WorkerStatus {
-	var l []WorkerStatus
+	var workers []WorkerStatus
 	for n, state := range g.coordinated {
-		l = append(l, WorkerStatus{n, state.open, len(state.granted), g.Capacity(now, n), len(state.waitlist)})
+		workers = append(workers, WorkerStatus{n, state.open, len(state.granted), g.Capacity(now, n), len(state.waitlist)})
 	}
-	slices.SortFunc(l, func(a, b WorkerStatus) int {
+	slices.SortFunc(workers, func(a, b WorkerStatus) int {
 		if a.Worker < b.Worker {
 			return -1
 		}
 		return 1
 	})
-	return l
+	return workers
 }
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -76,11 +76,11 @@
 }
 
 // meanReleaseInterval returns the mean time between two releases.
-func (k *workerState) meanReleaseInterval(capacity int) time.Duration {
-	if k.releaseInterval == 0 {
-		return k.meanHoldTime / time.Duration(capacity)
+func (s *workerState) meanReleaseInterval(capacity int) time.Duration {
+	if s.releaseInterval == 0 {
+		return s.meanHoldTime / time.Duration(capacity)
 	}
-	return k.releaseInterval
+	return s.releaseInterval
 }
 
 // handleAcquire grants, queues or refuses a request. A repeated request gets its current state again.
@@ -209,12 +209,12 @@
 func (g *Ledger) handleRelease(now units.Time, name string, state *workerState, key permitKey, uncertain bool,
 	out *message.Effects) {
 	state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.permitKey == key })
-	l := state.granted[key]
-	if l == nil || uncertain {
+	released := state.granted[key]
+	if released == nil || uncertain {
 		return // an uncertain run keeps its slot until its own deadline
 	}
 	state.removePermit(key)
-	state.meanHoldTime = ewma(state.meanHoldTime, now.Sub(l.grantedAt))
+	state.meanHoldTime = ewma(state.meanHoldTime, now.Sub(released.grantedAt))
 	if busy := len(state.waitlist) > 0; busy && state.lastReleaseAt != 0 {
 		state.releaseInterval = ewma(state.releaseInterval, min(now.Sub(state.lastReleaseAt), 5*time.Second))
 	}
@@ -225,10 +225,10 @@
 }
 
 // removePermit removes a permit and frees its memory.
-func (k *workerState) removePermit(p permitKey) {
-	if l := k.granted[p]; l != nil {
-		k.memoryTokens -= int(l.memoryTokens)
-		delete(k.granted, p)
+func (s *workerState) removePermit(p permitKey) {
+	if removed := s.granted[p]; removed != nil {
+		s.memoryTokens -= int(removed.memoryTokens)
+		delete(s.granted, p)
 	}
 }
 
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -42,7 +42,7 @@
 }
 
 // Rank returns the workers' names, best first.
-func (w *Placer) Rank(policy string, q Query) []string { return Policies[policy](w, q) }
+func (p *Placer) Rank(policy string, q Query) []string { return Policies[policy](p, q) }
 
 func candidateNames(l []Candidate) []string {
 	s := make([]string, len(l))
@@ -54,7 +54,7 @@
 
 // byZonePrefix puts first the preferred workers of the prefix, chosen by rendezvous hashing with the router's zone first,
 // and sorts the others by load.
-func (w *Placer) byZonePrefix(q Query) []string {
+func (p *Placer) byZonePrefix(q Query) []string {
 	type ranked struct {
 		Candidate
 		rank uint64
@@ -81,10 +81,10 @@
 
 // byFleetPrefix ranks by rendezvous hashing regardless of the zone, so that only few workers in the whole fleet prefill a
 // long shared prefix. Workers behind the preferred ones, and all workers if there is no shared prefix, are sorted by load.
-func (w *Placer) byFleetPrefix(q Query) []string {
+func (p *Placer) byFleetPrefix(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	if q.Prefix == 0 {
-		rotate(l, int(w.rotation.Add(1)))
+		rotate(l, int(p.rotation.Add(1)))
 		slices.SortStableFunc(l, func(a, b Candidate) int { return compareLoad(a, b, "") })
 		return candidateNames(l)
 	}
@@ -123,17 +123,17 @@
 }
 
 // leastLoaded sorts by load and prefers the router's zone.
-func (w *Placer) leastLoaded(q Query) []string {
+func (p *Placer) leastLoaded(q Query) []string {
 	l := slices.Clone(q.Candidates)
-	rotate(l, int(w.rotation.Add(1)))
+	rotate(l, int(p.rotation.Add(1)))
 	slices.SortStableFunc(l, func(a, b Candidate) int { return compareLoad(a, b, q.Zone) })
 	return candidateNames(l)
 }
 
 // roundRobin rotates through the workers regardless of the zone.
-func (w *Placer) roundRobin(q Query) []string {
+func (p *Placer) roundRobin(q Query) []string {
 	l := slices.Clone(q.Candidates)
-	rotate(l, int(w.rotation.Add(1)))
+	rotate(l, int(p.rotation.Add(1)))
 	return candidateNames(l)
 }
 
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -104,8 +104,8 @@
 }
 
 // fail ends an exchange without an answer.
-func (x *Exchange) fail(k Outcome, err error) *Exchange {
-	x.Outcome, x.Err = k, err
+func (x *Exchange) fail(outcome Outcome, err error) *Exchange {
+	x.Outcome, x.Err = outcome, err
 	x.closeConn()
 	return x
 }
--- a/internal/router/upstream/first_token_times.go
+++ b/internal/router/upstream/first_token_times.go
@@ -20,22 +20,22 @@
 }
 
 // Add records one time.
-func (h *FirstTokenTimes) Add(d time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.samples) < maxSamples {
-		h.samples = append(h.samples, d)
+func (f *FirstTokenTimes) Add(d time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.samples) < maxSamples {
+		f.samples = append(f.samples, d)
 		return
 	}
-	h.samples[h.next] = d
-	h.next = (h.next + 1) % maxSamples
+	f.samples[f.next] = d
+	f.next = (f.next + 1) % maxSamples
 }
 
 // Quantile returns the given quantile of the recorded times, and how many there are.
-func (h *FirstTokenTimes) Quantile(q float64) (time.Duration, int) {
-	h.mu.Lock()
-	l := slices.Clone(h.samples)
-	h.mu.Unlock()
+func (f *FirstTokenTimes) Quantile(q float64) (time.Duration, int) {
+	f.mu.Lock()
+	l := slices.Clone(f.samples)
+	f.mu.Unlock()
 	if len(l) == 0 {
 		return 0, 0
 	}
@@ -45,7 +45,7 @@
 
 // OverdueAfter returns how long the first token may take before a worker is considered unreachable: twice the 99th
 // percentile. It returns false as long as there are too few measurements.
-func (h *FirstTokenTimes) OverdueAfter() (time.Duration, bool) {
-	d, n := h.Quantile(0.99)
+func (f *FirstTokenTimes) OverdueAfter() (time.Duration, bool) {
+	d, n := f.Quantile(0.99)
 	return max(2*d, minOverdueAfter), n >= minSamples
 }
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -45,8 +45,8 @@
 func (p *Pool) Idle(worker string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.workers[worker]; h != nil {
-		return len(h.idle)
+	if conns := p.workers[worker]; conns != nil {
+		return len(conns.idle)
 	}
 	return 0
 }
@@ -58,9 +58,9 @@
 func (p *Pool) CloseIdle(worker string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.workers[worker]; h != nil {
-		h.closeIdle()
-		p.removeUnused(worker, h)
+	if conns := p.workers[worker]; conns != nil {
+		conns.closeIdle()
+		p.removeUnused(worker, conns)
 	}
 }
 
@@ -69,53 +69,53 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for worker, h := range p.workers {
-		kept := h.idle[:0]
-		for _, c := range h.idle {
+	for worker, conns := range p.workers {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
 			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				h.closeConn(c)
+				conns.closeConn(c)
 			}
 		}
-		clear(h.idle[len(kept):])
-		h.idle = kept
-		p.removeUnused(worker, h)
+		clear(conns.idle[len(kept):])
+		conns.idle = kept
+		p.removeUnused(worker, conns)
 	}
 }
 
-func (p *Pool) removeUnused(worker string, h *workerConns) {
-	if h.openCount == 0 {
+func (p *Pool) removeUnused(worker string, conns *workerConns) {
+	if conns.openCount == 0 {
 		delete(p.workers, worker)
 	}
 }
 
-func (h *workerConns) closeConn(c *conn) {
+func (w *workerConns) closeConn(c *conn) {
 	c.Close()
-	h.openCount--
+	w.openCount--
 }
 
-func (h *workerConns) closeIdle() {
-	for _, c := range h.idle {
-		h.closeConn(c)
+func (w *workerConns) closeIdle() {
+	for _, c := range w.idle {
+		w.closeConn(c)
 	}
-	h.idle = nil
-	h.generation++
+	w.idle = nil
+	w.generation++
 }
 
 // takeIdle takes the most recently used idle connection, if it may be used for the dispatch. Callers hold the pool's lock.
-func (h *workerConns) takeIdle(dispatch *Dispatch, now time.Time) *conn {
-	for len(h.idle) > 0 {
-		i := len(h.idle) - 1
-		c := h.idle[i]
+func (w *workerConns) takeIdle(dispatch *Dispatch, now time.Time) *conn {
+	for len(w.idle) > 0 {
+		i := len(w.idle) - 1
+		c := w.idle[i]
 		if dispatch.SendOnce && now.Sub(c.lastReadAt) > SendOnceMaxIdle {
 			return nil
 		}
-		h.idle[i], h.idle = nil, h.idle[:i]
+		w.idle[i], w.idle = nil, w.idle[:i]
 		if now.Before(c.idleUntil) && !c.recentIDs.has(dispatch.ID) { // a surplus answer would carry the same id
 			return c
 		}
-		h.closeConn(c)
+		w.closeConn(c)
 	}
 	return nil
 }
@@ -125,17 +125,17 @@
 	now := time.Now()
 	for {
 		p.mu.Lock()
-		h := p.workers[dispatch.Worker]
-		if h == nil {
-			h = &workerConns{addr: dispatch.Addr}
-			p.workers[dispatch.Worker] = h
+		conns := p.workers[dispatch.Worker]
+		if conns == nil {
+			conns = &workerConns{addr: dispatch.Addr}
+			p.workers[dispatch.Worker] = conns
 		}
-		if h.addr != dispatch.Addr {
-			h.closeIdle()
-			h.addr = dispatch.Addr
+		if conns.addr != dispatch.Addr {
+			conns.closeIdle()
+			conns.addr = dispatch.Addr
 		}
 		if !forceNew {
-			if c = h.takeIdle(dispatch, now); c != nil {
+			if c = conns.takeIdle(dispatch, now); c != nil {
 				p.mu.Unlock()
 				if socket.Peek(c.Conn) == socket.Quiet {
 					return c, true, nil
@@ -144,25 +144,25 @@
 				continue
 			}
 		}
-		if dispatch.MaxConns > 0 && h.openCount >= dispatch.MaxConns {
-			if len(h.idle) == 0 {
+		if dispatch.MaxConns > 0 && conns.openCount >= dispatch.MaxConns {
+			if len(conns.idle) == 0 {
 				p.mu.Unlock()
 				return nil, false, ErrNoConn
 			}
-			h.closeConn(h.idle[0])
-			h.idle = append(h.idle[:0], h.idle[1:]...)
+			conns.closeConn(conns.idle[0])
+			conns.idle = append(conns.idle[:0], conns.idle[1:]...)
 		}
-		h.openCount++
-		generation := h.generation
+		conns.openCount++
+		generation := conns.generation
 		p.mu.Unlock()
 		if c, err = p.dial(ctx, dispatch); err != nil {
 			p.mu.Lock()
-			h.openCount--
-			p.removeUnused(dispatch.Worker, h)
+			conns.openCount--
+			p.removeUnused(dispatch.Worker, conns)
 			p.mu.Unlock()
 			return nil, false, err
 		}
-		c.pooled, c.worker, c.generation = h, dispatch.Worker, generation
+		c.pooled, c.worker, c.generation = conns, dispatch.Worker, generation
 		return c, false, nil
 	}
 }
@@ -171,9 +171,9 @@
 func (p *Pool) putBack(c *conn, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := c.pooled; c.generation == h.generation && time.Now().Before(until) {
+	if conns := c.pooled; c.generation == conns.generation && time.Now().Before(until) {
 		c.idleUntil = until
-		h.idle = append(h.idle, c)
+		conns.idle = append(conns.idle, c)
 		return
 	}
 	c.pooled.closeConn(c)
--- a/internal/router/upstream/send.go
+++ b/internal/router/upstream/send.go
@@ -16,16 +16,16 @@
 
 // send writes header and body directly, since Request.Write would rebuild path and host from a parsed URI.
 func (x *Exchange) send() error {
-	h, b := &x.dispatch.Request.Header, x.dispatch.Request.Body()
-	h.SetNoDefaultContentType(true)
-	if len(b) > 0 || !h.IsGet() && !h.IsHead() || h.ContentLength() > 0 || len(h.Peek(fasthttp.HeaderTransferEncoding)) > 0 {
-		h.SetContentLength(len(b))
+	header, body := &x.dispatch.Request.Header, x.dispatch.Request.Body()
+	header.SetNoDefaultContentType(true)
+	if len(body) > 0 || !header.IsGet() && !header.IsHead() || header.ContentLength() > 0 || len(header.Peek(fasthttp.HeaderTransferEncoding)) > 0 {
+		header.SetContentLength(len(body))
 	}
 	w := writerPool.Get().(*bufio.Writer)
 	w.Reset(x.conn)
-	err := h.Write(w)
+	err := header.Write(w)
 	if err == nil {
-		_, err = w.Write(b)
+		_, err = w.Write(body)
 	}
 	if err == nil {
 		err = w.Flush()
--- a/internal/router/upstream/worker_test.go
+++ b/internal/router/upstream/worker_test.go
@@ -54,10 +54,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan struct{})
-	t.Cleanup(func() { l.Close(); <-over })
+	stopped := make(chan struct{})
+	t.Cleanup(func() { l.Close(); <-stopped })
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		for n := 0; ; n++ {
 			c, err := l.Accept()
 			if err != nil {
@@ -85,9 +85,9 @@
 }
 
 // doAndRead runs one dispatch, reads the whole body and ends the exchange.
-func doAndRead(t *testing.T, p *Pool, o *Dispatch) (body string, x *Exchange, err error) {
+func doAndRead(t *testing.T, p *Pool, dispatch *Dispatch) (body string, x *Exchange, err error) {
 	t.Helper()
-	x = p.Do(waitingCaller(t), o)
+	x = p.Do(waitingCaller(t), dispatch)
 	defer x.End()
 	if x.Outcome != Partial {
 		return "", x, x.Err
@@ -97,21 +97,21 @@
 }
 
 // wantAnswer runs one dispatch that must succeed with the given body.
-func wantAnswer(t *testing.T, p *Pool, o *Dispatch, body string) *Exchange {
+func wantAnswer(t *testing.T, p *Pool, dispatch *Dispatch, body string) *Exchange {
 	t.Helper()
-	b, x, err := doAndRead(t, p, o)
+	b, x, err := doAndRead(t, p, dispatch)
 	if b != body || err != nil || x.Outcome != Partial {
-		t.Fatalf("%s: outcome %d, body %q, error %v", o.ID, x.Outcome, b, err)
+		t.Fatalf("%s: outcome %d, body %q, error %v", dispatch.ID, x.Outcome, b, err)
 	}
 	return x
 }
 
 // wantOutcome runs one dispatch that must fail with the given outcome.
-func wantOutcome(t *testing.T, p *Pool, o *Dispatch, k Outcome) *Exchange {
+func wantOutcome(t *testing.T, p *Pool, dispatch *Dispatch, outcome Outcome) *Exchange {
 	t.Helper()
-	_, x, err := doAndRead(t, p, o)
-	if x.Outcome != k || err == nil {
-		t.Fatalf("%s: outcome %d, error %v, want outcome %d", o.ID, x.Outcome, err, k)
+	_, x, err := doAndRead(t, p, dispatch)
+	if x.Outcome != outcome || err == nil {
+		t.Fatalf("%s: outcome %d, error %v, want outcome %d", dispatch.ID, x.Outcome, err, outcome)
 	}
 	return x
 }
