--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -1,4 +1,5 @@
-// Package admission is admission on the node that took the prompt (design 6): in, wait, or refused at once.
+// Package admission decides, on the router that received a request, whether the request is sent to a worker, waits for a
+// slot, or is refused at once (docs/design.md, section 6).
 package admission
 
 import (
@@ -10,117 +11,119 @@
 	"seamshunt/internal/units"
 )
 
-// Policies by name. Knee is the paper's: a cap, a bounded waitlist by deadline, early shedding. Open is none,
-// for comparisons.
+// Policies lists the admission policies by name. "knee" follows the paper: a capacity limit per worker, a bounded waitlist
+// ordered by deadline, and early refusal. "open" admits everything, for comparisons.
 var Policies = map[string]func(*Queue, units.Time, *Request, *message.Effects){
-	"knee": (*Queue).knee,
-	"open": (*Queue).open,
+	"knee": (*Queue).admitWithPermit,
+	"open": (*Queue).admitAll,
 }
 
-// Spans (start values).
 const (
-	silent  = 150 * time.Millisecond // a keeper that says nothing for so long is passed over
-	again   = 300 * time.Millisecond // a waiting prompt's ask is repeated
-	lostAt  = 900 * time.Millisecond // a waiting prompt's keeper that says nothing for so long is given up
-	grace   = 500 * time.Millisecond
-	notice  = 300 * time.Millisecond // a worker notices a broken wire within this
-	muteFor = time.Second            // a keeper that said nothing is asked last for so long
-	waits   = 3                      // how many waitlists one prompt may try
+	replyTimeout        = 150 * time.Millisecond // without a reply for this long, the next worker is tried
+	acquireRepeat       = 300 * time.Millisecond // how often a waiting request repeats its acquire message
+	coordinatorTimeout  = 900 * time.Millisecond // a waiting request gives up a coordinator that is silent for this long
+	expiryGrace         = 500 * time.Millisecond
+	disconnectDetection = 300 * time.Millisecond // a worker notices a closed connection within this time
+	unresponsiveFor     = time.Second            // how long a coordinator that didn't reply is asked last
+	maxWaitlists        = 3                      // waitlists that one request may try
 )
 
-// Decision is what becomes of a prompt.
+// Decision is the result of admission for one request.
 type Decision struct {
 	Tag          uint64
-	Worker       string // set when it goes in
+	Worker       string // set when the request is admitted
 	Code         resultcode.Code
-	ExpectedWait time.Duration // when refused: how long the shortest waitlist seen would take
+	ExpectedWait time.Duration // when refused: the shortest wait that a coordinator expected
 }
 
-// Load is what was last heard of a worker.
+// Load is the last known load of a worker, from its coordinator's replies.
 type Load struct {
 	InUse, Capacity, Waiting int
-	PrefillBacklog           time.Duration // how long it still reads what it was sent
+	PrefillBacklog           time.Duration // the time that the prefill of the prompts sent to it still takes
 	UpdatedAt                units.Time
 }
 
-// Queue is the step machine.
+// Queue is the admission state machine of one router. Its methods return the messages to send.
 type Queue struct {
-	self      units.NodeID
-	reqs      map[uint64]*Request
-	InFlight  map[string]int // this node's own prompts in flight, per worker
-	loyal     map[string]units.NodeID
-	mute      map[units.NodeID]units.Time // keepers that said nothing, till when they are asked last
-	sent      map[string][]units.Time     // what went to a worker in the last second
-	Loads     map[string]Load
-	Decisions []Decision
+	self         units.NodeID
+	requests     map[uint64]*Request
+	InFlight     map[string]int              // this router's requests in flight, per worker
+	reportedTo   map[string]units.NodeID     // the coordinator of each worker that last received a report
+	unresponsive map[units.NodeID]units.Time // coordinators that didn't reply, and until when they are asked last
+	recentlySent map[string][]units.Time     // when requests went to a worker, over the last second
+	Loads        map[string]Load
+	Decisions    []Decision
 }
 
-// New gives an empty one.
+// New returns an empty queue.
 func New(self units.NodeID) *Queue {
-	return &Queue{self: self, reqs: map[uint64]*Request{}, InFlight: map[string]int{}, loyal: map[string]units.NodeID{}, mute: map[units.NodeID]units.Time{}, sent: map[string][]units.Time{}, Loads: map[string]Load{}}
+	return &Queue{self: self, requests: map[uint64]*Request{}, InFlight: map[string]int{}, reportedTo: map[string]units.NodeID{},
+		unresponsive: map[units.NodeID]units.Time{}, recentlySent: map[string][]units.Time{}, Loads: map[string]Load{}}
 }
 
-// Submit takes a prompt in at the door.
-func (h *Queue) Submit(now units.Time, r Request) (out message.Effects) {
-	h.reqs[r.Tag] = &r
-	Policies[r.Policy](h, now, &r, &out)
+// Submit starts admission of a request. The result appears in Decisions.
+func (q *Queue) Submit(now units.Time, r Request) (out message.Effects) {
+	q.requests[r.Tag] = &r
+	Policies[r.Policy](q, now, &r, &out)
 	return out
 }
 
-// open lets everything in at the first worker.
-func (h *Queue) open(now units.Time, r *Request, out *message.Effects) {
+// admitAll admits every request, to its first candidate.
+func (q *Queue) admitAll(now units.Time, r *Request, out *message.Effects) {
 	if len(r.Candidates) == 0 {
-		h.shed(r, resultcode.NoWorker)
+		q.refuse(r, resultcode.NoWorker)
 		return
 	}
 	r.worker = r.Candidates[0]
-	h.enter(now, r)
-}
-
-// knee asks the candidates' keepers for a free slot in turn, then waits where the wait is shortest.
-func (h *Queue) knee(now units.Time, r *Request, out *message.Effects) {
-	for r.next < len(r.Candidates) && r.next < r.MaxCandidates {
-		r.worker = r.Candidates[r.next]
-		r.next++
-		r.keeper = r.Coordinator(r.worker)
-		if now < h.mute[r.keeper] && r.next < len(r.Candidates) {
-			r.MaxCandidates++ // the next one is asked in its place
+	q.admit(now, r)
+}
+
+// admitWithPermit asks the candidates' coordinators for a free slot one after the other. If none has one, the request joins
+// a waitlist.
+func (q *Queue) admitWithPermit(now units.Time, r *Request, out *message.Effects) {
+	for r.nextCandidate < len(r.Candidates) && r.nextCandidate < r.MaxCandidates {
+		r.worker = r.Candidates[r.nextCandidate]
+		r.nextCandidate++
+		r.coordinator = r.Coordinator(r.worker)
+		if now < q.unresponsive[r.coordinator] && r.nextCandidate < len(r.Candidates) {
+			r.MaxCandidates++ // try one more candidate instead
 			continue
 		}
-		if r.keeper != 0 {
-			h.ask(now, r, false, out)
+		if r.coordinator != 0 {
+			q.sendAcquire(now, r, false, out)
 			return
 		}
 	}
-	h.queue(now, r, out)
+	q.joinWaitlist(now, r, out)
 }
 
-// queue joins the waitlist with the shortest expected wait that still leaves time for an answer.
-func (h *Queue) queue(now units.Time, r *Request, out *message.Effects) {
+// joinWaitlist joins the waitlist with the shortest expected wait that still leaves time for an answer, and refuses the
+// request if there is none.
+func (q *Queue) joinWaitlist(now units.Time, r *Request, out *message.Effects) {
 	best := -1
-	for i, o := range r.opts {
-		if best < 0 || o.due+o.away < r.opts[best].due+r.opts[best].away {
+	for i, option := range r.waitOptions {
+		if best < 0 || option.expectedWait+option.penalty < r.waitOptions[best].expectedWait+r.waitOptions[best].penalty {
 			best = i
 		}
 	}
-	if best < 0 || r.tried >= waits {
-		h.shed(r, why(r.why))
+	if best < 0 || r.waitlistsTried >= maxWaitlists {
+		q.refuse(r, refusalCode(r.refusalReason))
 		return
 	}
-	o := r.opts[best]
-	r.opts = append(r.opts[:best:best], r.opts[best+1:]...)
-	if now.Add(o.due+r.FirstTokenTime) > r.Deadline {
-		r.why = capacity.ReasonTooLate
-		h.shed(r, resultcode.DeadlineUnreachable)
+	option := r.waitOptions[best]
+	r.waitOptions = append(r.waitOptions[:best:best], r.waitOptions[best+1:]...)
+	if now.Add(option.expectedWait+r.FirstTokenTime) > r.Deadline {
+		r.refusalReason = capacity.ReasonTooLate
+		q.refuse(r, resultcode.DeadlineUnreachable)
 		return
 	}
-	r.tried++
-	r.worker, r.keeper = o.name, r.Coordinator(o.name)
-	r.stage = waiting
-	h.ask(now, r, true, out)
+	r.waitlistsTried++
+	r.worker, r.coordinator = option.worker, r.Coordinator(option.worker)
+	r.stage = stageWaiting
+	q.sendAcquire(now, r, true, out)
 }
 
-func why(reason uint8) resultcode.Code {
+func refusalCode(reason uint8) resultcode.Code {
 	switch reason {
 	case capacity.ReasonQueueFull, capacity.ReasonBusy:
 		return resultcode.QueueFull
@@ -130,88 +133,89 @@
 	return resultcode.NoWorker
 }
 
-func (h *Queue) ask(now units.Time, r *Request, wait bool, out *message.Effects) {
-	a := capacity.Header{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), Worth: r.Worth, MemoryTokens: r.MemoryTokens, Priority: r.Priority, MaxFirstTokenTime: uint32(units.ToMillis(r.MaxFirstTokenTime))}
-	a.PrefillTime = micros(r.PrefillTime)
-	if !r.home(r.worker) {
-		a.PrefillTime = micros(r.FullPrefillTime)
+func (q *Queue) sendAcquire(now units.Time, r *Request, wait bool, out *message.Effects) {
+	header := capacity.Header{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), Worth: r.Worth,
+		MemoryTokens: r.MemoryTokens, Priority: r.Priority, MaxFirstTokenTime: uint32(units.ToMillis(r.MaxFirstTokenTime))}
+	header.PrefillTime = toMicroseconds(r.PrefillTime)
+	if !r.isPreferred(r.worker) {
+		header.PrefillTime = toMicroseconds(r.FullPrefillTime)
 	}
 	if wait {
-		a.Wait = 1
+		header.Wait = 1
 	}
-	if k, ok := h.loyal[r.worker]; ok && k != r.keeper {
-		a.Reason = capacity.ReasonNotCoordinator
+	if reported, ok := q.reportedTo[r.worker]; ok && reported != r.coordinator {
+		header.Reason = capacity.ReasonNotCoordinator
 	}
-	r.sent = now
-	r.heard = now
-	out.Send(r.keeper, capacity.Acquire, capacity.Pack(a, r.worker))
+	r.sentAt = now
+	r.heardAt = now
+	out.Send(r.coordinator, capacity.Acquire, capacity.Pack(header, r.worker))
 }
 
-func micros(d time.Duration) uint32 { return uint32(min(max(0, d/time.Microsecond), 1<<32-1)) }
+func toMicroseconds(d time.Duration) uint32 { return uint32(min(max(0, d/time.Microsecond), 1<<32-1)) }
 
-func (h *Queue) enter(now units.Time, r *Request) {
-	r.stage = held
-	h.InFlight[r.worker]++
-	h.sent[r.worker] = append(h.lately(now, r.worker), now)
-	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: resultcode.OK})
+func (q *Queue) admit(now units.Time, r *Request) {
+	r.stage = stageHeld
+	q.InFlight[r.worker]++
+	q.recentlySent[r.worker] = append(q.sentLastSecond(now, r.worker), now)
+	q.Decisions = append(q.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: resultcode.OK})
 }
 
-func (h *Queue) shed(r *Request, c resultcode.Code) {
-	delete(h.reqs, r.Tag)
-	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.due})
+func (q *Queue) refuse(r *Request, c resultcode.Code) {
+	delete(q.requests, r.Tag)
+	q.Decisions = append(q.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.shortestWait})
 }
 
-// RecordFirstToken notes how long a prompt's first words took; the keeper learns of it with the slot's return.
-func (h *Queue) RecordFirstToken(tag uint64, took time.Duration) {
-	if r := h.reqs[tag]; r != nil {
-		r.words = took
+// RecordFirstToken records a request's time to first token. The coordinator receives it when the slot is released.
+func (q *Queue) RecordFirstToken(tag uint64, took time.Duration) {
+	if r := q.requests[tag]; r != nil {
+		r.firstToken = took
 	}
 }
 
-// Done gives a prompt's slot back when its stream ended, or when its caller went away.
-// Unsure says that the run may still be going.
-func (h *Queue) Done(now units.Time, tag uint64, unsure bool) (out message.Effects) {
-	r := h.reqs[tag]
+// Done releases a request's slot once its stream has ended or its client has disconnected. If uncertain, the run may still
+// be in progress, and the slot stays taken until the request's deadline.
+func (q *Queue) Done(now units.Time, tag uint64, uncertain bool) (out message.Effects) {
+	r := q.requests[tag]
 	if r == nil {
 		return out
 	}
-	if r.stage == held {
-		h.leave(r)
+	if r.stage == stageHeld {
+		q.leaveFlight(r)
 	}
-	b := capacity.Header{Tag: tag, PrefillTime: micros(r.words)}
-	if unsure && r.stage == held {
-		r.stage = ghost
-		b.Wait = 1
+	header := capacity.Header{Tag: tag, PrefillTime: toMicroseconds(r.firstToken)}
+	if uncertain && r.stage == stageHeld {
+		r.stage = stageUncertain
+		header.Wait = 1
 	} else {
-		delete(h.reqs, tag)
+		delete(q.requests, tag)
 	}
-	if r.keeper != 0 {
-		out.Send(h.keeper(r), capacity.Release, capacity.Pack(b, r.worker))
+	if r.coordinator != 0 {
+		out.Send(q.currentCoordinator(r), capacity.Release, capacity.Pack(header, r.worker))
 	}
 	return out
 }
 
-// Abort is Done for a run whose wire this node broke off: its slot comes back once the worker had time to notice.
-func (h *Queue) Abort(now units.Time, tag uint64) (out message.Effects) {
-	if r := h.reqs[tag]; r != nil && r.stage == held {
-		r.Deadline = now.Add(notice - grace)
-		h.leave(r)
-		r.stage = ghost
+// Abort is Done for a run whose connection this router closed. The slot is released once the worker has had time to notice.
+func (q *Queue) Abort(now units.Time, tag uint64) (out message.Effects) {
+	if r := q.requests[tag]; r != nil && r.stage == stageHeld {
+		r.Deadline = now.Add(disconnectDetection - expiryGrace)
+		q.leaveFlight(r)
+		r.stage = stageUncertain
 		return out
 	}
-	return h.Done(now, tag, false)
+	return q.Done(now, tag, false)
 }
 
-func (h *Queue) leave(r *Request) {
-	if h.InFlight[r.worker]--; h.InFlight[r.worker] <= 0 {
-		delete(h.InFlight, r.worker)
+func (q *Queue) leaveFlight(r *Request) {
+	if q.InFlight[r.worker]--; q.InFlight[r.worker] <= 0 {
+		delete(q.InFlight, r.worker)
 	}
 }
 
-// keeper is whoever this node last reported to, else whom it asked.
-func (h *Queue) keeper(r *Request) units.NodeID {
-	if k, ok := h.loyal[r.worker]; ok {
-		return k
+// currentCoordinator returns the coordinator that last received a report of the worker, or else the one that was asked.
+func (q *Queue) currentCoordinator(r *Request) units.NodeID {
+	if reported, ok := q.reportedTo[r.worker]; ok {
+		return reported
 	}
-	return r.keeper
+	return r.coordinator
 }
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -10,188 +10,197 @@
 	"seamshunt/internal/units"
 )
 
-// Tick gives up what can't be met any more, and passes over keepers that say nothing.
-func (h *Queue) Tick(now units.Time) (out message.Effects) {
-	for _, r := range h.sorted() {
+// Tick refuses requests that can't meet their deadline any more, skips coordinators that don't reply, and releases the slots
+// of uncertain runs whose time is over.
+func (q *Queue) Tick(now units.Time) (out message.Effects) {
+	for _, r := range q.requestsByTag() {
 		switch r.stage {
-		case asking:
-			if now.Sub(r.sent) >= silent {
-				h.drop(r, &out)
-				h.mute[r.keeper] = now.Add(muteFor)
-				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
+		case stageAcquiring:
+			if now.Sub(r.sentAt) >= replyTimeout {
+				q.sendRelease(r, &out)
+				q.unresponsive[r.coordinator] = now.Add(unresponsiveFor)
+				q.handleRefusal(now, r, capacity.ReasonNoReply, 0, &out)
 			}
-		case waiting:
+		case stageWaiting:
 			switch {
 			case now.Add(r.FirstTokenTime) > r.Deadline:
-				h.drop(r, &out)
-				h.shed(r, resultcode.DeadlineUnreachable)
-			case now.Sub(r.heard) >= lostAt:
-				h.drop(r, &out)
-				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
-			case now.Sub(r.sent) >= again:
-				heard := r.heard
-				h.ask(now, r, true, &out)
-				r.heard = heard
+				q.sendRelease(r, &out)
+				q.refuse(r, resultcode.DeadlineUnreachable)
+			case now.Sub(r.heardAt) >= coordinatorTimeout:
+				q.sendRelease(r, &out)
+				q.handleRefusal(now, r, capacity.ReasonNoReply, 0, &out)
+			case now.Sub(r.sentAt) >= acquireRepeat:
+				heard := r.heardAt
+				q.sendAcquire(now, r, true, &out)
+				r.heardAt = heard
 			}
-		case ghost:
-			if now > r.Deadline.Add(grace) {
-				h.drop(r, &out)
-				delete(h.reqs, r.Tag)
+		case stageUncertain:
+			if now > r.Deadline.Add(expiryGrace) {
+				q.sendRelease(r, &out)
+				delete(q.requests, r.Tag)
 			}
 		}
 	}
 	return out
 }
 
-func (h *Queue) sorted() []*Request {
-	l := make([]*Request, 0, len(h.reqs))
-	for _, r := range h.reqs {
-		l = append(l, r)
+func (q *Queue) requestsByTag() []*Request {
+	requests := make([]*Request, 0, len(q.requests))
+	for _, r := range q.requests {
+		requests = append(requests, r)
 	}
-	slices.SortFunc(l, func(a, b *Request) int {
+	slices.SortFunc(requests, func(a, b *Request) int {
 		if a.Tag < b.Tag {
 			return -1
 		}
 		return 1
 	})
-	return l
+	return requests
 }
 
-// drop voids an ask, so that a late grant has nobody, or gives a ghost's slot back.
-func (h *Queue) drop(r *Request, out *message.Effects) {
-	to := r.keeper
-	if r.stage == ghost {
-		to = h.keeper(r)
+// sendRelease withdraws an acquire request, so that no late grant keeps a slot taken, or releases the slot of an uncertain
+// run.
+func (q *Queue) sendRelease(r *Request, out *message.Effects) {
+	to := r.coordinator
+	if r.stage == stageUncertain {
+		to = q.currentCoordinator(r)
 	}
 	if to != 0 {
 		out.Send(to, capacity.Release, capacity.Pack(capacity.Header{Tag: r.Tag}, r.worker))
 	}
 }
 
-// refused takes a keeper's no, or its silence, and goes on to the next worker.
-func (h *Queue) refused(now units.Time, r *Request, reason uint8, due time.Duration, out *message.Effects) {
-	if r.why == 0 || reason == capacity.ReasonQueueFull || reason == capacity.ReasonTooLate && r.why != capacity.ReasonQueueFull {
-		r.why = reason
+// handleRefusal records a coordinator's refusal or missing reply, and tries the next worker. A full queue is the reason that
+// is kept for the client, then a deadline that can't be met.
+func (q *Queue) handleRefusal(now units.Time, r *Request, reason uint8, expectedWait time.Duration, out *message.Effects) {
+	if r.refusalReason == 0 || reason == capacity.ReasonQueueFull ||
+		reason == capacity.ReasonTooLate && r.refusalReason != capacity.ReasonQueueFull {
+		r.refusalReason = reason
 	}
-	if due > 0 && (r.due == 0 || due < r.due) {
-		r.due = due
+	if expectedWait > 0 && (r.shortestWait == 0 || expectedWait < r.shortestWait) {
+		r.shortestWait = expectedWait
 	}
-	if r.stage == asking {
+	if r.stage == stageAcquiring {
 		if reason == capacity.ReasonBusy {
-			o := option{name: r.worker, due: due}
-			if !r.home(r.worker) {
-				o.away = r.NonPreferredPenalty
+			option := waitOption{worker: r.worker, expectedWait: expectedWait}
+			if !r.isPreferred(r.worker) {
+				option.penalty = r.NonPreferredPenalty
 			}
-			r.opts = append(r.opts, o)
+			r.waitOptions = append(r.waitOptions, option)
 		}
-		h.knee(now, r, out)
+		q.admitWithPermit(now, r, out)
 		return
 	}
-	h.queue(now, r, out)
+	q.joinWaitlist(now, r, out)
 }
 
-// Step takes one note for the node that asks.
-func (h *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
+// Step handles one message from a coordinator.
+func (q *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == capacity.Audit {
-		name, l, _, err := capacity.UnpackReport(n.Body)
+		name, permits, _, err := capacity.UnpackReport(n.Body)
 		out.AddError(err)
-		for _, x := range l {
-			if h.reqs[x.Tag] == nil {
+		for _, x := range permits {
+			if q.requests[x.Tag] == nil {
 				out.Send(n.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
 			}
 		}
 		return out
 	}
-	delete(h.mute, n.From)
-	b, name, err := capacity.Unpack(n.Body)
+	delete(q.unresponsive, n.From)
+	header, name, err := capacity.Unpack(n.Body)
 	if err != nil {
 		out.AddError(err)
 		return out
 	}
 	if n.Kind == capacity.ReportRequest {
-		h.report(now, n.From, name, &out)
+		q.sendReport(now, n.From, name, &out)
 		return out
 	}
-	if b.Capacity > 0 {
-		h.Loads[name] = Load{InUse: int(b.InUse), Capacity: int(b.Capacity), Waiting: int(b.Wait), PrefillBacklog: time.Duration(b.PrefillTime) * time.Microsecond, UpdatedAt: now}
+	if header.Capacity > 0 {
+		q.Loads[name] = Load{InUse: int(header.InUse), Capacity: int(header.Capacity), Waiting: int(header.Wait),
+			PrefillBacklog: time.Duration(header.PrefillTime) * time.Microsecond, UpdatedAt: now}
 	}
-	r := h.reqs[b.Tag]
-	mine := r != nil && r.stage <= waiting && r.worker == name && r.keeper == n.From
+	r := q.requests[header.Tag]
+	current := r != nil && r.stage <= stageWaiting && r.worker == name && r.coordinator == n.From
 	switch n.Kind {
 	case capacity.Grant:
-		h.granted(now, n.From, r, mine, b, name, &out)
+		q.handleGrant(now, n.From, r, current, header, name, &out)
 	case capacity.Refusal:
-		if mine {
-			h.refused(now, r, b.Reason, units.Millis(b.TimeLeft).Duration(), &out)
+		if current {
+			q.handleRefusal(now, r, header.Reason, units.Millis(header.TimeLeft).Duration(), &out)
 		}
 	case capacity.Queued:
-		if mine {
-			r.heard = now
-			r.due = units.Millis(b.TimeLeft).Duration()
+		if current {
+			r.heardAt = now
+			r.shortestWait = units.Millis(header.TimeLeft).Duration()
 		}
 	}
 	return out
 }
 
-func (h *Queue) granted(now units.Time, from units.NodeID, r *Request, mine bool, b capacity.Header, name string, out *message.Effects) {
-	if r != nil && r.stage >= held && r.worker == name {
-		return // the same grant again
-	}
-	back := capacity.Pack(capacity.Header{Tag: b.Tag}, name)
-	if k, ok := h.loyal[name]; !mine || ok && k != from {
-		out.Send(from, capacity.Release, back)
-		if mine {
-			h.refused(now, r, capacity.ReasonNotCoordinator, 0, out)
+func (q *Queue) handleGrant(now units.Time, from units.NodeID, r *Request, current bool, header capacity.Header,
+	name string, out *message.Effects) {
+	if r != nil && r.stage >= stageHeld && r.worker == name {
+		return // a repeated grant
+	}
+	release := capacity.Pack(capacity.Header{Tag: header.Tag}, name)
+	if reported, ok := q.reportedTo[name]; !current || ok && reported != from {
+		out.Send(from, capacity.Release, release)
+		if current {
+			q.handleRefusal(now, r, capacity.ReasonNotCoordinator, 0, out)
 		}
 		return
 	}
 	if now.Add(r.FirstTokenTime) > r.Deadline {
-		out.Send(from, capacity.Release, back)
-		h.shed(r, resultcode.DeadlineUnreachable)
+		out.Send(from, capacity.Release, release)
+		q.refuse(r, resultcode.DeadlineUnreachable)
 		return
 	}
-	h.enter(now, r)
+	q.admit(now, r)
 }
 
-// report tells a new keeper all that is held of a worker; from then on only its grants count (design 6).
-func (h *Queue) report(now units.Time, from units.NodeID, name string, out *message.Effects) {
-	h.loyal[name] = from
-	var l []capacity.HeldPermit
-	for _, r := range h.sorted() {
-		if r.worker == name && r.stage >= held && r.keeper != 0 {
-			l = append(l, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), MemoryTokens: r.MemoryTokens})
+// sendReport reports all permits held for a worker to its new coordinator. From then on only that coordinator's grants are
+// accepted (docs/design.md, section 6).
+func (q *Queue) sendReport(now units.Time, from units.NodeID, name string, out *message.Effects) {
+	q.reportedTo[name] = from
+	var permits []capacity.HeldPermit
+	for _, r := range q.requestsByTag() {
+		if r.worker == name && r.stage >= stageHeld && r.coordinator != 0 {
+			permits = append(permits, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))),
+				MemoryTokens: r.MemoryTokens})
 		}
 	}
-	out.Send(from, capacity.Report, capacity.PackReport(name, l, len(h.lately(now, name))))
+	out.Send(from, capacity.Report, capacity.PackReport(name, permits, len(q.sentLastSecond(now, name))))
 }
 
-// lately lists what went to a worker in the last second.
-func (h *Queue) lately(now units.Time, name string) []units.Time {
-	l := h.sent[name]
-	for len(l) > 0 && now.Sub(l[0]) > time.Second {
-		l = l[1:]
-	}
-	h.sent[name] = l
-	return l
+// sentLastSecond returns the times of the requests that went to a worker in the last second.
+func (q *Queue) sentLastSecond(now units.Time, name string) []units.Time {
+	times := q.recentlySent[name]
+	for len(times) > 0 && now.Sub(times[0]) > time.Second {
+		times = times[1:]
+	}
+	q.recentlySent[name] = times
+	return times
 }
 
-// Pending counts the prompts that are not in yet.
-func (h *Queue) Pending() int {
-	k := 0
-	for _, r := range h.reqs {
-		if r.stage <= waiting {
-			k++
+// Pending returns the number of requests that are neither admitted nor refused yet.
+func (q *Queue) Pending() int {
+	count := 0
+	for _, r := range q.requests {
+		if r.stage <= stageWaiting {
+			count++
 		}
 	}
-	return k
+	return count
 }
 
-// ProcessResumed distrusts every permit after a freeze: what ran out is gone, and what waits asks anew (design 6).
-func (h *Queue) ProcessResumed(now units.Time) {
-	for _, r := range h.reqs {
-		if r.stage <= waiting {
-			r.sent = now.Add(-lostAt)
-			r.heard = r.sent
+// ProcessResumed is called after the process was paused: messages may have been missed, so the next Tick gives up the
+// coordinators of all waiting requests and asks anew (docs/design.md, section 6).
+func (q *Queue) ProcessResumed(now units.Time) {
+	for _, r := range q.requests {
+		if r.stage <= stageWaiting {
+			r.sentAt = now.Add(-coordinatorTimeout)
+			r.heardAt = r.sentAt
 		}
 	}
 }
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -9,232 +9,239 @@
 	"seamshunt/internal/units"
 )
 
-// Spans of the keeping (start values).
 const (
-	grace      = 500 * time.Millisecond // what a run may last past its time left
-	audit      = time.Second
-	reask      = 200 * time.Millisecond
-	burst      = 300 * time.Millisecond // after a process is known to be gone, till its runs are broken off
-	adaptGap   = time.Second
-	strangeFor = 5 * time.Second // till membership must show a router that was heard of
+	runGrace            = 500 * time.Millisecond // how long a run may last past its deadline
+	auditInterval       = time.Second            // between audits, and the age from which a permit is audited
+	reportRetryInterval = 200 * time.Millisecond
+	disconnectGrace     = 300 * time.Millisecond // from the known end of a process until workers have stopped its runs
+	adaptInterval       = time.Second
+	unlistedRouterTTL   = 5 * time.Second // how long an unlisted router counts before the membership must list it
 )
 
-type permit struct {
+// permitKey identifies a permit by its holder and the request's tag.
+type permitKey struct {
 	node units.NodeID
 	tag  uint64
 }
 
-type ask struct {
-	permit
-	until units.Time // its deadline
-	worth uint16
-	read  time.Duration
-	urge  uint8
-	mem   uint32
-	since units.Time
-}
-
-type loan struct {
-	until units.Time
-	since units.Time
-	mem   uint32
-	reads time.Duration // what reading it takes a usual worker; 0 when others are read before it
-}
-
-// keep is one worker in this node's keeping.
-type keep struct {
-	open    bool
-	lent    map[permit]*loan
-	list    []ask // by deadline
-	need    map[units.NodeID]bool
-	late    map[units.NodeID]bool // routers that came into view with the book open: they are asked too
-	sent    units.Time
-	silent  map[units.NodeID]units.Time // until when a silent node may still hold what it was lent before
-	turn    time.Duration
-	hold    time.Duration // mean time that a slot is held
-	back    units.Time
-	cap     float64
-	waitSum time.Duration
-	waitN   int
-	adapted units.Time
-	begun   units.Time
-	engine
-}
-
-// Ledger is the keeper's step machine.
+type acquireRequest struct {
+	permitKey
+	deadline     units.Time
+	worth        uint16
+	prefillTime  time.Duration
+	priority     uint8
+	memoryTokens uint32
+	queuedAt     units.Time
+}
+
+type permit struct {
+	expiresAt    units.Time
+	grantedAt    units.Time
+	memoryTokens uint32
+	prefillTime  time.Duration // on a typical worker; 0 if other prompts are ahead in the prefill queue
+}
+
+// workerState is the state of one worker that this router coordinates.
+type workerState struct {
+	open                bool // all reports are in: permits may be granted
+	granted             map[permitKey]*permit
+	waitlist            []acquireRequest // sorted by deadline
+	awaitingReports     map[units.NodeID]bool
+	lateRouters         map[units.NodeID]bool // appeared after the state was opened; they must report too
+	reportsRequestedAt  units.Time
+	unreachableUntil    map[units.NodeID]units.Time // until when an unreachable router may hold permits
+	releaseInterval     time.Duration
+	meanHoldTime        time.Duration // mean time that a permit is held
+	lastReleaseAt       units.Time
+	adaptiveCapacity    float64
+	waitSum             time.Duration // of the grants since adaptedAt
+	waitCount           int
+	adaptedAt           units.Time
+	collectionStartedAt units.Time
+	engineState
+}
+
+// Ledger is the state machine of a router as coordinator. Its methods return the messages to send.
 type Ledger struct {
-	self    units.NodeID
-	workers map[string]Worker
-	routers []Peer
-	holds   map[units.NodeID]units.Time // processes not live, till when their runs may still be going
-	keeps   map[string]*keep
-	strange map[units.NodeID]units.Time // routers that took a worker over before membership showed them here
-	moved   bool                        // the workers or the routers are not those that the keepers were worked out for
-	audited units.Time
-	excess  float64
-	slack   int
-	part    float64
-}
-
-// New begins a node that keeps nothing.
+	self             units.NodeID
+	workers          map[string]Worker
+	routers          []Peer
+	runDeadlines     map[units.NodeID]units.Time // for processes that aren't live: when their runs are over at the latest
+	coordinated      map[string]*workerState
+	unlistedRouters  map[units.NodeID]units.Time // took a worker over before the membership listed them here
+	assignmentsStale bool                        // workers or routers have changed since coordinators were assigned
+	lastAuditAt      units.Time
+	rateExcess       float64
+	rateSlack        int
+	rateShare        float64
+}
+
+// New returns a ledger that coordinates no worker.
 func New(self units.NodeID) *Ledger {
-	return &Ledger{self: self, workers: map[string]Worker{}, keeps: map[string]*keep{}, holds: map[units.NodeID]units.Time{}, strange: map[units.NodeID]units.Time{}, excess: 1, part: 1}
+	return &Ledger{self: self, workers: map[string]Worker{}, coordinated: map[string]*workerState{},
+		runDeadlines: map[units.NodeID]units.Time{}, unlistedRouters: map[units.NodeID]units.Time{}, rateExcess: 1, rateShare: 1}
 }
 
-// SetWorkers sets what there is to keep.
-func (g *Ledger) SetWorkers(w map[string]Worker) {
-	if !maps.Equal(g.workers, w) {
-		g.workers, g.moved = w, true
+// SetWorkers sets the workers of the whole fleet.
+func (g *Ledger) SetWorkers(workers map[string]Worker) {
+	if !maps.Equal(g.workers, workers) {
+		g.workers, g.assignmentsStale = workers, true
 	}
 }
 
-// SetRouters takes membership's view: the live routers, and till when others' runs may still be going.
-func (g *Ledger) SetRouters(routers []Peer, holds map[units.NodeID]units.Time) {
-	g.moved = g.moved || !slices.Equal(g.routers, routers)
+// SetRouters sets the live routers, and when the runs of other processes are over at the latest.
+func (g *Ledger) SetRouters(routers []Peer, runDeadlines map[units.NodeID]units.Time) {
+	g.assignmentsStale = g.assignmentsStale || !slices.Equal(g.routers, routers)
 	for _, v := range routers {
 		if !slices.ContainsFunc(g.routers, func(o Peer) bool { return o.Node == v.Node }) {
-			for _, k := range g.keeps {
-				k.late[v.Node] = true
+			for _, state := range g.coordinated {
+				state.lateRouters[v.Node] = true
 			}
 		}
 	}
-	g.routers, g.holds = routers, holds
+	g.routers, g.runDeadlines = routers, runDeadlines
 }
 
-// ProcessEnded frees what a process held that is known to have ended: the kernel broke its runs' wires off.
-func (g *Ledger) ProcessEnded(now units.Time, n units.NodeID) {
-	for _, k := range g.keeps {
-		for p, l := range k.lent {
-			if p.node == n {
-				l.until = min(l.until, now.Add(burst))
+// ProcessEnded frees the permits of a process that is known to have ended: the kernel has closed its runs' connections.
+func (g *Ledger) ProcessEnded(now units.Time, node units.NodeID) {
+	for _, state := range g.coordinated {
+		for p, l := range state.granted {
+			if p.node == node {
+				l.expiresAt = min(l.expiresAt, now.Add(disconnectGrace))
 			}
 		}
-		k.list = slices.DeleteFunc(k.list, func(a ask) bool { return a.node == n })
+		state.waitlist = slices.DeleteFunc(state.waitlist, func(a acquireRequest) bool { return a.node == node })
 	}
 }
 
-// Tick takes over what fell to this node, gives up what did not, and ends what ran out.
+// Tick takes over the workers assigned to this router, gives up the others, and removes expired permits.
 func (g *Ledger) Tick(now units.Time) (out message.Effects) {
 	var names []string
-	if g.moved {
+	if g.assignmentsStale {
 		names = message.SortedKeys(g.workers)
 	}
-	g.moved = false
+	g.assignmentsStale = false
 	for _, name := range names {
-		w := g.workers[name]
-		mine := Coordinator(g.routers, name, w.Zone) == g.self
-		k := g.keeps[name]
-		if mine && k == nil {
-			g.begin(now, name, &out)
+		worker := g.workers[name]
+		mine := Coordinator(g.routers, name, worker.Zone) == g.self
+		state := g.coordinated[name]
+		if mine && state == nil {
+			g.startCoordinating(now, name, &out)
 		}
-		if !mine && k != nil {
-			g.cede(name, k, &out)
+		if !mine && state != nil {
+			g.stopCoordinating(name, state, &out)
 		}
 	}
-	for _, name := range message.SortedKeys(g.keeps) {
-		k := g.keeps[name]
+	for _, name := range message.SortedKeys(g.coordinated) {
+		state := g.coordinated[name]
 		if _, ok := g.workers[name]; !ok {
-			g.cede(name, k, &out)
+			g.stopCoordinating(name, state, &out)
 			continue
 		}
-		for p, l := range k.lent {
-			if now >= l.until {
-				k.drop(p)
+		for p, permit := range state.granted {
+			if now >= permit.expiresAt {
+				state.removePermit(p)
 			}
 		}
-		if !k.open {
-			g.collect(now, name, k, &out)
+		if !state.open {
+			g.collectReports(now, name, state, &out)
 			continue
 		}
-		g.latecomers(now, name, k, &out)
-		g.adapt(now, name, k)
-		g.serve(now, name, k, &out)
+		g.queryLateRouters(now, name, state, &out)
+		g.adaptCapacity(now, name, state)
+		g.serveWaitlist(now, name, state, &out)
 	}
-	if now.Sub(g.audited) >= audit {
-		g.audited = now
-		g.audit(now, &out)
+	if now.Sub(g.lastAuditAt) >= auditInterval {
+		g.lastAuditAt = now
+		g.sendAudits(now, &out)
 	}
 	return out
 }
 
-// TakeOver begins the keeping of one worker, as Tick does when it falls to this node.
+// TakeOver starts to coordinate one worker, as Tick does when the worker is assigned to this router.
 func (g *Ledger) TakeOver(now units.Time, name string) (out message.Effects) {
-	g.begin(now, name, &out)
+	g.startCoordinating(now, name, &out)
 	return out
 }
 
-// begin asks every live router what it holds; until all have said so, nothing is lent.
-func (g *Ledger) begin(now units.Time, name string, out *message.Effects) {
-	k := &keep{lent: map[permit]*loan{}, adapted: now, begun: now, silent: maps.Clone(g.holds), late: map[units.NodeID]bool{}}
-	g.keeps[name] = k
-	g.recollect(now, name, k, out)
+// startCoordinating requests a report from every live router. Nothing is granted until all have reported.
+func (g *Ledger) startCoordinating(now units.Time, name string, out *message.Effects) {
+	state := &workerState{granted: map[permitKey]*permit{}, adaptedAt: now, collectionStartedAt: now,
+		unreachableUntil: maps.Clone(g.runDeadlines), lateRouters: map[units.NodeID]bool{}}
+	g.coordinated[name] = state
+	g.restartCollection(now, name, state, out)
 }
 
-// recollect asks all nodes for their reports, and with them for their trust. A keeper also does so when it meets a
-// node that has last reported to another: while views differed, that one took the worker over, and no grant of
-// this keeper's would be taken there.
-func (g *Ledger) recollect(now units.Time, name string, k *keep, out *message.Effects) {
-	k.open, k.need, k.sent, k.begun = false, map[units.NodeID]bool{}, now.Add(-reask), now
-	for _, n := range g.live(now) {
-		k.need[n] = true
+// restartCollection requests reports from all routers, which from then on accept only this coordinator's grants. A
+// coordinator also does so when a router has last reported to another one: while membership views differed, the other one
+// took the worker over, and that router would accept no grant from this one.
+func (g *Ledger) restartCollection(now units.Time, name string, state *workerState, out *message.Effects) {
+	state.open, state.awaitingReports, state.reportsRequestedAt, state.collectionStartedAt = false, map[units.NodeID]bool{},
+		now.Add(-reportRetryInterval), now
+	for _, n := range g.liveRouters(now) {
+		state.awaitingReports[n] = true
 	}
-	g.collect(now, name, k, out)
+	g.collectReports(now, name, state, out)
 }
 
-// live lists the routers that may hold something: those that membership shows, and those that it does not show yet.
-func (g *Ledger) live(now units.Time) []units.NodeID {
-	var l []units.NodeID
+// liveRouters returns the routers that may hold permits: those that the membership lists, and those that
+// it doesn't list yet.
+func (g *Ledger) liveRouters(now units.Time) []units.NodeID {
+	var nodes []units.NodeID
 	for _, v := range g.routers {
-		l = append(l, v.Node)
+		nodes = append(nodes, v.Node)
 	}
-	for _, n := range message.SortedKeys(g.strange) {
-		_, gone := g.holds[n]
+	for _, n := range message.SortedKeys(g.unlistedRouters) {
+		_, ended := g.runDeadlines[n]
 		switch {
-		case gone || slices.Contains(l, n) || now.Sub(g.strange[n]) > strangeFor:
-			delete(g.strange, n)
+		case ended || slices.Contains(nodes, n) || now.Sub(g.unlistedRouters[n]) > unlistedRouterTTL:
+			delete(g.unlistedRouters, n)
 		default:
-			l = append(l, n)
+			nodes = append(nodes, n)
 		}
 	}
-	return l
+	return nodes
 }
 
-func (g *Ledger) collect(now units.Time, name string, k *keep, out *message.Effects) {
-	live := g.live(now)
-	for n := range k.need {
+// collectReports opens the state once all reports are in and the runs of unreachable routers are over; until then it repeats
+// the requests for reports.
+func (g *Ledger) collectReports(now units.Time, name string, state *workerState, out *message.Effects) {
+	live := g.liveRouters(now)
+	for n := range state.awaitingReports {
 		if slices.Contains(live, n) {
 			continue
 		}
-		delete(k.need, n)
-		k.silent[n] = g.holds[n]
+		delete(state.awaitingReports, n)
+		state.unreachableUntil[n] = g.runDeadlines[n]
 	}
-	for n := range k.silent {
-		if slices.Contains(live, n) { // it was not lost after all, and can say itself what it holds
-			delete(k.silent, n)
-			k.need[n] = true
-			k.sent = now.Add(-reask)
+	for n := range state.unreachableUntil {
+		if slices.Contains(live, n) { // it is reachable again and can report by itself
+			delete(state.unreachableUntil, n)
+			state.awaitingReports[n] = true
+			state.reportsRequestedAt = now.Add(-reportRetryInterval)
 		}
 	}
-	lax := g.workers[name].QuickTakeover && (len(k.need) == 0 || now.Sub(k.begun) >= laxFor)
-	if len(k.need) == 0 || lax {
-		if lax || now >= k.holdTil() {
-			k.open = true
-			g.serve(now, name, k, out)
+	quick := g.workers[name].QuickTakeover &&
+		(len(state.awaitingReports) == 0 || now.Sub(state.collectionStartedAt) >= quickTakeoverWait)
+	if len(state.awaitingReports) == 0 || quick {
+		if quick || now >= state.unreachableDeadline() {
+			state.open = true
+			g.serveWaitlist(now, name, state, out)
 		}
 		return
 	}
-	if now.Sub(k.sent) >= reask {
-		k.sent = now
-		for _, n := range message.SortedKeys(k.need) {
+	if now.Sub(state.reportsRequestedAt) >= reportRetryInterval {
+		state.reportsRequestedAt = now
+		for _, n := range message.SortedKeys(state.awaitingReports) {
 			out.Send(n, ReportRequest, Pack(Header{}, name))
 		}
 	}
 }
 
-// cede lets those that wait ask elsewhere.
-func (g *Ledger) cede(name string, k *keep, out *message.Effects) {
-	for _, a := range k.list {
+// stopCoordinating refuses the waiting requests, so that their routers ask the new coordinator.
+func (g *Ledger) stopCoordinating(name string, state *workerState, out *message.Effects) {
+	for _, a := range state.waitlist {
 		out.Send(a.node, Refusal, Pack(Header{Tag: a.tag, Reason: ReasonNotCoordinator}, name))
 	}
-	delete(g.keeps, name)
+	delete(g.coordinated, name)
 }
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -1,4 +1,4 @@
-// Package placement is placement: which workers a prompt may be offered, in which order (design 7).
+// Package placement ranks the workers that a request may be sent to (docs/design.md, section 7).
 package placement
 
 import (
@@ -8,43 +8,43 @@
 	"seamshunt/internal/units"
 )
 
-// Candidate is one worker that could take the prompt.
+// Candidate is one worker that could serve the request.
 type Candidate struct {
 	Name string
 	Zone string
-	Load float64 // last known share of its cap in use, its waitlist counted; late and never trusted for admission
+	Load float64 // last known share of its capacity in use, waitlist included; stale, so never used for admission
 }
 
-// Query is what a policy may look at.
+// Query is the input of a placement policy.
 type Query struct {
-	Prefix         uint64
-	Zone           string // the node's own
-	PreferredCount int
+	Prefix         uint64 // fingerprint of the prompt's shared prefix; 0 if there is none
+	Zone           string // the router's own zone
+	PreferredCount int    // how many workers should serve one prefix
 	Candidates     []Candidate
 }
 
-// Policies by name; a new one is a new line here and nothing elsewhere.
+// Policies lists the placement policies by name. A new policy needs no other registration.
 var Policies = map[string]func(*Placer, Query) []string{
-	"prefix": (*Placer).prefix,
-	"least":  (*Placer).least,
-	"turn":   (*Placer).turn,
-	"home":   (*Placer).home,
+	"prefix": (*Placer).byZonePrefix,
+	"least":  (*Placer).leastLoaded,
+	"turn":   (*Placer).roundRobin,
+	"home":   (*Placer).byFleetPrefix,
 }
 
-// Placer holds what policies remember between prompts.
+// Placer holds the state that policies keep between requests.
 type Placer struct {
-	next atomic.Uint64
+	rotation atomic.Uint64
 }
 
-// Fingerprint names a prompt's shared prefix: its first bytes.
+// Fingerprint hashes the first n bytes of a prompt, which identify its shared prefix.
 func Fingerprint(prompt []byte, n int) uint64 {
 	return units.Mix(string(prompt[:min(n, len(prompt))]))
 }
 
-// Rank lists workers, best first.
-func (w *Placer) Rank(policy string, q Query) []string { return Policies[policy](w, q) }
+// Rank returns the workers' names, best first.
+func (p *Placer) Rank(policy string, q Query) []string { return Policies[policy](p, q) }
 
-func names(l []Candidate) []string {
+func candidateNames(l []Candidate) []string {
 	s := make([]string, len(l))
 	for i, x := range l {
 		s[i] = x.Name
@@ -52,8 +52,9 @@
 	return s
 }
 
-// prefix: the own zone's first few in rendezvous order hold the prefix; behind them the least loaded.
-func (w *Placer) prefix(q Query) []string {
+// byZonePrefix puts first the preferred workers of the prefix, chosen by rendezvous hashing with the router's zone first,
+// and sorts the others by load.
+func (p *Placer) byZonePrefix(q Query) []string {
 	type ranked struct {
 		Candidate
 		rank uint64
@@ -64,12 +65,12 @@
 	}
 	slices.SortFunc(l, func(a, b ranked) int {
 		if near := (a.Zone == q.Zone); near != (b.Zone == q.Zone) {
-			return flip(near)
+			return firstIf(near)
 		}
-		return flip(a.rank > b.rank)
+		return firstIf(a.rank > b.rank)
 	})
 	if len(l) > q.PreferredCount {
-		slices.SortStableFunc(l[q.PreferredCount:], func(a, b ranked) int { return byLoad(a.Candidate, b.Candidate, q.Zone) })
+		slices.SortStableFunc(l[q.PreferredCount:], func(a, b ranked) int { return compareLoad(a.Candidate, b.Candidate, q.Zone) })
 	}
 	s := make([]string, len(l))
 	for i, x := range l {
@@ -78,32 +79,33 @@
 	return s
 }
 
-// home: one order for the whole fleet, whatever the zone, so that a long shared part is read by few workers; behind
-// the first few, and where nothing is shared, the least loaded.
-func (w *Placer) home(q Query) []string {
+// byFleetPrefix ranks by rendezvous hashing regardless of the zone, so that only few workers in the whole fleet prefill a
+// long shared prefix. Workers behind the preferred ones, and all workers if there is no shared prefix, are sorted by load.
+func (p *Placer) byFleetPrefix(q Query) []string {
 	l := slices.Clone(q.Candidates)
 	if q.Prefix == 0 {
-		rotate(l, int(w.next.Add(1)))
-		slices.SortStableFunc(l, func(a, b Candidate) int { return byLoad(a, b, "") })
-		return names(l)
+		rotate(l, int(p.rotation.Add(1)))
+		slices.SortStableFunc(l, func(a, b Candidate) int { return compareLoad(a, b, "") })
+		return candidateNames(l)
 	}
 	rank := func(s Candidate) uint64 { return units.Mix(units.Hex(q.Prefix), s.Name) }
-	slices.SortFunc(l, func(a, b Candidate) int { return flip(rank(a) > rank(b)) })
+	slices.SortFunc(l, func(a, b Candidate) int { return firstIf(rank(a) > rank(b)) })
 	if len(l) > q.PreferredCount {
-		slices.SortStableFunc(l[q.PreferredCount:], func(a, b Candidate) int { return byLoad(a, b, "") })
+		slices.SortStableFunc(l[q.PreferredCount:], func(a, b Candidate) int { return compareLoad(a, b, "") })
 	}
-	return names(l)
+	return candidateNames(l)
 }
 
-func flip(first bool) int {
+// firstIf returns the result of a comparison: -1 if the first operand comes first, 1 otherwise.
+func firstIf(first bool) int {
 	if first {
 		return -1
 	}
 	return 1
 }
 
-// byLoad puts the less loaded first; a worker in another zone must be much less loaded to come before.
-func byLoad(a, b Candidate, zone string) int {
+// compareLoad sorts by load. With a zone given, a worker in another zone must be less loaded by 0.5 to come first.
+func compareLoad(a, b Candidate, zone string) int {
 	x, y := a.Load, b.Load
 	if a.Zone != zone && zone != "" {
 		x += 0.5
@@ -120,19 +122,19 @@
 	return 0
 }
 
-// least: the least loaded first, the own zone preferred.
-func (w *Placer) least(q Query) []string {
+// leastLoaded sorts by load and prefers the router's zone.
+func (p *Placer) leastLoaded(q Query) []string {
 	l := slices.Clone(q.Candidates)
-	rotate(l, int(w.next.Add(1)))
-	slices.SortStableFunc(l, func(a, b Candidate) int { return byLoad(a, b, q.Zone) })
-	return names(l)
+	rotate(l, int(p.rotation.Add(1)))
+	slices.SortStableFunc(l, func(a, b Candidate) int { return compareLoad(a, b, q.Zone) })
+	return candidateNames(l)
 }
 
-// turn: each in its turn, whatever the zone.
-func (w *Placer) turn(q Query) []string {
+// roundRobin rotates through the workers regardless of the zone.
+func (p *Placer) roundRobin(q Query) []string {
 	l := slices.Clone(q.Candidates)
-	rotate(l, int(w.next.Add(1)))
-	return names(l)
+	rotate(l, int(p.rotation.Add(1)))
+	return candidateNames(l)
 }
 
 func rotate(l []Candidate, by int) {
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -13,211 +13,213 @@
 )
 
 const (
-	bufSize     = 4096
-	headMost    = 1 << 16
-	surplusMost = 3
-	interimMost = 8
-	smallMost   = 4096 // of a refusal's body
-	drainFor    = 50 * time.Millisecond
+	bufferSize        = 4096
+	maxHeaderBytes    = 1 << 16
+	maxSurplusAnswers = 3    // answers to other requests before this request's answer
+	maxInterimAnswers = 8    // answers of status 1xx
+	maxRefusalBytes   = 4096 // of a refusal's body
+	drainTimeout      = 50 * time.Millisecond
 )
 
-// Dispatch is one request to one worker.
+// Dispatch describes one request to one worker.
 type Dispatch struct {
 	Worker, Addr string
 	ID           string            // the value of Names.Try
-	Request      *fasthttp.Request // complete; only its length is set here, and the path is that of its header
-	Deadline     time.Time         // the latest end
-	SendOnce     bool              // not over a connection idle for longer than FreshFor: it may not be sent twice
-	MaxConns     int               // connections that this node may have open to this worker; 0 for any
+	Request      *fasthttp.Request // complete except for its Content-Length; the path is that of its header
+	Deadline     time.Time         // for the whole exchange
+	SendOnce     bool              // must not be sent twice: no connection idle for longer than SendOnceMaxIdle is used
+	MaxConns     int               // limit of this router's open connections to the worker; 0 for none
 }
 
-// Exchange is one request and its answer. Kind is Piece when a head came and Read gives the body; else NotSent,
-// NotRun, Moved or Unknown. A refusal's body, if small, is in Resp.
+// Exchange is one request and its answer. The outcome is Partial if a header came and Read returns the body; otherwise
+// NotSent, NotRun, WorkerReplaced or Unknown. A refusal's body, if small, is in Response.
 type Exchange struct {
 	Outcome     Outcome
 	Err         error
-	Unreachable bool // nobody answers an attempt to connect
+	Unreachable bool // the worker accepts no connection
 	Reused      bool
-	Response    *fasthttp.Response // the head; valid until End
+	Response    *fasthttp.Response // the header; valid until End
 
-	p      *Pool
-	o      Dispatch
-	c      *conn
-	r      *bufio.Reader
-	body   body
-	length int
-	keep   bool // the worker allows that the connection is used again
-	early  bool // the worker closed before the whole request was written; an answer may lie there all the same
-	done   bool
+	pool        *Pool
+	dispatch    Dispatch
+	conn        *conn
+	reader      *bufio.Reader
+	body        body
+	length      int
+	keepAlive   bool // the worker allows reuse of the connection
+	closedEarly bool // the worker closed before the whole request was written; there may be an answer nevertheless
+	ended       bool
 }
 
-// Do sends one request for a caller and awaits the head of its answer. End must follow. Once nobody waits any more nothing is
-// sent, and what is awaited ends with the caller's reason.
-func (p *Pool) Do(caller Caller, o *Dispatch) *Exchange {
-	x := &Exchange{p: p, o: *o, Response: fasthttp.AcquireResponse()}
-	defer func() { x.o.Request = nil }()
-	for again := false; ; again = true {
+// Do sends one request for a caller and waits for the header of its answer. End must be called afterwards. Once the caller
+// no longer waits, nothing is sent, and a pending wait ends with the caller's reason.
+func (p *Pool) Do(caller Caller, dispatch *Dispatch) *Exchange {
+	x := &Exchange{pool: p, dispatch: *dispatch, Response: fasthttp.AcquireResponse()}
+	defer func() { x.dispatch.Request = nil }()
+	for redial := false; ; redial = true {
 		var err error
-		if x.c, x.Reused, err = p.take(caller, o, again); err != nil {
+		if x.conn, x.Reused, err = p.acquire(caller, dispatch, redial); err != nil {
 			x.Unreachable = unreachable(err)
 			return x.fail(NotSent, err)
 		}
 		if err = caller.Check(); err != nil {
 			p.Stats.Abandoned.Add(1)
-			p.put(x.c, x.c.until)
-			x.c = nil
+			p.putBack(x.conn, x.conn.idleUntil)
+			x.conn = nil
 			return x.fail(NotSent, err)
 		}
-		x.c.begin(caller, o)
+		x.conn.startDispatch(caller, dispatch)
 		if err = x.send(); err == nil {
 			break
 		}
-		sent := x.c.sent > 0
-		if sent && refusedToRead(err) {
-			x.early = true
+		sent := x.conn.bytesSent > 0
+		if sent && closedByWorker(err) {
+			x.closedEarly = true
 			break
 		}
-		if retry := !sent && x.Reused && !again; !retry {
+		if retry := !sent && x.Reused && !redial; !retry {
 			if sent {
 				return x.fail(Unknown, err)
 			}
 			return x.fail(NotSent, err)
 		}
-		x.shut()
+		x.closeConn()
 	}
-	if x.early {
-		x.c.due = earlier(x.c.due, time.Now().Add(drainFor))
-		x.c.readUntil(x.c.due)
+	if x.closedEarly {
+		x.conn.deadline = earlier(x.conn.deadline, time.Now().Add(drainTimeout))
+		x.conn.limitReads(x.conn.deadline)
 	}
-	x.r = readers.Get().(*bufio.Reader)
-	x.r.Reset(x.c)
-	if err := x.await(p.n); err != nil {
-		if x.c.err != nil {
-			err = x.c.err // what fasthttp makes of it says less
+	x.reader = readerPool.Get().(*bufio.Reader)
+	x.reader.Reset(x.conn)
+	if err := x.awaitAnswer(p.names); err != nil {
+		if x.conn.readErr != nil {
+			err = x.conn.readErr // fasthttp's error has less detail
 		}
 		return x.fail(Unknown, err)
 	}
 	if x.Outcome != Partial {
-		x.drain()
+		x.drainBody()
 	}
 	return x
 }
 
 // fail ends an exchange without an answer.
-func (x *Exchange) fail(k Outcome, err error) *Exchange {
-	x.Outcome, x.Err = k, err
-	x.shut()
+func (x *Exchange) fail(outcome Outcome, err error) *Exchange {
+	x.Outcome, x.Err = outcome, err
+	x.closeConn()
 	return x
 }
 
-// shut closes the connection, if there is one, and gives the buffer back.
-func (x *Exchange) shut() {
-	if x.r != nil && x.r.Size() == bufSize {
-		x.r.Reset(nil)
-		readers.Put(x.r)
+// closeConn closes the connection, if there is one, and returns the buffer to its pool.
+func (x *Exchange) closeConn() {
+	if x.reader != nil && x.reader.Size() == bufferSize {
+		x.reader.Reset(nil)
+		readerPool.Put(x.reader)
 	}
-	x.r = nil
-	if x.c != nil {
-		x.c.release()
-		x.p.drop(x.c)
-		x.c = nil
+	x.reader = nil
+	if x.conn != nil {
+		x.conn.releaseCaller()
+		x.pool.discard(x.conn)
+		x.conn = nil
 	}
 }
 
-// await reads heads until one is this request's.
-func (x *Exchange) await(n adapter.Names) error {
+// awaitAnswer reads headers until it finds the one that answers this request.
+func (x *Exchange) awaitAnswer(names adapter.Names) error {
 	surplus, interim := 0, 0
 	for {
-		if err := x.head(); err != nil {
+		if err := x.readHeader(); err != nil {
 			return err
 		}
-		h := &x.Response.Header
-		s := h.StatusCode()
-		if s < 200 {
-			if interim++; interim > interimMost || s == fasthttp.StatusSwitchingProtocols {
-				return fmt.Errorf("upstream: an interim answer %d too many", s)
+		header := &x.Response.Header
+		status := header.StatusCode()
+		if status < 200 {
+			if interim++; interim > maxInterimAnswers || status == fasthttp.StatusSwitchingProtocols {
+				return fmt.Errorf("upstream: unexpected interim answer %d", status)
 			}
 			continue
 		}
-		ids := h.PeekAll(n.Try)
+		ids := header.PeekAll(names.Try)
 		if len(ids) > 1 {
-			return fmt.Errorf("upstream: an answer of %d ids", len(ids))
+			return fmt.Errorf("upstream: answer has %d attempt ids", len(ids))
 		}
-		x.body = body{left: h.ContentLength()}
-		if s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
-			x.body.left = 0
+		x.body = body{remaining: header.ContentLength()}
+		if status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
+			x.body.remaining = 0
 		}
-		if len(ids) == 1 && string(ids[0]) != x.o.ID {
-			if surplus++; surplus > surplusMost {
+		if len(ids) == 1 && string(ids[0]) != x.dispatch.ID {
+			if surplus++; surplus > maxSurplusAnswers {
 				return fmt.Errorf("upstream: %d surplus answers, the last for %q", surplus, ids[0])
 			}
-			if _, err := io.Copy(io.Discard, x.rest()); err != nil {
+			if _, err := io.Copy(io.Discard, x.bodyReader()); err != nil {
 				return err
 			}
-			if h.ConnectionClose() {
-				return fmt.Errorf("upstream: closed behind an answer for %q", ids[0])
+			if header.ConnectionClose() {
+				return fmt.Errorf("upstream: connection closes after an answer for %q", ids[0])
 			}
 			continue
 		}
-		return x.judge(n, s, len(ids) == 1)
+		return x.classify(names, status, len(ids) == 1)
 	}
 }
 
-// judge says what an answer means that is no other request's. A success without the id is never passed on.
-func (x *Exchange) judge(n adapter.Names, s int, named bool) error {
-	h := &x.Response.Header
-	head := x.o.Request.Header.IsHead()
-	if head {
-		x.body.left = 0
+// classify determines the outcome of an answer that doesn't belong to another request. A success without an attempt id is
+// never passed on.
+func (x *Exchange) classify(names adapter.Names, status int, hasID bool) error {
+	header := &x.Response.Header
+	isHead := x.dispatch.Request.Header.IsHead()
+	if isHead {
+		x.body.remaining = 0
 	}
-	x.length = x.body.left
-	x.keep = !h.ConnectionClose() && !head && !x.early // a surplus answer to HEAD could not be measured
+	x.length = x.body.remaining
+	// After HEAD the length of a surplus answer would be unknown.
+	x.keepAlive = !header.ConnectionClose() && !isHead && !x.closedEarly
 	switch {
-	case !named && x.Reused: // it may be the surplus refusal of an earlier request
-		return fmt.Errorf("upstream: an answer %d without an id on a connection that others used", s)
-	case s == fasthttp.StatusMisdirectedRequest:
-		x.Outcome, x.keep = WorkerReplaced, false
-		x.Err = errors.New("upstream: another worker is there now")
-	case (s == 400 || s == 429 || s == 503) && len(h.Peek(n.NotRun)) > 0:
+	case !hasID && x.Reused: // it may be the surplus refusal of an earlier request
+		return fmt.Errorf("upstream: answer %d without an attempt id on a reused connection", status)
+	case status == fasthttp.StatusMisdirectedRequest:
+		x.Outcome, x.keepAlive = WorkerReplaced, false
+		x.Err = errors.New("upstream: another worker listens at this address")
+	case (status == 400 || status == 429 || status == 503) && len(header.Peek(names.NotRun)) > 0:
 		x.Outcome = NotRun
-		x.Err = fmt.Errorf("upstream: worker refused with %d", s)
-	case !named:
-		return fmt.Errorf("upstream: an answer %d without an id", s)
-	case x.body.left < -1:
-		return fmt.Errorf("upstream: an answer %d whose end can't be known", s)
+		x.Err = fmt.Errorf("upstream: worker refused the request with status %d", status)
+	case !hasID:
+		return fmt.Errorf("upstream: answer %d without an attempt id", status)
+	case x.body.remaining < -1:
+		return fmt.Errorf("upstream: answer %d without a length or chunked encoding", status)
 	}
 	return nil
 }
 
-// head reads one head; what can't become one is known at its first bytes.
-func (x *Exchange) head() error {
-	const mark = "HTTP/1."
-	for i := range len(mark) {
-		b, err := x.r.Peek(i + 1)
+// readHeader reads one header. Bytes that can't be the start of one are rejected at once, without waiting for more.
+func (x *Exchange) readHeader() error {
+	const protocol = "HTTP/1."
+	for i := range len(protocol) {
+		b, err := x.reader.Peek(i + 1)
 		if err != nil {
 			return err
 		}
-		if b[i] != mark[i] {
-			return fmt.Errorf("upstream: bytes that are no answer: %q", b)
+		if b[i] != protocol[i] {
+			return fmt.Errorf("upstream: not an HTTP answer: %q", b)
 		}
 	}
-	var small *fasthttp.ErrSmallBuffer
-	err := x.Response.Header.Read(x.r)
-	if errors.As(err, &small) {
-		x.r = bufio.NewReaderSize(x.r, headMost)
-		err = x.Response.Header.Read(x.r)
+	var smallBuffer *fasthttp.ErrSmallBuffer
+	err := x.Response.Header.Read(x.reader)
+	if errors.As(err, &smallBuffer) {
+		x.reader = bufio.NewReaderSize(x.reader, maxHeaderBytes)
+		err = x.Response.Header.Read(x.reader)
 	}
 	return err
 }
 
-// drain takes a refusal's body, so that the connection can be used again; it waits for little.
-func (x *Exchange) drain() {
-	if x.length < -1 || x.length > smallMost {
+// drainBody reads a refusal's body, if it is small and comes soon, so that the connection can be reused.
+func (x *Exchange) drainBody() {
+	if x.length < -1 || x.length > maxRefusalBytes {
 		return
 	}
-	x.c.readUntil(earlier(x.c.due, time.Now().Add(drainFor)))
-	b, err := io.ReadAll(io.LimitReader(x.rest(), smallMost+1))
-	if err == nil && x.body.ended() {
+	x.conn.limitReads(earlier(x.conn.deadline, time.Now().Add(drainTimeout)))
+	b, err := io.ReadAll(io.LimitReader(x.bodyReader(), maxRefusalBytes+1))
+	if err == nil && x.body.complete() {
 		x.Response.SetBody(b)
 	}
 }
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -10,180 +10,180 @@
 	"seamshunt/internal/socket"
 )
 
-// SendOnceMaxIdle is how long a connection may have been idle for what may not be sent twice.
+// SendOnceMaxIdle is how long a connection may have been idle to be used for a request that must not be sent twice.
 const SendOnceMaxIdle = 300 * time.Millisecond
 
 const (
-	idleFor   = 4 * time.Second // without a Keep-Alive in the answer
-	idleLeast = 500 * time.Millisecond
+	defaultIdleTime = 4 * time.Second // without a Keep-Alive in the answer
+	minIdleTime     = 500 * time.Millisecond
 )
 
-// ErrNoConn says that this node has as many connections to the worker as it may.
-var ErrNoConn = errors.New("upstream: no connection to this worker is free")
+// ErrNoConn reports that the limit of connections to the worker is reached and all are in use.
+var ErrNoConn = errors.New("upstream: all connections to the worker are in use")
 
-// Pool holds idle connections to workers, each belonging to one worker id: another worker may come to listen at the
-// same address (design 8 and 11). Idle ones hold no buffers.
+// Pool holds idle connections to workers. Each belongs to one worker id, since another worker may later listen at the same
+// address (docs/design.md, sections 8 and 11). Idle connections hold no buffers.
 type Pool struct {
-	Stats Stats
-	n     adapter.Names
-	mu    sync.Mutex
-	hosts map[string]*host
+	Stats   Stats
+	names   adapter.Names
+	mu      sync.Mutex
+	workers map[string]*workerConns
 }
 
-// host is one worker: idle connections, the newest last, and how many are open in all.
-type host struct {
-	addr string
-	open int
-	era  int // a connection of an older one is closed when it comes back
-	idle []*conn
+// workerConns is the connections to one worker.
+type workerConns struct {
+	addr       string
+	openCount  int     // idle or in use
+	generation int     // connections of an older generation are closed when they come back
+	idle       []*conn // the most recently used last
 }
 
-// NewPool makes an empty one.
-func NewPool(n adapter.Names) *Pool { return &Pool{n: n, hosts: map[string]*host{}} }
+// NewPool returns an empty pool.
+func NewPool(n adapter.Names) *Pool { return &Pool{names: n, workers: map[string]*workerConns{}} }
 
-// Idle gives how many connections to a worker wait for use.
+// Idle returns the number of idle connections to a worker.
 func (p *Pool) Idle(worker string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[worker]; h != nil {
-		return len(h.idle)
+	if conns := p.workers[worker]; conns != nil {
+		return len(conns.idle)
 	}
 	return 0
 }
 
-// Dials gives the connections made so far.
+// Dials returns the number of connections made so far.
 func (p *Pool) Dials() uint64 { return p.Stats.Connected.Load() }
 
-// CloseIdle closes the idle connections of a worker that is gone; those in use close after their answer.
+// CloseIdle closes the idle connections of a removed worker. Those in use are closed after their answer.
 func (p *Pool) CloseIdle(worker string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[worker]; h != nil {
-		h.empty()
-		p.tidy(worker, h)
+	if conns := p.workers[worker]; conns != nil {
+		conns.closeIdle()
+		p.removeUnused(worker, conns)
 	}
 }
 
-// CloseExpired closes the idle connections that are past their time.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for worker, h := range p.hosts {
-		kept := h.idle[:0]
-		for _, c := range h.idle {
-			if now.Before(c.until) {
+	for worker, conns := range p.workers {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				h.close(c)
+				conns.closeConn(c)
 			}
 		}
-		clear(h.idle[len(kept):])
-		h.idle = kept
-		p.tidy(worker, h)
+		clear(conns.idle[len(kept):])
+		conns.idle = kept
+		p.removeUnused(worker, conns)
 	}
 }
 
-func (p *Pool) tidy(worker string, h *host) {
-	if h.open == 0 {
-		delete(p.hosts, worker)
+func (p *Pool) removeUnused(worker string, conns *workerConns) {
+	if conns.openCount == 0 {
+		delete(p.workers, worker)
 	}
 }
 
-func (h *host) close(c *conn) {
+func (w *workerConns) closeConn(c *conn) {
 	c.Close()
-	h.open--
+	w.openCount--
 }
 
-func (h *host) empty() {
-	for _, c := range h.idle {
-		h.close(c)
+func (w *workerConns) closeIdle() {
+	for _, c := range w.idle {
+		w.closeConn(c)
 	}
-	h.idle = nil
-	h.era++
+	w.idle = nil
+	w.generation++
 }
 
-// pop takes the newest idle connection, if it may be used. Callers hold the lock.
-func (h *host) pop(o *Dispatch, now time.Time) *conn {
-	for len(h.idle) > 0 {
-		i := len(h.idle) - 1
-		c := h.idle[i]
-		if o.SendOnce && now.Sub(c.at) > SendOnceMaxIdle {
+// takeIdle takes the most recently used idle connection, if it may be used for the dispatch. Callers hold the pool's lock.
+func (w *workerConns) takeIdle(dispatch *Dispatch, now time.Time) *conn {
+	for len(w.idle) > 0 {
+		i := len(w.idle) - 1
+		c := w.idle[i]
+		if dispatch.SendOnce && now.Sub(c.lastReadAt) > SendOnceMaxIdle {
 			return nil
 		}
-		h.idle[i], h.idle = nil, h.idle[:i]
-		if now.Before(c.until) && !c.ids.has(o.ID) { // a surplus answer would bear the same id
+		w.idle[i], w.idle = nil, w.idle[:i]
+		if now.Before(c.idleUntil) && !c.recentIDs.has(dispatch.ID) { // a surplus answer would carry the same id
 			return c
 		}
-		h.close(c)
+		w.closeConn(c)
 	}
 	return nil
 }
 
-// take gives a connection to the order's worker: an idle one that is well or, with fresh, a new one.
-func (p *Pool) take(ctx context.Context, o *Dispatch, fresh bool) (c *conn, reused bool, err error) {
+// acquire returns a connection to the dispatch's worker: an idle one that is in order, or else, or with forceNew, a new one.
+func (p *Pool) acquire(ctx context.Context, dispatch *Dispatch, forceNew bool) (c *conn, reused bool, err error) {
 	now := time.Now()
 	for {
 		p.mu.Lock()
-		h := p.hosts[o.Worker]
-		if h == nil {
-			h = &host{addr: o.Addr}
-			p.hosts[o.Worker] = h
+		conns := p.workers[dispatch.Worker]
+		if conns == nil {
+			conns = &workerConns{addr: dispatch.Addr}
+			p.workers[dispatch.Worker] = conns
 		}
-		if h.addr != o.Addr {
-			h.empty()
-			h.addr = o.Addr
+		if conns.addr != dispatch.Addr {
+			conns.closeIdle()
+			conns.addr = dispatch.Addr
 		}
-		if !fresh {
-			if c = h.pop(o, now); c != nil {
+		if !forceNew {
+			if c = conns.takeIdle(dispatch, now); c != nil {
 				p.mu.Unlock()
 				if socket.Peek(c.Conn) == socket.Quiet {
 					return c, true, nil
 				}
-				p.drop(c)
+				p.discard(c)
 				continue
 			}
 		}
-		if o.MaxConns > 0 && h.open >= o.MaxConns {
-			if len(h.idle) == 0 {
+		if dispatch.MaxConns > 0 && conns.openCount >= dispatch.MaxConns {
+			if len(conns.idle) == 0 {
 				p.mu.Unlock()
 				return nil, false, ErrNoConn
 			}
-			h.close(h.idle[0])
-			h.idle = append(h.idle[:0], h.idle[1:]...)
+			conns.closeConn(conns.idle[0])
+			conns.idle = append(conns.idle[:0], conns.idle[1:]...)
 		}
-		h.open++
-		era := h.era
+		conns.openCount++
+		generation := conns.generation
 		p.mu.Unlock()
-		if c, err = p.dial(ctx, o); err != nil {
+		if c, err = p.dial(ctx, dispatch); err != nil {
 			p.mu.Lock()
-			h.open--
-			p.tidy(o.Worker, h)
+			conns.openCount--
+			p.removeUnused(dispatch.Worker, conns)
 			p.mu.Unlock()
 			return nil, false, err
 		}
-		c.host, c.worker, c.era = h, o.Worker, era
+		c.pooled, c.worker, c.generation = conns, dispatch.Worker, generation
 		return c, false, nil
 	}
 }
 
-// put takes a connection back that may be used again until a time.
-func (p *Pool) put(c *conn, until time.Time) {
+// putBack returns a connection to the pool, where it may be reused until the given time.
+func (p *Pool) putBack(c *conn, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := c.host; c.era == h.era && time.Now().Before(until) {
-		c.until = until
-		h.idle = append(h.idle, c)
+	if conns := c.pooled; c.generation == conns.generation && time.Now().Before(until) {
+		c.idleUntil = until
+		conns.idle = append(conns.idle, c)
 		return
 	}
-	c.host.close(c)
-	p.tidy(c.worker, c.host)
+	c.pooled.closeConn(c)
+	p.removeUnused(c.worker, c.pooled)
 }
 
-// drop closes a connection that is not to be used again.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection that must not be reused.
+func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.host.close(c)
-	p.tidy(c.worker, c.host)
+	c.pooled.closeConn(c)
+	p.removeUnused(c.worker, c.pooled)
 }
--- a/internal/router/upstream/send.go
+++ b/internal/router/upstream/send.go
@@ -10,32 +10,32 @@
 )
 
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufSize) }}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufSize) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
-// send writes header and body by themselves: Request.Write would make path and host anew from a parsed URI.
+// send writes header and body directly, since Request.Write would rebuild path and host from a parsed URI.
 func (x *Exchange) send() error {
-	h, b := &x.o.Request.Header, x.o.Request.Body()
-	h.SetNoDefaultContentType(true)
-	if len(b) > 0 || !h.IsGet() && !h.IsHead() || h.ContentLength() > 0 || len(h.Peek(fasthttp.HeaderTransferEncoding)) > 0 {
-		h.SetContentLength(len(b))
+	header, body := &x.dispatch.Request.Header, x.dispatch.Request.Body()
+	header.SetNoDefaultContentType(true)
+	if len(body) > 0 || !header.IsGet() && !header.IsHead() || header.ContentLength() > 0 || len(header.Peek(fasthttp.HeaderTransferEncoding)) > 0 {
+		header.SetContentLength(len(body))
 	}
-	w := writers.Get().(*bufio.Writer)
-	w.Reset(x.c)
-	err := h.Write(w)
+	w := writerPool.Get().(*bufio.Writer)
+	w.Reset(x.conn)
+	err := header.Write(w)
 	if err == nil {
-		_, err = w.Write(b)
+		_, err = w.Write(body)
 	}
 	if err == nil {
 		err = w.Flush()
 	}
 	w.Reset(nil)
-	writers.Put(w)
+	writerPool.Put(w)
 	return err
 }
 
-// refusedToRead says whether a write failed because the worker closed or reset the connection.
-func refusedToRead(err error) bool {
+// closedByWorker reports whether a write failed because the worker closed or reset the connection.
+func closedByWorker(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
