--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -43,7 +43,7 @@
 // write has some members hold a newer value of a key.
 func (g *group) write(key string, n uint64, at ...units.Node) {
 	for _, id := range at {
-		g.copies[id][key] = &register.State{Accepted: units.Epoch{N: n, By: 1}, Seq: 1, Num: units.Num(n), Body: []byte(key)}
+		g.copies[id][key] = &register.State{Accepted: units.Epoch{N: n, By: 1}, Seq: 1, Version: units.Num(n), Body: []byte(key)}
 	}
 }
 
--- a/internal/control/controller/adapter_calls.go
+++ b/internal/control/controller/adapter_calls.go
@@ -79,10 +79,10 @@
 	if r.Code != codes.OK {
 		return nil, 0, r.Code
 	}
-	if r.Num == 0 {
+	if r.Version == 0 {
 		return nil, 0, codes.NotFound
 	}
-	ver, _ := c.versionOf(r.Num, r.Data)
+	ver, _ := c.versionOf(r.Version, r.Data)
 	return r.Data, ver, codes.OK
 }
 
@@ -99,8 +99,8 @@
 	if r.Code != codes.OK {
 		return 0, nil, 0, r.Code
 	}
-	ver, _ = c.versionOf(r.Num, r.Data)
-	return r.Num, r.Data, ver, codes.OK
+	ver, _ = c.versionOf(r.Version, r.Data)
+	return r.Version, r.Data, ver, codes.OK
 }
 
 // put takes a whole configuration.
@@ -152,9 +152,9 @@
 		}
 		return codes.BadConfig, []*codes.Fault{{Code: codes.BadConfig, Text: fmt.Sprintf("version %d is not above %d, which is in force", next.Version, ver)}}
 	}
-	r := c.record(ctx, register.Request{Key: keyConfig, Expect: num, RequestID: requestID, Data: data})
-	if r.Code == codes.OK && r.Num == num+1 {
-		c.taken.note(r.Num, next)
+	r := c.record(ctx, register.Request{Key: keyConfig, ExpectedVersion: num, RequestID: requestID, Data: data})
+	if r.Code == codes.OK && r.Version == num+1 {
+		c.taken.note(r.Version, next)
 	}
 	return r.Code, nil
 }
@@ -171,14 +171,14 @@
 // outcome asks whether a change was taken that builds on a version which is not in force: OK if it was; Conflict if it
 // was not; Forgotten if it may have been, but so many changes ago that its outcome is no longer kept.
 func (c *Controller) outcome(ctx context.Context, requestID string, lowest units.Num) codes.Code {
-	return c.Submit(ctx, register.Request{Key: keyConfig, Write: true, Lookup: true, Expect: lowest, RequestID: requestID}).Code
+	return c.Submit(ctx, register.Request{Key: keyConfig, Write: true, Lookup: true, ExpectedVersion: lowest, RequestID: requestID}).Code
 }
 
 // unchanged acknowledges an order that would leave the configuration as it is under a number, once a majority has
 // confirmed that this number is still in force.
 func (c *Controller) unchanged(ctx context.Context, num units.Num) codes.Code {
 	r := c.Submit(ctx, register.Request{Key: keyConfig})
-	if r.Code == codes.OK && r.Num != num {
+	if r.Code == codes.OK && r.Version != num {
 		return codes.Conflict
 	}
 	return r.Code
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -45,15 +45,15 @@
 	polled          poll
 	catalogMu       sync.Mutex // last in the lock order but for the disk queue
 	catalog         *discovery.Catalog
-	seeds           register.Seeds      // where voters are founded from seeds and grow
-	planner         register.Planner    // which replicas the quorum set is to have
-	shortfall       shortfall           // what the set does not bear of what the settings ask for; under replicaMu
-	born            []string            // the seeds that the disk bears
-	heir            bool                // a damaged file was set aside on this disk
-	audit           chan entry          // to the one writer of the audit record
-	missed          atomic.Uint64       // acknowledged changes that the audit record lacks
-	syncer          *antientropy.Syncer // under replicaMu
-	adapter         *adapter.Adapter    // the outside world's names and formats; nil for the product's own
+	seeds           register.SeedBootstrap // where voters are founded from seeds and grow
+	planner         register.Planner       // which replicas the quorum set is to have
+	shortfall       shortfall              // what the set does not bear of what the settings ask for; under replicaMu
+	born            []string               // the seeds that the disk bears
+	heir            bool                   // a damaged file was set aside on this disk
+	audit           chan entry             // to the one writer of the audit record
+	missed          atomic.Uint64          // acknowledged changes that the audit record lacks
+	syncer          *antientropy.Syncer    // under replicaMu
+	adapter         *adapter.Adapter       // the outside world's names and formats; nil for the product's own
 	door            fasthttp.RequestHandler
 	taken           versions
 	zoneOrders      zoneOrders
@@ -79,7 +79,7 @@
 	c.polled.stoodStill = c.StoodStill
 	c.seeds, c.born = founding(b, a.Live()), born(a.Live())
 	c.Flag(membership.Counts, b.Counts || !b.Grow)
-	c.Flag(membership.First, b.Grow && c.seeds.First)
+	c.Flag(membership.First, b.Grow && c.seeds.Participates)
 	if book != nil && book.Control != nil {
 		c.door = book.Control(c.Control())
 	}
@@ -101,7 +101,7 @@
 	}
 	c.Woke = func(now units.Time) {
 		c.leaseMu.Lock()
-		c.lease.Drop()
+		c.lease.Resign()
 		c.leaseMu.Unlock()
 		c.replicaMu.Lock()
 		c.replica.Resume(now)
@@ -111,7 +111,7 @@
 	c.Refused = func(now units.Time, l []units.Node) {
 		c.leaseMu.Lock()
 		for _, n := range l {
-			c.lease.Gone(now, n)
+			c.lease.HolderStopped(now, n)
 		}
 		c.leaseMu.Unlock()
 	}
@@ -130,7 +130,7 @@
 	c.Feed.Stored = func() map[string]units.Num {
 		c.replicaMu.Lock()
 		defer c.replicaMu.Unlock()
-		return c.replica.VouchNumbers()
+		return c.replica.KnownVersions()
 	}
 	return c, nil
 }
@@ -202,7 +202,7 @@
 	}
 	for _, x := range news {
 		c.FeedMu.Lock()
-		out := c.Feed.Spread(now, configpush.Item{Key: x.Key, Num: x.Num, Data: x.Data}, to)
+		out := c.Feed.Spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: x.Data}, to)
 		c.FeedMu.Unlock()
 		c.Deliver(out)
 	}
@@ -215,7 +215,7 @@
 	low, full := c.tryDisk(now)
 	c.Flag(membership.Full, full)
 	c.Flag(membership.Draining, c.leaving.Load())
-	look := register.ViewCore(all)
+	look := register.NewControllerView(all)
 	c.FeedMu.Lock()
 	told, fresh := c.Feed.Items[register.KeyQuorum], c.Feed.Fresh
 	c.Feed.Fresh = nil
@@ -226,7 +226,7 @@
 	if told != nil {
 		c.Deliver(c.replica.LearnQuorum(told.Data))
 	}
-	c.replica.SetEligible(look.Eligible, look.Leaving...)
+	c.replica.SetEligible(look.Eligible, look.Draining...)
 	c.voting(now, look)
 	out := c.replica.Tick(now)
 	c.claims.Low = low
@@ -234,7 +234,7 @@
 	c.syncer.SetHealthy(!unfit)
 	out.Join(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
 	voter := c.replica.Quorum().Has(c.Self)
-	seat := c.planner.SeatUntil(c.replica.MajorityHeard(now))
+	seat := c.planner.SeatValidUntil(c.replica.LastMajorityContact(now))
 	news := c.drain()
 	c.Deliver(out)
 	c.replicaMu.Unlock()
@@ -242,7 +242,7 @@
 	c.Flag(membership.Unfit, unfit)
 	c.spread(now, news)
 	c.leaseMu.Lock()
-	c.lease.KeepSeat(seat)
+	c.lease.SetSeatExpiry(seat)
 	d := c.lease.Tick(now, voter && !c.leaving.Load())
 	c.leaseMu.Unlock()
 	c.Deliver(d)
--- a/internal/control/controller/evacuation.go
+++ b/internal/control/controller/evacuation.go
@@ -60,10 +60,10 @@
 		if !o.mayChange && !bytes.Equal(o.state, o.wanted) {
 			return codes.Unsure
 		}
-		r := c.record(ctx, register.Request{Key: o.key, Expect: o.num, Data: o.wanted})
+		r := c.record(ctx, register.Request{Key: o.key, ExpectedVersion: o.num, Data: o.wanted})
 		switch r.Code {
 		case codes.OK:
-			c.learn(configpush.Item{Key: o.key, Num: r.Num, Data: o.wanted})
+			c.learn(configpush.Item{Key: o.key, Num: r.Version, Data: o.wanted})
 			return codes.OK
 		case codes.Conflict:
 		default:
@@ -98,7 +98,7 @@
 // newestZoneState reads the state that a majority confirms.
 func (c *Controller) newestZoneState(ctx context.Context, o *zoneOrder) codes.Code {
 	r := c.Submit(ctx, register.Request{Key: o.key})
-	o.num, o.state = r.Num, r.Data
+	o.num, o.state = r.Version, r.Data
 	return r.Code
 }
 
--- a/internal/control/controller/grow_test.go
+++ b/internal/control/controller/grow_test.go
@@ -27,7 +27,7 @@
 		}
 		defer o.log.Close()
 		f := founding(b, o.log.Live())
-		return f.First, f.Addrs
+		return f.Participates, f.SeedAddrs
 	}
 	first := []string{"a", "b", "c"}
 	if ok, l := look(&boot.Boot{Data: dir, Grow: true, First: true, Counts: true, Seeds: first}); !ok || !slices.Equal(l, first) {
--- a/internal/control/controller/held_order_test.go
+++ b/internal/control/controller/held_order_test.go
@@ -54,7 +54,7 @@
 	for round, out := range []bool{true, false, true, false} {
 		setZone(t, cs[0], out)
 		held, _ := stateOf(t, cs[0])
-		opposite := register.Request{Key: node.ZonePrefix + lateZone, Expect: held, Data: []byte(stateText(!out))}
+		opposite := register.Request{Key: node.ZonePrefix + lateZone, ExpectedVersion: held, Data: []byte(stateText(!out))}
 		setZone(t, cs[1+round%2], out)
 		code := sure(t, func() (codes.Code, []*codes.Fault) {
 			ctx, release := answerTime(register.AnswerTimeout)
--- a/internal/control/controller/late_order_test.go
+++ b/internal/control/controller/late_order_test.go
@@ -75,7 +75,7 @@
 		ctx, release := answerTime(register.AnswerTimeout)
 		defer release()
 		r := c.Submit(ctx, register.Request{Key: node.ZonePrefix + lateZone})
-		num, state = r.Num, string(r.Data)
+		num, state = r.Version, string(r.Data)
 		return r.Code, nil
 	})
 	return num, state
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -86,10 +86,10 @@
 
 // founding says how this node takes part in a founding from seeds. Without a disk that counts only this very process
 // can be of the first start.
-func founding(b *boot.Boot, rs []message.Record) register.Seeds {
-	s := register.Seeds{Addr: b.Addr, Addrs: born(rs), First: len(born(rs)) > 0}
+func founding(b *boot.Boot, rs []message.Record) register.SeedBootstrap {
+	s := register.SeedBootstrap{Addr: b.Addr, SeedAddrs: born(rs), Participates: len(born(rs)) > 0}
 	if !b.Counts {
-		s.Addrs, s.First = b.Seeds, b.First
+		s.SeedAddrs, s.Participates = b.Seeds, b.First
 	}
 	return s
 }
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -56,11 +56,11 @@
 		c.result(ctx, r)
 		return
 	}
-	p.num = r.Num
+	p.num = r.Version
 	var d config.Plan
 	if next != nil {
 		var old *config.Config
-		if r.Num > 0 {
+		if r.Version > 0 {
 			old, _ = c.compile(r.Data)
 		}
 		d = config.Compare(old, next, c.known)
@@ -189,7 +189,7 @@
 		p := x.(*plan)
 		within, done := answerTime(register.RequestTimeout)
 		defer done()
-		c.change(within, ctx, register.Request{Key: p.key, Expect: p.num, RequestID: id, Data: p.data})
+		c.change(within, ctx, register.Request{Key: p.key, ExpectedVersion: p.num, RequestID: id, Data: p.data})
 		return
 	}
 	node, _, named := strings.Cut(id, "-")
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -104,7 +104,7 @@
 	data, news := c.catalog.Heard(a, l)
 	c.catalogMu.Unlock()
 	if news {
-		c.spread(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Num: a.Num, Data: data}})
+		c.spread(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: a.Num, Data: data}})
 	}
 }
 
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -9,14 +9,14 @@
 )
 
 // voting founds the first set of voters, and has it changed when it should be another; replicaMu is held.
-func (c *Controller) voting(now units.Time, look register.CoreView) {
+func (c *Controller) voting(now units.Time, look register.ControllerView) {
 	if c.Boot.Grow {
-		c.replica.FoundFromSeeds(c.seeds.Set(now, look))
+		c.replica.BootstrapFromSeeds(c.seeds.Proposal(now, look))
 	} else {
 		look.FleetExists = look.FleetExists || c.heir
-		c.replica.FoundFixed(c.Boot.Founders, look)
+		c.replica.BootstrapFixed(c.Boot.Founders, look)
 	}
-	c.replica.ChangeMembers(c.planner.Next(now, c.replica.Quorum(), look))
+	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
 	c.checkTolerance(now, look)
 }
 
@@ -32,7 +32,7 @@
 
 // checkTolerance notes what the set does not bear, and logs it once it has stood for a while. Such a set is served all the
 // same. replicaMu is held.
-func (c *Controller) checkTolerance(now units.Time, look register.CoreView) {
+func (c *Controller) checkTolerance(now units.Time, look register.ControllerView) {
 	wanted := register.Tolerance{Machines: c.Boot.LostMachines, Zones: c.Boot.LostZones}
 	text := wanted.Shortfall(c.replica.Quorum(), look)
 	if text != c.shortfall.text {
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -32,7 +32,7 @@
 	for k, s := range c.replica.States() {
 		x := a.NewObject()
 		x.Set("owner", a.NewString(c.replica.Owner(k).String()))
-		x.Set("number_here", a.NewNumberInt(int(s.Num)))
+		x.Set("number_here", a.NewNumberInt(int(s.Version)))
 		x.Set("epoch", a.NewNumberInt(int(s.Promised.N)))
 		keys.Set(k, x)
 	}
@@ -99,7 +99,7 @@
 func (c *Controller) showContact(a *fastjson.Arena, o *fastjson.Value, now units.Time) {
 	c.replicaMu.Lock()
 	reaches := c.replica.ReachesMajority(now)
-	silence, known := c.replica.MajoritySilence(now)
+	silence, known := c.replica.TimeSinceMajorityContact(now)
 	c.replicaMu.Unlock()
 	o.Set("majority_reached", jsonBool(a, reaches))
 	if known {
@@ -109,7 +109,7 @@
 
 // state names what this node's disk is to the fleet, in words for operators.
 func (c *Controller) state(v register.QuorumSet, members []membership.Member) string {
-	look := register.ViewCore(members)
+	look := register.NewControllerView(members)
 	switch {
 	case v.Has(c.Self):
 		return "voter"
@@ -117,31 +117,31 @@
 		return c.grows(v, look)
 	case v.Version > 0 || look.FleetExists || c.heir:
 		return "learner: it joins once a voter has been gone for 5 s, or one is missing"
-	case len(look.Blank) > c.Boot.Founders:
-		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Blank), c.Boot.Founders)
+	case len(look.Uninitialized) > c.Boot.Founders:
+		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Uninitialized), c.Boot.Founders)
 	}
-	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Blank), c.Boot.Founders)
+	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Uninitialized), c.Boot.Founders)
 }
 
 // grows is the same where voters are founded from seeds (design 13).
-func (c *Controller) grows(v register.QuorumSet, look register.CoreView) string {
+func (c *Controller) grows(v register.QuorumSet, look register.ControllerView) string {
 	switch {
 	case !c.Boot.Counts:
 		return "its disk does not count: it never votes"
 	case v.Version > 0 || look.FleetExists:
 		return "learner: it joins the voters"
-	case !c.seeds.First:
+	case !c.seeds.Participates:
 		return "blank, and not of the first start: it waits to hear of the fleet"
 	}
 	seen := 0
-	for _, a := range c.seeds.Addrs {
+	for _, a := range c.seeds.SeedAddrs {
 		for _, m := range look.Controllers {
 			if m.Addr == a {
 				seen++
 			}
 		}
 	}
-	return fmt.Sprintf("founding: %d of %d seeds seen", seen, len(c.seeds.Addrs))
+	return fmt.Sprintf("founding: %d of %d seeds seen", seen, len(c.seeds.SeedAddrs))
 }
 
 func jsonBool(a *fastjson.Arena, b bool) *fastjson.Value {
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -74,14 +74,14 @@
 func (c *Controller) givesUpSeat() bool {
 	c.replicaMu.Lock()
 	defer c.replicaMu.Unlock()
-	return c.replica.GivesUpSeat()
+	return c.replica.IsBeingRemoved()
 }
 
 // Drain hands keys and duty over, then leaves.
 func (c *Controller) Drain() {
 	c.leaving.Store(true)
 	c.leaseMu.Lock()
-	c.lease.Drop()
+	c.lease.Resign()
 	c.leaseMu.Unlock()
 	c.Flag(membership.Draining, true)
 	c.Tasks.Sleep(handOver) // the others take the keys over under higher epochs
@@ -102,7 +102,7 @@
 	r := c.Submit(ctx, a)
 	if r.Code == codes.OK {
 		sum := sha256.Sum256(a.Data)
-		c.note(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: a.Key, Number: uint64(r.Num), Plan: a.RequestID, SHA256: hex.EncodeToString(sum[:])})
+		c.note(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: a.Key, Number: uint64(r.Version), Plan: a.RequestID, SHA256: hex.EncodeToString(sum[:])})
 	}
 	return r
 }
--- a/internal/control/controller/web.go
+++ b/internal/control/controller/web.go
@@ -87,7 +87,7 @@
 	if r.Code != codes.OK {
 		f := &codes.Fault{Code: r.Code, Text: texts[r.Code]}
 		if r.Code == codes.Conflict {
-			f.Place = fmt.Sprintf("number %d", r.Num)
+			f.Place = fmt.Sprintf("number %d", r.Version)
 		}
 		c.fail(ctx, f)
 		return
@@ -95,7 +95,7 @@
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("code", a.NewNumberInt(int(r.Code)))
-	o.Set("number", a.NewNumberInt(int(r.Num)))
+	o.Set("number", a.NewNumberInt(int(r.Version)))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
@@ -109,11 +109,11 @@
 		c.result(ctx, r)
 		return
 	}
-	if r.Num == 0 {
+	if r.Version == 0 {
 		c.fail(ctx, &codes.Fault{Code: codes.NotFound, Text: "nothing was ever set here"})
 		return
 	}
-	ctx.Response.Header.Set("Number", strconv.FormatUint(uint64(r.Num), 10))
+	ctx.Response.Header.Set("Number", strconv.FormatUint(uint64(r.Version), 10))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(r.Data)
 }
@@ -153,7 +153,7 @@
 	}
 	within, done := answerTime(register.RequestTimeout)
 	defer done()
-	c.change(within, ctx, register.Request{Key: keyConfig, Expect: num, RequestID: operatorsID(ctx, body), Data: body})
+	c.change(within, ctx, register.Request{Key: keyConfig, ExpectedVersion: num, RequestID: operatorsID(ctx, body), Data: body})
 }
 
 // zone evacuates a zone or takes the evacuation back.
@@ -169,7 +169,7 @@
 		c.fail(ctx, f)
 		return
 	}
-	c.change(within, ctx, register.Request{Key: "zone/" + zone, Expect: num, RequestID: operatorsID(ctx, body), Data: body})
+	c.change(within, ctx, register.Request{Key: "zone/" + zone, ExpectedVersion: num, RequestID: operatorsID(ctx, body), Data: body})
 }
 
 func (c *Controller) checkZone(ctx context.Context, zone string, body []byte) *codes.Fault {
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -12,9 +12,9 @@
 
 // The messages of leases.
 const (
-	Stand = message.KindLease + iota
+	VoteRequest = message.KindLease + iota
 	Vote
-	Release
+	ReleaseVote
 )
 
 // Spans (start values). A term is counted from before the asking by the holder and from after it by the
@@ -39,21 +39,21 @@
 
 // Lease is the step machine for one duty.
 type Lease struct {
-	self   units.Node
-	Duty   string
-	Voters func() []units.Node
-	born   units.Time // since when this node may have voted for somebody it doesn't remember
-	voter  bool       // it was one of the voters when last asked
-	grant  grant
-	round  uint64
-	sent   units.Time
-	got    map[units.Node]bool
-	until  units.Time // till then the duty is ours
-	next   units.Time
-	rng    *rand.Rand
-	Ours   int                       // rounds won, for status
-	lent   map[units.Node]units.Time // till when each voter leaves its share of the duty's work to us
-	seat   units.Time                // till when this node's own share is surely nobody else's; zero: without end
+	self      units.Node
+	Duty      string
+	Voters    func() []units.Node
+	born      units.Time // since when this node may have voted for somebody it doesn't remember
+	voter     bool       // it was one of the voters when last asked
+	grant     grant
+	round     uint64
+	sent      units.Time
+	got       map[units.Node]bool
+	until     units.Time // till then the duty is ours
+	next      units.Time
+	rng       *rand.Rand
+	RoundsWon int                       // rounds won, for status
+	lent      map[units.Node]units.Time // till when each voter leaves its share of the duty's work to us
+	seat      units.Time                // till when this node's own share is surely nobody else's; zero: without end
 }
 
 // New gives a node that has voted for nobody; it abstains for a term, since it may have voted before it started.
@@ -76,7 +76,7 @@
 // with half the votes each would renew them for ever.
 func (b *Lease) lost(now units.Time, out *message.Effects) {
 	for _, n := range b.Voters() {
-		out.Send(n, Release, message.Pack(head{Round: b.round}, []byte(b.Duty)))
+		out.Send(n, ReleaseVote, message.Pack(head{Round: b.round}, []byte(b.Duty)))
 	}
 	b.round++
 	b.got = nil
@@ -110,7 +110,7 @@
 	b.round++
 	b.sent, b.got = now, map[units.Node]bool{}
 	for _, n := range b.Voters() {
-		out.Send(n, Stand, message.Pack(head{Round: b.round}, []byte(b.Duty)))
+		out.Send(n, VoteRequest, message.Pack(head{Round: b.round}, []byte(b.Duty)))
 	}
 	return out
 }
@@ -127,7 +127,7 @@
 		return out
 	}
 	switch n.Kind {
-	case Stand:
+	case VoteRequest:
 		b.joined(now)
 		ok := now >= b.born.Add(Term) && (now >= b.grant.until || b.grant.to == n.From)
 		r := head{Round: h.Round}
@@ -136,7 +136,7 @@
 			r.Ok = 1
 		}
 		out.Send(n.From, Vote, message.Pack(r, duty))
-	case Release:
+	case ReleaseVote:
 		if b.grant.to == n.From {
 			b.grant.until = min(b.grant.until, now)
 		}
@@ -154,7 +154,7 @@
 		}
 		if k > len(vs)/2 {
 			if !b.Holds(now) {
-				b.Ours++
+				b.RoundsWon++
 			}
 			b.until = max(b.until, b.sent.Add(Term-slack))
 		}
@@ -162,19 +162,19 @@
 	return out
 }
 
-// KeepSeat says till when this node's seat among the voters is surely its own; zero: without end. A voter that is cut off
+// SetSeatExpiry says till when this node's seat among the voters is surely its own; zero: without end. A voter that is cut off
 // can't know when another takes its seat, and with it its share.
-func (b *Lease) KeepSeat(until units.Time) { b.seat = until }
+func (b *Lease) SetSeatExpiry(until units.Time) { b.seat = until }
 
-// Gone frees the vote for a holder whose process is known to have ended.
-func (b *Lease) Gone(now units.Time, n units.Node) {
+// HolderStopped frees the vote for a holder whose process is known to have ended.
+func (b *Lease) HolderStopped(now units.Time, n units.Node) {
 	if b.grant.to == n {
 		b.grant.until = min(b.grant.until, now)
 	}
 }
 
-// Drop gives the duty up.
-func (b *Lease) Drop() { b.until = 0 }
+// Resign gives the duty up.
+func (b *Lease) Resign() { b.until = 0 }
 
 // Yield gives the duty up for a while, since this node can't do it now; its votes go back at once.
 func (b *Lease) Yield(now units.Time) (out message.Effects) {
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -135,7 +135,7 @@
 	if got := l.Share(now); got != 1.0/3 {
 		t.Fatalf("a seat without end has a share of %.2f", got)
 	}
-	l.KeepSeat(now.Add(Term))
+	l.SetSeatExpiry(now.Add(Term))
 	if got := l.Share(now.Add(Term - 1)); got != 1.0/3 {
 		t.Errorf("before the seat passes the share is %.2f", got)
 	}
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -28,7 +28,7 @@
 // adopt takes a newer quorum set from any message and keeps it on disk. It says whether the message is one of this
 // system; what is not changes nothing.
 func (b *Replica) adopt(q QuorumSet, out *message.Effects) bool {
-	if b.quorum.Version > 0 && q.Version > 0 && q.System != b.quorum.System {
+	if b.quorum.Version > 0 && q.Version > 0 && q.SystemID != b.quorum.SystemID {
 		out.Fail(errOtherSystem)
 		return false
 	}
@@ -59,11 +59,11 @@
 	if ver < b.quorum.Version {
 		return true
 	}
-	return key != KeyQuorum && ver < b.state(KeyQuorum).Num
+	return key != KeyQuorum && ver < b.state(KeyQuorum).Version
 }
 
 // QuorumVersion returns the version of the newest set of voters that this node knows of, adopted or only accepted.
-func (b *Replica) QuorumVersion() units.Num { return max(b.quorum.Version, b.state(KeyQuorum).Num) }
+func (b *Replica) QuorumVersion() units.Num { return max(b.quorum.Version, b.state(KeyQuorum).Version) }
 
 // voter serves Prepare, Accept and Confirm; every reply goes through the disk's queue, in order.
 func (b *Replica) voter(n message.Message, h head, key string, ver units.Num, body []byte, out *message.Effects) {
@@ -100,10 +100,10 @@
 			s.Promised = e
 			out.Writes = append(out.Writes, b.savePromise(key, s))
 		}
-		r.HN, r.HBy, r.Seq, r.Num = s.Accepted.N, uint64(s.Accepted.By), s.Seq, uint64(s.Num)
+		r.HN, r.HBy, r.Seq, r.Num = s.Accepted.N, uint64(s.Accepted.By), s.Seq, uint64(s.Version)
 		out.SendAfterSync(n.From, Promise, b.pack(r, key, s.Body))
 	case Accept:
-		x := State{Promised: e, Accepted: e, Seq: h.Seq, Num: units.Num(h.Num), Body: body}
+		x := State{Promised: e, Accepted: e, Seq: h.Seq, Version: units.Num(h.Num), Body: body}
 		if x.newer(s) {
 			*s = x
 			out.Writes = append(out.Writes, b.saveAccept(key, s))
@@ -124,21 +124,21 @@
 	return b.quorum.Has(b.self) || key == KeyQuorum && k == Accept
 }
 
-// StoredNumbers gives this disk's accepted numbers, for a starting router's vouching (design 4).
-func (b *Replica) StoredNumbers() map[string]units.Num {
+// StoredVersions gives this disk's accepted numbers, for a starting router's vouching (design 4).
+func (b *Replica) StoredVersions() map[string]units.Num {
 	m := map[string]units.Num{}
 	for k, s := range b.states {
-		if s.Num > 0 {
-			m[k] = s.Num
+		if s.Version > 0 {
+			m[k] = s.Version
 		}
 	}
 	return m
 }
 
-// VouchNumbers gives what a vouching disk answers with: its stored numbers and, for the quorum's key, the newest quorum set
+// KnownVersions gives what a vouching disk answers with: its stored numbers and, for the quorum's key, the newest quorum set
 // that this node knows of, which may have come with a message before its value was accepted here.
-func (b *Replica) VouchNumbers() map[string]units.Num {
-	numbers := b.StoredNumbers()
+func (b *Replica) KnownVersions() map[string]units.Num {
+	numbers := b.StoredVersions()
 	if v := b.QuorumVersion(); v > 0 {
 		numbers[KeyQuorum] = v
 	}
@@ -152,7 +152,7 @@
 	if s == nil || s.Accepted == (units.Epoch{}) {
 		return out
 	}
-	h := head{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Num)}
+	h := head{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Version)}
 	out.SendAfterSync(to, Accept, b.pack(h, key, s.Body))
 	return out
 }
--- a/internal/control/register/change.go
+++ b/internal/control/register/change.go
@@ -32,8 +32,8 @@
 	slices.Sort(b.wanted)
 }
 
-// GivesUpSeat says whether this replica is a member still and the set is to go on without it.
-func (b *Replica) GivesUpSeat() bool {
+// IsBeingRemoved says whether this replica is a member still and the set is to go on without it.
+func (b *Replica) IsBeingRemoved() bool {
 	if !b.quorum.Has(b.self) {
 		return false
 	}
@@ -57,7 +57,7 @@
 }
 
 func (b *Replica) writeQuorum(now units.Time, o *ownership, next QuorumSet, out *message.Effects) {
-	value := State{Seq: o.best.Seq + 1, Num: next.Version, Body: packBody(nil, next.Pack())}
+	value := State{Seq: o.best.Seq + 1, Version: next.Version, Body: packBody(nil, next.Pack())}
 	b.write(now, o, value, nil, out)
 }
 
@@ -69,7 +69,7 @@
 		t = &transfer{version: b.quorum.Version, listed: map[units.Node]bool{}, readTags: map[string]uint64{}, done: map[uint64]bool{}, listedAt: before, readAt: before}
 		b.transfer = t
 	}
-	if !b.quorum.Majority(t.listed) {
+	if !b.quorum.HasMajority(t.listed) {
 		b.askForKeys(now, t, out)
 		return
 	}
--- a/internal/control/register/cluster_test.go
+++ b/internal/control/register/cluster_test.go
@@ -61,7 +61,7 @@
 // want asks and compares.
 func (c *cluster) want(t *testing.T, what string, at units.Node, a Request, code codes.Code, num units.Num) {
 	t.Helper()
-	if r := c.ask(at, a); r.Code != code || r.Num != num {
-		t.Errorf("%s: %d, number %d; want %d, number %d", what, r.Code, r.Num, code, num)
+	if r := c.ask(at, a); r.Code != code || r.Version != num {
+		t.Errorf("%s: %d, number %d; want %d, number %d", what, r.Code, r.Version, code, num)
 	}
 }
--- a/internal/control/register/coreview.go
+++ b/internal/control/register/coreview.go
@@ -7,23 +7,23 @@
 	"seamshunt/internal/units"
 )
 
-// CoreView is what membership shows of the controllers, for owners, founders and the planner.
-type CoreView struct {
-	Eligible    []units.Node        // may own keys: a suspect may not, since a change of owner costs a round and waiting costs seconds
-	Leaving     []units.Node        // could own keys but for being about to end
-	Blank       []units.Node        // alive and without a vote
-	FleetExists bool                // somebody has heard of a fleet that stands
-	Controllers []membership.Member // the live controllers
-	Lost        map[units.Node]bool // controllers at whose address another one lives now: their disks were lost
-	departed    map[units.Node]bool // controllers that have said goodbye
-	diskless    bool                // no controller has a disk that counts: then each one counts (design 13)
+// ControllerView is what membership shows of the controllers, for owners, founders and the planner.
+type ControllerView struct {
+	Eligible      []units.Node        // may own keys: a suspect may not, since a change of owner costs a round and waiting costs seconds
+	Draining      []units.Node        // could own keys but for being about to end
+	Uninitialized []units.Node        // alive and without a vote
+	FleetExists   bool                // somebody has heard of a fleet that stands
+	Controllers   []membership.Member // the live controllers
+	Replaced      map[units.Node]bool // controllers at whose address another one lives now: their disks were lost
+	departed      map[units.Node]bool // controllers that have said goodbye
+	diskless      bool                // no controller has a disk that counts: then each one counts (design 13)
 }
 
-// ViewCore reads membership.
-func ViewCore(all []membership.Member) (l CoreView) {
-	l.Lost, l.departed, l.diskless = replaced(all), map[units.Node]bool{}, true
+// NewControllerView reads membership.
+func NewControllerView(all []membership.Member) (l ControllerView) {
+	l.Replaced, l.departed, l.diskless = replaced(all), map[units.Node]bool{}, true
 	for _, m := range all {
-		live := m.State <= membership.Suspect && !l.Lost[m.Node]
+		live := m.State <= membership.Suspect && !l.Replaced[m.Node]
 		if m.Role != membership.Controller {
 			l.FleetExists = l.FleetExists || live && m.Flags&membership.Ready != 0
 			continue
@@ -36,12 +36,12 @@
 		if usable(m) && live {
 			l.Eligible = append(l.Eligible, m.Node)
 		} else if live && m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == membership.Draining {
-			l.Leaving = append(l.Leaving, m.Node)
+			l.Draining = append(l.Draining, m.Node)
 		}
 		if m.Flags&membership.Voter != 0 {
 			l.FleetExists = true
 		} else if live {
-			l.Blank = append(l.Blank, m.Node)
+			l.Uninitialized = append(l.Uninitialized, m.Node)
 		}
 	}
 	return l
@@ -71,19 +71,19 @@
 }
 
 // others lists the replicas that are not of the set, whose disks count and can be used.
-func (l CoreView) others(q QuorumSet) []membership.Member {
+func (l ControllerView) others(q QuorumSet) []membership.Member {
 	return slices.DeleteFunc(slices.Clone(l.Controllers), func(m membership.Member) bool {
 		return q.Has(m.Node) || !l.counts(m) || !usable(m)
 	})
 }
 
 // counts says whether a controller's disk counts, or stands in for one where nobody's does.
-func (l CoreView) counts(m membership.Member) bool {
+func (l ControllerView) counts(m membership.Member) bool {
 	return l.diskless || m.Flags&membership.Counts != 0
 }
 
 // zone is where a controller is, as far as is known.
-func (l CoreView) zone(n units.Node) string {
+func (l ControllerView) zone(n units.Node) string {
 	for _, m := range l.Controllers {
 		if m.Node == n {
 			return m.Zone
@@ -93,7 +93,7 @@
 }
 
 // leaving says whether a controller has said that it will end, or has ended.
-func (l CoreView) leaving(n units.Node) bool {
+func (l ControllerView) leaving(n units.Node) bool {
 	if l.departed[n] {
 		return true
 	}
--- a/internal/control/register/found.go
+++ b/internal/control/register/found.go
@@ -17,9 +17,9 @@
 	sent units.Time
 }
 
-// FoundFixed founds the first set from the blank disks that membership shows. It does nothing unless there are exactly
+// BootstrapFixed founds the first set from the blank disks that membership shows. It does nothing unless there are exactly
 // want of them, this one included, and nobody has heard of a running fleet.
-func (b *Replica) FoundFixed(want int, l CoreView) {
+func (b *Replica) BootstrapFixed(want int, l ControllerView) {
 	if b.quorum.Version > 0 {
 		return
 	}
@@ -27,7 +27,7 @@
 		b.found = &founding{}
 	}
 	f := b.found
-	ids := slices.Clone(l.Blank)
+	ids := slices.Clone(l.Uninitialized)
 	slices.Sort(ids)
 	if l.FleetExists || len(ids) != want || !slices.Contains(ids, b.self) {
 		f.set = QuorumSet{}
@@ -39,9 +39,9 @@
 	f.lead = ids[0] == b.self
 }
 
-// FoundFromSeeds sets the first set that this node would found, none if ids is empty, and whether this node collects the
+// BootstrapFromSeeds sets the first set that this node would found, none if ids is empty, and whether this node collects the
 // votes. A disk that has voted keeps to its vote, whatever ids says (design 13).
-func (b *Replica) FoundFromSeeds(ids []units.Node, lead bool) {
+func (b *Replica) BootstrapFromSeeds(ids []units.Node, lead bool) {
 	if b.quorum.Version > 0 {
 		return
 	}
@@ -67,7 +67,7 @@
 	f.sent = now
 	for _, n := range f.set.Members {
 		if !f.got[n] {
-			out.Send(n, FoundingVote, b.pack(head{}, "", f.set.Pack()))
+			out.Send(n, BootstrapVoteRequest, b.pack(head{}, "", f.set.Pack()))
 		}
 	}
 }
@@ -82,9 +82,9 @@
 	}
 	if b.vote == nil {
 		b.vote = bytes.Clone(body)
-		out.Writes = append(out.Writes, message.Record{Kind: RecordFoundingVote, Data: b.vote})
+		out.Writes = append(out.Writes, message.Record{Kind: RecordBootstrapVote, Data: b.vote})
 	}
-	out.SendAfterSync(n.From, FoundingVoted, b.pack(head{}, "", body))
+	out.SendAfterSync(n.From, BootstrapVote, b.pack(head{}, "", body))
 }
 
 // foundCount: only when all have voted does the set stand.
--- a/internal/control/register/found_test.go
+++ b/internal/control/register/found_test.go
@@ -34,26 +34,26 @@
 		}
 	}
 	set := []units.Node{2, 3, 4}
-	m[1].FoundFromSeeds(set, true) // it doesn't vote itself
-	m[2].FoundFromSeeds(set, false)
-	m[3].FoundFromSeeds(set, false)
-	m[4].FoundFromSeeds([]units.Node{2, 4}, false) // it doesn't see 3 yet
+	m[1].BootstrapFromSeeds(set, true) // it doesn't vote itself
+	m[2].BootstrapFromSeeds(set, false)
+	m[3].BootstrapFromSeeds(set, false)
+	m[4].BootstrapFromSeeds([]units.Node{2, 4}, false) // it doesn't see 3 yet
 	if tick(); m[2].vote == nil || m[4].vote != nil || m[1].quorum.Version != 0 {
 		t.Fatal("two see the set and vote; the third doesn't")
 	}
 	delete(m, 1)
 	again := New(2, 202) // started again from its disk
-	if err := again.Load([]message.Record{{Kind: RecordFoundingVote, Data: m[2].vote}}); err != nil {
+	if err := again.Load([]message.Record{{Kind: RecordBootstrapVote, Data: m[2].vote}}); err != nil {
 		t.Fatal(err)
 	}
 	m[2] = again
-	m[2].FoundFromSeeds([]units.Node{2, 4}, true)
-	m[3].FoundFromSeeds(nil, false)
-	m[4].FoundFromSeeds([]units.Node{2, 4}, false)
+	m[2].BootstrapFromSeeds([]units.Node{2, 4}, true)
+	m[3].BootstrapFromSeeds(nil, false)
+	m[4].BootstrapFromSeeds([]units.Node{2, 4}, false)
 	if tick(); m[2].quorum.Version+m[3].quorum.Version+m[4].quorum.Version != 0 {
 		t.Fatal("a set was founded that one of it has not voted for")
 	}
-	m[4].FoundFromSeeds(set, false)
+	m[4].BootstrapFromSeeds(set, false)
 	tick()
 	for n := units.Node(2); n <= 4; n++ {
 		if v := m[n].Quorum(); v.Version != 1 || !slices.Equal(v.Members, set) {
--- a/internal/control/register/messages.go
+++ b/internal/control/register/messages.go
@@ -17,8 +17,8 @@
 	Stale
 	Forward
 	Reply
-	FoundingVote
-	FoundingVoted
+	BootstrapVoteRequest
+	BootstrapVote
 	ListKeys
 	KeyList
 	Ping
@@ -53,7 +53,7 @@
 	Promised units.Epoch
 	Accepted units.Epoch
 	Seq      uint64
-	Num      units.Num
+	Version  units.Num
 	Body     []byte // as laid out by packBody; empty before the first write
 }
 
@@ -66,7 +66,7 @@
 	RecordPromise uint8 = 2 + iota
 	RecordAccept
 	RecordQuorum
-	RecordFoundingVote
+	RecordBootstrapVote
 )
 
 type slotHead struct{ N, By, Seq, Num uint64 }
@@ -76,7 +76,7 @@
 }
 
 func (b *Replica) saveAccept(key string, s *State) message.Record {
-	h := slotHead{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Num)}
+	h := slotHead{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Version)}
 	return message.Record{Kind: RecordAccept, Key: key, Data: message.Pack(h, s.Body)}
 }
 
@@ -94,11 +94,11 @@
 			if err = message.Unpack(r.Data, &h, &s.Body); err == nil {
 				err = checkBody(r.Key, units.Num(h.Num), s.Body)
 			}
-			s.Accepted, s.Seq, s.Num = units.Epoch{N: h.N, By: units.Node(h.By)}, h.Seq, units.Num(h.Num)
+			s.Accepted, s.Seq, s.Version = units.Epoch{N: h.N, By: units.Node(h.By)}, h.Seq, units.Num(h.Num)
 			s.Promised = maxEpoch(s.Promised, s.Accepted)
 		case RecordQuorum:
 			b.quorum, err = UnpackQuorumSet(r.Data)
-		case RecordFoundingVote:
+		case RecordBootstrapVote:
 			b.vote = r.Data
 		}
 		if err != nil {
@@ -117,24 +117,24 @@
 
 // Request is a read or a conditional write of one key, by an operator or a duty.
 type Request struct {
-	Tag       uint64
-	From      units.Node
-	Key       string
-	Write     bool
-	Lookup    bool      // with Write: only asks for its outcome; it would have built on the number Expect or a later one
-	Expect    units.Num // the number it builds on; AnyNumber for whatever stands
-	RequestID string
-	Data      []byte
-	sure      bool // the owner has confirmed its epoch since this came
+	Tag             uint64
+	From            units.Node
+	Key             string
+	Write           bool
+	Lookup          bool      // with Write: only asks for its outcome; it would have built on the number Expect or a later one
+	ExpectedVersion units.Num // the number it builds on; AnyNumber for whatever stands
+	RequestID       string
+	Data            []byte
+	sure            bool // the owner has confirmed its epoch since this came
 }
 
-// AnyNumber as Request.Expect makes a write that doesn't depend on the current number.
-const AnyNumber = ^units.Num(0)
+// AnyVersion as Request.Expect makes a write that doesn't depend on the current number.
+const AnyVersion = ^units.Num(0)
 
 // Result answers the Request of the same Tag.
 type Result struct {
-	Tag  uint64
-	Code codes.Code
-	Num  units.Num
-	Data []byte
+	Tag     uint64
+	Code    codes.Code
+	Version units.Num
+	Data    []byte
 }
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -141,7 +141,7 @@
 	}
 	expect := clients.acked[key]
 	if r.pick(3) == 0 {
-		expect = AnyNumber
+		expect = AnyVersion
 	}
 	if n := r.any(); n.replica != nil {
 		r.written = append(r.written, clients.write(n, key, expect))
--- a/internal/control/register/model_checker_test.go
+++ b/internal/control/register/model_checker_test.go
@@ -151,14 +151,14 @@
 	for _, v := range n.replica.Chosen {
 		if v.Key == KeyQuorum {
 			set, err := UnpackQuorumSet(v.Data)
-			if set.Version = v.Num; err != nil {
-				k.fail("quorum set %d: %v", v.Num, err)
+			if set.Version = v.Version; err != nil {
+				k.fail("quorum set %d: %v", v.Version, err)
 			}
 			k.adopted(set)
 			continue
 		}
 		k.decidedUnder(n.replica.quorum.Version)
-		k.chosen(v.Key, v.Num, string(v.Data))
+		k.chosen(v.Key, v.Version, string(v.Data))
 	}
 	for _, r := range n.replica.Results {
 		k.clients.answered(n, r)
@@ -211,7 +211,7 @@
 		k.fail("set %d was decided without set %d", set.Version, set.Version-1)
 	}
 	holds := func(id units.Node) bool { // or did so until its disk was lost
-		return k.everDurable(id, KeyQuorum, func(s State) bool { return s.Num >= set.Version })
+		return k.everDurable(id, KeyQuorum, func(s State) bool { return s.Version >= set.Version })
 	}
 	if !decides(previous, holds) || !decides(set, holds) {
 		k.fail("set %d is in force without majorities of %+v and %+v", set.Version, previous, set)
@@ -227,7 +227,7 @@
 	for key, num := range k.highest {
 		lacks := func(id units.Node) bool {
 			n := k.cluster.node(id)
-			return n != nil && !n.lost && n.disk.states[key].Num < num
+			return n != nil && !n.lost && n.disk.states[key].Version < num
 		}
 		if decides(set, lacks) {
 			k.fail("a majority of %+v lacks number %d of %q", set, num, key)
--- a/internal/control/register/model_clients_test.go
+++ b/internal/control/register/model_clients_test.go
@@ -46,7 +46,7 @@
 func (l *modelClients) write(n *modelNode, key string, expect units.Num) string {
 	l.writes[key]++
 	id := fmt.Sprintf("%s-%d", key, l.writes[key])
-	request := Request{Key: key, Write: true, Expect: expect, RequestID: id, Data: []byte(id)}
+	request := Request{Key: key, Write: true, ExpectedVersion: expect, RequestID: id, Data: []byte(id)}
 	l.requests[id] = request
 	l.submit(n, request)
 	return id
@@ -93,7 +93,7 @@
 	if o == nil {
 		return
 	}
-	detail := fmt.Sprintf("tag %d code %v num %d data %q", r.Tag, r.Code, int64(r.Num), r.Data)
+	detail := fmt.Sprintf("tag %d code %v num %d data %q", r.Tag, r.Code, int64(r.Version), r.Data)
 	l.cluster.record(modelEvent{action: "answer", node: n.id, detail: detail})
 	switch {
 	case r.Code == codes.Conflict && o.write:
@@ -104,17 +104,17 @@
 			}
 		}
 	case r.Code == codes.OK && o.write:
-		if r.Num <= o.floor {
-			checker.fail("the write %q got number %d though %d was acknowledged before it began", o.requestID, r.Num, o.floor)
+		if r.Version <= o.floor {
+			checker.fail("the write %q got number %d though %d was acknowledged before it began", o.requestID, r.Version, o.floor)
 		}
-		checker.chosen(o.key, r.Num, o.requestID)
-		l.acked[o.key] = max(l.acked[o.key], r.Num)
+		checker.chosen(o.key, r.Version, o.requestID)
+		l.acked[o.key] = max(l.acked[o.key], r.Version)
 	case r.Code == codes.OK:
-		if r.Num < o.floor {
-			checker.fail("a read of %q got number %d though %d was acknowledged before it began", o.key, r.Num, o.floor)
+		if r.Version < o.floor {
+			checker.fail("a read of %q got number %d though %d was acknowledged before it began", o.key, r.Version, o.floor)
 		}
-		checker.chosen(o.key, r.Num, string(r.Data))
-		l.acked[o.key] = max(l.acked[o.key], r.Num)
+		checker.chosen(o.key, r.Version, string(r.Data))
+		l.acked[o.key] = max(l.acked[o.key], r.Version)
 		l.reads++
 	}
 }
--- a/internal/control/register/model_disk_test.go
+++ b/internal/control/register/model_disk_test.go
@@ -30,7 +30,7 @@
 			h, body := decodeRecord(r)
 			s.Accepted = units.Epoch{N: h.N, By: units.Node(h.By)}
 			s.Promised = maxEpoch(s.Promised, s.Accepted)
-			s.Seq, s.Num, s.Body = h.Seq, units.Num(h.Num), body
+			s.Seq, s.Version, s.Body = h.Seq, units.Num(h.Num), body
 		case RecordQuorum:
 			d.quorum, _ = UnpackQuorumSet(r.Data)
 			continue
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -20,23 +20,23 @@
 		for by := range c.replicas {
 			c.believe(by, at)
 		}
-		if r := c.ask(at, Request{Expect: units.Num(n), RequestID: id(n)}); r.Code != codes.OK || r.Num != units.Num(n)+1 {
+		if r := c.ask(at, Request{ExpectedVersion: units.Num(n), RequestID: id(n)}); r.Code != codes.OK || r.Version != units.Num(n)+1 {
 			t.Fatalf("change %d: %+v", n, r)
 		}
 	}
 	const last = MaxOutcomes + more
 	for _, lookup := range []bool{false, true} {
 		for n := range last {
-			r := c.ask(units.Node(n%3+1), Request{Lookup: lookup, Expect: units.Num(n), RequestID: id(n)})
-			if n < more && r.Code != codes.Forgotten || n >= more && (r.Code != codes.OK || r.Num != units.Num(n)+1) {
+			r := c.ask(units.Node(n%3+1), Request{Lookup: lookup, ExpectedVersion: units.Num(n), RequestID: id(n)})
+			if n < more && r.Code != codes.Forgotten || n >= more && (r.Code != codes.OK || r.Version != units.Num(n)+1) {
 				t.Fatalf("change %d again, lookup %v: %+v", n, lookup, r)
 			}
 		}
-		c.want(t, "a loser", 2, Request{Lookup: lookup, Expect: last - 1, RequestID: "x"}, codes.Conflict, last)
-		c.want(t, "the oldest loser that is known", 2, Request{Lookup: lookup, Expect: more, RequestID: "x"}, codes.Conflict, last)
-		c.want(t, "one that may have been taken", 2, Request{Lookup: lookup, Expect: more - 1, RequestID: "x"}, codes.Forgotten, last)
+		c.want(t, "a loser", 2, Request{Lookup: lookup, ExpectedVersion: last - 1, RequestID: "x"}, codes.Conflict, last)
+		c.want(t, "the oldest loser that is known", 2, Request{Lookup: lookup, ExpectedVersion: more, RequestID: "x"}, codes.Conflict, last)
+		c.want(t, "one that may have been taken", 2, Request{Lookup: lookup, ExpectedVersion: more - 1, RequestID: "x"}, codes.Forgotten, last)
 	}
-	c.want(t, "the next", 3, Request{Expect: last, RequestID: "y"}, codes.OK, last+1)
+	c.want(t, "the next", 3, Request{ExpectedVersion: last, RequestID: "y"}, codes.OK, last+1)
 	if body := c.replicas[1].states["config"].Body; len(body) > MaxOutcomes*fingerprintSize+64 {
 		t.Errorf("the body has grown to %d bytes", len(body))
 	}
@@ -48,10 +48,10 @@
 	for by := range c.replicas {
 		c.believe(by, 1)
 	}
-	c.want(t, "the first", 1, Request{Expect: 0}, codes.OK, 1)
-	c.want(t, "with an id", 2, Request{Expect: 1, RequestID: "a"}, codes.OK, 2)
-	c.want(t, "another without", 1, Request{Expect: 0}, codes.Conflict, 2)
-	c.want(t, "known", 3, Request{Expect: 1, RequestID: "a"}, codes.OK, 2)
+	c.want(t, "the first", 1, Request{ExpectedVersion: 0}, codes.OK, 1)
+	c.want(t, "with an id", 2, Request{ExpectedVersion: 1, RequestID: "a"}, codes.OK, 2)
+	c.want(t, "another without", 1, Request{ExpectedVersion: 0}, codes.Conflict, 2)
+	c.want(t, "known", 3, Request{ExpectedVersion: 1, RequestID: "a"}, codes.OK, 2)
 }
 
 // malformed bodies, by what is wrong with them; all are sent under number 2.
@@ -77,7 +77,7 @@
 		for by := range c.replicas {
 			c.believe(by, 1)
 		}
-		c.want(t, "the first", 1, Request{Expect: 0, RequestID: "a", Data: []byte("one")}, codes.OK, 1)
+		c.want(t, "the first", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, codes.OK, 1)
 		before := *c.replicas[2].states["config"]
 		note := func(k message.Kind, h head) message.Message {
 			h.N, h.By = before.Promised.N+5, 109
@@ -90,7 +90,7 @@
 		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{N: before.Promised.N + 5, By: 109}, got: map[units.Node]bool{}}
 		c.replicas[2].owned["config"] = o
 		out = c.replicas[2].Step(c.now, note(Promise, head{Ok: 1, HN: before.Promised.N + 4, Seq: 1, Num: 2}))
-		if len(out.Errs) != 1 || len(o.got) != 0 || o.best.Num != 0 {
+		if len(out.Errs) != 1 || len(o.got) != 0 || o.best.Version != 0 {
 			t.Errorf("%s: an owner counts it: %v, %+v", name, out, o)
 		}
 		record := message.Record{Kind: RecordAccept, Key: "config", Data: message.Pack(slotHead{N: 1, Seq: 1, Num: 2}, body)}
@@ -108,15 +108,15 @@
 		b.Run(fmt.Sprint(length), func(b *testing.B) {
 			c := newCluster()
 			c.believe(1, 1)
-			c.ask(1, Request{Expect: 0})
+			c.ask(1, Request{ExpectedVersion: 0})
 			data, outcomes := make([]byte, 4<<10), make(Outcomes, length)
 			for i := range outcomes {
 				outcomes[i] = fingerprintOf(fmt.Sprint(i))
 			}
 			best := &c.replicas[1].owned["config"].best
 			for b.Loop() {
-				best.Num, best.Body = number, packBody(outcomes, data)
-				if r := c.ask(1, Request{Expect: number, RequestID: "next", Data: data}); r.Code != codes.OK {
+				best.Version, best.Body = number, packBody(outcomes, data)
+				if r := c.ask(1, Request{ExpectedVersion: number, RequestID: "next", Data: data}); r.Code != codes.OK {
 					b.Fatal(r)
 				}
 			}
@@ -133,7 +133,7 @@
 		c.believe(by, 1)
 	}
 	for n := range 20 {
-		c.want(t, "a change", 1, Request{Expect: units.Num(n), RequestID: fmt.Sprint(n)}, codes.OK, units.Num(n)+1)
+		c.want(t, "a change", 1, Request{ExpectedVersion: units.Num(n), RequestID: fmt.Sprint(n)}, codes.OK, units.Num(n)+1)
 	}
 	c.replicas[3].states["config"] = &State{}
 	c.deliver(1, c.replicas[1].Resend(3, "config"))
@@ -143,5 +143,5 @@
 	delete(c.replicas, 2) // 3 is needed for a majority, and owns the key
 	c.believe(1, 3)
 	c.believe(3, 3)
-	c.want(t, "the first again", 1, Request{Expect: 0, RequestID: "0"}, codes.OK, 1)
+	c.want(t, "the first again", 1, Request{ExpectedVersion: 0, RequestID: "0"}, codes.OK, 1)
 }
--- a/internal/control/register/owner.go
+++ b/internal/control/register/owner.go
@@ -55,7 +55,7 @@
 	case preparing:
 		b.spread(o, Prepare, head{}, nil, out)
 	case writing:
-		b.spread(o, Accept, head{Seq: o.next.Seq, Num: uint64(o.next.Num)}, o.next.Body, out)
+		b.spread(o, Accept, head{Seq: o.next.Seq, Num: uint64(o.next.Version)}, o.next.Body, out)
 	case confirming:
 		b.spread(o, Confirm, head{Tag: o.tag}, nil, out)
 	case holding:
@@ -87,20 +87,20 @@
 
 // pending gives the next set of voters when o is writing one.
 func (b *Replica) pendingQuorum(o *ownership) (QuorumSet, bool) {
-	if o.key != KeyQuorum || o.phase != writing || o.next.Num <= b.quorum.Version {
+	if o.key != KeyQuorum || o.phase != writing || o.next.Version <= b.quorum.Version {
 		return QuorumSet{}, false
 	}
 	v, err := UnpackQuorumSet(Data(o.next.Body))
-	v.Version = o.next.Num
+	v.Version = o.next.Version
 	return v, err == nil
 }
 
 func (b *Replica) enough(o *ownership) bool {
-	if !b.quorum.Majority(o.got) {
+	if !b.quorum.HasMajority(o.got) {
 		return false
 	}
 	v, ok := b.pendingQuorum(o)
-	return !ok || v.Majority(o.got)
+	return !ok || v.HasMajority(o.got)
 }
 
 // counted takes a voter's reply.
@@ -134,7 +134,7 @@
 			out.Fail(err) // not a promise that can be counted: what it bears would be lost
 			return
 		}
-		x := State{Accepted: h.higher(), Seq: h.Seq, Num: units.Num(h.Num), Body: body}
+		x := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Num(h.Num), Body: body}
 		if x.newer(&o.best) {
 			o.best = x
 		}
@@ -158,9 +158,9 @@
 	switch o.phase {
 	case preparing:
 		// Whatever was found is written again under the new epoch before anything is answered.
-		s := State{Seq: 1, Num: o.best.Num, Body: o.best.Body}
-		if o.key == KeyQuorum && s.Num < b.quorum.Version {
-			s.Num, s.Body = b.quorum.Version, packBody(nil, b.quorum.Pack()) // the founders' set, or one learned since
+		s := State{Seq: 1, Version: o.best.Version, Body: o.best.Body}
+		if o.key == KeyQuorum && s.Version < b.quorum.Version {
+			s.Version, s.Body = b.quorum.Version, packBody(nil, b.quorum.Pack()) // the founders' set, or one learned since
 		}
 		b.write(now, o, s, nil, out)
 	case writing:
@@ -169,7 +169,7 @@
 		o.phase = holding
 		if a := o.asks[0]; !a.Write {
 			o.asks = o.asks[1:]
-			b.reply(a, codes.OK, o.best.Num, Data(o.best.Body), out)
+			b.reply(a, codes.OK, o.best.Version, Data(o.best.Body), out)
 		} // a write that only asked whether the key is still ours goes on
 		b.push(now, o, out)
 	}
@@ -191,11 +191,11 @@
 			out.Send(n, Reply, b.pack(head{}, "", nil)) // carries the new set
 		}
 	}
-	if o.best.Num > 0 {
-		b.Chosen = append(b.Chosen, ChosenValue{Key: o.key, Num: o.best.Num, Data: Data(o.best.Body)})
+	if o.best.Version > 0 {
+		b.Chosen = append(b.Chosen, ChosenValue{Key: o.key, Version: o.best.Version, Data: Data(o.best.Body)})
 	}
 	if a != nil {
-		b.reply(*a, codes.OK, o.best.Num, nil, out)
+		b.reply(*a, codes.OK, o.best.Version, nil, out)
 	}
 	if o.phase == holding {
 		b.serve(now, o, out)
--- a/internal/control/register/planner.go
+++ b/internal/control/register/planner.go
@@ -49,9 +49,9 @@
 	rank   int  // how many better ones there are in its zone
 }
 
-// Next gives the members that the set is to have next; nil when it is to stay as it is. It must be called regularly,
+// NextMembers gives the members that the set is to have next; nil when it is to stay as it is. It must be called regularly,
 // since it measures how long members are away.
-func (p *Planner) Next(now units.Time, q QuorumSet, view CoreView) []units.Node {
+func (p *Planner) NextMembers(now units.Time, q QuorumSet, view ControllerView) []units.Node {
 	if p.canReplace(q, view) {
 		p.changeable = now
 	}
@@ -74,7 +74,7 @@
 }
 
 // watch notes who is away, and since when.
-func (p *Planner) watch(now units.Time, q QuorumSet, view CoreView) {
+func (p *Planner) watch(now units.Time, q QuorumSet, view ControllerView) {
 	if p.awaySince == nil {
 		p.awaySince = map[units.Node]units.Time{}
 	}
@@ -104,12 +104,12 @@
 
 // split parts the members into those that count as there and those that are gone: lost with their disks, leaving, or away
 // for long. The gone ones that may come back stand first.
-func (p *Planner) split(now units.Time, q QuorumSet, view CoreView) (present, gone []units.Node) {
+func (p *Planner) split(now units.Time, q QuorumSet, view ControllerView) (present, gone []units.Node) {
 	var lost []units.Node
 	for _, n := range q.Members {
 		since, away := p.awaySince[n]
 		switch {
-		case view.Lost[n]:
+		case view.Replaced[n]:
 			lost = append(lost, n)
 		case away && (view.leaving(n) || now.Sub(since) >= p.ReplaceAfter):
 			gone = append(gone, n)
@@ -121,7 +121,7 @@
 }
 
 // candidates are the members that are there and all others whose disks count and can be used.
-func (p *Planner) candidates(now units.Time, present []units.Node, q QuorumSet, view CoreView) []candidate {
+func (p *Planner) candidates(now units.Time, present []units.Node, q QuorumSet, view ControllerView) []candidate {
 	var l []candidate
 	for _, n := range present {
 		l = append(l, candidate{node: n, zone: view.zone(n), member: true, known: true})
@@ -154,13 +154,13 @@
 }
 
 // size is how many members the next set is to have.
-func (p *Planner) size(now units.Time, q QuorumSet, candidates []candidate, gone []units.Node, view CoreView) int {
+func (p *Planner) size(now units.Time, q QuorumSet, candidates []candidate, gone []units.Node, view ControllerView) int {
 	if p.FixedSize > 0 {
 		return p.FixedSize
 	}
 	returning := 0
 	for _, n := range gone {
-		if !view.Lost[n] && !view.leaving(n) && !view.diskless && now.Sub(p.awaySince[n]) < shrinkAfter {
+		if !view.Replaced[n] && !view.leaving(n) && !view.diskless && now.Sub(p.awaySince[n]) < shrinkAfter {
 			returning++
 		}
 	}
@@ -199,7 +199,7 @@
 }
 
 // answering gives the members that can still decide: those that are there, and those that are about to leave.
-func answering(members, present []units.Node, view CoreView) []units.Node {
+func answering(members, present []units.Node, view ControllerView) []units.Node {
 	return slices.DeleteFunc(slices.Clone(members), func(n units.Node) bool {
 		return !slices.Contains(present, n) && (view.departed[n] || !view.leaving(n))
 	})
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -9,12 +9,12 @@
 )
 
 // seatView shows controllers 1 to n, each with a disk that counts.
-func seatView(n int) CoreView {
+func seatView(n int) ControllerView {
 	var all []membership.Member
 	for id := 1; id <= n; id++ {
 		all = append(all, membership.Member{Node: units.Node(id), Inc: 1, Role: membership.Controller, Addr: units.Node(id).String(), Flags: membership.Counts})
 	}
-	return ViewCore(all)
+	return NewControllerView(all)
 }
 
 // A member may count on its seat without end only while nobody could take it, and not longer than the others wait before
@@ -38,8 +38,8 @@
 		{"no majority since the start", three, 3, false, seatUnknown},
 	} {
 		p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
-		p.Next(now, c.set, seatView(c.disks))
-		if got := p.SeatUntil(now, c.known); got != c.want {
+		p.NextMembers(now, c.set, seatView(c.disks))
+		if got := p.SeatValidUntil(now, c.known); got != c.want {
 			t.Errorf("%s: the seat stands until %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -50,10 +50,10 @@
 	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
 	p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 	cut := units.Time(time.Minute)
-	p.Next(cut, set, seatView(4))
+	p.NextMembers(cut, set, seatView(4))
 	for now := cut; now < cut.Add(time.Minute); now = now.Add(50 * time.Millisecond) {
-		p.Next(now, set, seatView(1))
-		if got := p.SeatUntil(cut, true); got != cut.Add(reachFor) {
+		p.NextMembers(now, set, seatView(1))
+		if got := p.SeatValidUntil(cut, true); got != cut.Add(reachFor) {
 			t.Fatalf("%v behind the cut the seat stands until %v", now.Sub(cut), got)
 		}
 	}
--- a/internal/control/register/planner_size_test.go
+++ b/internal/control/register/planner_size_test.go
@@ -15,15 +15,15 @@
 	q := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3, 4}}
 	p := &Planner{FixedSize: 4, ReplaceAfter: ReplaceFixedAfter}
 	now := units.Time(time.Second)
-	if got := p.Next(now, q, ViewCore(all)); got != nil {
+	if got := p.NextMembers(now, q, NewControllerView(all)); got != nil {
 		t.Errorf("all are there: %v", got)
 	}
 	all[1].State = membership.Dead
-	_ = p.Next(now, q, ViewCore(all))
-	if got := p.Next(now.Add(4*time.Second), q, ViewCore(all)); got != nil {
+	_ = p.NextMembers(now, q, NewControllerView(all))
+	if got := p.NextMembers(now.Add(4*time.Second), q, NewControllerView(all)); got != nil {
 		t.Errorf("one is away for a while: %v", got)
 	}
-	if got := p.Next(now.Add(6*time.Second), q, ViewCore(all)); !slices.Equal(got, []units.Node{1, 3, 4, 5}) {
+	if got := p.NextMembers(now.Add(6*time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.Node{1, 3, 4, 5}) {
 		t.Errorf("one is gone: %v", got)
 	}
 }
@@ -33,21 +33,21 @@
 	all := []membership.Member{core(1, "a", membership.Counts), core(2, "b", membership.Counts|membership.Draining)}
 	p := &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	q := QuorumSet{Version: 1, Members: []units.Node{1, 2}}
-	if got := p.Next(units.Time(time.Second), q, ViewCore(all)); !slices.Equal(got, []units.Node{1}) {
+	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.Node{1}) {
 		t.Errorf("one of two leaves: %v", got)
 	}
 	all = append(all, core(3, "c", membership.Counts))
 	p = &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
-	if got := p.Next(units.Time(time.Second), q, ViewCore(all)); !slices.Equal(got, []units.Node{1, 3}) {
+	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.Node{1, 3}) {
 		t.Errorf("one of two leaves, and another came: %v", got)
 	}
 	q = QuorumSet{Version: 1, Members: []units.Node{2}}
-	if got := p.Next(units.Time(time.Second), q, ViewCore(all[1:])); !slices.Equal(got, []units.Node{3}) {
+	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all[1:])); !slices.Equal(got, []units.Node{3}) {
 		t.Errorf("the only one leaves, and another came: %v", got)
 	}
 	all, q = all[:2], QuorumSet{Version: 1, Members: []units.Node{1, 2}}
 	p = &Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
-	if got := p.Next(units.Time(time.Second), q, ViewCore(all)); got != nil {
+	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); got != nil {
 		t.Errorf("one of two leaves where a loss is to be borne: %v", got)
 	}
 }
--- a/internal/control/register/planner_test.go
+++ b/internal/control/register/planner_test.go
@@ -39,13 +39,13 @@
 		"no disk at all, at first":   {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 2 * time.Second, []units.Node{1, 2, 3, 4}, false},
 		"no disk at all":             {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 4 * time.Second, []units.Node{1, 2, 3, 4}, true},
 	} {
-		s := Seeds{Addr: x.at, Addrs: abc, First: true}
-		s.Set(units.Time(time.Second), ViewCore(x.all))
-		if ids, lead := s.Set(units.Time(time.Second+x.after), ViewCore(x.all)); !slices.Equal(ids, x.ids) || lead != x.lead {
+		s := SeedBootstrap{Addr: x.at, SeedAddrs: abc, Participates: true}
+		s.Proposal(units.Time(time.Second), NewControllerView(x.all))
+		if ids, lead := s.Proposal(units.Time(time.Second+x.after), NewControllerView(x.all)); !slices.Equal(ids, x.ids) || lead != x.lead {
 			t.Errorf("%s: %v %v, wanted %v %v", name, ids, lead, x.ids, x.lead)
 		}
-		s.First = false
-		if ids, lead := s.Set(units.Time(9*time.Second), ViewCore(x.all)); ids != nil || lead {
+		s.Participates = false
+		if ids, lead := s.Proposal(units.Time(9*time.Second), NewControllerView(x.all)); ids != nil || lead {
 			t.Errorf("%s: one that isn't of the first start sees %v", name, ids)
 		}
 	}
@@ -114,18 +114,18 @@
 				}
 				all = append(all, m)
 			}
-			view := ViewCore(all)
+			view := NewControllerView(all)
 			if rng.IntN(50) == 0 {
 				a, b = b, a // another owner, whose own watch ran as well
 			}
-			_ = b.Next(now, q, view)
-			members := a.Next(now, q, view)
+			_ = b.NextMembers(now, q, view)
+			members := a.NextMembers(now, q, view)
 			if members == nil {
 				continue
 			}
 			there := 0
 			for _, n := range members {
-				if q.Has(n) && (slices.Contains(view.Eligible, n) || !view.Lost[n] && now.Sub(a.awaySince[n]) < ReplaceAfter) {
+				if q.Has(n) && (slices.Contains(view.Eligible, n) || !view.Replaced[n] && now.Sub(a.awaySince[n]) < ReplaceAfter) {
 					there++
 				}
 			}
@@ -225,8 +225,8 @@
 		p := &Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 		q := QuorumSet{Version: 7, Members: x.members}
 		now := units.Time(time.Second)
-		_ = p.Next(now, q, ViewCore(x.all))
-		if got := p.Next(now.Add(x.after), q, ViewCore(x.all)); !slices.Equal(got, x.want) {
+		_ = p.NextMembers(now, q, NewControllerView(x.all))
+		if got := p.NextMembers(now.Add(x.after), q, NewControllerView(x.all)); !slices.Equal(got, x.want) {
 			t.Errorf("%s: %v, wanted %v", name, got, x.want)
 		}
 	}
--- a/internal/control/register/quorumset.go
+++ b/internal/control/register/quorumset.go
@@ -13,7 +13,7 @@
 // is joint: it is on its way from Members to Incoming, and every decision needs a majority of both.
 type QuorumSet struct {
 	Version  units.Num
-	System   uint64 // told apart by their founders; zero before the first set stands
+	SystemID uint64 // told apart by their founders; zero before the first set stands
 	Members  []units.Node
 	Incoming []units.Node
 }
@@ -31,17 +31,17 @@
 	for i, n := range members {
 		names[i] = n.String()
 	}
-	return QuorumSet{Version: 1, System: units.Mix(names...), Members: members}
+	return QuorumSet{Version: 1, SystemID: units.Mix(names...), Members: members}
 }
 
 // joint gives the set in which both the present and the wanted members decide.
 func (q QuorumSet) joint(incoming []units.Node) QuorumSet {
-	return QuorumSet{Version: q.Version + 1, System: q.System, Members: q.Members, Incoming: incoming}
+	return QuorumSet{Version: q.Version + 1, SystemID: q.SystemID, Members: q.Members, Incoming: incoming}
 }
 
 // completed gives the set that ends a joint one.
 func (q QuorumSet) completed() QuorumSet {
-	return QuorumSet{Version: q.Version + 1, System: q.System, Members: q.Incoming}
+	return QuorumSet{Version: q.Version + 1, SystemID: q.SystemID, Members: q.Incoming}
 }
 
 // Joint says whether the set is on its way to another.
@@ -63,8 +63,8 @@
 	return slices.Contains(q.Members, n) || slices.Contains(q.Incoming, n)
 }
 
-// Majority says whether got can decide: it holds a majority of the members and, in a joint set, of the incoming ones.
-func (q QuorumSet) Majority(got map[units.Node]bool) bool {
+// HasMajority says whether got can decide: it holds a majority of the members and, in a joint set, of the incoming ones.
+func (q QuorumSet) HasMajority(got map[units.Node]bool) bool {
 	return majority(q.Members, got) && (!q.Joint() || majority(q.Incoming, got))
 }
 
@@ -80,7 +80,7 @@
 
 // Pack lays the set out for messages and the disk.
 func (q QuorumSet) Pack() []byte {
-	head := quorumSetHead{uint64(q.Version), q.System}
+	head := quorumSetHead{uint64(q.Version), q.SystemID}
 	return message.Pack(head, packNodes(q.Members), packNodes(q.Incoming))
 }
 
@@ -91,7 +91,7 @@
 	if err := message.Unpack(b, &head, &members, &incoming); err != nil {
 		return QuorumSet{}, err
 	}
-	q := QuorumSet{Version: units.Num(head.Version), System: head.System}
+	q := QuorumSet{Version: units.Num(head.Version), SystemID: head.System}
 	var err error
 	if q.Members, err = unpackNodes(members); err != nil {
 		return QuorumSet{}, err
--- a/internal/control/register/reachability.go
+++ b/internal/control/register/reachability.go
@@ -55,19 +55,19 @@
 	if !b.quorum.Has(b.self) || b.reach.born == 0 || now.Sub(b.reach.born) < reachFor {
 		return true
 	}
-	silence, known := b.MajoritySilence(now)
+	silence, known := b.TimeSinceMajorityContact(now)
 	return known && silence < reachFor
 }
 
-// MajorityHeard gives when a majority of the voters had last answered; it is not known before one has.
-func (b *Replica) MajorityHeard(now units.Time) (heard units.Time, known bool) {
-	silence, known := b.MajoritySilence(now)
+// LastMajorityContact gives when a majority of the voters had last answered; it is not known before one has.
+func (b *Replica) LastMajorityContact(now units.Time) (heard units.Time, known bool) {
+	silence, known := b.TimeSinceMajorityContact(now)
 	return now.Add(-silence), known
 }
 
-// MajoritySilence gives how long ago a majority of the voters, with this one, had last answered. It is not known on a
+// TimeSinceMajorityContact gives how long ago a majority of the voters, with this one, had last answered. It is not known on a
 // node that does not vote, nor before so many have answered since its start.
-func (b *Replica) MajoritySilence(now units.Time) (silence time.Duration, known bool) {
+func (b *Replica) TimeSinceMajorityContact(now units.Time) (silence time.Duration, known bool) {
 	if !b.quorum.Has(b.self) {
 		return 0, false
 	}
--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -12,9 +12,9 @@
 
 // ChosenValue is a value that a majority has accepted, to be pushed to all nodes.
 type ChosenValue struct {
-	Key  string
-	Num  units.Num
-	Data []byte
+	Key     string
+	Version units.Num
+	Data    []byte
 }
 
 const resend = 300 * time.Millisecond
@@ -126,9 +126,9 @@
 		if b.quorum.Has(n.From) {
 			b.keysListed(now, n, v.Version, body, &out)
 		}
-	case FoundingVote:
+	case BootstrapVoteRequest:
 		b.foundVote(n, body, &out)
-	case FoundingVoted:
+	case BootstrapVote:
 		b.foundCount(n, body, &out)
 	}
 	return out
@@ -195,7 +195,7 @@
 }
 
 func (b *Replica) call(now units.Time, n message.Message, h head, key string, body []byte, out *message.Effects) {
-	a := Request{Tag: h.Tag, From: n.From, Key: key, Write: h.Write != opRead, Lookup: h.Write == opLookup, Expect: units.Num(h.Num)}
+	a := Request{Tag: h.Tag, From: n.From, Key: key, Write: h.Write != opRead, Lookup: h.Write == opLookup, ExpectedVersion: units.Num(h.Num)}
 	var plan []byte
 	if err := message.Unpack(body, &struct{}{}, &plan, &a.Data); err != nil {
 		out.Fail(err)
--- a/internal/control/register/request.go
+++ b/internal/control/register/request.go
@@ -46,7 +46,7 @@
 }
 
 func (b *Replica) send(w *pendingRequest, out *message.Effects) {
-	h := head{Tag: w.Tag, Num: uint64(w.Expect)}
+	h := head{Tag: w.Tag, Num: uint64(w.ExpectedVersion)}
 	switch {
 	case w.Lookup:
 		h.Write = opLookup
@@ -84,7 +84,7 @@
 		return
 	}
 	delete(b.requests, h.Tag)
-	b.replied(now, version, Result{Tag: h.Tag, Code: code, Num: units.Num(h.Num), Data: body}, out)
+	b.replied(now, version, Result{Tag: h.Tag, Code: code, Version: units.Num(h.Num), Data: body}, out)
 }
 
 // again says whether a wish that met an owner no longer one, or not yet one, will be sent once more: then its
--- a/internal/control/register/seeds.go
+++ b/internal/control/register/seeds.go
@@ -11,21 +11,21 @@
 // steady is how long a view must stand before it is proposed where no seed counts (start).
 const steady = 1500 * time.Millisecond
 
-// Seeds is the founding by those who know only seeds: which set is founded, and who asks for the votes (design 13).
-type Seeds struct {
-	Addr  string   // this node's own
-	Addrs []string // those of the very first start
-	First bool     // this node takes part: by its boot file, or by what its disk bears
-	view  []units.Node
-	since units.Time
+// SeedBootstrap is the founding by those who know only seeds: which set is founded, and who asks for the votes (design 13).
+type SeedBootstrap struct {
+	Addr         string   // this node's own
+	SeedAddrs    []string // those of the very first start
+	Participates bool     // this node takes part: by its boot file, or by what its disk bears
+	view         []units.Node
+	since        units.Time
 }
 
-// Set gives the set that this node sees, nothing while it sees none, and whether this node is to propose it.
-func (s *Seeds) Set(now units.Time, l CoreView) (ids []units.Node, lead bool) {
-	if !s.First || l.FleetExists || len(s.Addrs) == 0 {
+// Proposal gives the set that this node sees, nothing while it sees none, and whether this node is to propose it.
+func (s *SeedBootstrap) Proposal(now units.Time, l ControllerView) (ids []units.Node, lead bool) {
+	if !s.Participates || l.FleetExists || len(s.SeedAddrs) == 0 {
 		return nil, false
 	}
-	for _, a := range s.Addrs {
+	for _, a := range s.SeedAddrs {
 		i := slices.IndexFunc(l.Controllers, func(m membership.Member) bool { return m.Addr == a && m.State == membership.Alive })
 		if i < 0 {
 			return nil, false
@@ -55,11 +55,11 @@
 	if l.diskless {
 		span *= 2 // one that counts may not have been heard of yet
 	}
-	return ids, s.Addr == slices.Min(s.Addrs) && now.Sub(s.since) >= span
+	return ids, s.Addr == slices.Min(s.SeedAddrs) && now.Sub(s.since) >= span
 }
 
 // at gives the controller that lives at an address.
-func (l CoreView) at(addr string) units.Node {
+func (l ControllerView) at(addr string) units.Node {
 	for _, m := range l.Controllers {
 		if m.Addr == addr {
 			return m.Node
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -11,7 +11,7 @@
 // the epoch first. The other refusals need no such round: the number that the request would have got was chosen for another.
 // Nor does an OK out of the table: what stands in the table of a chosen value was chosen with it (design 2).
 func (a *Request) doubtful(newest units.Num, outcomes Outcomes) bool {
-	if a.sure || a.Expect == AnyNumber || !a.Lookup && a.Expect <= newest {
+	if a.sure || a.ExpectedVersion == AnyVersion || !a.Lookup && a.ExpectedVersion <= newest {
 		return false
 	}
 	_, known := outcomes.find(fingerprintOf(a.RequestID), newest)
@@ -23,8 +23,8 @@
 	if num, known := outcomes.find(fingerprintOf(a.RequestID), newest); known {
 		return codes.OK, num, true
 	}
-	if a.Lookup || a.Expect != AnyNumber && a.Expect != newest {
-		return outcomes.absent(a.Expect+1, newest), newest, true
+	if a.Lookup || a.ExpectedVersion != AnyVersion && a.ExpectedVersion != newest {
+		return outcomes.absent(a.ExpectedVersion+1, newest), newest, true
 	}
 	return 0, 0, false
 }
@@ -40,20 +40,20 @@
 func (b *Replica) serve(now units.Time, o *ownership, out *message.Effects) {
 	for len(o.asks) > 0 {
 		a := o.asks[0]
-		outcomes, _, err := unpackBody(o.best.Num, o.best.Body)
+		outcomes, _, err := unpackBody(o.best.Version, o.best.Body)
 		out.Fail(err) // never: it was checked when it came in
-		if !a.Write || a.doubtful(o.best.Num, outcomes) {
+		if !a.Write || a.doubtful(o.best.Version, outcomes) {
 			o.asks[0].sure = true
 			b.confirm(now, o, out)
 			return
 		}
 		o.asks = o.asks[1:]
-		if code, num, ok := a.settled(o.best.Num, outcomes); ok {
+		if code, num, ok := a.settled(o.best.Version, outcomes); ok {
 			b.reply(a, code, num, nil, out)
 			continue
 		}
 		body := packBody(outcomes.with(fingerprintOf(a.RequestID)), a.Data)
-		b.write(now, o, State{Seq: o.best.Seq + 1, Num: o.best.Num + 1, Body: body}, &a, out)
+		b.write(now, o, State{Seq: o.best.Seq + 1, Version: o.best.Version + 1, Body: body}, &a, out)
 		return
 	}
 }
--- a/internal/control/register/stale_disk_test.go
+++ b/internal/control/register/stale_disk_test.go
@@ -88,8 +88,8 @@
 
 func (g *trio) write(t *testing.T, at units.Node, n int) {
 	t.Helper()
-	r, ok := g.ask(at, Request{Write: true, Expect: units.Num(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
-	if !ok || r.Code != codes.OK || r.Num != units.Num(n) {
+	r, ok := g.ask(at, Request{Write: true, ExpectedVersion: units.Num(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
+	if !ok || r.Code != codes.OK || r.Version != units.Num(n) {
 		t.Fatalf("change %d: %+v", n, r)
 	}
 }
@@ -110,7 +110,7 @@
 	}
 	g.restart(1, 201)
 	g.believe(1)
-	if n := g.replicas[1].StoredNumbers()["config"]; n != 10 {
+	if n := g.replicas[1].StoredVersions()["config"]; n != 10 {
 		t.Fatalf("the stale disk holds number %d", n)
 	}
 	g.sent = nil
@@ -120,7 +120,7 @@
 // Without a majority a restarted owner answers nothing and passes nothing on from its disk, however often it is asked.
 func TestStaleOwnerAloneAnswersNothing(t *testing.T) {
 	g := stale(t)
-	for _, a := range []Request{{}, {Write: true, Expect: 10, RequestID: "x", Data: []byte("x")}, {Write: true, Expect: 1000, RequestID: "y", Data: []byte("y")}} {
+	for _, a := range []Request{{}, {Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, {Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}} {
 		if r, ok := g.ask(1, a); ok {
 			t.Errorf("from its disk alone it answers %+v with %+v", a, r)
 		}
@@ -142,14 +142,14 @@
 		Request
 		want Result
 	}{
-		{Request{}, Result{Code: codes.OK, Num: 1000, Data: []byte("value 1000")}},
-		{Request{Write: true, Expect: 10, RequestID: "x", Data: []byte("x")}, Result{Code: codes.Conflict, Num: 1000}},
-		{Request{Write: true, Expect: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: codes.OK, Num: 1001}},
+		{Request{}, Result{Code: codes.OK, Version: 1000, Data: []byte("value 1000")}},
+		{Request{Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, Result{Code: codes.Conflict, Version: 1000}},
+		{Request{Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: codes.OK, Version: 1001}},
 	} {
 		g := stale(t)
 		g.cut = map[units.Node]bool{3: true}
 		r, ok := g.ask(1, a.Request)
-		if !ok || r.Code != a.want.Code || r.Num != a.want.Num || string(r.Data) != string(a.want.Data) {
+		if !ok || r.Code != a.want.Code || r.Version != a.want.Version || string(r.Data) != string(a.want.Data) {
 			t.Errorf("%+v is answered %+v", a.Request, r)
 		}
 		promised := map[units.Node]bool{}
@@ -209,7 +209,7 @@
 	g.cut[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
-	if n := g.replicas[3].StoredNumbers()["config"]; n != 2 {
+	if n := g.replicas[3].StoredVersions()["config"]; n != 2 {
 		t.Errorf("the member still holds number %d", n)
 	}
 }
@@ -228,7 +228,7 @@
 	g.cut[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
-	if n := g.replicas[3].StoredNumbers()["config"]; n != 2 {
+	if n := g.replicas[3].StoredVersions()["config"]; n != 2 {
 		t.Errorf("the member still holds number %d", n)
 	}
 }
--- a/internal/control/register/tolerance.go
+++ b/internal/control/register/tolerance.go
@@ -11,7 +11,7 @@
 
 // Shortfall says why the quorum set does not bear what it is to, in words for operators; empty when it does. A joint set
 // is judged once it is complete.
-func (t Tolerance) Shortfall(q QuorumSet, view CoreView) string {
+func (t Tolerance) Shortfall(q QuorumSet, view ControllerView) string {
 	if q.Version == 0 || q.Joint() {
 		return ""
 	}
--- a/internal/control/register/tolerance_test.go
+++ b/internal/control/register/tolerance_test.go
@@ -32,11 +32,11 @@
 			all = append(all, m)
 			q.Members = append(q.Members, m.Node)
 		}
-		got := x.want.Shortfall(q, ViewCore(all))
+		got := x.want.Shortfall(q, NewControllerView(all))
 		if x.says == "" && got != "" || !strings.Contains(got, x.says) {
 			t.Errorf("%s: %q, wanted %q", name, got, x.says)
 		}
-		if s := x.want.Shortfall(q.joint(q.Members), ViewCore(all)); s != "" {
+		if s := x.want.Shortfall(q.joint(q.Members), NewControllerView(all)); s != "" {
 			t.Errorf("%s: a joint set is judged: %s", name, s)
 		}
 	}
--- a/internal/hollow/core.go
+++ b/internal/hollow/core.go
@@ -42,7 +42,7 @@
 		turn: map[string]*discovery.Schedule{}, planner: register.Planner{FixedSize: Founders, ReplaceAfter: register.ReplaceFixedAfter}}
 	c.duty = lease.New(n.self, "platform", func() []units.Node { return c.replica.Quorum().Members }, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
 	c.iso = antientropy.New(n.self, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
-	n.bull.Stored = func() map[string]units.Num { return c.replica.VouchNumbers() }
+	n.bull.Stored = func() map[string]units.Num { return c.replica.KnownVersions() }
 	return c
 }
 
@@ -63,7 +63,7 @@
 
 func (c *core) gone(now units.Time, l []units.Node) {
 	for _, n := range l {
-		c.duty.Gone(now, n)
+		c.duty.HolderStopped(now, n)
 	}
 }
 
@@ -75,7 +75,7 @@
 func (c *core) beat(now units.Time, _ []membership.Member) message.Effects {
 	m := c.n.membership
 	all := m.All()
-	look := register.ViewCore(all)
+	look := register.NewControllerView(all)
 	var out message.Effects
 	if it := c.n.bull.Items[register.KeyQuorum]; it != nil {
 		out.Join(c.replica.LearnQuorum(it.Data))
@@ -86,9 +86,9 @@
 		}
 	}
 	c.n.bull.Fresh = nil
-	c.replica.SetEligible(look.Eligible, look.Leaving...)
-	c.replica.FoundFixed(Founders, look)
-	c.replica.ChangeMembers(c.planner.Next(now, c.replica.Quorum(), look))
+	c.replica.SetEligible(look.Eligible, look.Draining...)
+	c.replica.BootstrapFixed(Founders, look)
+	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
 	out.Join(c.replica.Tick(now))
 	out.Join(c.roll.Tick(now, c.replica.Quorum()))
 	c.iso.SetHealthy(c.replica.ReachesMajority(now))
@@ -130,7 +130,7 @@
 	fresh := c.replica.Chosen
 	c.replica.Chosen = nil
 	for _, x := range fresh {
-		c.spread(now, configpush.Item{Key: x.Key, Num: x.Num, Data: x.Data}, out)
+		c.spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: x.Data}, out)
 	}
 }
 
@@ -147,7 +147,7 @@
 // change writes the configuration anew, as an operator's confirmed plan does.
 func (c *core) change(data []byte) {
 	c.tag++
-	a := register.Request{Tag: c.tag, Key: "config", Write: true, Expect: register.AnyNumber, RequestID: units.Hex(c.n.w.rng.Uint64()), Data: data}
+	a := register.Request{Tag: c.tag, Key: "config", Write: true, ExpectedVersion: register.AnyVersion, RequestID: units.Hex(c.n.w.rng.Uint64()), Data: data}
 	c.n.timed(message.KindRegister, func() message.Effects {
 		out := c.replica.Submit(c.n.w.Now, a)
 		c.drain(c.n.w.Now, &out)
--- a/internal/rig/simulator/catchup_test.go
+++ b/internal/rig/simulator/catchup_test.go
@@ -178,7 +178,7 @@
 // controlRecords counts the control state's records on a disk; claims have others.
 func controlRecords(d *Disk) (n int) {
 	for _, x := range d.Records() {
-		if x.Kind >= register.RecordPromise && x.Kind <= register.RecordFoundingVote {
+		if x.Kind >= register.RecordPromise && x.Kind <= register.RecordBootstrapVote {
 			n++
 		}
 	}
--- a/internal/rig/simulator/core.go
+++ b/internal/rig/simulator/core.go
@@ -42,7 +42,7 @@
 	H            *Host
 	Replica      *register.Replica
 	Lease        *lease.Lease
-	seedFounder  register.Seeds
+	seedFounder  register.SeedBootstrap
 	planner      register.Planner
 	founders     int
 	Syncer       *antientropy.Syncer
@@ -72,20 +72,20 @@
 		c := &Core{common: s.common(h, self, membership.Controller, seeds), H: h, founders: founders, planner: planner(h.Grow, founders), catalog: discovery.New(), pollPlatform: s.Poll, waits: map[uint64]func(register.Result){}}
 		c.gossip.Flag(membership.Counts, h.Grow == nil || h.Grow.Counts)
 		if g := h.Grow; g != nil {
-			c.seedFounder = register.Seeds{Addr: h.Addr, Addrs: h.Disk.Born, First: h.Disk.Born != nil}
+			c.seedFounder = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.Born, Participates: h.Disk.Born != nil}
 			if !g.Counts {
-				c.seedFounder.Addrs, c.seedFounder.First = slices.Clone(g.Seeds), g.First
+				c.seedFounder.SeedAddrs, c.seedFounder.Participates = slices.Clone(g.Seeds), g.First
 			}
-			c.gossip.Flag(membership.First, c.seedFounder.First)
+			c.gossip.Flag(membership.First, c.seedFounder.Participates)
 			g.First = false
 		}
 		c.Proc = &Proc{Self: self, Step: c.step, Tick: c.tick, Refused: func(now units.Time, a string) {
 			for _, n := range c.gossip.Refused(now, a) {
-				c.Lease.Gone(now, n)
+				c.Lease.HolderStopped(now, n)
 			}
 		},
 			Woke: func(now units.Time) {
-				c.Lease.Drop()
+				c.Lease.Resign()
 				c.Replica.Resume(now)
 				c.Syncer.CatchUp()
 			}}
@@ -103,7 +103,7 @@
 		c.Reload()
 		c.Lease = lease.New(self, "platform", func() []units.Node { return c.Replica.Quorum().Members }, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
 		c.Syncer = antientropy.New(self, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 6)))
-		c.feed.Stored = func() map[string]units.Num { return c.Replica.VouchNumbers() }
+		c.feed.Stored = func() map[string]units.Num { return c.Replica.KnownVersions() }
 		cores[h] = c
 		return c.Proc
 	})
@@ -142,24 +142,24 @@
 	c.gossip.Flag(membership.Unfit, unfit)
 	c.gossip.Flag(membership.Draining, c.Drain)
 	all, out := c.beat(now, c.Self)
-	look := register.ViewCore(all)
+	look := register.NewControllerView(all)
 	if it := c.feed.Items[register.KeyQuorum]; it != nil {
 		out.Join(c.Replica.LearnQuorum(it.Data))
 	}
-	c.Replica.SetEligible(look.Eligible, look.Leaving...)
+	c.Replica.SetEligible(look.Eligible, look.Draining...)
 	if c.H.Grow != nil {
-		c.Replica.FoundFromSeeds(c.seedFounder.Set(now, look))
+		c.Replica.BootstrapFromSeeds(c.seedFounder.Proposal(now, look))
 	} else {
-		c.Replica.FoundFixed(c.founders, look)
+		c.Replica.BootstrapFixed(c.founders, look)
 	}
-	c.Replica.ChangeMembers(c.planner.Next(now, c.Replica.Quorum(), look))
+	c.Replica.ChangeMembers(c.planner.NextMembers(now, c.Replica.Quorum(), look))
 	out.Join(c.Replica.Tick(now))
 	c.Roll.Low = c.H.Disk.Full
 	out.Join(c.Roll.Tick(now, c.Replica.Quorum()))
 	voter := c.Replica.Quorum().Has(c.Self)
 	c.gossip.Flag(membership.Voter, voter)
 	c.drain(now, &out)
-	c.Lease.KeepSeat(c.planner.SeatUntil(c.Replica.MajorityHeard(now)))
+	c.Lease.SetSeatExpiry(c.planner.SeatValidUntil(c.Replica.LastMajorityContact(now)))
 	out.Join(c.Lease.Tick(now, voter && !c.Drain))
 	c.Syncer.SetHealthy(!unfit)
 	out.Join(c.Syncer.Tick(now, c.Replica.Quorum().All(), c.Replica.States()))
@@ -186,7 +186,7 @@
 	fresh := c.Replica.Chosen
 	c.Replica.Chosen = nil
 	for _, x := range fresh {
-		c.spread(now, configpush.Item{Key: x.Key, Num: x.Num, Data: slices.Clone(x.Data)}, out)
+		c.spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: slices.Clone(x.Data)}, out)
 	}
 }
 
--- a/internal/rig/simulator/cut_off_controller_test.go
+++ b/internal/rig/simulator/cut_off_controller_test.go
@@ -50,7 +50,7 @@
 	a := register.Request{Key: "config"}
 	if r.Rng.IntN(3) > 0 {
 		a = register.Request{Key: "config", Write: true, RequestID: fmt.Sprint("cut", r.serial), Data: []byte(configText(r.serial)),
-			Expect: heard + units.Num(r.Rng.IntN(2))}
+			ExpectedVersion: heard + units.Num(r.Rng.IntN(2))}
 	}
 	sent, life := r.Now, r.cut.life
 	r.order(c, a, func(x register.Result) {
@@ -88,7 +88,7 @@
 			at++
 		}
 		h := r.coreH[at%len(r.coreH)]
-		r.order(r.cores[h], register.Request{Key: "config", Write: true, Expect: base, RequestID: id, Data: data}, func(x register.Result) {
+		r.order(r.cores[h], register.Request{Key: "config", Write: true, ExpectedVersion: base, RequestID: id, Data: data}, func(x register.Result) {
 			r.calls[fmt.Sprint("others: ", x.Code)]++
 			took := r.Now.Sub(began)
 			r.longAt = max(r.longAt, took)
@@ -99,7 +99,7 @@
 				}
 				r.After(200*time.Millisecond, func() { r.atOthers(until) })
 			case codes.Conflict: // another's change came first: a new order on it
-				base, began = x.Num, r.Now
+				base, began = x.Version, r.Now
 				r.serial++
 				id = fmt.Sprint("others", r.serial)
 				again()
--- a/internal/rig/simulator/cut_off_kinds_test.go
+++ b/internal/rig/simulator/cut_off_kinds_test.go
@@ -88,17 +88,17 @@
 		}
 	}
 	i := len(w.History)
-	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, From: w.Now, Expect: a.Expect, Data: string(a.Data), at: c.H.Addr})
+	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, From: w.Now, Expect: a.ExpectedVersion, Data: string(a.Data), at: c.H.Addr})
 	c.Submit(w.Sim, a, func(r register.Result) {
 		o := &w.History[i]
-		if o.Code, o.Num = r.Code, r.Num; open {
+		if o.Code, o.Num = r.Code, r.Version; open {
 			o.To = w.Now
 		}
 		if !a.Write {
 			o.Data = string(r.Data)
 		}
 		if open && a.Write && r.Code == codes.OK {
-			w.acked = append(w.acked, ackedConfig{r.Num, w.Now, string(a.Data)})
+			w.acked = append(w.acked, ackedConfig{r.Version, w.Now, string(a.Data)})
 		}
 		answer(r)
 	})
--- a/internal/rig/simulator/full_test.go
+++ b/internal/rig/simulator/full_test.go
@@ -73,7 +73,7 @@
 					var r, wr register.Result
 					w.cores[h].Submit(w.Sim, register.Request{Key: key}, func(x register.Result) { r = x })
 					w.Run(w.Now.Add(time.Second))
-					w.cores[h].Submit(w.Sim, register.Request{Key: key, Write: true, Expect: r.Num, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { wr = x })
+					w.cores[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: r.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { wr = x })
 					w.Run(w.Now.Add(time.Second))
 					if r.Code != codes.OK || wr.Code != codes.OK {
 						t.Errorf("%s without %s: %s read at %s: %d, written: %d", p.Name, lone.Addr, key, h.Addr, r.Code, wr.Code)
--- a/internal/rig/simulator/grow_loss_test.go
+++ b/internal/rig/simulator/grow_loss_test.go
@@ -40,12 +40,12 @@
 	if !v.Has(h.Disk.ID) {
 		return true
 	}
-	mine := w.cores[h].Replica.StoredNumbers()
+	mine := w.cores[h].Replica.StoredVersions()
 	for _, o := range w.coreH {
 		if o.Proc == nil {
 			continue
 		}
-		for k, n := range w.cores[o].Replica.StoredNumbers() {
+		for k, n := range w.cores[o].Replica.StoredVersions() {
 			if mine[k] < n {
 				return false
 			}
@@ -188,7 +188,7 @@
 				}
 			}
 			write := func(c *Core, text string) {
-				w.callAt(c, register.Request{Key: "config", Write: true, Expect: num, RequestID: text, Data: []byte(text)}, nil)
+				w.callAt(c, register.Request{Key: "config", Write: true, ExpectedVersion: num, RequestID: text, Data: []byte(text)}, nil)
 			}
 			write(owner, configText(1))
 			w.After(time.Duration(w.Rng.Int64N(int64(15*time.Millisecond))), func() { w.Freeze(owner.H) })
--- a/internal/rig/simulator/old_quorum_test.go
+++ b/internal/rig/simulator/old_quorum_test.go
@@ -47,7 +47,7 @@
 func (q *oldQuorum) write(base units.Num) units.Num {
 	q.t.Helper()
 	var num units.Num
-	request := register.Request{Key: "config", Write: true, Expect: base, RequestID: "next", Data: []byte(configText(1))}
+	request := register.Request{Key: "config", Write: true, ExpectedVersion: base, RequestID: "next", Data: []byte(configText(1))}
 	acked := func() bool {
 		q.callAt(q.cores[q.coreH[2]], request, func(o *Op) {
 			if o.Code == codes.OK {
--- a/internal/rig/simulator/operators.go
+++ b/internal/rig/simulator/operators.go
@@ -58,15 +58,15 @@
 		return
 	}
 	i := len(w.History)
-	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, From: w.Now, Expect: a.Expect, Data: string(a.Data), at: c.H.Addr})
+	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, From: w.Now, Expect: a.ExpectedVersion, Data: string(a.Data), at: c.H.Addr})
 	c.Submit(w.Sim, a, func(r register.Result) {
 		o := &w.History[i]
-		o.To, o.Code, o.Num = w.Now, r.Code, r.Num
+		o.To, o.Code, o.Num = w.Now, r.Code, r.Version
 		if !a.Write && r.Code == codes.OK {
 			o.Data = string(r.Data)
 		}
 		if a.Write && r.Code == codes.OK && a.Key == "config" {
-			w.acked = append(w.acked, ackedConfig{r.Num, w.Now, string(a.Data)})
+			w.acked = append(w.acked, ackedConfig{r.Version, w.Now, string(a.Data)})
 		}
 		if done != nil {
 			done(o)
@@ -80,7 +80,7 @@
 		if o.Code != codes.OK {
 			return
 		}
-		w.Call(register.Request{Key: key, Write: true, Expect: o.Num, RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
+		w.Call(register.Request{Key: key, Write: true, ExpectedVersion: o.Num, RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
 	})
 }
 
--- a/internal/rig/simulator/orders_core_test.go
+++ b/internal/rig/simulator/orders_core_test.go
@@ -19,7 +19,7 @@
 		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
 		m := voted(b, map[units.Node]units.Node{1: 1, 2: 2, 3: 3})
 		for _, x := range []units.Node{1, 2} {
-			b.put(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, Expect: 0, Data: []byte{byte(x)}}))
+			b.put(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, ExpectedVersion: 0, Data: []byte{byte(x)}}))
 		}
 		b.run(choose, func() {})
 		// Both try again as their ticks would, then all is quiet.
@@ -34,10 +34,10 @@
 		for _, x := range []units.Node{1, 2} {
 			for _, r := range m[x].Results {
 				if r.Code == codes.OK {
-					if o, ok := acked[r.Num]; ok {
-						t.Fatalf("number %d was acknowledged to %d and %d", r.Num, o, x)
+					if o, ok := acked[r.Version]; ok {
+						t.Fatalf("number %d was acknowledged to %d and %d", r.Version, o, x)
 					}
-					acked[r.Num] = byte(x)
+					acked[r.Version] = byte(x)
 				}
 			}
 		}
@@ -54,8 +54,8 @@
 		}
 		r := m[3].Results[0]
 		for num, by := range acked {
-			if num > r.Num || num == r.Num && r.Data[0] != by {
-				t.Fatalf("acknowledged %v, read %d %v", acked, r.Num, r.Data)
+			if num > r.Version || num == r.Version && r.Data[0] != by {
+				t.Fatalf("acknowledged %v, read %d %v", acked, r.Version, r.Data)
 			}
 		}
 	})
@@ -73,14 +73,14 @@
 		for i := range views {
 			id := units.Node(i + 1)
 			x := register.New(id, id+100)
-			x.FoundFixed(3, register.CoreView{Blank: views[i]})
+			x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[i]})
 			m[id] = x
 			b.step[id] = func(k message.Message) message.Effects { return x.Step(0, k) }
 		}
 		for now := range 2 {
 			for id, x := range m {
 				if now == 0 || id != 1 {
-					x.FoundFixed(3, register.CoreView{Blank: views[min(1, int(id)/4+now)]}) // all but the first come to see others
+					x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[min(1, int(id)/4+now)]}) // all but the first come to see others
 				}
 			}
 			for id := units.Node(1); id <= 4; id++ {
@@ -151,12 +151,12 @@
 			b.run(func(int) int { return 0 }, func() {})
 		}
 	}
-	b.put(1, m[1].Submit(0, register.Request{Tag: 1, Key: "k", Write: true, Expect: 0, Data: []byte("one")}))
+	b.put(1, m[1].Submit(0, register.Request{Tag: 1, Key: "k", Write: true, ExpectedVersion: 0, Data: []byte("one")}))
 	quiet(1000, 3, 1)
 	b.now = at(2200)
 	m[1].ChangeMembers([]units.Node{1, 2, 3, 4})
 	b.put(1, m[1].Tick(b.now))
-	b.put(1, m[1].Submit(b.now, register.Request{Tag: 2, Key: "k", Write: true, Expect: 1, Data: []byte("two")}))
+	b.put(1, m[1].Submit(b.now, register.Request{Tag: 2, Key: "k", Write: true, ExpectedVersion: 1, Data: []byte("two")}))
 	b.run(choose, func() {})
 	for round := 0; round < 8 && (m[1].Quorum().Joint() || !m[1].Quorum().Has(4)); round++ {
 		quiet(2600+400*round, 1, 1)
--- a/internal/rig/simulator/play.go
+++ b/internal/rig/simulator/play.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		for k, s := range w.cores[h].Replica.States() {
-			x := fmt.Sprint(s.Accepted, s.Seq, s.Num)
+			x := fmt.Sprint(s.Accepted, s.Seq, s.Version)
 			if y, ok := first[k]; ok && y != x {
 				w.fault("%s is %s on %s and %s elsewhere", k, x, h.Addr, y)
 			}
--- a/internal/rig/simulator/repair_test.go
+++ b/internal/rig/simulator/repair_test.go
@@ -23,10 +23,10 @@
 		w.change("config", configText(1), nil)
 		w.Run(w.Now.Add(2 * time.Second))
 		w.Start(lost)
-		behind := len(w.cores[lost].Replica.StoredNumbers())
+		behind := len(w.cores[lost].Replica.StoredVersions())
 		w.Run(w.Now.Add(20 * time.Second))
 		w.alike()
-		if now := len(w.cores[lost].Replica.StoredNumbers()); behind >= now || now != 5 {
+		if now := len(w.cores[lost].Replica.StoredVersions()); behind >= now || now != 5 {
 			t.Errorf("seed %d: %d keys when it came back, %d after repair, 5 there are", seed, behind, now)
 		}
 		if len(w.Faults) > 0 {
--- a/internal/rig/simulator/replace_member_test.go
+++ b/internal/rig/simulator/replace_member_test.go
@@ -53,7 +53,7 @@
 	var look func()
 	look = func() {
 		gone := w.Now.Sub(began)
-		if gone < 500*time.Millisecond || c.Replica.GivesUpSeat() && gone < 3500*time.Millisecond {
+		if gone < 500*time.Millisecond || c.Replica.IsBeingRemoved() && gone < 3500*time.Millisecond {
 			w.After(50*time.Millisecond, ifAlive(look))
 			return
 		}
@@ -221,7 +221,7 @@
 		if !read {
 			w.Call(register.Request{Key: "config"}, func(o *Op) {
 				if o.Code == codes.OK && !read {
-					read, write.Expect = true, o.Num
+					read, write.ExpectedVersion = true, o.Num
 				}
 			})
 			return
--- a/internal/rig/simulator/resend_test.go
+++ b/internal/rig/simulator/resend_test.go
@@ -75,7 +75,7 @@
 	}
 	p.read(func(num units.Num) {
 		n := len(p.orders)
-		x := &order{from: p.w.Now, request: register.Request{Key: "config", Write: true, Expect: num, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
+		x := &order{from: p.w.Now, request: register.Request{Key: "config", Write: true, ExpectedVersion: num, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
 		p.orders = append(p.orders, x)
 		p.send(x, lost, func() { p.w.After(pause, func() { p.work(lost, pause) }) })
 	})
@@ -92,10 +92,10 @@
 			switch {
 			case r.Code == codes.Conflict:
 				refused = true
-			case r.Code == codes.OK && (r.Num != x.request.Expect+1 || got != 0 && r.Num != got):
-				bad = append(bad, fmt.Sprintf("order %d on %d got number %d and %d", i, x.request.Expect, got, r.Num))
+			case r.Code == codes.OK && (r.Version != x.request.ExpectedVersion+1 || got != 0 && r.Version != got):
+				bad = append(bad, fmt.Sprintf("order %d on %d got number %d and %d", i, x.request.ExpectedVersion, got, r.Version))
 			case r.Code == codes.OK:
-				got = r.Num
+				got = r.Version
 			}
 		}
 		if !isClear(x.last.Code) {
@@ -116,8 +116,8 @@
 func (p *operators) linear() []string {
 	calls := p.reads
 	for _, x := range p.orders {
-		c := linearizability.Call{Kind: linearizability.Write, From: int64(x.from), To: int64(x.to), Builds: uint64(x.request.Expect),
-			Position: uint64(x.request.Expect) + 1, Data: string(x.request.Data)}
+		c := linearizability.Call{Kind: linearizability.Write, From: int64(x.from), To: int64(x.to), Builds: uint64(x.request.ExpectedVersion),
+			Position: uint64(x.request.ExpectedVersion) + 1, Data: string(x.request.Data)}
 		switch x.heard.Code {
 		case codes.OK:
 			c.Outcome = linearizability.Done
--- a/internal/rig/simulator/world.go
+++ b/internal/rig/simulator/world.go
@@ -137,7 +137,7 @@
 			ok[h.Disk.ID] = reach > len(v.Members)/2
 		}
 	}
-	return v.Majority(ok) && w.Loss < 0.2
+	return v.HasMajority(ok) && w.Loss < 0.2
 }
 
 // excused says whether control could not act for a time within the span: then a limit can't be kept (docs/promises.md).
--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -52,7 +52,7 @@
 	if p.held == 0 {
 		return
 	}
-	kept := p.core.Majority(p.got)
+	kept := p.core.HasMajority(p.got)
 	waits := now >= s.away && len(p.core.Members) > 0
 	switch {
 	case kept:
@@ -73,7 +73,7 @@
 	for _, token := range message.Keys(s.late) {
 		p := s.late[token]
 		switch {
-		case now.Sub(p.since) > Keep || p.core.Majority(p.got):
+		case now.Sub(p.since) > Keep || p.core.HasMajority(p.got):
 			delete(s.late, token)
 		case now.Sub(p.sent) >= time.Second:
 			if p.core.Version != s.core.Version {
@@ -89,7 +89,7 @@
 		if h.State == granted {
 			p.got[from] = true
 		}
-		if p.core.Majority(p.got) {
+		if p.core.HasMajority(p.got) {
 			s.away = 0
 		}
 		return
@@ -105,7 +105,7 @@
 		s.end(h.Token, codes.Burned, false)
 	case granted:
 		p.got[from] = true
-		if p.held == 0 && (register.QuorumSet{Members: p.holders}).Majority(p.got) {
+		if p.held == 0 && (register.QuorumSet{Members: p.holders}).HasMajority(p.got) {
 			p.held = max(now, 1)
 		}
 		s.settled(now, h.Token, p)
