--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -87,7 +87,7 @@
 	o.Set("disk", d)
 	ms := a.NewArray()
 	for i, m := range members {
-		ms.SetArrayItem(i, router.Member(&a, m))
+		ms.SetArrayItem(i, router.MemberJSON(&a, m))
 	}
 	o.Set("members", ms)
 	ctx.SetContentType("application/json")
--- a/internal/router/own_interface_test.go
+++ b/internal/router/own_interface_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	c := dial(t, v)
-	fmt.Fprintf(c, "POST /chat HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n", left, MaxPrompt+1)
+	fmt.Fprintf(c, "POST /chat HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n", left, MaxBodyBytes+1)
 	if status, body := c.reply(t); status != 413 || !strings.Contains(body, `"code":204`) {
 		t.Errorf("too large: %d %s", status, body)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -26,8 +26,8 @@
 	"seamshunt/internal/units"
 )
 
-// MaxPrompt bounds a caller's body.
-const MaxPrompt = 4 << 20
+// MaxBodyBytes bounds a caller's body.
+const MaxBodyBytes = 4 << 20
 
 type verdict struct {
 	admission.Verdict
@@ -103,7 +103,7 @@
 		return err
 	}
 	v.began = v.Tasks.Now()
-	v.server = &fasthttp.Server{Handler: v.serve, Name: "router", MaxRequestBodySize: MaxPrompt, NoDefaultDate: true,
+	v.server = &fasthttp.Server{Handler: v.serve, Name: "router", MaxRequestBodySize: MaxBodyBytes, NoDefaultDate: true,
 		ReadTimeout: 30 * time.Second, Logger: quiet{}, ErrorHandler: v.malformed, Concurrency: v.ConnectionsMost()}
 	if v.Adapter != nil {
 		v.useAdapter()
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -89,7 +89,7 @@
 	o.Set("promises", v.tallies.value(&a, now))
 	members := a.NewArray()
 	for i, m := range v.Members() {
-		members.SetArrayItem(i, Member(&a, m))
+		members.SetArrayItem(i, MemberJSON(&a, m))
 	}
 	o.Set("members", members)
 	ctx.SetContentType("application/json")
@@ -115,8 +115,8 @@
 	return x
 }
 
-// Member lays a member out for status pages.
-func Member(a *fastjson.Arena, m membership.Member) *fastjson.Value {
+// MemberJSON lays a member out for status pages.
+func MemberJSON(a *fastjson.Arena, m membership.Member) *fastjson.Value {
 	x := a.NewObject()
 	x.Set("node", a.NewString(m.Node.String()))
 	x.Set("role", a.NewString([]string{"", "router", "controller"}[m.Role%3]))
