--- a/internal/router/with_adapter.go
+++ b/internal/router/adapter.go
@@ -14,23 +14,23 @@
 	"seamshunt/internal/units"
 )
 
-// useAdapter has the server take clients' requests in the adapter's words, byte for byte.
-func (v *Router) useAdapter() {
-	w := v.server
-	w.Handler = v.relay
-	w.ReadTimeout, w.IdleTimeout = 30*time.Second, 60*time.Second
-	w.ReadBufferSize = 20 << 10
-	w.NoDefaultServerHeader = true
-	w.NoDefaultContentType = true
-	w.CloseOnShutdown = true
-	w.DisablePreParseMultipartForm = true
-	w.ReduceMemoryUsage = true
+// configureForAdapter has the server take clients' requests in the adapter's words, byte for byte.
+func (v *Router) configureForAdapter() {
+	server := v.server
+	server.Handler = v.handleRelay
+	server.ReadTimeout, server.IdleTimeout = 30*time.Second, 60*time.Second
+	server.ReadBufferSize = 20 << 10
+	server.NoDefaultServerHeader = true
+	server.NoDefaultContentType = true
+	server.CloseOnShutdown = true
+	server.DisablePreParseMultipartForm = true
+	server.ReduceMemoryUsage = true
 	v.Tasks.Every(time.Second, func(units.Time) { v.pool.Sweep() })
 }
 
-// proper says whether a request may be passed on: none whose end two readers could see at different places, none of a
+// acceptableRequest says whether a request may be passed on: none whose end two readers could see at different places, none of a
 // version or method that this node doesn't know.
-func proper(h *fasthttp.RequestHeader) bool {
+func acceptableRequest(h *fasthttp.RequestHeader) bool {
 	if string(h.Protocol()) != "HTTP/1.1" {
 		return false // HTTP/1.0 has no chunks: a broken answer would look whole
 	}
@@ -39,21 +39,21 @@
 	default:
 		return false
 	}
-	length, chunks := false, false
+	length, chunked := false, false
 	for l := range bytes.Lines(h.RawHeaders()) {
 		switch l[0] | 0x20 {
 		case ' ', '\t' | 0x20:
 			return false // a field that goes on in the next line
 		case 'c':
-			length = length || named(l, fasthttp.HeaderContentLength)
+			length = length || isField(l, fasthttp.HeaderContentLength)
 		case 't':
-			chunks = chunks || named(l, fasthttp.HeaderTransferEncoding)
+			chunked = chunked || isField(l, fasthttp.HeaderTransferEncoding)
 		}
 	}
-	return !length || !chunks
+	return !length || !chunked
 }
 
-func named(line []byte, field string) bool {
+func isField(line []byte, field string) bool {
 	return len(line) > len(field) && line[len(field)] == ':' && strings.EqualFold(string(line[:len(field)]), field)
 }
 
@@ -66,19 +66,19 @@
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	v.readinessServer = &fasthttp.Server{Handler: v.readiness, Name: "router", NoDefaultDate: true, Logger: quiet{}, ReduceMemoryUsage: true}
+	v.readinessServer = &fasthttp.Server{Handler: v.handleReadiness, Name: "router", NoDefaultDate: true, Logger: discardLogger{}, ReduceMemoryUsage: true}
 	v.Serve("readiness", ln, v.readinessServer.Serve)
 	return nil
 }
 
-func (v *Router) readiness(ctx *fasthttp.RequestCtx) {
+func (v *Router) handleReadiness(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/status":
 		v.status(ctx)
 	case "/metrics":
 		v.metrics(ctx)
 	case v.Adapter.Ready:
-		if !v.ready.Load() || v.leaving() || v.alone() {
+		if !v.ready.Load() || v.draining() || v.isolated() {
 			ctx.SetStatusCode(503)
 			return
 		}
@@ -88,8 +88,8 @@
 	}
 }
 
-// compile reads a configuration in whichever words it was given.
-func (v *Router) compile(b []byte) (*config.Config, []*codes.Fault) {
+// parseConfig reads a configuration in whichever words it was given.
+func (v *Router) parseConfig(b []byte) (*config.Config, []*codes.Fault) {
 	if v.Adapter != nil {
 		return v.Adapter.Config(b)
 	}
--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -19,14 +19,14 @@
 	"time.Sleep", "Tasks.Sleep", "socket.HungUp",
 }
 
-// ownTime are the files that do something for the process itself rather than for a request, with what they may call.
-var ownTime = map[string][]string{
+// exemptions are the files that do something for the process itself rather than for a request, with what they may call.
+var exemptions = map[string][]string{
 	"clientwatch/clientwatch.go": {"context.Background", "socket.HungUp"}, // where the contexts come from
-	"leave.go":                   {"context.Background", "Tasks.Sleep"},   // the end of the process
+	"drain.go":                   {"context.Background", "Tasks.Sleep"},   // the end of the process
 }
 
-// selector gives the last two names of a call like v.Tasks.Sleep or net.Dial.
-func selector(call *ast.CallExpr) string {
+// calledName gives the last two names of a call like v.Tasks.Sleep or net.Dial.
+func calledName(call *ast.CallExpr) string {
 	s, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return ""
@@ -41,8 +41,8 @@
 }
 
 // Nothing in the data plane can work on a request without its context: what would is called nowhere else.
-func TestNothingOutlastsItsClientUnseen(t *testing.T) {
-	used := map[string]bool{}
+func TestRequestWorkIsCancellable(t *testing.T) {
+	usedExemptions := map[string]bool{}
 	visit := func(file string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(file) != ".go" || strings.HasSuffix(file, "_test.go") {
 			return err
@@ -56,14 +56,14 @@
 			if !ok {
 				return true
 			}
-			name := selector(call)
+			name := calledName(call)
 			if !slices.Contains(uncancellable, name) {
 				return true
 			}
-			if !slices.Contains(ownTime[filepath.ToSlash(file)], name) {
+			if !slices.Contains(exemptions[filepath.ToSlash(file)], name) {
 				t.Errorf("%s calls %s: take the request's context, or say here why it needs none", file, name)
 			}
-			used[filepath.ToSlash(file)+" "+name] = true
+			usedExemptions[filepath.ToSlash(file)+" "+name] = true
 			return true
 		})
 		return nil
@@ -71,9 +71,9 @@
 	if err := filepath.WalkDir(".", visit); err != nil {
 		t.Fatal(err)
 	}
-	for file, names := range ownTime {
+	for file, names := range exemptions {
 		for _, name := range names {
-			if !used[file+" "+name] {
+			if !usedExemptions[file+" "+name] {
 				t.Errorf("%s calls %s no more: take it out of the list", file, name)
 			}
 		}
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -10,51 +10,51 @@
 )
 
 // candidates asks the placement policy for the workers' order, and finds each one's keeper.
-func (v *Router) candidates(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.Node) {
-	q := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, Spread: s.Spread}
-	keepers := map[string]units.Node{}
-	var over []placement.Spot // passed over, but better than none
-	v.tableMu.Lock()
-	for _, x := range v.table.pools[s.Pool] {
-		name := s.Name + "/" + x.ID
-		if x.Leaving || v.table.evacuated[x.Zone] || x.Service != "" && x.Service != s.Name {
+func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.Node) {
+	query := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, Spread: service.Spread}
+	coordinators := map[string]units.Node{}
+	var fallbacks []placement.Spot // passed over, but better than none
+	v.viewMu.Lock()
+	for _, worker := range v.view.workersByPool[service.Pool] {
+		name := service.Name + "/" + worker.ID
+		if worker.Leaving || v.view.evacuatedZones[worker.Zone] || worker.Service != "" && worker.Service != service.Name {
 			continue
 		}
-		keepers[name] = capacity.Keeper(v.table.peers, name, x.Zone)
-		if spot := (placement.Spot{Name: name, Zone: x.Zone}); now < v.table.down[name].until {
-			over = append(over, spot)
+		coordinators[name] = capacity.Keeper(v.view.peers, name, worker.Zone)
+		if spot := (placement.Spot{Name: name, Zone: worker.Zone}); now < v.view.outages[name].until {
+			fallbacks = append(fallbacks, spot)
 		} else {
-			q.Spots = append(q.Spots, spot)
+			query.Spots = append(query.Spots, spot)
 		}
 	}
-	v.tableMu.Unlock()
-	if len(q.Spots) == 0 {
-		q.Spots = over
+	v.viewMu.Unlock()
+	if len(query.Spots) == 0 {
+		query.Spots = fallbacks
 	}
 	v.queueMu.Lock()
-	for i := range q.Spots {
-		if l, ok := v.queue.Loads[q.Spots[i].Name]; ok && now.Sub(l.At) < 2*time.Second {
-			q.Spots[i].Load = float64(l.Lent+l.Wait)/float64(l.Cap) + float64(max(0, l.Reads-now.Sub(l.At)))/float64(time.Second)
+	for i := range query.Spots {
+		if load, ok := v.queue.Loads[query.Spots[i].Name]; ok && now.Sub(load.At) < 2*time.Second {
+			query.Spots[i].Load = float64(load.Lent+load.Wait)/float64(load.Cap) + float64(max(0, load.Reads-now.Sub(load.At)))/float64(time.Second)
 		}
 	}
 	v.queueMu.Unlock()
-	return v.placer.Order(s.Place, q), keepers
+	return v.placer.Order(service.Place, query), coordinators
 }
 
-// cut gives a permit back whose run this node broke off.
-func (v *Router) cut(tag uint64) {
+// releaseAborted gives a permit back whose run this node broke off.
+func (v *Router) releaseAborted(tag uint64) {
 	v.queueMu.Lock()
-	delete(v.waiting, tag)
+	delete(v.pendingAdmissions, tag)
 	out := v.queue.Cut(v.Tasks.Now(), tag)
 	v.deliverVerdicts(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
 }
 
-func (v *Router) done(tag uint64, unsure bool) {
+func (v *Router) release(tag uint64, outcomeUnknown bool) {
 	v.queueMu.Lock()
-	delete(v.waiting, tag)
-	out := v.queue.Done(v.Tasks.Now(), tag, unsure)
+	delete(v.pendingAdmissions, tag)
+	out := v.queue.Done(v.Tasks.Now(), tag, outcomeUnknown)
 	v.deliverVerdicts(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -10,14 +10,14 @@
 	"seamshunt/internal/units"
 )
 
-// screened does a thing under the claimant's lock, and passes results to those who wait.
-func (v *Router) screened(f func() message.Effects) {
+// withClaimant does a thing under the claimant's lock, and passes results to those who wait.
+func (v *Router) withClaimant(step func() message.Effects) {
 	v.claimantMu.Lock()
-	out := f()
-	for _, r := range v.claimant.Results {
-		if c := v.claims[r.Token]; c != nil {
-			delete(v.claims, r.Token)
-			c <- r.Code
+	out := step()
+	for _, result := range v.claimant.Results {
+		if waiter := v.pendingClaims[result.Token]; waiter != nil {
+			delete(v.pendingClaims, result.Token)
+			waiter <- result.Code
 		}
 	}
 	v.claimant.Results = nil
@@ -25,74 +25,74 @@
 	v.Deliver(out)
 }
 
-// screenTick moves claims on; the longest time left of what may not repeat is how long a start abstains at most.
-func (v *Router) screenTick(now units.Time) {
+// tickClaimant moves claims on; the longest time left of what may not repeat is how long a start abstains at most.
+func (v *Router) tickClaimant(now units.Time) {
 	var longest time.Duration
-	if r := v.rules.Load(); r != nil {
+	if r := v.activeConfig.Load(); r != nil {
 		longest = max(time.Second, r.Longest(true))
 	}
 	var peers []units.Node
-	for _, m := range v.Members() {
-		if m.Role == membership.Router && m.State <= membership.Suspect && m.Node != v.Self {
-			peers = append(peers, m.Node)
+	for _, member := range v.Members() {
+		if member.Role == membership.Router && member.State <= membership.Suspect && member.Node != v.Self {
+			peers = append(peers, member.Node)
 		}
 	}
-	v.tableMu.Lock()
-	core := v.table.voters
-	v.tableMu.Unlock()
-	v.screened(func() message.Effects {
-		v.claimant.Core(core)
+	v.viewMu.Lock()
+	voters := v.view.voters
+	v.viewMu.Unlock()
+	v.withClaimant(func() message.Effects {
+		v.claimant.Core(voters)
 		return v.claimant.Tick(now, peers, longest)
 	})
 }
 
-// claim takes the caller's key for a mapping that may not repeat, before anything is handed over (design 8).
-func (w *ownRequest) claim() bool {
+// claimKey takes the caller's key for a mapping that may not repeat, before anything is handed over (design 8).
+func (w *nativeRequest) claimKey() bool {
 	if w.key == "" {
 		return false
 	}
-	v := w.v
-	key := w.m.Name + "/" + w.key
-	token := v.tag.Add(1)<<8 ^ uint64(v.Self)
-	c := make(chan codes.Code, 1)
+	v := w.router
+	key := w.mapping.Name + "/" + w.key
+	token := v.nextTag.Add(1)<<8 ^ uint64(v.Self)
+	result := make(chan codes.Code, 1)
 	holders := idempotency.Holders(v.Members(), key)
-	v.screened(func() message.Effects {
-		v.claims[token] = c
+	v.withClaimant(func() message.Effects {
+		v.pendingClaims[token] = result
 		return v.claimant.Claim(v.Tasks.Now(), token, key, holders)
 	})
 	select {
-	case code := <-c:
+	case code := <-result:
 		if code == codes.OK {
-			w.claimed, w.holders = key, holders
+			w.claimedKey, w.holders = key, holders
 		}
-		return w.claimedAs(code)
+		return w.handleClaimResult(code)
 	case <-w.client.Done():
 		v.claimantMu.Lock()
-		delete(v.claims, token)
+		delete(v.pendingClaims, token)
 		v.claimantMu.Unlock()
-		w.cancelled()
-		w.sure = false // the claim may stand, so nothing is promised for the key
-		return w.end()
+		w.checkCancelled()
+		w.knownNotRun = false // the claim may stand, so nothing is promised for the key
+		return w.endWithRefusal()
 	}
 }
 
-func (w *ownRequest) claimedAs(c codes.Code) bool {
-	switch c {
+func (w *nativeRequest) handleClaimResult(code codes.Code) bool {
+	switch code {
 	case codes.OK:
 		return false
 	case codes.Claimed:
-		w.v.refuse(w.ctx, c, "the key is claimed already: its request ran, or may run", false, 0)
+		w.router.refuse(w.ctx, code, "the key is claimed already: its request ran, or may run", false, 0)
 	case codes.Burned:
-		w.v.refuse(w.ctx, c, "the key's request was said not to run, and it never will: take a new key", true, 0)
+		w.router.refuse(w.ctx, code, "the key's request was said not to run, and it never will: take a new key", true, 0)
 	default:
-		w.v.refuse(w.ctx, c, "the key could not be claimed: a copy of the request may run elsewhere", false, time.Second)
+		w.router.refuse(w.ctx, code, "the key could not be claimed: a copy of the request may run elsewhere", false, time.Second)
 	}
 	return true
 }
 
-// burn keeps "not run" true for a key whose copy may still be on its way.
-func (w *ownRequest) burn() {
-	if w.claimed != "" {
-		w.v.screened(func() message.Effects { return w.v.claimant.Burn(w.claimed, w.holders) })
+// spendKey keeps "not run" true for a key whose copy may still be on its way.
+func (w *nativeRequest) spendKey() {
+	if w.claimedKey != "" {
+		w.router.withClaimant(func() message.Effects { return w.router.claimant.Burn(w.claimedKey, w.holders) })
 	}
 }
--- a/internal/router/client_left_rig_test.go
+++ b/internal/router/client_disconnect_harness_test.go
@@ -24,8 +24,8 @@
 	return &silentWorker{&scriptedWorker{id: id, addr: l.Addr().String(), conns: make(chan *workerConn, 256)}, l}
 }
 
-// wake has the worker take connections from now on.
-func (w *silentWorker) wake() {
+// startAccepting has the worker take connections from now on.
+func (w *silentWorker) startAccepting() {
 	w.listener.Wake()
 	go w.accept(w.listener)
 }
@@ -34,13 +34,13 @@
 // the router is done: the test's own connection is the last one in the worker's queue.
 func (w *scriptedWorker) received(t testing.TB) (ids []string) {
 	t.Helper()
-	last, err := net.Dial("tcp", w.addr)
+	marker, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer last.Close()
+	defer marker.Close()
 	for c := range w.conns {
-		if c.RemoteAddr().String() == last.LocalAddr().String() {
+		if c.RemoteAddr().String() == marker.LocalAddr().String() {
 			return ids
 		}
 		for q := c.request(); q != nil; q = c.request() {
@@ -50,8 +50,8 @@
 	return ids
 }
 
-// leave closes a client's connection, and waits until the router's machine knows.
-func (c *workerConn) leave(t testing.TB) {
+// disconnect closes a client's connection, and waits until the router's machine knows.
+func (c *workerConn) disconnect(t testing.TB) {
 	t.Helper()
 	client, router := c.LocalAddr().(*net.TCPAddr), c.RemoteAddr().(*net.TCPAddr)
 	c.Close()
@@ -81,19 +81,19 @@
 	return "", false
 }
 
-// taken waits until a request is under way at the router, and idle until none is.
-func taken(t testing.TB, v *Router) {
+// awaitInFlight waits until a request is under way at the router, and idle until none is.
+func awaitInFlight(t testing.TB, v *Router) {
 	t.Helper()
 	testutil.Until(t, "a request is under way", func() bool { return v.inFlight.Load() > 0 })
 }
 
-func idle(t testing.TB, v *Router) {
+func awaitIdle(t testing.TB, v *Router) {
 	t.Helper()
 	testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
 }
 
-// admitted waits until a permit is held.
-func admitted(t testing.TB, v *Router) {
+// awaitPermit waits until a permit is held.
+func awaitPermit(t testing.TB, v *Router) {
 	t.Helper()
 	testutil.Until(t, "a permit is held", func() bool {
 		v.queueMu.Lock()
--- /dev/null
+++ b/internal/router/cluster_view.go
@@ -0,0 +1,151 @@
+package router
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/apex/log"
+
+	"seamshunt/internal/cluster/configpush"
+	"seamshunt/internal/cluster/discovery"
+	"seamshunt/internal/cluster/membership"
+	"seamshunt/internal/config"
+	"seamshunt/internal/control/register"
+	"seamshunt/internal/node"
+	"seamshunt/internal/router/capacity"
+	"seamshunt/internal/units"
+)
+
+// activeConfig is one configuration in force; a request keeps the ones that it began with.
+type activeConfig struct {
+	*config.Config
+	updateVersion units.Num
+}
+
+// clusterView is what news and membership say, under tableMu.
+type clusterView struct {
+	workersByPool  map[string][]config.Worker
+	catalog        *discovery.Catalog // what the platform was seen to list
+	evacuatedZones map[string]bool    // zones
+	outages        map[string]outage  // workers found dead or dark here
+	peerWatch      *capacity.Watch
+	peers          []capacity.Peer
+	voters         register.QuorumSet
+	changed        bool
+}
+
+func newClusterView() clusterView {
+	return clusterView{workersByPool: map[string][]config.Worker{}, catalog: discovery.New(), evacuatedZones: map[string]bool{}, outages: map[string]outage{}, peerWatch: capacity.NewWatch()}
+}
+
+// refresh brings news and membership into the tables and from there to the keeper.
+func (v *Router) refresh(now units.Time) {
+	v.FeedMu.Lock()
+	updates := v.Feed.Fresh
+	v.Feed.Fresh = nil
+	v.FeedMu.Unlock()
+	for _, update := range updates {
+		v.applyUpdate(now, update)
+	}
+	members := v.Members()
+	v.viewMu.Lock()
+	defer v.viewMu.Unlock()
+	view := &v.view
+	view.changed = view.changed || len(updates) > 0
+	peers, silent := view.peerWatch.See(now, members)
+	view.changed = view.changed || silent
+	if !view.changed && slices.Equal(peers, view.peers) {
+		return
+	}
+	view.peers, view.changed = peers, false
+	active := v.activeConfig.Load()
+	if active == nil {
+		return
+	}
+	workers := active.Keep(view.workersByPool, view.catalog.Start(), view.evacuatedZones)
+	v.coordinatorMu.Lock()
+	v.coordinator.Workers(workers)
+	v.coordinator.Allow(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, view.peerWatch.Part(now, len(peers)))
+	v.coordinator.View(peers, view.peerWatch.Holds(active.Longest(false)))
+	v.coordinatorMu.Unlock()
+}
+
+// applyUpdate applies one change whole.
+func (v *Router) applyUpdate(now units.Time, update configpush.Item) {
+	kind, name, _ := strings.Cut(update.Key, "/")
+	switch kind {
+	case "config":
+		parsed, faults := v.parseConfig(update.Data)
+		if len(faults) > 0 {
+			v.Log.WithError(faults[0]).Error("a configuration that control took does not compile here")
+			return
+		}
+		v.activeConfig.Store(&activeConfig{Config: parsed, updateVersion: update.Num})
+	case "zone":
+		v.applyZoneState(name, update)
+	case "workers":
+		v.viewMu.Lock()
+		pool, err := v.view.catalog.Take(now, update.Key, update.Num, update.Data)
+		v.view.workersByPool[pool] = v.view.catalog.List(pool)
+		v.viewMu.Unlock()
+		if err != nil {
+			v.Errors.Add(1)
+			v.Log.WithError(err).Error("a worker list can't be read here")
+		}
+	case "voters":
+		if s, err := register.UnpackQuorumSet(update.Data); err == nil {
+			v.viewMu.Lock()
+			v.view.voters = s
+			v.viewMu.Unlock()
+		}
+	}
+}
+
+// applyZoneState takes a zone's state. A change of it is logged with the number by which it can be told from others.
+func (v *Router) applyZoneState(zone string, update configpush.Item) {
+	evacuated := node.ZoneEvacuated(update.Data)
+	v.viewMu.Lock()
+	changed := v.view.evacuatedZones[zone] != evacuated
+	v.view.evacuatedZones[zone] = evacuated
+	v.viewMu.Unlock()
+	if changed {
+		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": update.Num}).Warn("a zone's state has changed")
+	}
+}
+
+// confirmUpToDate makes a starting or woken router ready once nothing newer than its news stands anywhere (design 4).
+func (v *Router) confirmUpToDate(now units.Time) {
+	members := v.Members()
+	switch controllers, _ := configpush.Neighbours(members, v.Self); {
+	case len(controllers) > 0:
+		v.noControllerSince.Store(0)
+	case v.noControllerSince.Load() == 0:
+		v.noControllerSince.Store(int64(now))
+	}
+	if v.ready.Load() || v.activeConfig.Load() == nil {
+		return
+	}
+	v.viewMu.Lock()
+	voters, known := v.view.voters.Members, len(v.view.workersByPool) > 0
+	v.viewMu.Unlock()
+	if v.Adapter != nil && !known {
+		return // no worker is known yet
+	}
+	v.FeedMu.Lock()
+	ok, out := v.Feed.Confirm(now, members, v.Self, voters, v.startedAt)
+	v.FeedMu.Unlock()
+	if ok {
+		v.ready.Store(true)
+		v.Flag(membership.Ready, !v.draining())
+		v.Log.Info("news confirmed: serving")
+	}
+	v.Deliver(out)
+}
+
+func (v *Router) markNotReady() {
+	v.ready.Store(false)
+	v.Flag(membership.Ready, false)
+	v.FeedMu.Lock()
+	clear(v.Feed.Vouch)
+	v.FeedMu.Unlock()
+}
--- /dev/null
+++ b/internal/router/config_update_test.go
@@ -0,0 +1,152 @@
+package router
+
+import (
+	"fmt"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"seamshunt/internal/cluster/configpush"
+	"seamshunt/internal/cluster/message"
+	"seamshunt/internal/config"
+	"seamshunt/internal/router/capacity"
+	"seamshunt/internal/router/idempotency"
+	"seamshunt/internal/testutil"
+)
+
+const fallbackConfig = `{"services":[{"name":"big","pool":"main","cap":1,"warm_ms":0,"first_ms":20,"waitlist":1},{"name":"small","pool":"side","cap":1,"warm_ms":0,"first_ms":20,"waitlist":1}],
+"promises":[{"name":"p","first_ms":100,"deadline_ms":3000,"smaller":true}],
+"layout":"mapping stepped { when path = \"/stepped\" to big, small step small promise p repeat }\nmapping plain { when path = \"/plain\" to big promise p repeat }"}`
+
+var markers atomic.Uint64
+
+// applyUpdates gives the router a change, and waits until it has been looked at: news is applied in its order, so a marker
+// behind it shows that.
+func applyUpdates(t *testing.T, v *Router, updates ...configpush.Item) {
+	t.Helper()
+	v.FeedMu.Lock()
+	for _, update := range updates {
+		v.Feed.Take(update)
+	}
+	v.FeedMu.Unlock()
+	marker := fmt.Sprintf("marker%d", markers.Add(1))
+	v.FeedMu.Lock()
+	v.Feed.Take(configpush.Item{Key: "zone/" + marker, Num: 1, Data: []byte(`{"evacuated":true}`)})
+	v.FeedMu.Unlock()
+	testutil.Until(t, "the news is looked at", func() bool {
+		v.viewMu.Lock()
+		defer v.viewMu.Unlock()
+		return v.view.evacuatedZones[marker]
+	})
+}
+
+// A step down leads only to the service that the mapping allows, and only once the first is full; a mapping that
+// names none is refused honestly.
+func TestFallbackService(t *testing.T) {
+	t.Parallel()
+	a, big := startNativeWorker(t)
+	b, small := startNativeWorker(t)
+	v := newTestRouter(t, a)
+	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(fallbackConfig)},
+		configpush.Item{Key: "workers/side", Num: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
+	testutil.Until(t, "both workers are kept", func() bool {
+		v.coordinatorMu.Lock()
+		defer v.coordinatorMu.Unlock()
+		k := v.coordinator.Kept(v.Tasks.Now())
+		return len(k) == 2 && k[0].Open && k[1].Open
+	})
+	sendPrompt(t, v, "/stepped")
+	first := <-big
+	defer first.Close()
+	queued := sendPrompt(t, v, "/stepped") // waits for big: its list has room
+	defer queued.Close()
+	testutil.Until(t, "one waits", func() bool {
+		v.coordinatorMu.Lock()
+		defer v.coordinatorMu.Unlock()
+		return v.coordinator.Kept(v.Tasks.Now())[0].Waiting == 1
+	})
+	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"not_run":true`) {
+		t.Errorf("no step named: %d %s", status, body)
+	}
+	c := sendPrompt(t, v, "/stepped")
+	h := <-small
+	h.respond(2)
+	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) {
+		t.Errorf("stepped: %d %s", status, body)
+	}
+	if len(big)+len(small) > 0 {
+		t.Error("something more was handed over")
+	}
+}
+
+// A change of the configuration, even one that takes the mapping away, leaves a stream under way as it began.
+func TestConfigChangeKeepsRunningStreams(t *testing.T) {
+	t.Parallel()
+	a, conns := startNativeWorker(t)
+	v := newTestRouter(t, a)
+	c := sendPrompt(t, v, "/chat")
+	h := <-conns
+	h.writeHeader()
+	h.writeChunk(pieceLine(0))
+	if _, err := c.r.ReadString('}'); err != nil {
+		t.Fatal(err)
+	}
+	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(fallbackConfig)}, configpush.Item{Key: "zone/z1", Num: 1, Data: []byte(`{"evacuated":true}`)})
+	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 404 || !strings.Contains(body, `"code":203`) {
+		t.Errorf("the mapping is gone: %d %s", status, body)
+	}
+	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":303`) {
+		t.Errorf("the zone is evacuated: %d %s", status, body)
+	}
+	v.drainWindow.Store(newDrainWindow(v.Tasks.Now(), time.Minute)) // as a warning would
+	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":305`) {
+		t.Errorf("leaving: %d %s", status, body)
+	}
+	h.writeChunk(pieceLine(1))
+	h.writeChunk(sealLine(h.id, 2))
+	fmt.Fprint(h, "0\r\n\r\n")
+	for {
+		line, err := c.r.ReadString('\n')
+		if err != nil {
+			t.Fatalf("the stream was cut: %v", err)
+		}
+		if line == "0\r\n" {
+			break
+		}
+	}
+}
+
+// An older configuration is never taken again.
+func TestOlderConfigIsIgnored(t *testing.T) {
+	t.Parallel()
+	a, _ := startNativeWorker(t)
+	v := newTestRouter(t, a)
+	applyUpdates(t, v, configpush.Item{Key: "config", Num: 3, Data: []byte(fallbackConfig)})
+	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(testConfig)})
+	if n := v.activeConfig.Load().updateVersion; n != 3 {
+		t.Errorf("number %d in force", n)
+	}
+}
+
+// A worker list that can't be read, and a note of permits or claims that can't, change nothing and are counted.
+func TestBadMessagesAreCounted(t *testing.T) {
+	t.Parallel()
+	a, _ := startNativeWorker(t)
+	v := newTestRouter(t, a)
+	applyUpdates(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
+	for _, k := range []message.Kind{capacity.Ask, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
+		v.Steps[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
+	}
+	v.coordinatorMu.Lock()
+	kept := v.coordinator.Kept(v.Tasks.Now())
+	v.coordinatorMu.Unlock()
+	if len(kept) != 1 || kept[0].Lent != 0 {
+		t.Errorf("kept %+v", kept)
+	}
+	if _, b, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
+		t.Errorf("%v %s", err, b)
+	}
+}
--- a/internal/router/connections_test.go
+++ b/internal/router/connection_limit_test.go
@@ -15,7 +15,7 @@
 
 // CONFIG: clients took all descriptors, and the router heard of nothing any more. They hold half of them at the most; one past that is
 // told so at once, and one that leaves makes room.
-func TestClientsLeaveDescriptorsToTheFleet(t *testing.T) {
+func TestClientConnectionsAreLimited(t *testing.T) {
 	const files = 8
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Files: files}
 	v := New(b, nil)
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(v.Close)
-	dial := func() net.Conn {
+	connect := func() net.Conn {
 		t.Helper()
 		c, err := net.Dial("tcp", b.Web)
 		if err != nil {
@@ -34,7 +34,7 @@
 		return c
 	}
 	// answer reads what a connection is told, after a request if there is one.
-	answer := func(c net.Conn, request string) string {
+	readAnswer := func(c net.Conn, request string) string {
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Write([]byte(request)); err != nil {
 			return err.Error()
@@ -50,19 +50,19 @@
 	const request, served = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n", "not ready\n"
 	var held []net.Conn
 	for range files / 2 {
-		c := dial()
-		if got := answer(c, request); got != served {
+		c := connect()
+		if got := readAnswer(c, request); got != served {
 			t.Fatalf("a connection within the bound: %s", got)
 		}
 		held = append(held, c)
 	}
-	if got := answer(dial(), ""); !strings.Contains(got, "cannot be served") {
+	if got := readAnswer(connect(), ""); !strings.Contains(got, "cannot be served") {
 		t.Errorf("one past the bound: %s", got)
 	}
 	held[0].Close()
 	testutil.Until(t, "one that left makes room", func() bool {
-		c := dial()
+		c := connect()
 		defer c.Close()
-		return answer(c, request) == served
+		return readAnswer(c, request) == served
 	})
 }
--- a/internal/router/rig_test.go
+++ b/internal/router/harness_test.go
@@ -19,25 +19,25 @@
 	"seamshunt/internal/testutil"
 )
 
-const rigConfig = `{"services":[{"name":"advice","pool":"main","cap":2,"warm_ms":0,"first_ms":20,"waitlist":1}],
+const testConfig = `{"services":[{"name":"advice","pool":"main","cap":2,"warm_ms":0,"first_ms":20,"waitlist":1}],
 "promises":[{"name":"p","first_ms":100,"deadline_ms":3000}],
 "layout":"mapping notice { when path = \"/notice\" to advice promise p once }\nmapping chat { when path = \"/chat\" to advice promise p repeat }"}`
 
-// hand is one wire that a scripted worker took, with the request read.
-type hand struct {
+// nativeWorkerConn is one wire that a scripted worker took, with the request read.
+type nativeWorkerConn struct {
 	net.Conn
 	id string
 }
 
-// scripted gives a worker whose every answer the test writes itself, byte for byte.
-func scripted(t *testing.T) (string, chan hand) {
+// startNativeWorker gives a worker whose every answer the test writes itself, byte for byte.
+func startNativeWorker(t *testing.T) (string, chan nativeWorkerConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	hands := make(chan hand, 16)
+	conns := make(chan nativeWorkerConn, 16)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -46,22 +46,22 @@
 			}
 			var req fasthttp.Request
 			if req.Read(bufio.NewReader(c)) == nil {
-				hands <- hand{c, string(req.Header.Peek("Request-Id"))}
+				conns <- nativeWorkerConn{c, string(req.Header.Peek("Request-Id"))}
 			}
 		}
 	}()
-	return ln.Addr().String(), hands
+	return ln.Addr().String(), conns
 }
 
-func (h hand) head() {
+func (h nativeWorkerConn) writeHeader() {
 	fmt.Fprintf(h, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n", h.id)
 }
 
-func (h hand) chunk(s string) { fmt.Fprintf(h, "%x\r\n%s\r\n", len(s), s) }
+func (h nativeWorkerConn) writeChunk(s string) { fmt.Fprintf(h, "%x\r\n%s\r\n", len(s), s) }
 
-func piece(n int) string { return fmt.Sprintf("{\"n\":%d,\"text\":\"p%d\"}\n", n, n) }
+func pieceLine(n int) string { return fmt.Sprintf("{\"n\":%d,\"text\":\"p%d\"}\n", n, n) }
 
-func seal(id string, n int) string {
+func sealLine(id string, n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "p%d", i)
@@ -70,25 +70,25 @@
 	return fmt.Sprintf("{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, n, b.Len(), hex.EncodeToString(d[:]))
 }
 
-// whole answers rightly with n pieces.
-func (h hand) whole(n int) {
-	h.head()
+// respond answers rightly with n pieces.
+func (h nativeWorkerConn) respond(n int) {
+	h.writeHeader()
 	for i := range n {
-		h.chunk(piece(i))
+		h.writeChunk(pieceLine(i))
 	}
-	h.chunk(seal(h.id, n))
+	h.writeChunk(sealLine(h.id, n))
 	fmt.Fprint(h, "0\r\n\r\n")
 	h.Close()
 }
 
-// rig is one router alone, its news put in by hand; it keeps all workers itself.
-func rig(t testing.TB, workers ...string) *Router {
+// newTestRouter is one router alone, its news put in by hand; it keeps all workers itself.
+func newTestRouter(t testing.TB, workers ...string) *Router {
 	t.Helper()
-	return rigOf(t, rigConfig, workers...)
+	return newTestRouterWithConfig(t, testConfig, workers...)
 }
 
-// rigOf is a rig with a configuration of its own.
-func rigOf(t testing.TB, configText string, workers ...string) *Router {
+// newTestRouterWithConfig is a rig with a configuration of its own.
+func newTestRouterWithConfig(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1}}
 	b.Seeds = []string{b.Addr}
@@ -108,9 +108,9 @@
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router keeps its workers", func() bool {
-		v.ledgerMu.Lock()
-		defer v.ledgerMu.Unlock()
-		k := v.ledger.Kept(v.Tasks.Now())
+		v.coordinatorMu.Lock()
+		defer v.coordinatorMu.Unlock()
+		k := v.coordinator.Kept(v.Tasks.Now())
 		for _, x := range k {
 			if !x.Open {
 				return false
@@ -126,13 +126,13 @@
 	return v
 }
 
-// caller is one caller's wire.
-type caller struct {
+// testClient is one caller's wire.
+type testClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, v *Router) *caller {
+func dialClient(t *testing.T, v *Router) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", v.Boot.Web)
 	if err != nil {
@@ -140,30 +140,30 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &caller{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-func (c *caller) post(path string, head string, body string) {
+func (c *testClient) post(path string, head string, body string) {
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, head, len(body), body)
 }
 
-const prompt = `{"prompt":"hello there"}`
+const promptBody = `{"prompt":"hello there"}`
 
-func ask(t *testing.T, v *Router, path string) *caller {
+func sendPrompt(t *testing.T, v *Router, path string) *testClient {
 	t.Helper()
-	c := dial(t, v)
-	c.post(path, "Time-Left-Ms: 2500\r\n", prompt)
+	c := dialClient(t, v)
+	c.post(path, "Time-Left-Ms: 2500\r\n", promptBody)
 	return c
 }
 
-// rest reads all that still comes, raw.
-func (c *caller) rest() string {
+// readAll reads all that still comes, raw.
+func (c *testClient) readAll() string {
 	b, _ := io.ReadAll(c.r)
 	return string(b)
 }
 
-// reply reads one whole answer of known length.
-func (c *caller) reply(t *testing.T) (int, string) {
+// readResponse reads one whole answer of known length.
+func (c *testClient) readResponse(t *testing.T) (int, string) {
 	t.Helper()
 	var r fasthttp.Response
 	if err := r.Read(c.r); err != nil {
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -16,11 +16,11 @@
 
 // stats counts results and hand-overs.
 type stats struct {
-	mu    sync.Mutex
-	codes map[codes.Code]uint64
-	hands map[string]uint64 // hand-overs by the worker's zone
-	cross uint64            // bytes of prompts handed over to another zone
-	left  [stages]uint64    // requests whose client left, by where they stood
+	mu             sync.Mutex
+	codes          map[codes.Code]uint64
+	dispatches     map[string]uint64  // hand-overs by the worker's zone
+	crossZoneBytes uint64             // bytes of prompts handed over to another zone
+	disconnects    [stageCount]uint64 // requests whose client left, by where they stood
 }
 
 // stage is where a request stands at a router.
@@ -31,21 +31,23 @@
 	stageAdmission              // it waits for a worker
 	stageAnswer                 // a worker has it, and no answer has begun
 	stageStream                 // its answer goes on
-	stages
+	stageCount
 )
 
-func (s stage) String() string { return [stages]string{"claim", "admission", "answer", "stream"}[s] }
+func (s stage) String() string {
+	return [stageCount]string{"claim", "admission", "answer", "stream"}[s]
+}
 
-// clientLeft counts and logs a request whose client left while it stood at a stage, and how long it had stood there.
-func (v *Router) clientLeft(at stage, after time.Duration) {
-	v.stats.count(codes.ClientLeft)
+// recordDisconnect counts and logs a request whose client left while it stood at a stage, and how long it had stood there.
+func (v *Router) recordDisconnect(at stage, elapsed time.Duration) {
+	v.stats.countResult(codes.ClientLeft)
 	v.stats.mu.Lock()
-	v.stats.left[at]++
+	v.stats.disconnects[at]++
 	v.stats.mu.Unlock()
-	v.Log.WithField("stage", at.String()).WithField("after", after).Info("a client left")
+	v.Log.WithField("stage", at.String()).WithField("after", elapsed).Info("a client left")
 }
 
-func (s *stats) count(c codes.Code) {
+func (s *stats) countResult(c codes.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.codes == nil {
@@ -54,15 +56,15 @@
 	s.codes[c]++
 }
 
-func (s *stats) hand(zone, own string, n int) {
+func (s *stats) countDispatch(zone, own string, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hands == nil {
-		s.hands = map[string]uint64{}
+	if s.dispatches == nil {
+		s.dispatches = map[string]uint64{}
 	}
-	s.hands[zone]++
+	s.dispatches[zone]++
 	if zone != own {
-		s.cross += uint64(n)
+		s.crossZoneBytes += uint64(bytes)
 	}
 }
 
@@ -75,20 +77,20 @@
 	for _, c := range slices.Sorted(maps.Keys(s.codes)) {
 		fmt.Fprintf(ctx, "seamshunt_results_total{code=\"%d\"} %d\n", c, s.codes[c])
 	}
-	for at := range stages {
-		fmt.Fprintf(ctx, "seamshunt_client_left_total{stage=%q} %d\n", at, s.left[at])
+	for at := range stageCount {
+		fmt.Fprintf(ctx, "seamshunt_client_left_total{stage=%q} %d\n", at, s.disconnects[at])
 	}
-	v.tallies.metrics(ctx)
+	v.mappingStats.writeMetrics(ctx)
 	v.WriteZoneMetrics(ctx)
 	v.upstreamMetrics(ctx)
-	fmt.Fprintf(ctx, "seamshunt_cross_zone_prompt_bytes_total %d\n", s.cross)
+	fmt.Fprintf(ctx, "seamshunt_cross_zone_prompt_bytes_total %d\n", s.crossZoneBytes)
 	fmt.Fprintf(ctx, "seamshunt_wire_bytes_total %d\n", v.Transport.Out.Load())
 	fmt.Fprintf(ctx, "seamshunt_in_flight %d\n", v.inFlight.Load())
 	fmt.Fprintf(ctx, "seamshunt_bad_frames_total %d\nseamshunt_bad_notes_total %d\n", v.Transport.Bad.Load(), v.Errors.Load())
 	fmt.Fprintf(ctx, "seamshunt_dropped_notes_total %d\n", v.Dropped.Load())
 	age := 0.0
-	if t := v.static.Load(); t > 0 {
-		age = v.Tasks.Now().Sub(v.began).Seconds() - (time.Duration(t) - time.Duration(v.began)).Seconds()
+	if t := v.noControllerSince.Load(); t > 0 {
+		age = v.Tasks.Now().Sub(v.startedAt).Seconds() - (time.Duration(t) - time.Duration(v.startedAt)).Seconds()
 	}
 	fmt.Fprintf(ctx, "seamshunt_cut_from_control_seconds %g\n", age)
 }
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -18,11 +18,11 @@
 }
 
 // A client that leaves is counted by where its request stood, and so is each attempt to connect to a worker.
-func TestMetricsOfClientsThatLeave(t *testing.T) {
+func TestDisconnectMetrics(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
-	v := relayRig(t, w)
-	c := clientConn(t, v)
+	v := newRelayRouter(t, w)
+	c := dialRelayClient(t, v)
 	c.send("effectful", "a", "prompt")
 	k := <-w.conns
 	k.request()
--- a/internal/router/own_interface.go
+++ b/internal/router/native_api.go
@@ -23,16 +23,16 @@
 	case "/metrics":
 		v.metrics(ctx)
 	default:
-		v.prompt(ctx, path)
+		v.handlePrompt(ctx, path)
 	}
 }
 
 // refuse answers with a code at once; a refused caller is told when to come back.
-func (v *Router) refuse(ctx *fasthttp.RequestCtx, c codes.Code, text string, notRun bool, back time.Duration) {
-	v.stats.count(c)
+func (v *Router) refuse(ctx *fasthttp.RequestCtx, code codes.Code, text string, notRun bool, retryAfter time.Duration) {
+	v.stats.countResult(code)
 	var a fastjson.Arena
 	o := a.NewObject()
-	o.Set("code", a.NewNumberInt(int(c)))
+	o.Set("code", a.NewNumberInt(int(code)))
 	o.Set("text", a.NewString(text))
 	if notRun {
 		o.Set("not_run", a.NewTrue())
@@ -40,11 +40,11 @@
 		o.Set("not_run", a.NewFalse())
 	}
 	ctx.Response.Reset()
-	if back > 0 {
-		o.Set("retry_after_ms", a.NewNumberInt(int(back.Milliseconds())))
-		ctx.Response.Header.Set("Retry-After", strconv.Itoa(int((back+time.Second-1)/time.Second)))
+	if retryAfter > 0 {
+		o.Set("retry_after_ms", a.NewNumberInt(int(retryAfter.Milliseconds())))
+		ctx.Response.Header.Set("Retry-After", strconv.Itoa(int((retryAfter+time.Second-1)/time.Second)))
 	}
-	ctx.SetStatusCode(c.Status())
+	ctx.SetStatusCode(code.Status())
 	ctx.SetContentType("application/json")
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
@@ -59,82 +59,82 @@
 	ctx.SetConnectionClose()
 }
 
-// prompt takes one request its way over the compiled rules.
-func (v *Router) prompt(ctx *fasthttp.RequestCtx, path string) {
+// handlePrompt takes one request its way over the compiled rules.
+func (v *Router) handlePrompt(ctx *fasthttp.RequestCtx, path string) {
 	v.inFlight.Add(1)
-	w := &ownRequest{v: v, ctx: ctx, begun: v.Tasks.Now(), rules: v.rules.Load(), client: v.clients.Begin(ctx.Conn()), at: stageClaim}
+	w := &nativeRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), config: v.activeConfig.Load(), client: v.clientWatcher.Begin(ctx.Conn()), stage: stageClaim}
 	defer func() {
 		if !w.streaming {
-			w.over(false)
+			w.finish(false)
 		}
 	}()
 	switch {
-	case v.leaving():
+	case v.draining():
 		ctx.SetConnectionClose()
-		v.refuse(ctx, codes.Draining, "this node is leaving", true, leaveBack)
+		v.refuse(ctx, codes.Draining, "this node is leaving", true, drainRetryAfter)
 		return
-	case !v.ready.Load() || w.rules == nil:
+	case !v.ready.Load() || w.config == nil:
 		v.refuse(ctx, codes.NotReady, "this node has no confirmed configuration yet", true, time.Second)
 		return
-	case over(ctx, w.rules.Limits):
+	case exceedsLimits(ctx, w.config.Limits):
 		v.refuse(ctx, codes.TooLarge, "the request is over the limits", true, 0)
 		ctx.SetConnectionClose()
 		return
 	}
-	if !w.read() {
+	if !w.readRequest() {
 		return
 	}
-	do, ok := w.rules.Program.Find(routing.Ask{Host: hostOf(ctx), Path: path, Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	actions, ok := w.config.Program.Find(routing.Ask{Host: requestHost(ctx), Path: path, Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
 	if !ok {
 		v.refuse(ctx, codes.NoMapping, "no mapping takes this request", true, 0)
 		return
 	}
-	w.m = w.rules.Mappings[do[0].Mapping]
-	v.tallies.count(w.m, func(t *tally) { t.ask(w.begun) })
-	routing.Run(do, routing.Hands{Limit: w.limit, Claim: w.claim, Share: w.share, Try: w.try, Refuse: w.refuse})
+	w.mapping = w.config.Mappings[actions[0].Mapping]
+	v.mappingStats.update(w.mapping, func(t *mappingStats) { t.countRequest(w.startedAt) })
+	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: w.claimKey, Share: w.chooseService, Try: w.tryService, Refuse: w.refuse})
 }
 
-// read checks what every prompt must bring.
-func (w *ownRequest) read() bool {
-	ctx, v := w.ctx, w.v
+// readRequest checks what every prompt must bring.
+func (w *nativeRequest) readRequest() bool {
+	ctx, v := w.ctx, w.router
 	if !ctx.IsPost() {
 		v.refuse(ctx, codes.BadBody, "a prompt is a POST", true, 0)
 		return false
 	}
-	left := ctx.Request.Header.Peek("Time-Left-Ms")
-	if len(left) == 0 {
+	header := ctx.Request.Header.Peek("Time-Left-Ms")
+	if len(header) == 0 {
 		v.refuse(ctx, codes.NoTimeLeft, "Time-Left-Ms is missing", true, 0)
 		return false
 	}
-	n, err := strconv.ParseUint(string(left), 10, 31)
+	n, err := strconv.ParseUint(string(header), 10, 31)
 	if err != nil || n == 0 {
 		v.refuse(ctx, codes.BadTimeLeft, "Time-Left-Ms is a whole number of milliseconds above 0", true, 0)
 		return false
 	}
-	w.left = time.Duration(n) * time.Millisecond
+	w.timeLeft = time.Duration(n) * time.Millisecond
 	w.key = string(ctx.Request.Header.Peek("Idempotency-Key"))
 	if len(w.key) > 200 {
 		v.refuse(ctx, codes.BadKey, "an Idempotency-Key has at most 200 bytes", true, 0)
 		return false
 	}
 	w.body = bytes.Clone(ctx.PostBody()) // outlives the handler
-	x, err := fastjson.ParseBytes(w.body)
+	parsed, err := fastjson.ParseBytes(w.body)
 	if err != nil {
 		v.refuse(ctx, codes.BadBody, "the body is no JSON: "+err.Error(), true, 0)
 		return false
 	}
-	p := x.Get("prompt")
-	if p == nil || p.Type() != fastjson.TypeString || len(p.GetStringBytes()) == 0 {
+	prompt := parsed.Get("prompt")
+	if prompt == nil || prompt.Type() != fastjson.TypeString || len(prompt.GetStringBytes()) == 0 {
 		v.refuse(ctx, codes.BadBody, "prompt is missing or no text", true, 0)
 		return false
 	}
-	w.text = p.GetStringBytes()
+	w.prompt = prompt.GetStringBytes()
 	return true
 }
 
-// back says when a refused caller should come again: the service's least time, the wait foreseen, and jitter.
-func back(least, jitter, due time.Duration) time.Duration {
-	b := max(least, due)
+// retryAfter says when a refused caller should come again: the service's least time, the wait foreseen, and jitter.
+func retryAfter(minimum, jitter, expectedWait time.Duration) time.Duration {
+	b := max(minimum, expectedWait)
 	if jitter > 0 {
 		b += time.Duration(rand.Int64N(int64(jitter)))
 	}
--- /dev/null
+++ b/internal/router/native_api_test.go
@@ -0,0 +1,220 @@
+package router
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+
+	"seamshunt/internal/codes"
+	"seamshunt/internal/testutil"
+)
+
+// Every bad prompt gets its code, and is said not to run.
+func TestBadPrompts(t *testing.T) {
+	t.Parallel()
+	addr, conns := startNativeWorker(t)
+	v := newTestRouter(t, addr)
+	timeLeft := "Time-Left-Ms: 1000\r\n"
+	for _, x := range []struct {
+		name, path, head, body string
+		status                 int
+		code                   codes.Code
+	}{
+		{"no time left", "/chat", "", promptBody, 400, codes.NoTimeLeft},
+		{"time left no number", "/chat", "Time-Left-Ms: soon\r\n", promptBody, 400, codes.BadTimeLeft},
+		{"time left zero", "/chat", "Time-Left-Ms: 0\r\n", promptBody, 400, codes.BadTimeLeft},
+		{"time left negative", "/chat", "Time-Left-Ms: -5\r\n", promptBody, 400, codes.BadTimeLeft},
+		{"no mapping", "/other", timeLeft, promptBody, 404, codes.NoMapping},
+		{"no JSON", "/chat", timeLeft, "{", 400, codes.BadBody},
+		{"no prompt", "/chat", timeLeft, "{}", 400, codes.BadBody},
+		{"prompt no text", "/chat", timeLeft, `{"prompt":7}`, 400, codes.BadBody},
+		{"prompt empty", "/chat", timeLeft, `{"prompt":""}`, 400, codes.BadBody},
+		{"long key", "/notice", timeLeft + "Idempotency-Key: " + strings.Repeat("k", 201) + "\r\n", promptBody, 400, codes.BadKey},
+		{"too late", "/chat", "Time-Left-Ms: 10\r\n", promptBody, 503, codes.OutOfTime},
+	} {
+		c := dialClient(t, v)
+		c.post(x.path, x.head, x.body)
+		status, body := c.readResponse(t)
+		if status != x.status || !strings.Contains(body, fmt.Sprintf(`"code":%d,`, x.code)) || !strings.Contains(body, `"not_run":true`) {
+			t.Errorf("%s: %d %s", x.name, status, body)
+		}
+	}
+	c := dialClient(t, v)
+	fmt.Fprintf(c, "POST /chat HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n", timeLeft, MaxBodyBytes+1)
+	if status, body := c.readResponse(t); status != 413 || !strings.Contains(body, `"code":204`) {
+		t.Errorf("too large: %d %s", status, body)
+	}
+	c = dialClient(t, v)
+	fmt.Fprint(c, "what is this\r\n\r\n")
+	if status, body := c.readResponse(t); status != 400 || !strings.Contains(body, `"not_run":true`) {
+		t.Errorf("no HTTP: %d %s", status, body)
+	}
+	if len(conns) > 0 {
+		t.Error("a bad prompt reached the worker")
+	}
+}
+
+// Each piece reaches the caller before the worker sends the next: nothing is held back in a buffer.
+func TestStreamIsUnbuffered(t *testing.T) {
+	t.Parallel()
+	addr, conns := startNativeWorker(t)
+	v := newTestRouter(t, addr)
+	c := sendPrompt(t, v, "/chat")
+	h := <-conns
+	h.writeHeader()
+	for i := range 5 {
+		h.writeChunk(pieceLine(i))
+		for want := strings.TrimSpace(pieceLine(i)); ; {
+			line, err := c.r.ReadString('\n')
+			if err != nil {
+				t.Fatalf("piece %d never came: %v", i, err)
+			}
+			if strings.TrimSpace(line) == want {
+				break
+			}
+		}
+	}
+	h.writeChunk(sealLine(h.id, 5))
+	fmt.Fprint(h, "0\r\n\r\n")
+	for {
+		line, err := c.r.ReadString('\n')
+		if err != nil {
+			t.Fatalf("no proper end: %v", err)
+		}
+		if line == "0\r\n" {
+			break
+		}
+	}
+}
+
+// A broken answer never ends like a whole one: no final chunk, no seal, whatever the worker did wrong.
+func TestBrokenStreamIsUnterminated(t *testing.T) {
+	t.Parallel()
+	end := "0\r\n\r\n"
+	for name, misbehave := range map[string]func(h nativeWorkerConn){
+		"cut":            func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)) },
+		"cut in a chunk": func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)); fmt.Fprint(h, "40\r\n{\"n\":1,") },
+		"no seal":        func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)); fmt.Fprint(h, end) },
+		"gap": func(h nativeWorkerConn) {
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(pieceLine(2))
+			h.writeChunk(sealLine(h.id, 2))
+			fmt.Fprint(h, end)
+		},
+		"doubled": func(h nativeWorkerConn) {
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(sealLine(h.id, 2))
+			fmt.Fprint(h, end)
+		},
+		"sealed short": func(h nativeWorkerConn) {
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(pieceLine(1))
+			h.writeChunk(sealLine(h.id, 1))
+			fmt.Fprint(h, end)
+		},
+		"other's seal": func(h nativeWorkerConn) {
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(sealLine("other", 1))
+			fmt.Fprint(h, end)
+		},
+		"after the seal": func(h nativeWorkerConn) {
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(sealLine(h.id, 1))
+			h.writeChunk(pieceLine(1))
+			fmt.Fprint(h, end)
+		},
+		"no end": func(h nativeWorkerConn) {
+			h.writeChunk(pieceLine(0))
+			h.writeChunk(sealLine(h.id, 1))
+			fmt.Fprint(h, "5\r\n")
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			addr, conns := startNativeWorker(t)
+			v := newTestRouter(t, addr)
+			c := sendPrompt(t, v, "/chat")
+			h := <-conns
+			h.writeHeader()
+			misbehave(h)
+			h.Close()
+			got := c.readAll()
+			if !strings.Contains(got, strings.TrimSpace(pieceLine(0))) {
+				t.Fatalf("the first piece never came: %q", got)
+			}
+			if strings.HasSuffix(got, end) || strings.Contains(got, `"seal"`) {
+				t.Errorf("it looks whole: %q", got)
+			}
+		})
+	}
+}
+
+// awaitWorkerDisconnect says that the worker's wire was closed from the router's side.
+func awaitWorkerDisconnect(t *testing.T, h nativeWorkerConn) {
+	t.Helper()
+	if _, err := io.Copy(io.Discard, h); err != nil && !strings.Contains(err.Error(), "reset") {
+		t.Errorf("the worker's wire: %v", err)
+	}
+}
+
+// A caller that hangs up has its run cancelled, before and after the first words, and its slot is free again.
+func TestClientDisconnect(t *testing.T) {
+	t.Parallel()
+	for _, afterFirstOutput := range []bool{false, true} {
+		t.Run(fmt.Sprint(afterFirstOutput), func(t *testing.T) {
+			t.Parallel()
+			addr, conns := startNativeWorker(t)
+			v := newTestRouter(t, addr)
+			c := sendPrompt(t, v, "/chat")
+			h := <-conns
+			if afterFirstOutput {
+				h.writeHeader()
+				h.writeChunk(pieceLine(0))
+				if _, err := c.r.ReadString('}'); err != nil {
+					t.Fatal(err)
+				}
+			}
+			c.Close()
+			awaitWorkerDisconnect(t, h)
+			testutil.Until(t, "the slot is free", func() bool {
+				v.coordinatorMu.Lock()
+				defer v.coordinatorMu.Unlock()
+				return v.coordinator.Kept(v.Tasks.Now())[0].Lent == 0 && v.inFlight.Load() == 0
+			})
+			v.stats.mu.Lock()
+			defer v.stats.mu.Unlock()
+			if n := v.stats.codes[codes.ClientLeft]; n != 1 {
+				t.Errorf("%d hang-ups were noticed; the run ended for another reason", n)
+			}
+		})
+	}
+}
+
+// A caller that hangs up while it waits for a slot leaves the waitlist.
+func TestClientDisconnectWhileWaiting(t *testing.T) {
+	t.Parallel()
+	addr, conns := startNativeWorker(t)
+	v := newTestRouter(t, addr)
+	sendPrompt(t, v, "/chat")
+	sendPrompt(t, v, "/chat")
+	a, b := <-conns, <-conns
+	defer a.Close()
+	defer b.Close()
+	waiting := func() int {
+		v.coordinatorMu.Lock()
+		defer v.coordinatorMu.Unlock()
+		return v.coordinator.Kept(v.Tasks.Now())[0].Waiting
+	}
+	c := sendPrompt(t, v, "/chat")
+	testutil.Until(t, "the third waits", func() bool { return waiting() == 1 })
+	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"retry_after_ms"`) {
+		t.Errorf("the fourth finds the waitlist full: %d %s", status, body)
+	}
+	c.Close()
+	testutil.Until(t, "the third has left", func() bool { return waiting() == 0 })
+	if len(conns) > 0 {
+		t.Error("more than the cap reached the worker")
+	}
+}
--- /dev/null
+++ b/internal/router/native_stream.go
@@ -0,0 +1,154 @@
+package router
+
+import (
+	"errors"
+	"io"
+	"net"
+	"time"
+
+	"seamshunt/internal/codes"
+	"seamshunt/internal/router/upstream"
+)
+
+// endWithRefusal gives the final answer at once, with its code and when to come back.
+func (w *nativeRequest) endWithRefusal() bool {
+	w.refuse()
+	return true
+}
+
+// refuse says "not run" only where no byte of the prompt can still arrive anywhere; a doubt is "outcome unknown".
+func (w *nativeRequest) refuse() {
+	c := w.reason
+	if c == 0 {
+		c = codes.NoWorker
+	}
+	if c == codes.ClientLeft {
+		w.ctx.SetConnectionClose()
+		w.ctx.SetStatusCode(c.Status())
+		return
+	}
+	if !w.knownNotRun {
+		w.router.refuse(w.ctx, codes.Unknown, "the outcome is unknown: it may have run", false, 0)
+		return
+	}
+	w.spendKey()
+	w.router.mappingStats.update(w.mapping, func(t *mappingStats) {
+		t.refused++
+		t.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
+	})
+	s := w.config.Services[w.mapping.To[0]]
+	w.router.refuse(w.ctx, c, refusalTexts[c], true, retryAfter(s.RetryAfter, s.Jitter, w.expectedWait))
+}
+
+var refusalTexts = map[codes.Code]string{
+	codes.WaitFull:  "every waitlist is full",
+	codes.WaitLate:  "the time left does not reach to an answer",
+	codes.NoWorker:  "no worker can be reached",
+	codes.OutOfTime: "out of time",
+	codes.Draining:  "this node is leaving",
+	codes.Budget:    "no further try is left in the budget",
+	codes.WorkerNo:  "the workers refused",
+}
+
+// startStream begins the caller's answer; the rest is read from the try as it comes.
+func (w *nativeRequest) startStream(tag uint64, attempt *upstream.Try, first upstream.Event, worker string) {
+	w.streaming, w.stage = true, stageStream
+	body := &nativeStream{request: w, tag: tag, attempt: attempt, worker: worker, firstEvent: &first}
+	w.router.mappingStats.update(w.mapping, func(attempt *mappingStats) { attempt.recordFirstOutput(w.router.Tasks.Now().Sub(w.startedAt)) })
+	w.ctx.SetStatusCode(200)
+	w.ctx.SetContentType("application/x-ndjson")
+	w.ctx.Response.Header.Set("Request-Id", attempt.ID)
+	w.ctx.Response.Header.Set("Worker", worker)
+	w.ctx.Response.ImmediateHeaderFlush = true
+	w.ctx.SetBodyStream(body, -1)
+}
+
+var errBroken = errors.New("router: the worker's answer broke")
+
+// nativeStream is the body of a caller's answer. An error from Read makes the server break the wire off
+// without a final chunk, so that a broken answer never looks whole.
+type nativeStream struct {
+	request        *nativeRequest
+	tag            uint64
+	attempt        *upstream.Try
+	worker         string
+	firstEvent     *upstream.Event
+	pending        []byte
+	sealed         bool
+	outcomeUnknown bool
+	closed         bool
+}
+
+// Read gives the next piece as soon as it comes.
+func (s *nativeStream) Read(p []byte) (int, error) {
+	if len(s.pending) == 0 {
+		if s.sealed {
+			return 0, io.EOF
+		}
+		event, err := s.nextEvent()
+		if err != nil {
+			return 0, err
+		}
+		s.pending = event.Line
+		s.sealed = event.Kind == upstream.Sealed
+	}
+	n := copy(p, s.pending)
+	s.pending = s.pending[n:]
+	return n, nil
+}
+
+func (s *nativeStream) nextEvent() (*upstream.Event, error) {
+	if e := s.firstEvent; e != nil {
+		s.firstEvent = nil
+		return e, nil
+	}
+	v := s.request.router
+	timeout := time.NewTimer(s.request.deadline.Sub(v.Tasks.Now()))
+	defer timeout.Stop()
+	select {
+	case e := <-s.attempt.Events:
+		if e.Kind == upstream.Piece || e.Kind == upstream.Sealed {
+			return &e, nil
+		}
+		if s.request.client.Err() != nil {
+			break // broken off here
+		}
+		var timeoutErr net.Error
+		s.outcomeUnknown = errors.As(e.Err, &timeoutErr) && timeoutErr.Timeout() // silence: nobody knows whether it still runs
+		v.stats.countResult(codes.BrokenStream)
+		v.markDown(s.worker)
+		v.Log.WithError(e.Err).WithField("worker", s.worker).Warn("a stream broke")
+	case <-s.request.client.Done():
+	case <-timeout.C:
+		v.stats.countResult(codes.OutOfTime)
+	}
+	return nil, errBroken
+}
+
+// Close ends the try and gives the slot back; the server calls it however the answer ended.
+func (s *nativeStream) Close() error {
+	if s.closed {
+		return nil
+	}
+	s.closed = true
+	s.attempt.Cancel()
+	now := s.request.router.Tasks.Now()
+	s.request.router.mappingStats.update(s.request.mapping, func(t *mappingStats) {
+		t.streamsEnded++
+		t.streamTime += now.Sub(s.request.dispatchedAt)
+		if s.sealed && len(s.pending) == 0 && now <= s.request.deadline {
+			t.onTime++
+		}
+	})
+	if s.sealed && len(s.pending) == 0 {
+		s.request.router.stats.countResult(codes.OK)
+		s.request.router.markUp(s.worker)
+	}
+	if s.sealed || s.outcomeUnknown {
+		s.request.router.release(s.tag, s.outcomeUnknown)
+	} else {
+		s.request.router.releaseAborted(s.tag)
+	}
+	s.request.finish(s.sealed && len(s.pending) == 0)
+	return nil
+}
--- a/internal/router/late_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -15,19 +15,19 @@
 
 // A worker that takes a prompt and says nothing is left for another once first words are later than the service's
 // habit allows, if the prompt may repeat and the budget has a try; what may not repeat is never handed over again.
-func TestDarkWorker(t *testing.T) {
+func TestUnresponsiveWorker(t *testing.T) {
 	t.Parallel()
 	for _, path := range []string{"/chat", "/notice"} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			a, ha := scripted(t)
-			b, hb := scripted(t)
-			v := rig(t, a, b)
+			a, ha := startNativeWorker(t)
+			b, hb := startNativeWorker(t)
+			v := newTestRouter(t, a, b)
 			for range 40 {
-				v.habitOf("advice").Add(10 * time.Millisecond)
-				v.budgetOf("advice").First(v.Tasks.Now())
+				v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond)
+				v.retryBudgetOf("advice").First(v.Tasks.Now())
 			}
-			c := ask(t, v, path)
+			c := sendPrompt(t, v, path)
 			other := hb
 			select {
 			case <-ha:
@@ -36,16 +36,16 @@
 			}
 			if path == "/chat" {
 				h := <-other
-				h.whole(2)
-				if status, body := c.reply(t); status != 200 || !strings.Contains(body, `"seal"`) {
+				h.respond(2)
+				if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) {
 					t.Errorf("%d %s", status, body)
 				}
-			} else if status, body := c.reply(t); status != 502 || !strings.Contains(body, `"code":401`) || len(ha)+len(hb) > 0 {
+			} else if status, body := c.readResponse(t); status != 502 || !strings.Contains(body, `"code":401`) || len(ha)+len(hb) > 0 {
 				t.Errorf("%d %s, handed over %d times more", status, body, len(ha)+len(hb))
 			}
-			v.tableMu.Lock()
-			down := len(v.table.down)
-			v.tableMu.Unlock()
+			v.viewMu.Lock()
+			down := len(v.view.outages)
+			v.viewMu.Unlock()
 			if down != 1 {
 				t.Errorf("%d workers are passed over", down)
 			}
@@ -54,33 +54,33 @@
 }
 
 // With no try left in the budget, or no habit known, a late worker is waited for: it may still answer.
-func TestLateWorkerIsWaitedFor(t *testing.T) {
+func TestOverdueWorkerIsAwaited(t *testing.T) {
 	t.Parallel()
-	a, ha := scripted(t)
-	b, hb := scripted(t)
-	v := rig(t, a, b)
+	a, ha := startNativeWorker(t)
+	b, hb := startNativeWorker(t)
+	v := newTestRouter(t, a, b)
 	for range 40 {
-		v.habitOf("advice").Add(10 * time.Millisecond) // and nothing in the budget
+		v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond) // and nothing in the budget
 	}
-	c := ask(t, v, "/chat")
-	var h hand
+	c := sendPrompt(t, v, "/chat")
+	var h nativeWorkerConn
 	select {
 	case h = <-ha:
 	case h = <-hb:
 	}
 	testutil.Until(t, "it is late", func() bool {
-		v.tableMu.Lock()
-		defer v.tableMu.Unlock()
-		return len(v.table.down) == 1
+		v.viewMu.Lock()
+		defer v.viewMu.Unlock()
+		return len(v.view.outages) == 1
 	})
-	h.whole(2)
-	if status, body := c.reply(t); status != 200 || !strings.Contains(body, `"seal"`) || len(ha)+len(hb) > 0 {
+	h.respond(2)
+	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) || len(ha)+len(hb) > 0 {
 		t.Errorf("%d %s", status, body)
 	}
 	testutil.Until(t, "it is well again", func() bool {
-		v.tableMu.Lock()
-		defer v.tableMu.Unlock()
-		return len(v.table.down) == 0
+		v.viewMu.Lock()
+		defer v.viewMu.Unlock()
+		return len(v.view.outages) == 0
 	})
 	_, body, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/status")
 	var x struct {
@@ -96,10 +96,10 @@
 }
 
 // A router that has lost sight of everybody else says so to the platform; one that never knew anybody is no such case.
-func TestAloneIsUnready(t *testing.T) {
+func TestIsolatedRouterIsNotReady(t *testing.T) {
 	t.Parallel()
-	a, _ := scripted(t)
-	v := rig(t, a)
+	a, _ := startNativeWorker(t)
+	v := newTestRouter(t, a)
 	ready := func() bool {
 		code, _, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/healthz")
 		return err == nil && code == 200
@@ -107,9 +107,9 @@
 	if !ready() {
 		t.Fatal("a fleet of one is ready")
 	}
-	other := membership.New(membership.Member{Node: 9, Inc: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Boot.Addr}, rand.New(rand.NewPCG(1, 1)))
+	peer := membership.New(membership.Member{Node: 9, Inc: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Boot.Addr}, rand.New(rand.NewPCG(1, 1)))
 	v.GossipMu.Lock()
-	for _, n := range other.Tick(0).Messages {
+	for _, n := range peer.Tick(0).Messages {
 		n.From = 9
 		v.Gossip.Step(v.Tasks.Now(), n)
 	}
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -16,97 +16,97 @@
 	"seamshunt/internal/units"
 )
 
-// relay is one request on its way through this node in an adapter's words (design 11): its bytes go to a worker and the
+// relayRequest is one request on its way through this node in an adapter's words (design 11): its bytes go to a worker and the
 // worker's come back unchanged. Its id belongs to one try of a client, so nothing is claimed for it.
-type relay struct {
-	v      *Router
-	ctx    *fasthttp.RequestCtx
-	rules  *rules
-	m      *config.Mapping
-	id     string
-	body   []byte
-	begun  units.Time
-	until  units.Time
-	left   time.Duration
-	prompt adapter.Prompt
-	sized  bool   // the prompt's size is known
-	last   string // the id of the last whole event that the client has
-	sent   int    // workers that the request was sent to
-	ran    bool   // it may have run
-	client *clientwatch.Request
-	at     stage  // where it stands
-	broke  string // the worker that broke off last
-	why    codes.Code
-	due    time.Duration
-	urge   uint8
-	reply  *reply // while a stream goes on
+type relayRequest struct {
+	router       *Router
+	ctx          *fasthttp.RequestCtx
+	config       *activeConfig
+	mapping      *config.Mapping
+	id           string
+	body         []byte
+	startedAt    units.Time
+	deadline     units.Time
+	timeLeft     time.Duration
+	prompt       adapter.Prompt
+	hasSize      bool   // the prompt's size is known
+	lastEventID  string // the id of the last whole event that the client has
+	dispatches   int    // workers that the request was sent to
+	mayHaveRun   bool   // it may have run
+	client       *clientwatch.Request
+	stage        stage  // where it stands
+	failedWorker string // the worker that broke off last
+	reason       codes.Code
+	expectedWait time.Duration
+	urgency      uint8
+	stream       *responseBody // while a stream goes on
 }
 
-// holdFor is how long a request waits for a node that has started or woken and asks whether its news still stands: as a
+// holdTimeout is how long a request waits for a node that has started or woken and asks whether its news still stands: as a
 // rule that takes less. It is not given up meanwhile; one that is gets its answer at once (design 11).
-const holdFor = 700 * time.Millisecond
+const holdTimeout = 700 * time.Millisecond
 
-// relay takes one request its way.
-func (v *Router) relay(ctx *fasthttp.RequestCtx) {
+// handleRelay takes one request its way.
+func (v *Router) handleRelay(ctx *fasthttp.RequestCtx) {
 	v.inFlight.Add(1)
-	w := &relay{v: v, ctx: ctx, begun: v.Tasks.Now(), client: v.clients.Begin(ctx.Conn()), at: stageAdmission}
+	w := &relayRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), client: v.clientWatcher.Begin(ctx.Conn()), stage: stageAdmission}
 	defer func() {
-		if w.reply == nil {
-			w.over()
+		if w.stream == nil {
+			w.finish()
 		}
 	}()
-	if !proper(&ctx.Request.Header) {
-		w.end(codes.BadBody, 0)
+	if !acceptableRequest(&ctx.Request.Header) {
+		w.respond(codes.BadBody, 0)
 		ctx.SetConnectionClose()
 		return
 	}
-	if v.leaving() {
+	if v.draining() {
 		ctx.SetConnectionClose()
 	}
-	for end := w.begun.Add(holdFor); !v.ready.Load() && v.Tasks.Now() < end && w.client.Err() == nil; {
+	for end := w.startedAt.Add(holdTimeout); !v.ready.Load() && v.Tasks.Now() < end && w.client.Err() == nil; {
 		v.Tasks.Wait(w.client, 5*time.Millisecond)
 	}
-	w.rules = v.rules.Load()
-	if w.rules == nil || !v.ready.Load() {
-		w.end(codes.NotReady, 200*time.Millisecond)
+	w.config = v.activeConfig.Load()
+	if w.config == nil || !v.ready.Load() {
+		w.respond(codes.NotReady, 200*time.Millisecond)
 		return
 	}
-	path, host := ctx.Request.Header.RequestURI(), hostOf(ctx)
+	path, host := ctx.Request.Header.RequestURI(), requestHost(ctx)
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	do, ok := w.rules.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	actions, ok := w.config.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
 	if !ok {
-		w.end(codes.NoMapping, 0)
+		w.respond(codes.NoMapping, 0)
 		return
 	}
-	w.m = w.rules.Mappings[do[0].Mapping]
-	if over(ctx, w.rules.Limits) {
-		w.end(codes.TooLarge, 0)
+	w.mapping = w.config.Mappings[actions[0].Mapping]
+	if exceedsLimits(ctx, w.config.Limits) {
+		w.respond(codes.TooLarge, 0)
 		ctx.SetConnectionClose()
 		return
 	}
-	w.read()
-	v.tallies.count(w.m, func(t *tally) { t.ask(w.begun) })
-	routing.Run(do, routing.Hands{Limit: w.limit, Claim: func() bool { return false }, Share: w.share, Try: w.try, Refuse: w.refuse})
+	w.readHeaders()
+	v.mappingStats.update(w.mapping, func(t *mappingStats) { t.countRequest(w.startedAt) })
+	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: func() bool { return false }, Share: w.chooseService, Try: w.tryService, Refuse: w.refuse})
 }
 
-// over lets go of the client; nothing may be under way for it any more.
-func (w *relay) over() {
-	w.v.over(w.client, w.at, w.begun, w.reply != nil && w.reply.ended)
+// finish lets go of the client; nothing may be under way for it any more.
+func (w *relayRequest) finish() {
+	w.router.finishRequest(w.client, w.stage, w.startedAt, w.stream != nil && w.stream.complete)
 }
 
-// cancelled looks whether the request is cancelled, and notes why.
-func (w *relay) cancelled() bool {
-	why := cancelledAs(w.client)
-	if why != 0 {
-		w.why = why
+// checkCancelled looks whether the request is cancelled, and notes why.
+func (w *relayRequest) checkCancelled() bool {
+	reason := cancellationCode(w.client)
+	if reason != 0 {
+		w.reason = reason
 	}
-	return why != 0
+	return reason != 0
 }
 
-// hostOf is the host that the client names, without a port.
-func hostOf(ctx *fasthttp.RequestCtx) string {
+// requestHost is the host that the client names, without a port.
+func requestHost(ctx *fasthttp.RequestCtx) string {
 	h := strings.ToLower(string(ctx.Request.Header.Host()))
 	if i := strings.LastIndexByte(h, ':'); i > 0 && !strings.HasSuffix(h, "]") {
 		h = h[:i]
@@ -114,105 +114,105 @@
 	return h
 }
 
-// read takes what the headers tell.
-func (w *relay) read() {
-	n, h := &w.v.Adapter.Names, &w.ctx.Request.Header
+// readHeaders takes what the headers tell.
+func (w *relayRequest) readHeaders() {
+	n, h := &w.router.Adapter.Names, &w.ctx.Request.Header
 	w.id = string(h.Peek(n.Try))
-	w.last = string(h.Peek(n.After))
-	w.left = w.m.Promise.Longest
+	w.lastEventID = string(h.Peek(n.After))
+	w.timeLeft = w.mapping.Promise.Longest
 	if ms, err := strconv.ParseFloat(string(h.Peek(n.Left)), 64); err == nil && ms >= 0 && ms < 1e9 {
-		w.left = time.Duration(ms * float64(time.Millisecond))
+		w.timeLeft = time.Duration(ms * float64(time.Millisecond))
 	}
 	w.body = bytes.Clone(w.ctx.PostBody()) // outlives the handler
-	if w.v.Adapter.Prompt != nil {
-		w.prompt, w.sized = w.v.Adapter.Prompt(h)
+	if w.router.Adapter.Prompt != nil {
+		w.prompt, w.hasSize = w.router.Adapter.Prompt(h)
 	}
 }
 
-// leaveBack is when a client that a leaving node refuses may come again: at once, as it comes to another.
-const leaveBack = 100 * time.Millisecond
+// drainRetryAfter is when a client that a leaving node refuses may come again: at once, as it comes to another.
+const drainRetryAfter = 100 * time.Millisecond
 
-// limit bounds the client's time left by the mapping's. A leaving node ends the way of what might outlast it.
-func (w *relay) limit(ms int) bool {
-	w.until = w.begun.Add(min(w.left, time.Duration(ms)*time.Millisecond))
-	if w.v.begins(w.v.Tasks.Now(), w.until, w.m) {
+// applyTimeLimit bounds the client's time left by the mapping's. A leaving node ends the way of what might outlast it.
+func (w *relayRequest) applyTimeLimit(limitMs int) bool {
+	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
+	if w.router.mayStart(w.router.Tasks.Now(), w.deadline, w.mapping) {
 		return false
 	}
-	w.v.tallies.count(w.m, func(t *tally) { t.refused++ })
-	w.end(codes.Draining, leaveBack)
+	w.router.mappingStats.update(w.mapping, func(t *mappingStats) { t.refused++ })
+	w.respond(codes.Draining, drainRetryAfter)
 	return true
 }
 
-// share draws the service among those that share the mapping; the same try always draws the same.
-func (w *relay) share() bool {
-	s, ok := draw(w.m.Split, w.id)
-	return ok && w.try(s)
+// chooseService draws the service among those that share the mapping; the same try always draws the same.
+func (w *relayRequest) chooseService() bool {
+	s, ok := pickService(w.mapping.Split, w.id)
+	return ok && w.tryService(s)
 }
 
-// draw gives the service that an id falls to, by the shares.
-func draw(split []config.Target, id string) (string, bool) {
+// pickService gives the service that an id falls to, by the shares.
+func pickService(split []config.Target, id string) (string, bool) {
 	sum := 0
-	for _, t := range split {
-		sum += t.Share
+	for _, target := range split {
+		sum += target.Share
 	}
-	x := int(units.Mix("share", id) % uint64(max(1, sum)))
-	for _, t := range split {
-		if x -= t.Share; x < 0 {
-			return t.Service, true
+	remaining := int(units.Mix("share", id) % uint64(max(1, sum)))
+	for _, target := range split {
+		if remaining -= target.Share; remaining < 0 {
+			return target.Service, true
 		}
 	}
 	return "", false
 }
 
-// over says whether a request is larger than the limits in force allow.
-func over(ctx *fasthttp.RequestCtx, l config.Limits) bool {
+// exceedsLimits says whether a request is larger than the limits in force allow.
+func exceedsLimits(ctx *fasthttp.RequestCtx, l config.Limits) bool {
 	return l.Body > 0 && len(ctx.PostBody()) > l.Body || l.Head > 0 && len(ctx.Request.Header.RawHeaders()) > l.Head
 }
 
 // refuse is the last step of every way: the final answer, at once, with when to come back if it has not run.
-func (w *relay) refuse() {
-	c := w.why
-	if c == 0 {
-		c = codes.NoWorker
+func (w *relayRequest) refuse() {
+	code := w.reason
+	if code == 0 {
+		code = codes.NoWorker
 	}
-	if c == codes.ClientLeft {
+	if code == codes.ClientLeft {
 		w.ctx.SetConnectionClose()
 	} else {
-		w.v.tallies.count(w.m, func(t *tally) {
+		w.router.mappingStats.update(w.mapping, func(t *mappingStats) {
 			t.refused++
-			t.waited += w.v.Tasks.Now().Sub(w.begun)
+			t.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
 		})
 	}
 	switch {
-	case w.ran:
-		w.end(codes.Unknown, 0)
-	case c == codes.ClientLeft:
-		w.end(c, 0)
+	case w.mayHaveRun:
+		w.respond(codes.Unknown, 0)
+	case code == codes.ClientLeft:
+		w.respond(code, 0)
 	default:
-		s := w.rules.Services[w.m.To[0]]
-		w.end(c, back(s.RetryAfter, s.Jitter, w.due))
+		s := w.config.Services[w.mapping.To[0]]
+		w.respond(code, retryAfter(s.RetryAfter, s.Jitter, w.expectedWait))
 	}
 }
 
-// end answers with a code of our own. A client is told when to come back only where the request did not run.
-func (w *relay) end(c codes.Code, after time.Duration) {
-	if c != codes.ClientLeft { // counted as the client left
-		w.v.stats.count(c)
+// respond answers with a code of our own. A client is told when to come back only where the request did not run.
+func (w *relayRequest) respond(code codes.Code, retryAfter time.Duration) {
+	if code != codes.ClientLeft { // counted as the client left
+		w.router.stats.countResult(code)
 	}
 	r := &w.ctx.Response
 	r.Reset()
-	if w.v.leaving() {
+	if w.router.draining() {
 		w.ctx.SetConnectionClose()
 	}
-	if after > 0 {
-		r.Header.Set("Retry-After", strings.TrimRight(strconv.FormatFloat(after.Seconds(), 'f', 3, 64), "0"))
+	if retryAfter > 0 {
+		r.Header.Set("Retry-After", strings.TrimRight(strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64), "0"))
 	}
-	r.SetStatusCode(c.Status())
+	r.SetStatusCode(code.Status())
 	r.Header.SetContentType("application/json")
-	r.SetBodyString(`{"code":` + strconv.Itoa(int(c)) + `,"text":"` + reasonOf(c) + "\"}\n")
+	r.SetBodyString(`{"code":` + strconv.Itoa(int(code)) + `,"text":"` + refusalText(code) + "\"}\n")
 }
 
-func reasonOf(c codes.Code) string {
+func refusalText(c codes.Code) string {
 	switch c {
 	case codes.NoMapping:
 		return "no mapping takes this request"
@@ -225,5 +225,5 @@
 	case codes.TooLarge:
 		return "the request is over the limits"
 	}
-	return reasons[c]
+	return refusalTexts[c]
 }
--- a/internal/router/relay_rig_test.go
+++ b/internal/router/relay_harness_test.go
@@ -85,13 +85,13 @@
 	return &workerRequest{q, q.Header.Get("Attempt-Id"), string(b)}
 }
 
-// say writes text as it stands, but with line ends as HTTP wants them.
-func (c *workerConn) say(format string, args ...any) {
+// writeText writes text as it stands, but with line ends as HTTP wants them.
+func (c *workerConn) writeText(format string, args ...any) {
 	_, _ = io.WriteString(c, strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\r\n"))
 }
 
-// answer is a whole answer of one id.
-func answer(id, body string) string {
+// responseText is a whole answer of one id.
+func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\nAttempt-Id: %s\nWorker-Seal: s\nContent-Length: %d\n\n%s", id, len(body), body)
 }
 
@@ -103,8 +103,8 @@
 // closedByRouter waits until the router has closed the connection.
 func (c *workerConn) closedByRouter() { _, _ = io.Copy(io.Discard, c.r) }
 
-// relayRig is one router alone in the platform's words; it keeps all workers itself. Its budget allows further tries.
-func relayRig(t testing.TB, workers ...*scriptedWorker) *Router {
+// newRelayRouter is one router alone in the platform's words; it keeps all workers itself. Its budget allows further tries.
+func newRelayRouter(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1, RetryRatio: 1}}
 	b.Seeds = []string{b.Addr}
@@ -124,10 +124,10 @@
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router keeps its workers", func() bool {
-		v.ledgerMu.Lock()
-		defer v.ledgerMu.Unlock()
+		v.coordinatorMu.Lock()
+		defer v.coordinatorMu.Unlock()
 		open := 0
-		for _, k := range v.ledger.Kept(v.Tasks.Now()) {
+		for _, k := range v.coordinator.Kept(v.Tasks.Now()) {
 			if k.Open {
 				open++
 			}
@@ -135,7 +135,7 @@
 		return open == len(workers)
 	})
 	for range 20 {
-		v.budgetOf("svc").First(v.Tasks.Now())
+		v.retryBudgetOf("svc").First(v.Tasks.Now())
 	}
 	return v
 }
@@ -145,8 +145,8 @@
 	return fmt.Sprintf("POST /%s/q HTTP/1.1\r\nHost: x\r\nAttempt-Id: %s\r\nTime-Left-Ms: 15000\r\nContent-Length: %d\r\n\r\n%s", route, id, len(body), body)
 }
 
-// clientConn dials the router's front.
-func clientConn(t testing.TB, v *Router) *workerConn {
+// dialRelayClient dials the router's front.
+func dialRelayClient(t testing.TB, v *Router) *workerConn {
 	t.Helper()
 	c, err := net.Dial("tcp", v.Boot.Web)
 	if err != nil {
@@ -162,34 +162,34 @@
 	_, _ = io.WriteString(c, requestText(route, id, body))
 }
 
-// clientAnswer is what a client read: whole only if its end was proper.
-type clientAnswer struct {
-	status int
-	id     string
-	body   string
-	whole  bool
-	close  bool
+// clientResponse is what a client read: whole only if its end was proper.
+type clientResponse struct {
+	status   int
+	id       string
+	body     string
+	complete bool
+	close    bool
 }
 
 // receive reads one answer; status 0 when the connection ended instead.
-func (c *workerConn) receive() clientAnswer {
-	_, a := c.receiveHead()
+func (c *workerConn) receive() clientResponse {
+	_, a := c.receiveWithHeader()
 	return a
 }
 
-// receiveHead is the same with the answer's headers.
-func (c *workerConn) receiveHead() (http.Header, clientAnswer) {
+// receiveWithHeader is the same with the answer's headers.
+func (c *workerConn) receiveWithHeader() (http.Header, clientResponse) {
 	r, err := http.ReadResponse(c.r, &http.Request{Method: "POST"})
 	if err != nil {
-		return nil, clientAnswer{}
+		return nil, clientResponse{}
 	}
 	var b bytes.Buffer
 	_, err = io.Copy(&b, r.Body)
-	return r.Header, clientAnswer{r.StatusCode, r.Header.Get("Attempt-Id"), b.String(), err == nil, r.Close}
+	return r.Header, clientResponse{r.StatusCode, r.Header.Get("Attempt-Id"), b.String(), err == nil, r.Close}
 }
 
-// next gives the first connection that any of the workers takes, and the other worker.
-func next(a, b *scriptedWorker) (first *workerConn, other *scriptedWorker) {
+// firstConn gives the first connection that any of the workers takes, and the other worker.
+func firstConn(a, b *scriptedWorker) (first *workerConn, other *scriptedWorker) {
 	select {
 	case c := <-a.conns:
 		return c, b
@@ -198,9 +198,9 @@
 	}
 }
 
-// none says whether no worker has taken a further connection.
-func none(l ...*scriptedWorker) bool {
-	for _, w := range l {
+// noMoreConns says whether no worker has taken a further connection.
+func noMoreConns(workers ...*scriptedWorker) bool {
+	for _, w := range workers {
 		if len(w.conns) > 0 {
 			return false
 		}
--- a/internal/router/size_test.go
+++ b/internal/router/relay_placement_test.go
@@ -9,12 +9,12 @@
 	"seamshunt/internal/router/admission"
 )
 
-func TestBrieferPromptsGoFirst(t *testing.T) {
+func TestUrgencyByReadTimeAndRank(t *testing.T) {
 	for _, x := range []struct {
 		read time.Duration
 		want uint8
-	}{{0, 1}, {briefest, 1}, {briefest + 1, 2}, {2 * briefest, 2}, {5 * briefest, 4}, {time.Second, 8}, {time.Hour, 9}} {
-		if got := urgency(x.read); got != x.want {
+	}{{0, 1}, {topUrgencyReadTime, 1}, {topUrgencyReadTime + 1, 2}, {2 * topUrgencyReadTime, 2}, {5 * topUrgencyReadTime, 4}, {time.Second, 8}, {time.Hour, 9}} {
+		if got := urgencyOf(x.read); got != x.want {
 			t.Errorf("a prompt that is read in %v has urgency %d, not %d", x.read, got, x.want)
 		}
 	}
@@ -22,28 +22,28 @@
 		rank int
 		want uint8
 	}{{0, 2}, {3, 5}, {20, 9}} {
-		if got := byRank(&config.Mapping{Rank: x.rank}); got != x.want {
+		if got := urgencyByRank(&config.Mapping{Rank: x.rank}); got != x.want {
 			t.Errorf("without a size, rank %d has urgency %d, not %d", x.rank, got, x.want)
 		}
 	}
 }
 
-func TestSizeCountsAttentionAndWhatAHomeHolds(t *testing.T) {
+func TestCostCountsAttentionAndCachedPrefix(t *testing.T) {
 	s := &config.Service{Memory: 600000}
 	config.Defaults(s)
 	p := adapter.Prompt{In: 50000, Out: 1000, Parts: []adapter.Part{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
 	var q admission.Request
-	size(p, s, &q)
+	estimateCost(p, s, &q)
 	// 45,000 tokens at 75 a millisecond, and 45,000 x 27,500 pairs; away from home 5,000 more, and all pairs.
-	home, away := 600*time.Millisecond+269775*time.Microsecond, 666666*time.Microsecond+272500*time.Microsecond
-	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.Read, home) || !near(q.Full, away) {
-		t.Errorf("read at home in %v, not %v; elsewhere in %v, not %v", q.Read, home, q.Full, away)
+	cached, uncached := 600*time.Millisecond+269775*time.Microsecond, 666666*time.Microsecond+272500*time.Microsecond
+	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.Read, cached) || !near(q.Full, uncached) {
+		t.Errorf("read at home in %v, not %v; elsewhere in %v, not %v", q.Read, cached, q.Full, uncached)
 	}
 	if q.Mem != 46000 || q.Homes != 1 || q.Away <= q.Full-q.Read {
 		t.Errorf("%+v", q)
 	}
 	p.In = 100 // parts that claim more than the whole
-	if size(p, s, &q); q.Read != 0 || q.Mem != 1000 || q.Full <= 0 {
+	if estimateCost(p, s, &q); q.Read != 0 || q.Mem != 1000 || q.Full <= 0 {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/router/relay_random_test.go
+++ b/internal/router/relay_random_test.go
@@ -11,67 +11,67 @@
 // What the random test plays.
 const (
 	randomSeeds    = 250
-	randomCallers  = 8
+	randomClients  = 8
 	randomRequests = 4 // of each caller
 )
 
 // Many callers at once, some of whom send on before they are answered, against workers that answer, break off, delay,
 // double, swap and garble as each seed draws it: whatever happens, nobody gets another's answer, nothing that may not
 // repeat runs twice, nothing is promised not to run that did, and no right answer is lost.
-func TestRandomWorkersAndCallers(t *testing.T) {
+func TestRandomWorkersAndClients(t *testing.T) {
 	t.Parallel()
-	ways, statuses := map[randomWay]int{}, map[int]int{}
-	for lap := range 10 {
-		var l []*scriptedWorker
+	behaviors, statuses := map[workerBehavior]int{}, map[int]int{}
+	for round := range 10 {
+		var workers []*scriptedWorker
 		for i := range 3 {
-			l = append(l, newScriptedWorker(t, fmt.Sprint("i-", i)))
+			workers = append(workers, newScriptedWorker(t, fmt.Sprint("i-", i)))
 		}
-		v := relayRig(t, l...)
-		current := &randomWorkers{notes: newRelayNotes(), ways: ways}
-		for _, s := range l {
-			go current.serve(s)
+		v := newRelayRouter(t, workers...)
+		shared := &randomWorkers{history: newRelayHistory(), behaviors: behaviors}
+		for _, s := range workers {
+			go shared.serve(s)
 		}
 		for n := range randomSeeds / 10 {
-			seed := uint64(lap*randomSeeds/10 + n)
-			current.mu.Lock()
-			current.seed = seed
-			current.mu.Unlock()
+			seed := uint64(round*randomSeeds/10 + n)
+			shared.mu.Lock()
+			shared.seed = seed
+			shared.mu.Unlock()
 			var g sync.WaitGroup
-			for caller := range randomCallers {
-				g.Go(func() { randomCaller(t, v, current.notes, seed, caller) })
+			for client := range randomClients {
+				g.Go(func() { runRandomClient(t, v, shared.history, seed, client) })
 			}
 			g.Wait()
-			if faults := current.notes.judge(); len(faults) > 0 {
-				t.Fatalf("seed %d: %d breaches, the first: %s", seed, len(faults), faults[0])
+			if violations := shared.history.check(); len(violations) > 0 {
+				t.Fatalf("seed %d: %d breaches, the first: %s", seed, len(violations), violations[0])
 			}
 		}
-		for _, a := range current.notes.answers {
+		for _, a := range shared.history.responses {
 			statuses[a.status]++
 		}
 	}
-	for way := range randomWays {
-		if ways[way] == 0 {
-			t.Errorf("way %d was never taken", way)
+	for behavior := range workerBehaviors {
+		if behaviors[behavior] == 0 {
+			t.Errorf("way %d was never taken", behavior)
 		}
 	}
-	if all := 10 * randomSeeds / 10 * randomCallers * randomRequests; statuses[200] < all/2 || statuses[502] == 0 || statuses[503] == 0 {
+	if total := 10 * randomSeeds / 10 * randomClients * randomRequests; statuses[200] < total/2 || statuses[502] == 0 || statuses[503] == 0 {
 		t.Errorf("answers by status: %v", statuses)
 	}
-	t.Logf("answers by status: %v; workers' ways: %v", statuses, ways)
+	t.Logf("answers by status: %v; workers' ways: %v", statuses, behaviors)
 }
 
-// randomCaller sends its requests in batches over one connection, and over a new one once that has ended.
-func randomCaller(t *testing.T, v *Router, notes *relayNotes, seed uint64, caller int) {
-	draw := rand.New(rand.NewPCG(seed, uint64(caller)))
-	c := clientConn(t, v)
+// runRandomClient sends its requests in batches over one connection, and over a new one once that has ended.
+func runRandomClient(t *testing.T, v *Router, history *relayHistory, seed uint64, client int) {
+	rng := rand.New(rand.NewPCG(seed, uint64(client)))
+	c := dialRelayClient(t, v)
 	for n := 0; n < randomRequests; {
 		var ids []string
 		text := ""
-		for range min(1+draw.IntN(3), randomRequests-n) {
-			id := fmt.Sprintf("s%d-c%d-%d", seed, caller, n)
-			route := []string{"pure", "effectful", "effectful", "streaming", "resumable"}[draw.IntN(5)]
-			body := fmt.Sprint("prompt ", draw.Uint64())
-			notes.ask(id, route, body)
+		for range min(1+rng.IntN(3), randomRequests-n) {
+			id := fmt.Sprintf("s%d-c%d-%d", seed, client, n)
+			route := []string{"pure", "effectful", "effectful", "streaming", "resumable"}[rng.IntN(5)]
+			body := fmt.Sprint("prompt ", rng.Uint64())
+			history.recordRequest(id, route, body)
 			text += requestText(route, id, body)
 			ids = append(ids, id)
 			n++
@@ -79,10 +79,10 @@
 		_, _ = io.WriteString(c, text)
 		for _, id := range ids {
 			a := c.receive()
-			notes.answer(id, a)
-			if a.status == 0 || !a.whole || a.close {
+			history.recordResponse(id, a)
+			if a.status == 0 || !a.complete || a.close {
 				c.Close()
-				c = clientConn(t, v)
+				c = dialRelayClient(t, v)
 				break // those behind it were never read, or never answered
 			}
 		}
--- a/internal/router/relay_random_worker_test.go
+++ b/internal/router/relay_random_worker_test.go
@@ -12,43 +12,43 @@
 
 // randomWorkers answer, break off, delay, double, swap and garble as the seed and the request's id draw it.
 type randomWorkers struct {
-	seed  uint64
-	notes *relayNotes
-	mu    sync.Mutex
-	count int
-	ids   []string          // that have arrived, for swapped answers
-	ways  map[randomWay]int // how often each was taken
+	seed      uint64
+	history   *relayHistory
+	mu        sync.Mutex
+	runs      int
+	ids       []string               // that have arrived, for swapped answers
+	behaviors map[workerBehavior]int // how often each was taken
 }
 
-// randomWay is what a worker does with one request.
-type randomWay int
+// workerBehavior is what a worker does with one request.
+type workerBehavior int
 
 const (
-	rightly randomWay = iota
-	refusesNamed
+	respondsCorrectly workerBehavior = iota
+	refusesWithProof
 	misdirects
-	refusesWithoutPromise
+	refusesWithoutProof
 	fails
-	closesSilently
-	resetsSilently
-	cutsHead
-	cutsBody
-	garbles
-	leavesIDOut
-	swaps       // another request's answer comes in its place, and nothing else
-	swapsFirst  // the same, and then its own
-	doubles     // its answer comes twice at once
-	doublesLate // the second time in the place of the next one
-	addsBytes   // bytes behind the answer
-	addsRefusal // an unnamed refusal in the place of the next answer
-	announcesMore
-	randomWays
+	closesWithoutByte
+	resetsWithoutByte
+	truncatesHeader
+	truncatesBody
+	writesGarbage
+	omitsID
+	sendsOtherResponse      // another request's answer comes in its place, and nothing else
+	sendsOtherResponseFirst // the same, and then its own
+	repeatsResponse         // its answer comes twice at once
+	repeatsResponseLater    // the second time in the place of the next one
+	appendsBytes            // bytes behind the answer
+	appendsRefusal          // an unnamed refusal in the place of the next answer
+	overstatesLength
+	workerBehaviors
 )
 
 // connState is what a worker still owes to a connection.
 type connState struct {
 	*workerConn
-	late string // comes before the next answer
+	delayed string // comes before the next answer
 }
 
 func (w *randomWorkers) serve(s *scriptedWorker) {
@@ -57,7 +57,7 @@
 			defer c.Close()
 			k := &connState{workerConn: c}
 			for q := c.request(); q != nil; q = c.request() {
-				if !w.request(s, k, q) {
+				if !w.handle(s, k, q) {
 					return
 				}
 			}
@@ -65,116 +65,116 @@
 	}
 }
 
-// request handles one; false ends the connection.
-func (w *randomWorkers) request(s *scriptedWorker, k *connState, q *workerRequest) bool {
+// handle handles one; false ends the connection.
+func (w *randomWorkers) handle(s *scriptedWorker, k *connState, q *workerRequest) bool {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, q.id+s.id)
-	draw := rand.New(rand.NewPCG(w.seed, h.Sum64()))
-	way := rightly
-	if draw.IntN(2) == 0 {
-		way = randomWay(draw.IntN(int(randomWays)))
+	rng := rand.New(rand.NewPCG(w.seed, h.Sum64()))
+	behavior := respondsCorrectly
+	if rng.IntN(2) == 0 {
+		behavior = workerBehavior(rng.IntN(int(workerBehaviors)))
 	}
 	w.mu.Lock()
-	w.count++
-	name := fmt.Sprintf("%s.%d", s.id, w.count)
+	w.runs++
+	name := fmt.Sprintf("%s.%d", s.id, w.runs)
 	other := q.id
 	if len(w.ids) > 0 {
-		other = w.ids[draw.IntN(len(w.ids))]
+		other = w.ids[rng.IntN(len(w.ids))]
 	}
 	w.ids = append(w.ids, q.id)
-	w.ways[way]++
+	w.behaviors[behavior]++
 	w.mu.Unlock()
-	for range draw.IntN(50) {
+	for range rng.IntN(50) {
 		runtime.Gosched() // others go first
 	}
-	late := k.late
-	k.late = ""
-	switch way {
-	case refusesNamed:
-		_, _ = fmt.Fprintf(k, "%sHTTP/1.1 %d No\r\nAttempt-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", late, []int{429, 503}[draw.IntN(2)], q.id)
+	delayed := k.delayed
+	k.delayed = ""
+	switch behavior {
+	case refusesWithProof:
+		_, _ = fmt.Fprintf(k, "%sHTTP/1.1 %d No\r\nAttempt-Id: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", delayed, []int{429, 503}[rng.IntN(2)], q.id)
 		return true
 	case misdirects:
-		_, _ = fmt.Fprintf(k, "%sHTTP/1.1 421 No\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", late, q.id)
+		_, _ = fmt.Fprintf(k, "%sHTTP/1.1 421 No\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", delayed, q.id)
 		return false
 	}
-	right := late == "" && (way == rightly || way == doubles || way == doublesLate || way == addsBytes || way == addsRefusal)
-	size := draw.IntN(100)
-	if way != addsBytes && draw.IntN(3) == 0 {
-		size = draw.IntN(5 * 4096) // more than a reader takes at once: what is behind it stays in the socket
+	complete := delayed == "" && (behavior == respondsCorrectly || behavior == repeatsResponse || behavior == repeatsResponseLater || behavior == appendsBytes || behavior == appendsRefusal)
+	size := rng.IntN(100)
+	if behavior != appendsBytes && rng.IntN(3) == 0 {
+		size = rng.IntN(5 * 4096) // more than a reader takes at once: what is behind it stays in the socket
 	}
-	w.notes.run(q.id, runNote{name, q.body, size, right})
-	whole := w.text(q, name, size, draw)
-	return k.end(way, late, whole, q.id, other, draw)
+	w.history.recordRun(q.id, observedRun{name, q.body, size, complete})
+	response := w.fullResponse(q, name, size, rng)
+	return k.writeResponse(behavior, delayed, response, q.id, other, rng)
 }
 
-// text is the whole right answer of a run.
-func (w *randomWorkers) text(q *workerRequest, name string, size int, draw *rand.Rand) string {
+// fullResponse is the whole right answer of a run.
+func (w *randomWorkers) fullResponse(q *workerRequest, name string, size int, rng *rand.Rand) string {
 	head := "HTTP/1.1 200 OK\r\nAttempt-Id: " + q.id + "\r\nWorker-Seal: s\r\n"
 	if strings.HasPrefix(q.URL.Path, "/pure") || strings.HasPrefix(q.URL.Path, "/effectful") {
-		body := answerText(name, q.id, size)
-		if draw.IntN(2) == 0 {
+		body := runBody(name, q.id, size)
+		if rng.IntN(2) == 0 {
 			return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 		}
 		return fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", head, len(body), body)
 	}
-	from := 0
-	_, _ = fmt.Sscan(q.Header.Get("Last-Event-Id"), &from)
+	lastID := 0
+	_, _ = fmt.Sscan(q.Header.Get("Last-Event-Id"), &lastID)
 	text := head + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for n := from + 1; n <= streamEvents; n++ {
-		e := eventText(n, q.id, name)
+	for n := lastID + 1; n <= streamEvents; n++ {
+		e := runEvent(n, q.id, name)
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
 	}
 	return text + "0\r\n\r\n"
 }
 
-// end writes what the way leaves of an answer, in one write; false ends the connection.
-func (k *connState) end(way randomWay, late, whole, id, other string, draw *rand.Rand) bool {
-	write := func(s string) { _, _ = io.WriteString(k, late+s) }
-	head := strings.Index(whole, "\r\n\r\n") + 4
-	swapped := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nWorker-Seal: s\r\nContent-Length: 5\r\n\r\nother", other)
+// writeResponse writes what the way leaves of an answer, in one write; false ends the connection.
+func (k *connState) writeResponse(behavior workerBehavior, delayed, response, id, other string, rng *rand.Rand) bool {
+	write := func(s string) { _, _ = io.WriteString(k, delayed+s) }
+	head := strings.Index(response, "\r\n\r\n") + 4
+	otherResponse := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nWorker-Seal: s\r\nContent-Length: 5\r\n\r\nother", other)
 	if other == id {
-		swapped = ""
+		otherResponse = ""
 	}
-	switch way {
-	case refusesWithoutPromise:
+	switch behavior {
+	case refusesWithoutProof:
 		write("HTTP/1.1 503 No\r\nAttempt-Id: " + id + "\r\nContent-Length: 0\r\n\r\n")
 	case fails:
 		write("HTTP/1.1 500 No\r\nAttempt-Id: " + id + "\r\nContent-Length: 0\r\n\r\n")
-	case closesSilently:
+	case closesWithoutByte:
 		return false
-	case resetsSilently:
+	case resetsWithoutByte:
 		k.reset()
 		return false
-	case cutsHead:
-		write(whole[:draw.IntN(head)])
+	case truncatesHeader:
+		write(response[:rng.IntN(head)])
 		return false
-	case cutsBody:
-		write(whole[:head+draw.IntN(len(whole)-head)])
+	case truncatesBody:
+		write(response[:head+rng.IntN(len(response)-head)])
 		return false
-	case garbles:
+	case writesGarbage:
 		write("\x16\x03\x01 no answer\r\n\r\n")
-	case leavesIDOut:
-		write(strings.Replace(whole, "Attempt-Id: "+id+"\r\n", "", 1))
-	case swaps:
-		write(swapped)
+	case omitsID:
+		write(strings.Replace(response, "Attempt-Id: "+id+"\r\n", "", 1))
+	case sendsOtherResponse:
+		write(otherResponse)
 		return false
-	case swapsFirst:
-		write(swapped + whole)
-	case doubles:
-		write(whole + whole)
-	case doublesLate:
-		k.late = whole
-		write(whole)
-	case addsBytes:
-		write(whole + "surplus")
-	case addsRefusal:
-		k.late = "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
-		write(whole)
-	case announcesMore:
-		write(strings.Replace(whole[:head], "Content-Length: ", "Content-Length: 1", 1) + whole[head:len(whole)-3])
+	case sendsOtherResponseFirst:
+		write(otherResponse + response)
+	case repeatsResponse:
+		write(response + response)
+	case repeatsResponseLater:
+		k.delayed = response
+		write(response)
+	case appendsBytes:
+		write(response + "surplus")
+	case appendsRefusal:
+		k.delayed = "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
+		write(response)
+	case overstatesLength:
+		write(strings.Replace(response[:head], "Content-Length: ", "Content-Length: 1", 1) + response[head:len(response)-3])
 		return false
 	default:
-		write(whole)
+		write(response)
 	}
 	return true
 }
--- a/internal/router/relay_streams_test.go
+++ b/internal/router/relay_streams_test.go
@@ -11,7 +11,7 @@
 // event is one event of a stream; its id is its number.
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n) }
 
-func events(from, to int) string {
+func eventRange(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
 		b.WriteString(event(n))
@@ -19,8 +19,8 @@
 	return b.String()
 }
 
-// chunk is text as one chunk; its lines end with LF alone, as say would otherwise change its length.
-func (c *workerConn) chunk(s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
+// writeChunk is text as one chunk; its lines end with LF alone, as say would otherwise change its length.
+func (c *workerConn) writeChunk(s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
 // streamBreaks are the ways in which a stream breaks behind its second event.
 var streamBreaks = map[string]func(c *workerConn){
@@ -28,8 +28,8 @@
 	"reset":             func(c *workerConn) { c.reset() },
 	"closed in a chunk": func(c *workerConn) { _, _ = c.Write([]byte("40\r\nid: 3\n")); c.Close() },
 	"garbled chunk":     func(c *workerConn) { _, _ = c.Write([]byte("zz\r\n")) },
-	"event doubled":     func(c *workerConn) { c.chunk(event(2)); _, _ = c.Write([]byte("0\r\n\r\n")) },
-	"ended in an event": func(c *workerConn) { c.chunk("id: 3\ndata"); _, _ = c.Write([]byte("0\r\n\r\n")) },
+	"event doubled":     func(c *workerConn) { c.writeChunk(event(2)); _, _ = c.Write([]byte("0\r\n\r\n")) },
+	"ended in an event": func(c *workerConn) { c.writeChunk("id: 3\ndata"); _, _ = c.Write([]byte("0\r\n\r\n")) },
 	"no last line":      func(c *workerConn) { _, _ = c.Write([]byte("0\r\n")); c.Close() },
 }
 
@@ -40,30 +40,30 @@
 	for _, route := range []string{"resumable", "streaming"} {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
-			for name, breaks := range streamBreaks {
+			for name, breakStream := range streamBreaks {
 				if route == "streaming" && (name == "event doubled" || name == "ended in an event") {
 					continue // only what may be resumed is read event by event
 				}
 				a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
-				v := relayRig(t, a, b)
-				c := clientConn(t, v)
+				v := newRelayRouter(t, a, b)
+				c := dialRelayClient(t, v)
 				c.send(route, "s", "prompt")
-				k, other := next(a, b)
-				k.request()
-				k.say(streamHead+chunks, "s")
-				k.chunk(events(1, 2))
-				breaks(k)
-				want := clientAnswer{200, "s", events(1, 2), false, false}
+				conn, other := firstConn(a, b)
+				conn.request()
+				conn.writeText(streamHead+chunkedHeader, "s")
+				conn.writeChunk(eventRange(1, 2))
+				breakStream(conn)
+				want := clientResponse{200, "s", eventRange(1, 2), false, false}
 				if route == "resumable" {
-					k2 := <-other.conns
-					q := k2.request()
+					resumed := <-other.conns
+					q := resumed.request()
 					if after := q.Header.Get("Last-Event-Id"); after != "2" {
 						t.Errorf("%s: taken up behind %q", name, after)
 					}
-					k2.say(streamHead+chunks, "s")
-					k2.chunk(events(3, 4))
-					_, _ = k2.Write([]byte("0\r\n\r\n"))
-					want.body, want.whole = events(1, 4), true
+					resumed.writeText(streamHead+chunkedHeader, "s")
+					resumed.writeChunk(eventRange(3, 4))
+					_, _ = resumed.Write([]byte("0\r\n\r\n"))
+					want.body, want.complete = eventRange(1, 4), true
 				}
 				if name == "closed in a chunk" && route == "streaming" {
 					want.body += "id: 3\n" // passed on as it came
@@ -71,7 +71,7 @@
 				if got := c.receive(); got != want {
 					t.Errorf("%s: %+v, want %+v", name, got, want)
 				}
-				if !none(a, b) {
+				if !noMoreConns(a, b) {
 					t.Errorf("%s: it was sent on once more", name)
 				}
 			}
@@ -84,19 +84,19 @@
 func TestResumedStreamOfKnownLength(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
-	v := relayRig(t, a, b)
-	c := clientConn(t, v)
+	v := newRelayRouter(t, a, b)
+	c := dialRelayClient(t, v)
 	c.send("resumable", "s", "prompt")
-	k, other := next(a, b)
-	k.request()
-	k.say(streamHead+"Content-Length: %d\n\n", "s", len(events(1, 4)))
-	_, _ = k.Write([]byte(events(1, 2)))
-	k.Close()
-	k2 := <-other.conns
-	k2.request()
-	k2.say(streamHead+"Content-Length: %d\n\n", "s", len(events(3, 6)))
-	_, _ = k2.Write([]byte(events(3, 6)))
-	if got, want := c.receive(), (clientAnswer{200, "s", events(1, 6), true, false}); got != want {
+	conn, other := firstConn(a, b)
+	conn.request()
+	conn.writeText(streamHead+"Content-Length: %d\n\n", "s", len(eventRange(1, 4)))
+	_, _ = conn.Write([]byte(eventRange(1, 2)))
+	conn.Close()
+	resumed := <-other.conns
+	resumed.request()
+	resumed.writeText(streamHead+"Content-Length: %d\n\n", "s", len(eventRange(3, 6)))
+	_, _ = resumed.Write([]byte(eventRange(3, 6)))
+	if got, want := c.receive(), (clientResponse{200, "s", eventRange(1, 6), true, false}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
@@ -106,18 +106,18 @@
 func TestStreamWithoutIDsIsNotResumed(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
-	v := relayRig(t, a, b)
-	c := clientConn(t, v)
+	v := newRelayRouter(t, a, b)
+	c := dialRelayClient(t, v)
 	c.send("resumable", "s", "prompt")
-	k, _ := next(a, b)
+	k, _ := firstConn(a, b)
 	k.request()
-	k.say(streamHead+chunks, "s")
-	k.chunk(event(1) + "data: e2\n\n")
+	k.writeText(streamHead+chunkedHeader, "s")
+	k.writeChunk(event(1) + "data: e2\n\n")
 	k.Close()
-	if got := c.receive(); got.whole || got.body != event(1)+"data: e2\n\n" {
+	if got := c.receive(); got.complete || got.body != event(1)+"data: e2\n\n" {
 		t.Errorf("%+v", got)
 	}
-	if !none(a, b) {
+	if !noMoreConns(a, b) {
 		t.Error("it was taken up")
 	}
 }
--- a/internal/router/tries_test.go
+++ b/internal/router/retries_test.go
@@ -10,22 +10,22 @@
 )
 
 // What may not repeat is handed over once when the outcome is unknown, and the answer says so.
-func TestOnceIsNeverTriedAgain(t *testing.T) {
+func TestNonRepeatableIsNeverRetried(t *testing.T) {
 	t.Parallel()
-	a, ha := scripted(t)
-	b, hb := scripted(t)
-	v := rig(t, a, b)
+	a, ha := startNativeWorker(t)
+	b, hb := startNativeWorker(t)
+	v := newTestRouter(t, a, b)
 	for range 50 {
-		v.budgetOf("advice").First(v.Tasks.Now()) // the budget would allow it
+		v.retryBudgetOf("advice").First(v.Tasks.Now()) // the budget would allow it
 	}
-	c := ask(t, v, "/notice")
-	var h hand
+	c := sendPrompt(t, v, "/notice")
+	var h nativeWorkerConn
 	select {
 	case h = <-ha:
 	case h = <-hb:
 	}
 	h.Close() // it may have run
-	status, body := c.reply(t)
+	status, body := c.readResponse(t)
 	if status != 502 || !strings.Contains(body, `"code":401`) || !strings.Contains(body, `"not_run":false`) {
 		t.Errorf("%d %s", status, body)
 	}
@@ -35,16 +35,16 @@
 }
 
 // A sealed refusal is no run: even what may not repeat goes to the next worker, if the budget allows.
-func TestSealedRefusalGoesOn(t *testing.T) {
+func TestSealedRefusalIsRetried(t *testing.T) {
 	t.Parallel()
-	a, ha := scripted(t)
-	b, hb := scripted(t)
-	v := rig(t, a, b)
+	a, ha := startNativeWorker(t)
+	b, hb := startNativeWorker(t)
+	v := newTestRouter(t, a, b)
 	for range 20 {
-		v.budgetOf("advice").First(v.Tasks.Now())
+		v.retryBudgetOf("advice").First(v.Tasks.Now())
 	}
-	c := ask(t, v, "/notice")
-	var h, next hand
+	c := sendPrompt(t, v, "/notice")
+	var h, next nativeWorkerConn
 	other := hb
 	select {
 	case h = <-ha:
@@ -59,26 +59,26 @@
 	case next = <-ha:
 	case next = <-hb:
 	}
-	next.whole(3)
-	if status, body := c.reply(t); status != 200 || !strings.Contains(body, `"seal"`) {
+	next.respond(3)
+	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) {
 		t.Errorf("%d %s", status, body)
 	}
 }
 
 // A refusal that does not name the request, or does not say so, is no proof that it did not run.
-func TestDoubtfulRefusals(t *testing.T) {
+func TestUnprovenRefusals(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{`{"id":"other","ran":false}`, `{"ran":false}`, `{"id":"ID"}`, `{"id":"ID","ran":true}`, `{"id":"ID","ran":0}`, `busy`, ``} {
 		t.Run(text, func(t *testing.T) {
 			t.Parallel()
-			a, ha := scripted(t)
-			v := rig(t, a)
-			c := ask(t, v, "/notice")
+			a, ha := startNativeWorker(t)
+			v := newTestRouter(t, a)
+			c := sendPrompt(t, v, "/notice")
 			h := <-ha
 			text := strings.Replace(text, "ID", h.id, 1)
 			fmt.Fprintf(h, "HTTP/1.1 503 Busy\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 			h.Close()
-			if status, body := c.reply(t); status != 502 || !strings.Contains(body, `"not_run":false`) {
+			if status, body := c.readResponse(t); status != 502 || !strings.Contains(body, `"not_run":false`) {
 				t.Errorf("%s: %d %s", text, status, body)
 			}
 		})
@@ -86,25 +86,25 @@
 }
 
 // The same key is not run twice; what came of it is not known to the second.
-func TestSameKey(t *testing.T) {
+func TestDuplicateIdempotencyKey(t *testing.T) {
 	t.Parallel()
-	a, ha := scripted(t)
-	v := rig(t, a)
-	send := func() *caller {
-		c := dial(t, v)
-		c.post("/notice", "Time-Left-Ms: 2500\r\nIdempotency-Key: k1\r\n", prompt)
+	a, ha := startNativeWorker(t)
+	v := newTestRouter(t, a)
+	send := func() *testClient {
+		c := dialClient(t, v)
+		c.post("/notice", "Time-Left-Ms: 2500\r\nIdempotency-Key: k1\r\n", promptBody)
 		return c
 	}
 	c := send()
 	h := <-ha
-	if status, body := send().reply(t); status != 409 || !strings.Contains(body, `"code":207`) || !strings.Contains(body, `"not_run":false`) {
+	if status, body := send().readResponse(t); status != 409 || !strings.Contains(body, `"code":207`) || !strings.Contains(body, `"not_run":false`) {
 		t.Errorf("while it runs: %d %s", status, body)
 	}
-	h.whole(2)
-	if status, _ := c.reply(t); status != 200 {
+	h.respond(2)
+	if status, _ := c.readResponse(t); status != 200 {
 		t.Errorf("the first: %d", status)
 	}
-	if status, _ := send().reply(t); status != 409 {
+	if status, _ := send().readResponse(t); status != 409 {
 		t.Errorf("after it ran: %d", status)
 	}
 	if len(ha) > 0 {
@@ -113,7 +113,7 @@
 }
 
 // The budget holds further tries to a fifth of the first ones over any ten seconds, with no free minimum.
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	t.Parallel()
 	var b upstream.Budget
 	if b.Again(0, 0) {
@@ -123,44 +123,44 @@
 		at    units.Time
 		again bool
 	}
-	var l []try
+	var attempts []try
 	for i := range 4000 {
 		now := units.Time(i) * 10_000_000 // 10 ms
 		if i%3 == 0 && (i/500)%2 == 0 {
 			b.First(now)
-			l = append(l, try{now, false})
+			attempts = append(attempts, try{now, false})
 		}
 		if b.Again(now, 0) {
-			l = append(l, try{now, true})
+			attempts = append(attempts, try{now, true})
 		}
 	}
-	again := 0
-	for i, x := range l {
+	retries := 0
+	for i, x := range attempts {
 		if !x.again {
 			continue
 		}
-		again++
+		retries++
 		// The budget counts in tenths of a second, so it may look 100 ms further back than ten seconds.
-		first, more := 0, 0
-		for _, y := range l[:i+1] {
+		firstBefore, retriesBefore := 0, 0
+		for _, y := range attempts[:i+1] {
 			if y.at > x.at-10_100_000_000 && !y.again {
-				first++
+				firstBefore++
 			}
 			if y.at > x.at-9_900_000_000 && y.again {
-				more++
+				retriesBefore++
 			}
 		}
-		if 5*more > first {
-			t.Fatalf("at %d: %d further tries on %d first ones", x.at, more, first)
+		if 5*retriesBefore > firstBefore {
+			t.Fatalf("at %d: %d further tries on %d first ones", x.at, retriesBefore, firstBefore)
 		}
 	}
-	if again < 100 {
-		t.Errorf("only %d further tries were allowed", again)
+	if retries < 100 {
+		t.Errorf("only %d further tries were allowed", retries)
 	}
 }
 
 // A few further tries are allowed on top of the share, where the world grants an allowance: each node takes its part.
-func TestSlackOfBudget(t *testing.T) {
+func TestRetryBudgetSlack(t *testing.T) {
 	b := upstream.Budget{Ratio: 0.1}
 	for range 20 {
 		b.First(0)
--- a/internal/router/words_test.go
+++ b/internal/router/routing_rules_test.go
@@ -12,7 +12,7 @@
 	"seamshunt/internal/testutil"
 )
 
-const wordsConfig = `{"limits":{"body_bytes":200},
+const routingConfig = `{"limits":{"body_bytes":200},
 "services":[{"name":"big","pool":"main","slots":true,"warm_ms":0,"first_ms":20,"place":"home","memory":50000,"conns":9,"lax":true},
  {"name":"small","pool":"side","cap":8,"warm_ms":0,"first_ms":20,"warm_rate":1000}],
 "promises":[{"name":"p","first_ms":100,"deadline_ms":3000}],
@@ -20,49 +20,49 @@
  "mapping lone { when host = \"x\" and under = \"/part/lone\" to small promise p repeat tries 1 stream resume pause 100 rank 2 }",
  "mapping free { when host = \"x\" and under = \"/free\" to small promise p once single }"]}`
 
-// words is a rig with one worker for each of two services.
-func words(t *testing.T) (v *Router, big, small chan hand) {
+// newRoutingTestRouter is a rig with one worker for each of two services.
+func newRoutingTestRouter(t *testing.T) (v *Router, big, small chan nativeWorkerConn) {
 	t.Helper()
-	a, big := scripted(t)
-	b, small := scripted(t)
-	v = rigOf(t, wordsConfig, a)
+	a, big := startNativeWorker(t)
+	b, small := startNativeWorker(t)
+	v = newTestRouterWithConfig(t, routingConfig, a)
 	v.FeedMu.Lock()
 	v.Feed.Take(configpush.Item{Key: "workers/side", Num: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: time.Hour}})})
 	v.FeedMu.Unlock()
 	testutil.Until(t, "the router keeps both workers", func() bool {
-		v.ledgerMu.Lock()
-		defer v.ledgerMu.Unlock()
-		k := v.ledger.Kept(v.Tasks.Now())
+		v.coordinatorMu.Lock()
+		defer v.coordinatorMu.Unlock()
+		k := v.coordinator.Kept(v.Tasks.Now())
 		return len(k) == 2 && k[0].Open && k[1].Open
 	})
 	return v, big, small
 }
 
-func code(c codes.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
+func codeField(c codes.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
 
 // A mapping shared by two services reaches both; one key always the same one, and without a key it is drawn anew.
-func TestSharesOfOwnInterface(t *testing.T) {
+func TestServiceSharesOfNativeAPI(t *testing.T) {
 	t.Parallel()
-	v, big, small := words(t)
-	one := func(key string) (name string) {
-		c := dial(t, v)
+	v, big, small := newRoutingTestRouter(t)
+	sendOne := func(key string) (name string) {
+		c := dialClient(t, v)
 		head := "Time-Left-Ms: 2500\r\n"
 		if key != "" {
 			head += "Idempotency-Key: " + key + "\r\n"
 		}
-		c.post("/part/x", head, prompt)
+		c.post("/part/x", head, promptBody)
 		select {
 		case h := <-big:
-			h.whole(1)
+			h.respond(1)
 			name = "big"
 		case h := <-small:
-			h.whole(1)
+			h.respond(1)
 			name = "small"
 		case <-time.After(5 * time.Second):
-			status, body := c.reply(t)
+			status, body := c.readResponse(t)
 			t.Fatalf("it reached no worker: %d %s", status, body)
 		}
-		if status, body := c.reply(t); status != 200 {
+		if status, body := c.readResponse(t); status != 200 {
 			t.Fatalf("%d %s", status, body)
 		}
 		return name
@@ -70,8 +70,8 @@
 	got := map[string]int{}
 	for i := range 24 {
 		key := fmt.Sprint("key", i%4)
-		got[key+one(key)]++
-		got[one("")]++
+		got[key+sendOne(key)]++
+		got[sendOne("")]++
 	}
 	if got["big"] == 0 || got["small"] == 0 {
 		t.Errorf("not both were reached: %v", got)
@@ -84,33 +84,33 @@
 }
 
 // The host and the longest prefix decide; the mapping's tries and the limits hold; a single one claims nothing.
-func TestWordsOfOwnInterface(t *testing.T) {
+func TestRoutingRulesOfNativeAPI(t *testing.T) {
 	t.Parallel()
-	v, big, small := words(t)
-	left := "Time-Left-Ms: 2500\r\n"
-	c := dial(t, v)
-	fmt.Fprintf(c, "POST /part/x HTTP/1.1\r\nHost: y\r\n%sContent-Length: %d\r\n\r\n%s", left, len(prompt), prompt)
-	if status, body := c.reply(t); status != 404 || !strings.Contains(body, code(codes.NoMapping)) {
+	v, big, small := newRoutingTestRouter(t)
+	timeLeft := "Time-Left-Ms: 2500\r\n"
+	c := dialClient(t, v)
+	fmt.Fprintf(c, "POST /part/x HTTP/1.1\r\nHost: y\r\n%sContent-Length: %d\r\n\r\n%s", timeLeft, len(promptBody), promptBody)
+	if status, body := c.readResponse(t); status != 404 || !strings.Contains(body, codeField(codes.NoMapping)) {
 		t.Errorf("another host: %d %s", status, body)
 	}
-	c = dial(t, v)
-	c.post("/free", left, `{"prompt":"`+strings.Repeat("a", 200)+`"}`)
-	if status, body := c.reply(t); status != 413 || !strings.Contains(body, code(codes.TooLarge)) || !strings.Contains(body, `"not_run":true`) {
+	c = dialClient(t, v)
+	c.post("/free", timeLeft, `{"prompt":"`+strings.Repeat("a", 200)+`"}`)
+	if status, body := c.readResponse(t); status != 413 || !strings.Contains(body, codeField(codes.TooLarge)) || !strings.Contains(body, `"not_run":true`) {
 		t.Errorf("over the limit: %d %s", status, body)
 	}
-	c = dial(t, v)
-	c.post("/part/lone/x", left, prompt)
+	c = dialClient(t, v)
+	c.post("/part/lone/x", timeLeft, promptBody)
 	h := <-small
 	h.Close() // it may have run, and it may repeat; but one try is all
-	if status, body := c.reply(t); !strings.Contains(body, code(codes.Unknown)) {
+	if status, body := c.readResponse(t); !strings.Contains(body, codeField(codes.Unknown)) {
 		t.Errorf("one try: %d %s", status, body)
 	}
 	for range 2 { // both run: nothing is claimed for them
-		c = dial(t, v)
-		c.post("/free", left+"Idempotency-Key: k\r\n", prompt)
+		c = dialClient(t, v)
+		c.post("/free", timeLeft+"Idempotency-Key: k\r\n", promptBody)
 		h = <-small
-		h.whole(1)
-		if status, body := c.reply(t); status != 200 {
+		h.respond(1)
+		if status, body := c.readResponse(t); status != 200 {
 			t.Errorf("single: %d %s", status, body)
 		}
 	}
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -10,10 +10,10 @@
 )
 
 func (v *Router) health(ctx *fasthttp.RequestCtx) {
-	v.tableMu.Lock()
-	out := v.table.evacuated[v.Boot.Zone]
-	v.tableMu.Unlock()
-	if !v.ready.Load() || v.leaving() || out || v.alone() {
+	v.viewMu.Lock()
+	evacuated := v.view.evacuatedZones[v.Boot.Zone]
+	v.viewMu.Unlock()
+	if !v.ready.Load() || v.draining() || evacuated || v.isolated() {
 		ctx.SetStatusCode(503)
 		ctx.SetBodyString("not ready\n")
 		return
@@ -21,10 +21,10 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// alone says whether this node has lost sight of everybody else: the platform should hand callers to others, which can
+// isolated says whether this node has lost sight of everybody else: the platform should hand callers to others, which can
 // still claim what may not repeat. A zone that is cut off as a whole stays ready, since its callers may have no other.
-func (v *Router) alone() bool {
-	gone := false
+func (v *Router) isolated() bool {
+	sawOthers := false
 	for _, m := range v.Members() {
 		if m.Node == v.Self || m.State == membership.Left {
 			continue
@@ -32,9 +32,9 @@
 		if m.State <= membership.Suspect {
 			return false
 		}
-		gone = true
+		sawOthers = true
 	}
-	return gone
+	return sawOthers
 }
 
 // status tells operators all there is to know of this node.
@@ -45,48 +45,48 @@
 	o.Set("node", a.NewString(v.Self.String()))
 	o.Set("name", a.NewString(v.Boot.Name))
 	o.Set("zone", a.NewString(v.Boot.Zone))
-	o.Set("ready", flag(&a, v.ready.Load()))
-	o.Set("leaving", flag(&a, v.leaving()))
+	o.Set("ready", jsonBool(&a, v.ready.Load()))
+	o.Set("leaving", jsonBool(&a, v.draining()))
 	o.Set("in_flight", a.NewNumberInt(int(v.inFlight.Load())))
-	if t := v.static.Load(); t > 0 {
+	if t := v.noControllerSince.Load(); t > 0 {
 		o.Set("cut_from_control_ms", a.NewNumberInt(int((int64(now)-t)/int64(time.Millisecond))))
 	}
-	news := a.NewObject()
+	versions := a.NewObject()
 	v.FeedMu.Lock()
 	for k, it := range v.Feed.Items {
-		news.Set(k, a.NewNumberInt(int(it.Num)))
+		versions.Set(k, a.NewNumberInt(int(it.Num)))
 	}
 	v.FeedMu.Unlock()
-	o.Set("news", news)
-	o.Set("in_force", v.inForce(&a))
-	kept := a.NewArray()
-	v.ledgerMu.Lock()
-	for i, k := range v.ledger.Kept(now) {
+	o.Set("news", versions)
+	o.Set("in_force", v.activeState(&a))
+	coordinated := a.NewArray()
+	v.coordinatorMu.Lock()
+	for i, k := range v.coordinator.Kept(now) {
 		x := a.NewObject()
 		x.Set("worker", a.NewString(k.Worker))
-		x.Set("open", flag(&a, k.Open))
+		x.Set("open", jsonBool(&a, k.Open))
 		x.Set("lent", a.NewNumberInt(k.Lent))
 		x.Set("cap", a.NewNumberInt(k.Cap))
 		x.Set("waiting", a.NewNumberInt(k.Waiting))
-		kept.SetArrayItem(i, x)
+		coordinated.SetArrayItem(i, x)
 	}
-	v.ledgerMu.Unlock()
-	o.Set("keeps", kept)
-	flight := a.NewObject()
+	v.coordinatorMu.Unlock()
+	o.Set("keeps", coordinated)
+	inFlight := a.NewObject()
 	v.queueMu.Lock()
 	for w, n := range v.queue.Flight {
-		flight.Set(w, a.NewNumberInt(n))
+		inFlight.Set(w, a.NewNumberInt(n))
 	}
 	v.queueMu.Unlock()
-	o.Set("flight", flight)
-	handed := a.NewObject()
+	o.Set("flight", inFlight)
+	dispatched := a.NewObject()
 	v.stats.mu.Lock()
-	for z, n := range v.stats.hands {
-		handed.Set(z, a.NewNumberInt(int(n)))
+	for z, n := range v.stats.dispatches {
+		dispatched.Set(z, a.NewNumberInt(int(n)))
 	}
 	v.stats.mu.Unlock()
-	o.Set("handed_over", handed)
-	o.Set("promises", v.tallies.value(&a, now))
+	o.Set("handed_over", dispatched)
+	o.Set("promises", v.mappingStats.statusValue(&a, now))
 	members := a.NewArray()
 	for i, m := range v.Members() {
 		members.SetArrayItem(i, MemberJSON(&a, m))
@@ -96,21 +96,21 @@
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-// inForce is what requests are handled by here: the number of the configuration, and how many workers are known.
-func (v *Router) inForce(a *fastjson.Arena) *fastjson.Value {
+// activeState is what requests are handled by here: the number of the configuration, and how many workers are known.
+func (v *Router) activeState(a *fastjson.Arena) *fastjson.Value {
 	x := a.NewObject()
-	if r := v.rules.Load(); r != nil {
-		x.Set("config", a.NewNumberInt(int(r.num)))
+	if r := v.activeConfig.Load(); r != nil {
+		x.Set("config", a.NewNumberInt(int(r.updateVersion)))
 		if r.Version > 0 {
 			x.Set("version", a.NewNumberInt(int(r.Version))) // the operator's own, where the outside world has one
 		}
 	}
 	n := 0
-	v.tableMu.Lock()
-	for _, l := range v.table.pools {
+	v.viewMu.Lock()
+	for _, l := range v.view.workersByPool {
 		n += len(l)
 	}
-	v.tableMu.Unlock()
+	v.viewMu.Unlock()
 	x.Set("workers", a.NewNumberInt(n))
 	return x
 }
@@ -124,13 +124,13 @@
 	x.Set("addr", a.NewString(m.Addr))
 	x.Set("web", a.NewString(m.Web))
 	x.Set("state", a.NewString([]string{"alive", "suspect", "dead", "left"}[m.State%4]))
-	x.Set("draining", flag(a, m.Flags&membership.Draining != 0))
-	x.Set("unfit", flag(a, m.Flags&membership.Unfit != 0))
-	x.Set("ready", flag(a, m.Flags&membership.Ready != 0))
+	x.Set("draining", jsonBool(a, m.Flags&membership.Draining != 0))
+	x.Set("unfit", jsonBool(a, m.Flags&membership.Unfit != 0))
+	x.Set("ready", jsonBool(a, m.Flags&membership.Ready != 0))
 	return x
 }
 
-func flag(a *fastjson.Arena, b bool) *fastjson.Value {
+func jsonBool(a *fastjson.Arena, b bool) *fastjson.Value {
 	if b {
 		return a.NewTrue()
 	}
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -19,23 +19,23 @@
 		v.deliverVerdicts(now)
 	}
 	v.queueMu.Unlock()
-	v.ledgerMu.Lock()
-	out.Join(v.ledger.Tick(now))
-	busy = busy || v.ledger.Busy()
-	v.ledgerMu.Unlock()
+	v.coordinatorMu.Lock()
+	out.Join(v.coordinator.Tick(now))
+	busy = busy || v.coordinator.Busy()
+	v.coordinatorMu.Unlock()
 	v.Deliver(out)
 	if v.Adapter == nil {
-		v.screenTick(now) // an adapter's requests claim nothing
+		v.tickClaimant(now) // an adapter's requests claim nothing
 	}
-	v.confirm(now)
+	v.confirmUpToDate(now)
 	if busy || v.Adapter == nil || !v.ready.Load() || !v.Calm(now) {
-		return tickGap
+		return tickInterval
 	}
 	return node.Seldom
 }
 
-// tickGap is how long the next tick waits while something is due: prompts that wait, keepers that take over, a fleet that moves.
-const tickGap = 20 * time.Millisecond
+// tickInterval is how long the next tick waits while something is due: prompts that wait, keepers that take over, a fleet that moves.
+const tickInterval = 20 * time.Millisecond
 
-// tickSoon has the next tick come soon.
-func (v *Router) tickSoon() { v.ticks.By(tickGap) }
+// scheduleTick has the next tick come soon.
+func (v *Router) scheduleTick() { v.tickLoop.By(tickInterval) }
