--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Command router is the data plane.
+// Command router runs a data-plane node.
 package main
 
 import (
--- a/internal/router/adapter.go
+++ b/internal/router/adapter.go
@@ -14,7 +14,7 @@
 	"seamshunt/internal/units"
 )
 
-// configureForAdapter has the server take clients' requests in the adapter's words, byte for byte.
+// configureForAdapter configures the server to accept clients' requests in the adapter's protocol and to relay them byte for byte.
 func (v *Router) configureForAdapter() {
 	server := v.server
 	server.Handler = v.handleRelay
@@ -28,11 +28,11 @@
 	v.Tasks.Every(time.Second, func(units.Time) { v.pool.Sweep() })
 }
 
-// acceptableRequest says whether a request may be passed on: none whose end two readers could see at different places, none of a
-// version or method that this node doesn't know.
+// acceptableRequest reports whether a request may be relayed. Requests whose end two parsers could see at different places
+// (request smuggling) and those of an unsupported version or method are not acceptable.
 func acceptableRequest(h *fasthttp.RequestHeader) bool {
 	if string(h.Protocol()) != "HTTP/1.1" {
-		return false // HTTP/1.0 has no chunks: a broken answer would look whole
+		return false // HTTP/1.0 has no chunked encoding, so a broken answer would look complete
 	}
 	switch string(h.Method()) {
 	case "POST", "GET", "HEAD", "PUT", "PATCH", "DELETE", "OPTIONS":
@@ -43,7 +43,7 @@
 	for l := range bytes.Lines(h.RawHeaders()) {
 		switch l[0] | 0x20 {
 		case ' ', '\t' | 0x20:
-			return false // a field that goes on in the next line
+			return false // a folded header line
 		case 'c':
 			length = length || isField(l, fasthttp.HeaderContentLength)
 		case 't':
@@ -53,11 +53,12 @@
 	return !length || !chunked
 }
 
+// isField reports whether a header line is that of field.
 func isField(line []byte, field string) bool {
 	return len(line) > len(field) && line[len(field)] == ':' && strings.EqualFold(string(line[:len(field)]), field)
 }
 
-// serveReadiness answers at an address of its own whether this node is ready.
+// serveReadiness serves readiness probes, status and metrics at their own address, if there is one.
 func (v *Router) serveReadiness() error {
 	if v.Boot.Ready == "" {
 		return nil
@@ -66,7 +67,8 @@
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	v.readinessServer = &fasthttp.Server{Handler: v.handleReadiness, Name: "router", NoDefaultDate: true, Logger: discardLogger{}, ReduceMemoryUsage: true}
+	v.readinessServer = &fasthttp.Server{Handler: v.handleReadiness, Name: "router", NoDefaultDate: true, Logger: discardLogger{},
+		ReduceMemoryUsage: true}
 	v.Serve("readiness", ln, v.readinessServer.Serve)
 	return nil
 }
@@ -88,7 +90,7 @@
 	}
 }
 
-// parseConfig reads a configuration in whichever words it was given.
+// parseConfig parses a configuration in the adapter's format or the native one.
 func (v *Router) parseConfig(b []byte) (*config.Config, []*codes.Fault) {
 	if v.Adapter != nil {
 		return v.Adapter.Config(b)
--- a/internal/router/cancellation.go
+++ b/internal/router/cancellation.go
@@ -8,7 +8,7 @@
 	"seamshunt/internal/units"
 )
 
-// cancellationCode looks whether a request is cancelled, and gives the code of the reason; 0 while somebody waits for it.
+// cancellationCode returns the code for the reason that a request is cancelled, or 0 if it is not.
 func cancellationCode(client *clientwatch.Request) codes.Code {
 	switch err := client.Look(); {
 	case err == nil:
@@ -20,7 +20,8 @@
 	}
 }
 
-// finishRequest lets go of a client whose request began at a time and stood at a stage; nothing may be under way for it any more.
+// finishRequest releases the client of a request and records it as disconnected if it left before a complete answer. No work for
+// the request may be left.
 func (v *Router) finishRequest(client *clientwatch.Request, at stage, startedAt units.Time, complete bool) {
 	if !complete && errors.Is(client.Look(), clientwatch.ErrClientLeft) {
 		v.recordDisconnect(at, v.Tasks.Now().Sub(startedAt))
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -9,11 +9,11 @@
 	"seamshunt/internal/units"
 )
 
-// candidates asks the placement policy for the workers' order, and finds each one's keeper.
+// candidates returns the workers in the order of the placement policy, and each one's coordinator.
 func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.Node) {
 	query := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, Spread: service.Spread}
 	coordinators := map[string]units.Node{}
-	var fallbacks []placement.Spot // passed over, but better than none
+	var fallbacks []placement.Spot // workers in an outage, used only if there is no other
 	v.viewMu.Lock()
 	for _, worker := range v.view.workersByPool[service.Pool] {
 		name := service.Name + "/" + worker.ID
@@ -41,7 +41,7 @@
 	return v.placer.Order(service.Place, query), coordinators
 }
 
-// releaseAborted gives a permit back whose run this node broke off.
+// releaseAborted returns the permit of a run that this node aborted, or withdraws its admission request.
 func (v *Router) releaseAborted(tag uint64) {
 	v.queueMu.Lock()
 	delete(v.pendingAdmissions, tag)
@@ -51,6 +51,7 @@
 	v.Deliver(out)
 }
 
+// release returns the permit of an attempt that has ended. If the outcome is unknown, the worker may still be running it.
 func (v *Router) release(tag uint64, outcomeUnknown bool) {
 	v.queueMu.Lock()
 	delete(v.pendingAdmissions, tag)
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -10,7 +10,7 @@
 	"seamshunt/internal/units"
 )
 
-// withClaimant does a thing under the claimant's lock, and passes results to those who wait.
+// withClaimant runs step under the claimant's lock and passes the claims' results to the requests that wait for them.
 func (v *Router) withClaimant(step func() message.Effects) {
 	v.claimantMu.Lock()
 	out := step()
@@ -25,7 +25,8 @@
 	v.Deliver(out)
 }
 
-// tickClaimant moves claims on; the longest time left of what may not repeat is how long a start abstains at most.
+// tickClaimant advances the claims. The longest deadline of the non-repeatable mappings bounds how long a starting node
+// abstains from voting on claims.
 func (v *Router) tickClaimant(now units.Time) {
 	var longest time.Duration
 	if r := v.activeConfig.Load(); r != nil {
@@ -46,7 +47,8 @@
 	})
 }
 
-// claimKey takes the caller's key for a mapping that may not repeat, before anything is handed over (design 8).
+// claimKey claims the client's idempotency key for a non-repeatable mapping, before anything is dispatched
+// (docs/design.md, section 8). It reports whether the request has been answered.
 func (w *nativeRequest) claimKey() bool {
 	if w.key == "" {
 		return false
@@ -71,11 +73,12 @@
 		delete(v.pendingClaims, token)
 		v.claimantMu.Unlock()
 		w.checkCancelled()
-		w.knownNotRun = false // the claim may stand, so nothing is promised for the key
+		w.knownNotRun = false // the claim may have been granted, so the answer must not say "not run"
 		return w.endWithRefusal()
 	}
 }
 
+// handleClaimResult refuses the request unless its claim was granted. It reports whether it did.
 func (w *nativeRequest) handleClaimResult(code codes.Code) bool {
 	switch code {
 	case codes.OK:
@@ -90,7 +93,7 @@
 	return true
 }
 
-// spendKey keeps "not run" true for a key whose copy may still be on its way.
+// spendKey marks the key as spent, so that "not run" stays true although a copy of the request may still be in transit.
 func (w *nativeRequest) spendKey() {
 	if w.claimedKey != "" {
 		w.router.withClaimant(func() message.Effects { return w.router.claimant.Burn(w.claimedKey, w.holders) })
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -16,29 +16,30 @@
 	"seamshunt/internal/units"
 )
 
-// activeConfig is one configuration in force; a request keeps the ones that it began with.
+// activeConfig is the configuration in force. A request keeps the one that it started with.
 type activeConfig struct {
 	*config.Config
 	updateVersion units.Num
 }
 
-// clusterView is what news and membership say, under tableMu.
+// clusterView is the state known from updates and membership, guarded by viewMu.
 type clusterView struct {
 	workersByPool  map[string][]config.Worker
-	catalog        *discovery.Catalog // what the platform was seen to list
-	evacuatedZones map[string]bool    // zones
-	outages        map[string]outage  // workers found dead or dark here
+	catalog        *discovery.Catalog // the workers that the platform lists
+	evacuatedZones map[string]bool    // by zone
+	outages        map[string]outage  // workers that this node found unreachable or unresponsive, by name
 	peerWatch      *capacity.Watch
 	peers          []capacity.Peer
 	voters         register.QuorumSet
-	changed        bool
+	changed        bool // since the coordinator was last updated
 }
 
 func newClusterView() clusterView {
-	return clusterView{workersByPool: map[string][]config.Worker{}, catalog: discovery.New(), evacuatedZones: map[string]bool{}, outages: map[string]outage{}, peerWatch: capacity.NewWatch()}
+	return clusterView{workersByPool: map[string][]config.Worker{}, catalog: discovery.New(), evacuatedZones: map[string]bool{},
+		outages: map[string]outage{}, peerWatch: capacity.NewWatch()}
 }
 
-// refresh brings news and membership into the tables and from there to the keeper.
+// refresh applies updates and membership to the cluster view and passes changes on to the coordinator.
 func (v *Router) refresh(now units.Time) {
 	v.FeedMu.Lock()
 	updates := v.Feed.Fresh
@@ -70,14 +71,14 @@
 	v.coordinatorMu.Unlock()
 }
 
-// applyUpdate applies one change whole.
+// applyUpdate applies one configuration or state update.
 func (v *Router) applyUpdate(now units.Time, update configpush.Item) {
 	kind, name, _ := strings.Cut(update.Key, "/")
 	switch kind {
 	case "config":
 		parsed, faults := v.parseConfig(update.Data)
 		if len(faults) > 0 {
-			v.Log.WithError(faults[0]).Error("a configuration that control took does not compile here")
+			v.Log.WithError(faults[0]).Error("a configuration that the controllers accepted does not compile here")
 			return
 		}
 		v.activeConfig.Store(&activeConfig{Config: parsed, updateVersion: update.Num})
@@ -90,7 +91,7 @@
 		v.viewMu.Unlock()
 		if err != nil {
 			v.Errors.Add(1)
-			v.Log.WithError(err).Error("a worker list can't be read here")
+			v.Log.WithError(err).Error("cannot decode worker list")
 		}
 	case "voters":
 		if s, err := register.UnpackQuorumSet(update.Data); err == nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// applyZoneState takes a zone's state. A change of it is logged with the number by which it can be told from others.
+// applyZoneState applies a zone's state. A change is logged with the update's version, which identifies it.
 func (v *Router) applyZoneState(zone string, update configpush.Item) {
 	evacuated := node.ZoneEvacuated(update.Data)
 	v.viewMu.Lock()
@@ -109,11 +110,12 @@
 	v.view.evacuatedZones[zone] = evacuated
 	v.viewMu.Unlock()
 	if changed {
-		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": update.Num}).Warn("a zone's state has changed")
+		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": update.Num}).Warn("zone state changed")
 	}
 }
 
-// confirmUpToDate makes a starting or woken router ready once nothing newer than its news stands anywhere (design 4).
+// confirmUpToDate makes a starting or resumed router ready once no newer update than its own is known anywhere
+// (docs/design.md, section 4).
 func (v *Router) confirmUpToDate(now units.Time) {
 	members := v.Members()
 	switch controllers, _ := configpush.Neighbours(members, v.Self); {
@@ -137,11 +139,12 @@
 	if ok {
 		v.ready.Store(true)
 		v.Flag(membership.Ready, !v.draining())
-		v.Log.Info("news confirmed: serving")
+		v.Log.Info("configuration confirmed up to date; serving")
 	}
 	v.Deliver(out)
 }
 
+// markNotReady requires the updates to be confirmed again before requests are accepted.
 func (v *Router) markNotReady() {
 	v.ready.Store(false)
 	v.Flag(membership.Ready, false)
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -9,31 +9,32 @@
 	"seamshunt/internal/units"
 )
 
-// Spans of leaving (start values).
+// Durations and factors of a drain.
 const (
-	// minDrainTime is how long a leaving node waits for requests at the least: clients come until its readiness has been asked
-	// twice.
+	// minDrainTime is the minimum time for which a draining node waits for requests: clients keep sending until they have
+	// probed its readiness twice.
 	minDrainTime = 3 * time.Second
-	// openWindow is how long a leaving node goes by how long requests of a kind have lasted here, not by how long they may last, and at
-	// most openShare of the time there is. Clients that ask for readiness once a second and go by two answers know of the warning
-	// after 1 to 2 s, and what is sent later than 2 s behind it must not be cut; the warning may have been under way for a while.
+	// openWindow is how long a draining node admits requests by how long requests of the mapping have lasted so far, rather
+	// than by how long they may last. It is limited to 1/openWindowDivisor of the grace period. Clients that probe readiness
+	// once a second and act on two answers know of the drain 1 to 2 s after SIGTERM, and a request sent more than 2 s after it
+	// must not be aborted. The signal may have taken a while to arrive, so the window is shorter than 2 s.
 	openWindow        = 1600 * time.Millisecond
 	openWindowDivisor = 3
-	// observationFactor is for how many times the time that is left requests of a kind must have been watched, and lastsShare how many times
-	// as long as the longest of them the next one may last.
+	// observationFactor: requests of a mapping must have been observed for this many times the remaining grace period before
+	// their durations count. durationMargin: the next request is assumed to last up to this many times the longest of them.
 	observationFactor = 2
 	durationMargin    = 2
-	// finalAnswerMargin is how long before the end of its grace a leaving node answers whatever still waits: a request that nobody has
-	// begun to work on must not end with a cut (design 11).
+	// finalAnswerMargin is how long before the end of the grace period a draining node answers all requests that still wait:
+	// a request that no worker has begun must not end with a closed connection (docs/design.md, section 11).
 	finalAnswerMargin = 400 * time.Millisecond
-	// idlePeriod is how long nothing must have been under way before a node ends.
+	// idlePeriod is how long no request must have been in flight before a draining node closes.
 	idlePeriod = 300 * time.Millisecond
-	// drainPollInterval is how often a leaving node looks whether something is under way.
+	// drainPollInterval is how often a draining node checks whether requests are in flight.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// drainWindow is the way of a node from its warning (SIGTERM) to its end, which is known from the start: whatever is under
-// way at the end is cut. So nothing is begun that might not be over by then.
+// drainWindow is the grace period of a node from SIGTERM to its end, which is known from the start. Whatever is in flight at
+// the end is aborted, so no request is started that might not finish by then.
 type drainWindow struct {
 	startedAt units.Time
 	deadline  units.Time
@@ -43,18 +44,19 @@
 	return &drainWindow{startedAt: now, deadline: now.Add(grace)}
 }
 
-// isOpen says whether requests are still taken by how long they usually last: clients can't know yet that the node leaves.
+// isOpen reports whether requests are still admitted by how long they usually last, since clients can't know yet that the node
+// is draining.
 func (d *drainWindow) isOpen(now units.Time) bool {
 	return now.Sub(d.startedAt) < min(openWindow, d.deadline.Sub(d.startedAt)/openWindowDivisor)
 }
 
-// nearDeadline says whether the end is so near that what still waits gets its final answer.
+// nearDeadline reports whether the end is so close that requests that still wait get their final answer.
 func (d *drainWindow) nearDeadline(now units.Time) bool {
 	return now > d.deadline.Add(-finalAnswerMargin)
 }
 
-// admits says whether a request may be begun that is over at until at the latest, given what was seen of requests like it. That none of
-// them outlasts the time that is left can't be known before they have been watched for longer than that.
+// admits reports whether a request that ends by deadline may be started, given the observed durations of its mapping. The
+// observations count only if they span more than the remaining time: a shorter span can't show that no request outlasts it.
 func (d *drainWindow) admits(now, deadline units.Time, observed requestDurations) bool {
 	if d.isOpen(now) && observed.observedFor >= observationFactor*d.deadline.Sub(now) {
 		deadline = min(deadline, now.Add(durationMargin*observed.longest))
@@ -62,22 +64,22 @@
 	return deadline <= d.deadline.Add(-finalAnswerMargin)
 }
 
-// draining says whether this node has been warned.
+// draining reports whether this node is draining.
 func (v *Router) draining() bool { return v.drainWindow.Load() != nil }
 
-// nearDrainDeadline says whether what has no answer yet gets its final one.
+// nearDrainDeadline reports whether requests without an answer get their final one now.
 func (v *Router) nearDrainDeadline() bool {
 	d := v.drainWindow.Load()
 	return d != nil && d.nearDeadline(v.Tasks.Now())
 }
 
-// mayStart says whether a request of a mapping that is over at until at the latest may be begun here.
+// mayStart reports whether a request of a mapping that ends by deadline may be started here.
 func (v *Router) mayStart(now, deadline units.Time, mapping *config.Mapping) bool {
 	d := v.drainWindow.Load()
 	return d == nil || !v.closing.Load() && d.admits(now, deadline, v.mappingStats.durations(now, mapping))
 }
 
-// Drain gives this node's duties away and lets what is under way end within the grace.
+// Drain hands this node's duties to others and lets requests in flight finish within the grace period.
 func (v *Router) Drain() {
 	now := v.Tasks.Now()
 	d := newDrainWindow(now, time.Duration(v.Boot.DrainMs)*time.Millisecond)
@@ -88,7 +90,7 @@
 	v.Close()
 }
 
-// awaitIdle returns once nothing is under way and nothing more is taken, or when the grace is over.
+// awaitIdle returns once no request is in flight and none is accepted, or when the grace period is over.
 func (v *Router) awaitIdle(d *drainWindow) {
 	earliest := d.startedAt
 	if v.Adapter != nil {
@@ -102,7 +104,7 @@
 		if now <= earliest || now.Sub(idleSince) <= idlePeriod {
 			continue
 		}
-		v.closing.Store(true) // before the last look: a request that came in between either saw it or is seen
+		v.closing.Store(true) // before the last check: a concurrent request either sees closing or is counted in flight
 		if v.inFlight.Load() == 0 {
 			return
 		}
@@ -110,7 +112,7 @@
 	v.closing.Store(true)
 }
 
-// Close ends the door and the wires at once.
+// Close stops the servers and closes all connections at once.
 func (v *Router) Close() {
 	v.StopServing()
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
--- a/internal/router/mapping_stats.go
+++ b/internal/router/mapping_stats.go
@@ -14,24 +14,24 @@
 	"seamshunt/internal/units"
 )
 
-// mappingStats counts how a mapping's promise is kept at this node (design 9).
+// mappingStats counts how well this node meets a mapping's promise (docs/design.md, section 9).
 type mappingStats struct {
 	promise           string
 	service           string
 	target            time.Duration
 	requests          uint64
-	firstOutputOnTime uint64 // first words within the promise
+	firstOutputOnTime uint64 // first output within the promised time
 	firstOutputLate   uint64
-	onTime            uint64 // sealed, within the time left
+	onTime            uint64 // complete answers within the deadline
 	refused           uint64
-	retries           uint64 // further tries
-	refusalTime       time.Duration
-	streamTime        time.Duration // by all streams that ended
+	retries           uint64
+	refusalTime       time.Duration // total time from arrival to refusal
+	streamTime        time.Duration // total duration of the streams that ended
 	streamsEnded      uint64
 	firstOutput       upstream.Habit
-	durations         upstream.Habit // how long requests took from their reading to the end of their whole answers
+	durations         upstream.Habit // of requests with complete answers, from when they were read to the end of the answer
 	firstRequestAt    units.Time
-	seconds           [60]struct {
+	seconds           [60]struct { // requests in each of the last 60 seconds
 		second int64
 		count  int
 	}
@@ -42,7 +42,7 @@
 	byMapping map[string]*mappingStats
 }
 
-// update does something to a mapping's tally.
+// update applies change to a mapping's statistics under the lock.
 func (t *statsByMapping) update(m *config.Mapping, change func(*mappingStats)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,16 +58,16 @@
 	change(stats)
 }
 
-// minDurationSamples is how many requests of a mapping must have been whole before it is known how long they last.
+// minDurationSamples is the minimum number of complete answers before a mapping's durations are relied on.
 const minDurationSamples = 8
 
-// requestDurations is what was seen of how long a mapping's requests last, from their reading to the end of their whole answers.
+// requestDurations summarizes how long a mapping's requests last, from when they were read to the end of their complete answers.
 type requestDurations struct {
 	longest     time.Duration
-	observedFor time.Duration // for how long they were watched; 0 if too few were whole
+	observedFor time.Duration // time since the first request; 0 if there are too few samples
 }
 
-// durations gives what was seen of a mapping's latest requests.
+// durations returns the durations of a mapping's latest requests.
 func (t *statsByMapping) durations(now units.Time, m *config.Mapping) (seen requestDurations) {
 	t.update(m, func(stats *mappingStats) {
 		if longest, measured := stats.durations.At(1); measured >= minDurationSamples {
@@ -89,7 +89,7 @@
 	s.count++
 }
 
-// rate is how many came in a second, over the last whole minute or as long as there is one.
+// rate returns the requests per second over the last minute, or since the first request if that is less.
 func (x *mappingStats) rate(now units.Time) float64 {
 	at, count, earliest := int64(now)/int64(time.Second), 0, int64(now)/int64(time.Second)
 	for _, s := range x.seconds {
@@ -110,7 +110,7 @@
 	}
 }
 
-// statusValue lays the tallies out for status.
+// statusValue returns the statistics as JSON for /status.
 func (t *statsByMapping) statusValue(a *fastjson.Arena, now units.Time) *fastjson.Value {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +123,8 @@
 		for _, c := range []struct {
 			name string
 			n    uint64
-		}{{"asked", stats.requests}, {"first_kept", stats.firstOutputOnTime}, {"first_missed", stats.firstOutputLate}, {"on_time", stats.onTime}, {"refused", stats.refused}, {"again", stats.retries}, {"ended", stats.streamsEnded}} {
+		}{{"asked", stats.requests}, {"first_kept", stats.firstOutputOnTime}, {"first_missed", stats.firstOutputLate},
+			{"on_time", stats.onTime}, {"refused", stats.refused}, {"again", stats.retries}, {"ended", stats.streamsEnded}} {
 			entry.Set(c.name, a.NewNumberInt(int(c.n)))
 		}
 		median, _ := stats.firstOutput.At(0.5)
@@ -138,7 +139,7 @@
 	return o
 }
 
-// writeMetrics writes them as Prometheus text.
+// writeMetrics writes the statistics as Prometheus text.
 func (t *statsByMapping) writeMetrics(w io.Writer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,7 +148,8 @@
 		for _, c := range []struct {
 			name string
 			n    uint64
-		}{{"asked", stats.requests}, {"first_words_kept", stats.firstOutputOnTime}, {"first_words_missed", stats.firstOutputLate}, {"on_time", stats.onTime}, {"refused", stats.refused}, {"further_tries", stats.retries}} {
+		}{{"asked", stats.requests}, {"first_words_kept", stats.firstOutputOnTime}, {"first_words_missed", stats.firstOutputLate},
+			{"on_time", stats.onTime}, {"refused", stats.refused}, {"further_tries", stats.retries}} {
 			fmt.Fprintf(w, "seamshunt_promise_%s_total{mapping=%q,promise=%q} %d\n", c.name, name, stats.promise, c.n)
 		}
 		fmt.Fprintf(w, "seamshunt_promise_refused_after_seconds_sum{mapping=%q} %g\n", name, stats.refusalTime.Seconds())
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -14,23 +14,23 @@
 	"seamshunt/internal/codes"
 )
 
-// stats counts results and hand-overs.
+// stats counts results and dispatches.
 type stats struct {
 	mu             sync.Mutex
 	codes          map[codes.Code]uint64
-	dispatches     map[string]uint64  // hand-overs by the worker's zone
-	crossZoneBytes uint64             // bytes of prompts handed over to another zone
-	disconnects    [stageCount]uint64 // requests whose client left, by where they stood
+	dispatches     map[string]uint64  // dispatches by the worker's zone
+	crossZoneBytes uint64             // bytes of prompts dispatched to another zone
+	disconnects    [stageCount]uint64 // requests whose client disconnected, by stage
 }
 
-// stage is where a request stands at a router.
+// stage is the phase of handling that a request is in.
 type stage uint8
 
 const (
-	stageClaim     stage = iota // its key is claimed
-	stageAdmission              // it waits for a worker
-	stageAnswer                 // a worker has it, and no answer has begun
-	stageStream                 // its answer goes on
+	stageClaim     stage = iota // claiming its idempotency key
+	stageAdmission              // waiting for a worker's permit
+	stageAnswer                 // dispatched to a worker, no answer yet
+	stageStream                 // streaming its answer
 	stageCount
 )
 
@@ -38,13 +38,13 @@
 	return [stageCount]string{"claim", "admission", "answer", "stream"}[s]
 }
 
-// recordDisconnect counts and logs a request whose client left while it stood at a stage, and how long it had stood there.
+// recordDisconnect counts and logs a request whose client disconnected at a stage, with the time since the request arrived.
 func (v *Router) recordDisconnect(at stage, elapsed time.Duration) {
 	v.stats.countResult(codes.ClientLeft)
 	v.stats.mu.Lock()
 	v.stats.disconnects[at]++
 	v.stats.mu.Unlock()
-	v.Log.WithField("stage", at.String()).WithField("after", elapsed).Info("a client left")
+	v.Log.WithField("stage", at.String()).WithField("after", elapsed).Info("client disconnected")
 }
 
 func (s *stats) countResult(c codes.Code) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// metrics writes Prometheus text.
+// metrics serves the metrics as Prometheus text.
 func (v *Router) metrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; version=0.0.4")
 	s := &v.stats
@@ -95,7 +95,7 @@
 	fmt.Fprintf(ctx, "seamshunt_cut_from_control_seconds %g\n", age)
 }
 
-// upstreamMetrics writes what became of connections to workers.
+// upstreamMetrics writes the outcomes of dials to workers and the number of abandoned requests.
 func (v *Router) upstreamMetrics(w io.Writer) {
 	if v.pool == nil {
 		return
--- a/internal/router/native_api.go
+++ b/internal/router/native_api.go
@@ -13,7 +13,7 @@
 	"seamshunt/internal/config/routing"
 )
 
-// serve is the door for callers; what needs no mapping is answered here.
+// serve handles all requests of the native API. Paths that need no mapping are answered here.
 func (v *Router) serve(ctx *fasthttp.RequestCtx) {
 	switch path := string(ctx.Path()); path {
 	case "/healthz":
@@ -27,7 +27,7 @@
 	}
 }
 
-// refuse answers with a code at once; a refused caller is told when to come back.
+// refuse answers with a code and text at once, and with Retry-After if retryAfter is set.
 func (v *Router) refuse(ctx *fasthttp.RequestCtx, code codes.Code, text string, notRun bool, retryAfter time.Duration) {
 	v.stats.countResult(code)
 	var a fastjson.Arena
@@ -49,7 +49,7 @@
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-// malformed answers a request that is no HTTP or is too large: it reached no rule and did not run.
+// malformed refuses a request that is not valid HTTP or is too large. It matched no mapping and did not run.
 func (v *Router) malformed(ctx *fasthttp.RequestCtx, err error) {
 	c := codes.BadBody
 	if err == fasthttp.ErrBodyTooLarge {
@@ -59,10 +59,11 @@
 	ctx.SetConnectionClose()
 }
 
-// handlePrompt takes one request its way over the compiled rules.
+// handlePrompt handles one prompt by the compiled configuration.
 func (v *Router) handlePrompt(ctx *fasthttp.RequestCtx, path string) {
 	v.inFlight.Add(1)
-	w := &nativeRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), config: v.activeConfig.Load(), client: v.clientWatcher.Begin(ctx.Conn()), stage: stageClaim}
+	w := &nativeRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), config: v.activeConfig.Load(),
+		client: v.clientWatcher.Begin(ctx.Conn()), stage: stageClaim}
 	defer func() {
 		if !w.streaming {
 			w.finish(false)
@@ -84,17 +85,20 @@
 	if !w.readRequest() {
 		return
 	}
-	actions, ok := w.config.Program.Find(routing.Ask{Host: requestHost(ctx), Path: path, Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	actions, ok := w.config.Program.Find(routing.Ask{Host: requestHost(ctx), Path: path, Header: func(n string) string {
+		return string(ctx.Request.Header.Peek(n))
+	}})
 	if !ok {
 		v.refuse(ctx, codes.NoMapping, "no mapping takes this request", true, 0)
 		return
 	}
 	w.mapping = w.config.Mappings[actions[0].Mapping]
-	v.mappingStats.update(w.mapping, func(t *mappingStats) { t.countRequest(w.startedAt) })
-	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: w.claimKey, Share: w.chooseService, Try: w.tryService, Refuse: w.refuse})
+	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.countRequest(w.startedAt) })
+	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: w.claimKey, Share: w.chooseService,
+		Try: w.tryService, Refuse: w.refuse})
 }
 
-// readRequest checks what every prompt must bring.
+// readRequest reads and checks the method, headers and body of a prompt. It refuses an invalid one and returns false.
 func (w *nativeRequest) readRequest() bool {
 	ctx, v := w.ctx, w.router
 	if !ctx.IsPost() {
@@ -117,7 +121,7 @@
 		v.refuse(ctx, codes.BadKey, "an Idempotency-Key has at most 200 bytes", true, 0)
 		return false
 	}
-	w.body = bytes.Clone(ctx.PostBody()) // outlives the handler
+	w.body = bytes.Clone(ctx.PostBody()) // the body is used after the handler has returned
 	parsed, err := fastjson.ParseBytes(w.body)
 	if err != nil {
 		v.refuse(ctx, codes.BadBody, "the body is no JSON: "+err.Error(), true, 0)
@@ -132,7 +136,8 @@
 	return true
 }
 
-// retryAfter says when a refused caller should come again: the service's least time, the wait foreseen, and jitter.
+// retryAfter returns the delay after which a refused client should retry: the larger of the service's minimum and the expected
+// wait, plus jitter.
 func retryAfter(minimum, jitter, expectedWait time.Duration) time.Duration {
 	b := max(minimum, expectedWait)
 	if jitter > 0 {
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -16,7 +16,7 @@
 	"seamshunt/internal/units"
 )
 
-// nativeRequest is one request of the product's own interface on its way.
+// nativeRequest is the state of one request of the native API.
 type nativeRequest struct {
 	router        *Router
 	ctx           *fasthttp.RequestCtx
@@ -29,32 +29,33 @@
 	body          []byte
 	prompt        []byte
 	dispatchedAt  units.Time
-	dispatches    int  // hand-overs whose bytes may have left
-	retryReserved bool // the next try was taken from the budget already
-	knownNotRun   bool
+	dispatches    int  // attempts whose bytes may have reached a worker
+	retryReserved bool // the next retry has been taken from the budget already
+	knownNotRun   bool // no copy of the request can have run
 	reason        codes.Code
-	claimedKey    string // the key whose claim was granted, with its mapping
+	claimedKey    string // mapping and key whose claim was granted
 	holders       []units.Node
 	expectedWait  time.Duration
 	client        *clientwatch.Request
-	stage         stage // where it stands
+	stage         stage
 	streaming     bool
 }
 
 const (
 	defaultMaxAttempts   = 3
-	maxVerdictAge        = 300 * time.Millisecond // a verdict older than this is not acted on: the process may have been frozen
-	overdueCheckInterval = 50 * time.Millisecond  // how often an answer that has not begun is looked at
+	maxVerdictAge        = 300 * time.Millisecond // older verdicts are discarded: the process may have been paused
+	overdueCheckInterval = 50 * time.Millisecond  // how often an attempt without output is checked
 )
 
-// applyTimeLimit bounds the caller's time left by the mapping's.
+// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's.
 func (w *nativeRequest) applyTimeLimit(limitMs int) bool {
 	w.knownNotRun = true
 	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
 	return false
 }
 
-// chooseService draws the service among those that share the mapping: by the caller's key, so that its copies draw the same.
+// chooseService picks one of the services that share the mapping and tries it. The client's key decides, so that all copies of
+// the request pick the same service.
 func (w *nativeRequest) chooseService() bool {
 	id := w.key
 	if id == "" {
@@ -64,12 +65,12 @@
 	return ok && w.tryService(s)
 }
 
-// attemptsLeft says whether the mapping lets the prompt go to another worker, besides those that have it now.
+// attemptsLeft reports whether the mapping allows another attempt besides the pending ones.
 func (w *nativeRequest) attemptsLeft(pending int) bool {
 	return w.mapping.Tries == 0 || w.dispatches+pending < w.mapping.Tries
 }
 
-// tryService offers the prompt to one service. True ends the request's way.
+// tryService attempts the request on one service. It reports whether the request has been answered.
 func (w *nativeRequest) tryService(name string) bool {
 	service := w.config.Services[name]
 	v := w.router
@@ -109,7 +110,7 @@
 	return w.dispatches > 0 && w.endWithRefusal()
 }
 
-// admit asks for admission and waits for the verdict, or until the request is cancelled.
+// admit requests admission and waits for the verdict or until the request is cancelled.
 func (w *nativeRequest) admit(now units.Time, tag uint64, service *config.Service) timedVerdict {
 	v := w.router
 	w.stage = stageAdmission
@@ -117,7 +118,8 @@
 	result := make(chan timedVerdict, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
-	out := v.queue.Arrive(now, admission.Request{Tag: tag, Policy: service.Allow, Cands: candidates, Tries: service.Spread + 4, Until: w.deadline, First: service.First, Worth: uint16(w.mapping.Promise.Worth),
+	out := v.queue.Arrive(now, admission.Request{Tag: tag, Policy: service.Allow, Cands: candidates, Tries: service.Spread + 4,
+		Until: w.deadline, First: service.First, Worth: uint16(w.mapping.Promise.Worth),
 		Keeper: func(n string) units.Node { return coordinators[n] }})
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
@@ -132,7 +134,7 @@
 	}
 }
 
-// workerAddress finds a worker that may still be handed something.
+// workerAddress returns the address and zone of a worker; ok reports whether requests may still be dispatched to it.
 func (v *Router) workerAddress(name string, service *config.Service) (addr, zone string, ok bool) {
 	v.viewMu.Lock()
 	defer v.viewMu.Unlock()
@@ -144,7 +146,8 @@
 	return "", "", false
 }
 
-// dispatch sends the prompt to the worker. True ends the request's way; false lets it look further.
+// dispatch sends the prompt to a worker. It reports whether the request is answered or its answer has begun; otherwise it may be
+// retried.
 func (w *nativeRequest) dispatch(tag uint64, worker string, service *config.Service) bool {
 	v := w.router
 	addr, zone, ok := v.workerAddress(worker, service)
@@ -185,17 +188,17 @@
 		w.dispatches++
 		return false
 	}
-	// It may have run: only a mapping that may repeat is tried again.
+	// The request may have run, so only a repeatable mapping is retried.
 	w.dispatches++
 	w.knownNotRun = false
 	w.reason = codes.Unknown
 	v.release(tag, !event.Down)
 	v.markDown(worker)
-	v.Log.WithError(event.Err).WithField("worker", worker).Warn("a try of unknown outcome")
+	v.Log.WithError(event.Err).WithField("worker", worker).Warn("attempt with unknown outcome")
 	return w.mapping.Once && w.endWithRefusal()
 }
 
-// abortAttempt ends the way of a request that was cancelled while a worker had it, or was about to get it.
+// abortAttempt answers a request that was cancelled during an attempt.
 func (w *nativeRequest) abortAttempt(tag uint64, event upstream.Event) bool {
 	w.checkCancelled()
 	if event.Kind == upstream.NotSent {
@@ -208,7 +211,7 @@
 	return w.endWithRefusal()
 }
 
-// checkCancelled looks whether the request is cancelled, and notes why.
+// checkCancelled reports whether the request is cancelled, and sets the reason if so.
 func (w *nativeRequest) checkCancelled() bool {
 	reason := cancellationCode(w.client)
 	if reason != 0 {
@@ -217,7 +220,7 @@
 	return reason != 0
 }
 
-// finish lets go of the client; nothing may be under way for it any more.
-func (w *nativeRequest) finish(whole bool) {
-	w.router.finishRequest(w.client, w.stage, w.startedAt, whole)
+// finish releases the client. No work for the request may be left.
+func (w *nativeRequest) finish(complete bool) {
+	w.router.finishRequest(w.client, w.stage, w.startedAt, complete)
 }
--- a/internal/router/native_stream.go
+++ b/internal/router/native_stream.go
@@ -10,13 +10,14 @@
 	"seamshunt/internal/router/upstream"
 )
 
-// endWithRefusal gives the final answer at once, with its code and when to come back.
+// endWithRefusal sends the final refusal and returns true.
 func (w *nativeRequest) endWithRefusal() bool {
 	w.refuse()
 	return true
 }
 
-// refuse says "not run" only where no byte of the prompt can still arrive anywhere; a doubt is "outcome unknown".
+// refuse sends the final refusal. It says "not run" only if no byte of the prompt can still reach a worker; in doubt it says
+// "outcome unknown".
 func (w *nativeRequest) refuse() {
 	c := w.reason
 	if c == 0 {
@@ -32,9 +33,9 @@
 		return
 	}
 	w.spendKey()
-	w.router.mappingStats.update(w.mapping, func(t *mappingStats) {
-		t.refused++
-		t.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
+	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
+		stats.refused++
+		stats.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
 	})
 	s := w.config.Services[w.mapping.To[0]]
 	w.router.refuse(w.ctx, c, refusalTexts[c], true, retryAfter(s.RetryAfter, s.Jitter, w.expectedWait))
@@ -50,11 +51,13 @@
 	codes.WorkerNo:  "the workers refused",
 }
 
-// startStream begins the caller's answer; the rest is read from the try as it comes.
+// startStream begins the client's response. Its body is read from the attempt as it arrives.
 func (w *nativeRequest) startStream(tag uint64, attempt *upstream.Try, first upstream.Event, worker string) {
 	w.streaming, w.stage = true, stageStream
 	body := &nativeStream{request: w, tag: tag, attempt: attempt, worker: worker, firstEvent: &first}
-	w.router.mappingStats.update(w.mapping, func(attempt *mappingStats) { attempt.recordFirstOutput(w.router.Tasks.Now().Sub(w.startedAt)) })
+	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
+		stats.recordFirstOutput(w.router.Tasks.Now().Sub(w.startedAt))
+	})
 	w.ctx.SetStatusCode(200)
 	w.ctx.SetContentType("application/x-ndjson")
 	w.ctx.Response.Header.Set("Request-Id", attempt.ID)
@@ -63,10 +66,10 @@
 	w.ctx.SetBodyStream(body, -1)
 }
 
-var errBroken = errors.New("router: the worker's answer broke")
+var errBroken = errors.New("router: the worker's answer is incomplete")
 
-// nativeStream is the body of a caller's answer. An error from Read makes the server break the wire off
-// without a final chunk, so that a broken answer never looks whole.
+// nativeStream is the body of a client's response. An error from Read makes the server close the connection without a final
+// chunk, so that a broken response never looks complete.
 type nativeStream struct {
 	request        *nativeRequest
 	tag            uint64
@@ -79,7 +82,7 @@
 	closed         bool
 }
 
-// Read gives the next piece as soon as it comes.
+// Read returns the next piece as soon as it arrives.
 func (s *nativeStream) Read(p []byte) (int, error) {
 	if len(s.pending) == 0 {
 		if s.sealed {
@@ -97,6 +100,7 @@
 	return n, nil
 }
 
+// nextEvent waits for the next event of the attempt, at most until the request's deadline.
 func (s *nativeStream) nextEvent() (*upstream.Event, error) {
 	if e := s.firstEvent; e != nil {
 		s.firstEvent = nil
@@ -111,13 +115,13 @@
 			return &e, nil
 		}
 		if s.request.client.Err() != nil {
-			break // broken off here
+			break // aborted here
 		}
 		var timeoutErr net.Error
-		s.outcomeUnknown = errors.As(e.Err, &timeoutErr) && timeoutErr.Timeout() // silence: nobody knows whether it still runs
+		s.outcomeUnknown = errors.As(e.Err, &timeoutErr) && timeoutErr.Timeout() // the worker may still be running it
 		v.stats.countResult(codes.BrokenStream)
 		v.markDown(s.worker)
-		v.Log.WithError(e.Err).WithField("worker", s.worker).Warn("a stream broke")
+		v.Log.WithError(e.Err).WithField("worker", s.worker).Warn("worker stream broke")
 	case <-s.request.client.Done():
 	case <-timeout.C:
 		v.stats.countResult(codes.OutOfTime)
@@ -125,7 +129,7 @@
 	return nil, errBroken
 }
 
-// Close ends the try and gives the slot back; the server calls it however the answer ended.
+// Close ends the attempt and releases the permit. The server calls it however the response ended.
 func (s *nativeStream) Close() error {
 	if s.closed {
 		return nil
@@ -133,11 +137,11 @@
 	s.closed = true
 	s.attempt.Cancel()
 	now := s.request.router.Tasks.Now()
-	s.request.router.mappingStats.update(s.request.mapping, func(t *mappingStats) {
-		t.streamsEnded++
-		t.streamTime += now.Sub(s.request.dispatchedAt)
+	s.request.router.mappingStats.update(s.request.mapping, func(stats *mappingStats) {
+		stats.streamsEnded++
+		stats.streamTime += now.Sub(s.request.dispatchedAt)
 		if s.sealed && len(s.pending) == 0 && now <= s.request.deadline {
-			t.onTime++
+			stats.onTime++
 		}
 	})
 	if s.sealed && len(s.pending) == 0 {
--- a/internal/router/overdue_worker.go
+++ b/internal/router/overdue_worker.go
@@ -9,10 +9,10 @@
 	"seamshunt/internal/units"
 )
 
-// errOverdue says that a worker took a prompt and has said nothing for longer than the service ever takes.
-var errOverdue = errors.New("router: no first words in more than twice the usual time")
+// errOverdue reports that a worker accepted a prompt and has sent no output for longer than the service ever takes.
+var errOverdue = errors.New("router: no output in more than twice the usual time")
 
-// takeRetry takes a further try from the budget, unless it was taken already.
+// takeRetry takes a retry from the retry budget, unless one is reserved already. It reports whether there is one.
 func (w *nativeRequest) takeRetry(service string, now units.Time) bool {
 	if w.retryReserved {
 		w.retryReserved = false
@@ -21,12 +21,13 @@
 	if !w.router.retryBudgetOf(service).Again(now, 0) {
 		return false
 	}
-	w.router.mappingStats.update(w.mapping, func(t *mappingStats) { t.retries++ })
+	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.retries++ })
 	return true
 }
 
-// awaitFirstEvent waits for the first thing that a try has to tell. A worker that is later than the service's habit is passed
-// over; what may repeat then leaves it, if the budget and the time left allow another (design 8).
+// awaitFirstEvent waits for the first event of an attempt. A worker that takes longer than is usual for the service is marked
+// down. A repeatable request is then cancelled there, if the retry budget and the time left allow another attempt
+// (docs/design.md, section 8).
 func (w *nativeRequest) awaitFirstEvent(attempt *upstream.Try, service *config.Service, worker string) upstream.Event {
 	v := w.router
 	overdueAfter, known := v.firstOutputLatencyOf(service.Name).Late()
@@ -47,7 +48,7 @@
 		now := v.Tasks.Now()
 		if now > w.deadline {
 			attempt.Cancel()
-			return upstream.Event{Kind: upstream.Unknown, Err: errors.New("router: out of time")}
+			return upstream.Event{Kind: upstream.Unknown, Err: errors.New("router: deadline exceeded")}
 		}
 		if !known || now.Sub(w.dispatchedAt) < overdueAfter {
 			continue
@@ -56,7 +57,8 @@
 			marked = true
 			v.markDown(worker)
 		}
-		if !w.mapping.Once && w.attemptsLeft(1) && w.deadline.Sub(now) > 2*service.First && !w.retryReserved && w.takeRetry(service.Name, now) {
+		if !w.mapping.Once && w.attemptsLeft(1) && w.deadline.Sub(now) > 2*service.First &&
+			!w.retryReserved && w.takeRetry(service.Name, now) {
 			w.retryReserved = true
 			attempt.Cancel()
 			return upstream.Event{Kind: upstream.Unknown, Err: errOverdue}
@@ -64,7 +66,7 @@
 	}
 }
 
-// outage is a worker that this node passes over, for longer each time until it answers again.
+// outage is a period during which this node avoids a worker. It doubles each time until the worker answers again.
 type outage struct {
 	until    units.Time
 	duration time.Duration
@@ -75,6 +77,7 @@
 	maxOutage = 16 * time.Second
 )
 
+// markDown starts an outage of a worker, unless one is in force.
 func (v *Router) markDown(name string) {
 	v.viewMu.Lock()
 	defer v.viewMu.Unlock()
@@ -88,7 +91,7 @@
 	v.view.outages[name] = outage
 }
 
-// markUp forgets what was held against a worker that answers.
+// markUp ends the outage of a worker that has answered.
 func (v *Router) markUp(name string) {
 	v.viewMu.Lock()
 	delete(v.view.outages, name)
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -16,8 +16,8 @@
 	"seamshunt/internal/units"
 )
 
-// relayRequest is one request on its way through this node in an adapter's words (design 11): its bytes go to a worker and the
-// worker's come back unchanged. Its id belongs to one try of a client, so nothing is claimed for it.
+// relayRequest is the state of one request in an adapter's protocol (docs/design.md, section 11): its bytes go to a worker and
+// the worker's come back unchanged. Its ID belongs to a single attempt of a client, so no idempotency key is claimed for it.
 type relayRequest struct {
 	router       *Router
 	ctx          *fasthttp.RequestCtx
@@ -29,27 +29,29 @@
 	deadline     units.Time
 	timeLeft     time.Duration
 	prompt       adapter.Prompt
-	hasSize      bool   // the prompt's size is known
-	lastEventID  string // the id of the last whole event that the client has
+	hasSize      bool   // whether the prompt's size is known
+	lastEventID  string // ID of the last complete event that the client has
 	dispatches   int    // workers that the request was sent to
-	mayHaveRun   bool   // it may have run
+	mayHaveRun   bool
 	client       *clientwatch.Request
-	stage        stage  // where it stands
-	failedWorker string // the worker that broke off last
+	stage        stage
+	failedWorker string // the worker whose answer broke last
 	reason       codes.Code
 	expectedWait time.Duration
 	urgency      uint8
-	stream       *responseBody // while a stream goes on
+	stream       *responseBody // nil unless the answer is streamed
 }
 
-// holdTimeout is how long a request waits for a node that has started or woken and asks whether its news still stands: as a
-// rule that takes less. It is not given up meanwhile; one that is gets its answer at once (design 11).
+// holdTimeout is how long a request is held while a started or resumed node confirms that its configuration is up to date,
+// which usually takes less. It is refused only after this timeout or when it is cancelled, and then at once (docs/design.md,
+// section 11).
 const holdTimeout = 700 * time.Millisecond
 
-// handleRelay takes one request its way.
+// handleRelay handles one request in the adapter's protocol.
 func (v *Router) handleRelay(ctx *fasthttp.RequestCtx) {
 	v.inFlight.Add(1)
-	w := &relayRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), client: v.clientWatcher.Begin(ctx.Conn()), stage: stageAdmission}
+	w := &relayRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), client: v.clientWatcher.Begin(ctx.Conn()),
+		stage: stageAdmission}
 	defer func() {
 		if w.stream == nil {
 			w.finish()
@@ -75,7 +77,9 @@
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	actions, ok := w.config.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	actions, ok := w.config.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string {
+		return string(ctx.Request.Header.Peek(n))
+	}})
 	if !ok {
 		w.respond(codes.NoMapping, 0)
 		return
@@ -87,16 +91,17 @@
 		return
 	}
 	w.readHeaders()
-	v.mappingStats.update(w.mapping, func(t *mappingStats) { t.countRequest(w.startedAt) })
-	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: func() bool { return false }, Share: w.chooseService, Try: w.tryService, Refuse: w.refuse})
+	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.countRequest(w.startedAt) })
+	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: func() bool { return false }, Share: w.chooseService,
+		Try: w.tryService, Refuse: w.refuse})
 }
 
-// finish lets go of the client; nothing may be under way for it any more.
+// finish releases the client. No work for the request may be left.
 func (w *relayRequest) finish() {
 	w.router.finishRequest(w.client, w.stage, w.startedAt, w.stream != nil && w.stream.complete)
 }
 
-// checkCancelled looks whether the request is cancelled, and notes why.
+// checkCancelled reports whether the request is cancelled, and sets the reason if so.
 func (w *relayRequest) checkCancelled() bool {
 	reason := cancellationCode(w.client)
 	if reason != 0 {
@@ -105,7 +110,7 @@
 	return reason != 0
 }
 
-// requestHost is the host that the client names, without a port.
+// requestHost returns the lower-case host of the request's Host header, without a port.
 func requestHost(ctx *fasthttp.RequestCtx) string {
 	h := strings.ToLower(string(ctx.Request.Header.Host()))
 	if i := strings.LastIndexByte(h, ':'); i > 0 && !strings.HasSuffix(h, "]") {
@@ -114,7 +119,7 @@
 	return h
 }
 
-// readHeaders takes what the headers tell.
+// readHeaders reads the request's ID, last event ID, time left and prompt size from its headers, and copies its body.
 func (w *relayRequest) readHeaders() {
 	n, h := &w.router.Adapter.Names, &w.ctx.Request.Header
 	w.id = string(h.Peek(n.Try))
@@ -123,33 +128,34 @@
 	if ms, err := strconv.ParseFloat(string(h.Peek(n.Left)), 64); err == nil && ms >= 0 && ms < 1e9 {
 		w.timeLeft = time.Duration(ms * float64(time.Millisecond))
 	}
-	w.body = bytes.Clone(w.ctx.PostBody()) // outlives the handler
+	w.body = bytes.Clone(w.ctx.PostBody()) // the body is used after the handler has returned
 	if w.router.Adapter.Prompt != nil {
 		w.prompt, w.hasSize = w.router.Adapter.Prompt(h)
 	}
 }
 
-// drainRetryAfter is when a client that a leaving node refuses may come again: at once, as it comes to another.
+// drainRetryAfter is the Retry-After of a draining node. It is short, since the client's retry reaches another node.
 const drainRetryAfter = 100 * time.Millisecond
 
-// applyTimeLimit bounds the client's time left by the mapping's. A leaving node ends the way of what might outlast it.
+// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's. A draining node refuses a request that
+// might outlast it; applyTimeLimit reports whether it did.
 func (w *relayRequest) applyTimeLimit(limitMs int) bool {
 	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
 	if w.router.mayStart(w.router.Tasks.Now(), w.deadline, w.mapping) {
 		return false
 	}
-	w.router.mappingStats.update(w.mapping, func(t *mappingStats) { t.refused++ })
+	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.refused++ })
 	w.respond(codes.Draining, drainRetryAfter)
 	return true
 }
 
-// chooseService draws the service among those that share the mapping; the same try always draws the same.
+// chooseService picks one of the services that share the mapping and tries it. The same attempt ID always picks the same one.
 func (w *relayRequest) chooseService() bool {
 	s, ok := pickService(w.mapping.Split, w.id)
 	return ok && w.tryService(s)
 }
 
-// pickService gives the service that an id falls to, by the shares.
+// pickService returns the service that id hashes to, weighted by the targets' shares.
 func pickService(split []config.Target, id string) (string, bool) {
 	sum := 0
 	for _, target := range split {
@@ -164,12 +170,12 @@
 	return "", false
 }
 
-// exceedsLimits says whether a request is larger than the limits in force allow.
+// exceedsLimits reports whether a request's body or header is larger than the configured limits.
 func exceedsLimits(ctx *fasthttp.RequestCtx, l config.Limits) bool {
 	return l.Body > 0 && len(ctx.PostBody()) > l.Body || l.Head > 0 && len(ctx.Request.Header.RawHeaders()) > l.Head
 }
 
-// refuse is the last step of every way: the final answer, at once, with when to come back if it has not run.
+// refuse sends the final answer of a request that no service has answered, with Retry-After if it has not run.
 func (w *relayRequest) refuse() {
 	code := w.reason
 	if code == 0 {
@@ -178,9 +184,9 @@
 	if code == codes.ClientLeft {
 		w.ctx.SetConnectionClose()
 	} else {
-		w.router.mappingStats.update(w.mapping, func(t *mappingStats) {
-			t.refused++
-			t.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
+		w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
+			stats.refused++
+			stats.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
 		})
 	}
 	switch {
@@ -194,9 +200,9 @@
 	}
 }
 
-// respond answers with a code of our own. A client is told when to come back only where the request did not run.
+// respond answers with one of the router's own codes. Retry-After is sent only if the request did not run.
 func (w *relayRequest) respond(code codes.Code, retryAfter time.Duration) {
-	if code != codes.ClientLeft { // counted as the client left
+	if code != codes.ClientLeft { // recordDisconnect counts it
 		w.router.stats.countResult(code)
 	}
 	r := &w.ctx.Response
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -13,7 +13,7 @@
 	"seamshunt/internal/units"
 )
 
-// maxAttempts is how many workers the request may be sent to.
+// maxAttempts returns the maximum number of workers that the request may be sent to.
 func (w *relayRequest) maxAttempts() int {
 	if w.mapping.Tries > 0 {
 		return w.mapping.Tries
@@ -21,7 +21,7 @@
 	return defaultMaxAttempts
 }
 
-// takeAttempt says whether the request may go to another worker, and takes the further try from the budget.
+// takeAttempt reports whether the request may be sent to another worker. A retry is taken from the retry budget.
 func (w *relayRequest) takeAttempt(service string, now units.Time) bool {
 	switch {
 	case w.checkCancelled():
@@ -37,17 +37,17 @@
 		w.reason = codes.Budget
 		return false
 	}
-	w.router.mappingStats.update(w.mapping, func(t *mappingStats) { t.retries++ })
+	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.retries++ })
 	return true
 }
 
-// coordinatorRetryInterval is how soon workers are looked for again after no keeper answered for any.
+// coordinatorRetryInterval is the delay before admission is retried after no worker's coordinator has answered.
 const coordinatorRetryInterval = 40 * time.Millisecond
 
-// tryService offers the request to one service. True ends its way.
+// tryService attempts the request on one service. It reports whether the request has been answered.
 func (w *relayRequest) tryService(name string) bool {
 	service, v := w.config.Services[name], w.router
-	for n := 0; n < defaultMaxAttempts+2; n++ { // what never left this node may look further as well
+	for n := 0; n < defaultMaxAttempts+2; n++ { // attempts that never left this node may be repeated as well
 		now := v.Tasks.Now()
 		if w.deadline.Sub(now) < service.First {
 			w.reason = codes.OutOfTime
@@ -58,7 +58,8 @@
 		}
 		verdict, tag := w.admit(now, service)
 		if verdict.Code == codes.NoWorker && w.dispatches == 0 && now.Sub(w.startedAt) < holdTimeout {
-			v.Tasks.Wait(w.client, coordinatorRetryInterval) // the workers' keepers are changing: they answer in a moment (design 11)
+			// The workers' coordinators are changing; the new ones answer shortly (docs/design.md, section 11).
+			v.Tasks.Wait(w.client, coordinatorRetryInterval)
 			n--
 			continue
 		}
@@ -78,7 +79,7 @@
 	return false
 }
 
-// workerResponse is one hand-over that was answered.
+// workerResponse is an attempt that a worker has answered.
 type workerResponse struct {
 	*upstream.Exchange
 	tag          uint64
@@ -87,7 +88,7 @@
 	dispatchedAt units.Time
 }
 
-// stageUnlessStreaming is the stage of a request that may be a stream under way already.
+// stageUnlessStreaming returns at, or stageStream if the client's answer has already begun.
 func (w *relayRequest) stageUnlessStreaming(at stage) stage {
 	if w.stream != nil {
 		return stageStream
@@ -95,7 +96,7 @@
 	return at
 }
 
-// admit asks for admission and waits for the verdict, or until the request is cancelled.
+// admit requests admission and waits for the verdict or until the request is cancelled.
 func (w *relayRequest) admit(now units.Time, service *config.Service) (timedVerdict, uint64) {
 	v, tag := w.router, w.router.nextTag.Add(1)
 	w.stage = w.stageUnlessStreaming(stageAdmission)
@@ -119,7 +120,8 @@
 	}
 }
 
-// newWorkerRequest lays out what goes to the worker: the client's bytes, and what the worker is told besides.
+// newWorkerRequest builds the request to the worker: the client's headers and body, and the time left, the expected worker, the
+// urgency and the last event ID.
 func (w *relayRequest) newWorkerRequest(worker string, left time.Duration) *fasthttp.Request {
 	n, r := &w.router.Adapter.Names, fasthttp.AcquireRequest()
 	w.ctx.Request.Header.CopyTo(&r.Header)
@@ -138,10 +140,12 @@
 	return r
 }
 
-// hopByHopHeaders are the headers that concern one connection only.
-var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+// hopByHopHeaders are the headers that apply to a single connection.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
+	"Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// dispatch sends the request to a worker. Nothing means that it may look further, as far as may allows.
+// dispatch sends the request to a worker. It returns nil if there was no answer to pass on; takeAttempt then decides whether
+// the request may be retried.
 func (w *relayRequest) dispatch(tag uint64, name string, service *config.Service) *workerResponse {
 	v := w.router
 	addr, zone, ok := v.workerAddress(name, service)
@@ -184,7 +188,7 @@
 	return nil
 }
 
-// recordUnanswered notes what became of a hand-over without an answer.
+// recordUnanswered updates the request, its permit and the worker's state after an attempt without an answer.
 func (w *relayRequest) recordUnanswered(tag uint64, worker string, exchange *upstream.Exchange) {
 	v := w.router
 	if exchange.Kind != upstream.NotSent {
@@ -193,7 +197,7 @@
 	switch cancelled := w.client.Err() != nil; {
 	case exchange.Kind == upstream.NotSent && cancelled:
 		v.release(tag, false)
-	case exchange.Kind == upstream.Unknown && cancelled: // broken off here: nothing is held against the worker
+	case exchange.Kind == upstream.Unknown && cancelled: // aborted here, so the worker is not marked down
 		w.mayHaveRun = true
 		v.releaseAborted(tag)
 	case exchange.Kind == upstream.NotSent:
@@ -202,7 +206,7 @@
 			v.markDown(worker)
 		}
 		w.reason = codes.NoWorker
-		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("no connection to a worker")
+		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("cannot connect to worker")
 	case exchange.Kind == upstream.NotRun || exchange.Kind == upstream.Moved:
 		v.release(tag, false)
 		v.markDown(worker)
@@ -212,11 +216,12 @@
 		w.reason = codes.Unknown
 		v.release(tag, !exchange.Down)
 		v.markDown(worker)
-		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("a try of unknown outcome")
+		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("attempt with unknown outcome")
 	}
 }
 
-// shouldRetryStatus says whether a worker's own failure is worth another worker: only where the request may run again.
+// shouldRetryStatus reports whether a worker's error status is retried on another worker. Only repeatable requests are.
 func (w *relayRequest) shouldRetryStatus(status int) bool {
-	return status >= 500 && !w.mapping.Once && w.dispatches < w.maxAttempts() && w.router.Tasks.Now().Add(w.mapping.Promise.First/4) < w.deadline
+	return status >= 500 && !w.mapping.Once && w.dispatches < w.maxAttempts() &&
+		w.router.Tasks.Now().Add(w.mapping.Promise.First/4) < w.deadline
 }
--- a/internal/router/relay_placement.go
+++ b/internal/router/relay_placement.go
@@ -9,8 +9,10 @@
 	"seamshunt/internal/units"
 )
 
-// placeRelay orders the workers for one request, and says what each would have to read and hold.
-func (v *Router) placeRelay(now units.Time, service *config.Service, request *relayRequest, query *admission.Request) ([]string, map[string]units.Node) {
+// placeRelay ranks the workers for a request and sets the request's cost and urgency in query. It returns the candidates in order
+// and each one's coordinator.
+func (v *Router) placeRelay(now units.Time, service *config.Service, request *relayRequest, query *admission.Request) (
+	[]string, map[string]units.Node) {
 	request.urgency = urgencyByRank(request.mapping)
 	if request.hasSize && service.Memory > 0 {
 		estimateCost(request.prompt, service, query)
@@ -27,7 +29,8 @@
 	return candidates, coordinators
 }
 
-// prefixKey names the shared parts of a prompt: all but the last, which is its own or its session's.
+// prefixKey returns a hash of the shared prefix of a prompt: all parts but the last, which belongs to the request or its session.
+// It returns 0 if there is none.
 func prefixKey(p adapter.Prompt, sized bool) uint64 {
 	if !sized || len(p.Parts) < 2 {
 		return 0
@@ -35,16 +38,17 @@
 	return units.Mix(p.Parts[len(p.Parts)-2].ID)
 }
 
-// firstOutputTargetPercent is the part of the aim, in hundredths, within which first words are to be reckoned with (start value).
+// firstOutputTargetPercent is the part of the promised time to first output within which the first output is planned.
 const firstOutputTargetPercent = 90
 
-// readTime is how long a usual worker takes to read tokens of which so many others stand before.
+// readTime estimates how long a typical worker takes to read newTokens that follow cachedTokens.
 func readTime(s *config.Service, newTokens, cachedTokens int) time.Duration {
-	n, b := float64(newTokens), float64(cachedTokens)
-	return time.Duration((n/s.Reads + s.Pairs*n*(b+n/2)/1e6) * float64(time.Millisecond))
+	n, cached := float64(newTokens), float64(cachedTokens)
+	return time.Duration((n/s.Reads + s.Pairs*n*(cached+n/2)/1e6) * float64(time.Millisecond))
 }
 
-// estimateCost works out what a prompt costs a worker that holds its shared parts, and one that doesn't (design 12).
+// estimateCost sets the cost of a prompt for a worker that has cached its shared prefix and for one that has not
+// (docs/design.md, section 12).
 func estimateCost(p adapter.Prompt, service *config.Service, query *admission.Request) {
 	shared := 0
 	for i, x := range p.Parts {
@@ -58,10 +62,12 @@
 	query.Away = 4*(query.Full-query.Read) + 1
 }
 
-// topUrgencyReadTime is the reading time up to which a prompt is of the first urgency; each doubling is one lower.
+// topUrgencyReadTime is the read time up to which a prompt has urgency 1, the highest. Each doubling lowers the urgency by one
+// level, which adds 1 to the number.
 const topUrgencyReadTime = 10 * time.Millisecond
 
-// urgencyOf tells the worker who goes first: the briefest prompt, since all behind it wait for its reading (design 12).
+// urgencyOf returns the urgency that the worker schedules by. The prompt with the shortest read time goes first, since all
+// prompts behind it wait until it is read (docs/design.md, section 12).
 func urgencyOf(read time.Duration) uint8 {
 	u := uint8(1)
 	for ; read > topUrgencyReadTime && u < 9; read /= 2 {
@@ -70,10 +76,11 @@
 	return u
 }
 
-// urgencyByRank is the urgency of what has no size.
+// urgencyByRank returns the urgency of a request whose prompt size is unknown.
 func urgencyByRank(m *config.Mapping) uint8 { return uint8(min(9, 2+m.Rank)) }
 
-// connectionShare is this node's part of the connections that a worker accepts from all nodes together.
+// connectionShare returns this node's share of the connections that a worker accepts from all nodes together, or 0 if the
+// service sets no limit.
 func (v *Router) connectionShare(s *config.Service) int {
 	if s.Conns == 0 {
 		return 0
--- a/internal/router/relay_response.go
+++ b/internal/router/relay_response.go
@@ -9,20 +9,21 @@
 	"seamshunt/internal/router/upstream"
 )
 
-// smallest answers are read whole before the first byte goes to the client: a broken one is then no success.
+// maxBufferedResponse is the size up to which a worker's answer is read completely before its first byte goes to the client,
+// so that a broken answer does not appear as a success.
 const maxBufferedResponse = 64 << 10
 
-// respondFromWorker passes a worker's answer on.
+// respondFromWorker passes a worker's answer to the client.
 func (w *relayRequest) respondFromWorker(response *workerResponse) {
 	v := w.router
 	if c := response.Resp.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
-		response.End() // a refusal that does not say that it has not run promises what nobody knows
+		response.End() // a refusal without proof that the request has not run must not be passed on as one
 		v.release(response.tag, false)
 		w.respond(codes.Unknown, 0)
 		return
 	}
 	w.client.Answering()
-	v.mappingStats.update(w.mapping, func(t *mappingStats) { t.recordFirstOutput(v.Tasks.Now().Sub(w.startedAt)) })
+	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.recordFirstOutput(v.Tasks.Now().Sub(w.startedAt)) })
 	w.copyHeader(response)
 	body := &responseBody{request: w, workerResponse: response}
 	body.events.Last = w.lastEventID
@@ -37,7 +38,7 @@
 	if err != nil {
 		body.Close()
 		w.failedWorker = response.worker
-		if w.tryService(response.service.Name) { // which takes it from the budget
+		if w.tryService(response.service.Name) { // which takes the retry from the budget
 			return
 		}
 		w.respond(codes.Unknown, 0)
@@ -47,7 +48,7 @@
 	body.Close()
 }
 
-// copyHeader copies the worker's status and headers, but for those that concern one connection only.
+// copyHeader copies the worker's status and headers to the client's response, except hop-by-hop headers.
 func (w *relayRequest) copyHeader(response *workerResponse) {
 	out, in := &w.ctx.Response, response.Resp
 	out.Reset()
@@ -56,34 +57,34 @@
 		out.Header.Del(h)
 	}
 	out.Header.ResetConnectionClose()
-	out.Header.SetProtocol([]byte("HTTP/1.1")) // the version, too, concerns the worker's connection only
+	out.Header.SetProtocol([]byte("HTTP/1.1")) // the worker's protocol version applies to its connection only
 	out.Header.SetNoDefaultContentType(true)
 	if w.router.draining() {
 		w.ctx.SetConnectionClose()
 	}
 }
 
-// responseBody is the body of a client's answer. An error from Read makes the server break the connection off without a
-// final chunk, so that a broken answer never looks whole. A stream that may be resumed goes on at another worker behind
-// the last whole event, under its first head (design 11).
+// responseBody is the body of a client's response. An error from Read makes the server close the connection without a final
+// chunk, so that a broken response never looks complete. A resumable stream continues on another worker after the last complete
+// event, under the header of its first worker (docs/design.md, section 11).
 type responseBody struct {
 	request *relayRequest
 	*workerResponse
 	events   upstream.Events
-	pending  []byte // whole events that are not read yet
+	pending  []byte // complete events that have not been read yet
 	buf      []byte
 	complete bool
 	closed   bool
 	err      error
 }
 
-// resumable says whether another worker may go on with this answer.
+// resumable reports whether another worker may continue this response.
 func (r *responseBody) resumable() bool {
 	return r.request.mapping.Resume && r.Resp.StatusCode() == fasthttp.StatusOK
 }
 
-// contentLength gives the length to announce, -1 for chunks. What another worker may go on with can have any length: its
-// first worker's would cut it off and have it look whole.
+// contentLength returns the length to announce, or -1 for a chunked response. A resumable response can have any length: the
+// first worker's length would truncate it and make it look complete.
 func (r *responseBody) contentLength() int {
 	if r.resumable() {
 		return -1
@@ -91,7 +92,7 @@
 	return r.Length()
 }
 
-// Read gives the next bytes as they come.
+// Read returns the next bytes as they arrive.
 func (r *responseBody) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -119,7 +120,7 @@
 	return n, nil
 }
 
-// readMore reads on until something whole has come, at another worker if need be.
+// readMore reads from the worker and appends complete events to pending. If the stream breaks, it resumes it on another worker.
 func (r *responseBody) readMore() error {
 	if r.buf == nil {
 		r.buf = make([]byte, 4096)
@@ -131,7 +132,7 @@
 	case formatErr != nil:
 		err = formatErr
 	case err == io.EOF && r.events.Tail() > 0:
-		err = errBroken // the end came in the middle of an event
+		err = errBroken // the stream ended within an event
 	case err == io.EOF:
 		r.complete = true
 		return nil
@@ -146,21 +147,22 @@
 	return nil
 }
 
+// recordBreak counts and logs a broken stream and marks its worker down, unless this node aborted it.
 func (r *responseBody) recordBreak(err error) {
 	v := r.request.router
 	if r.request.client.Err() != nil {
-		return // broken off here
+		return // aborted here
 	}
 	v.stats.countResult(codes.BrokenStream)
 	v.markDown(r.worker)
-	v.Log.WithError(err).WithField("worker", r.worker).Warn("a stream broke")
+	v.Log.WithError(err).WithField("worker", r.worker).Warn("worker stream broke")
 }
 
-// resume takes the stream up at another worker behind the last whole event.
+// resume continues the stream on another worker after the last complete event. It reports whether it could.
 func (r *responseBody) resume() bool {
 	w := r.request
 	if r.events.Bare {
-		return false // nobody knows behind which event it broke
+		return false // an event had no ID, so the last one that the client has is unknown
 	}
 	w.lastEventID, w.failedWorker = r.events.Last, r.worker
 	r.workerResponse.End()
@@ -190,7 +192,7 @@
 	}
 }
 
-// Close ends the run and gives the slot back; the server calls it however the answer ended.
+// Close ends the exchange and releases the permit. The server calls it however the response ended.
 func (r *responseBody) Close() error {
 	if r.closed {
 		return nil
@@ -199,12 +201,12 @@
 	v, w := r.request.router, r.request
 	r.workerResponse.End()
 	now := v.Tasks.Now()
-	v.mappingStats.update(w.mapping, func(t *mappingStats) {
-		t.streamsEnded++
-		t.streamTime += now.Sub(r.dispatchedAt)
+	v.mappingStats.update(w.mapping, func(stats *mappingStats) {
+		stats.streamsEnded++
+		stats.streamTime += now.Sub(r.dispatchedAt)
 		if r.complete && now <= w.deadline {
-			t.onTime++
-			t.durations.Add(now.Sub(w.startedAt))
+			stats.onTime++
+			stats.durations.Add(now.Sub(w.startedAt))
 		}
 	})
 	if r.tag != 0 {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,5 @@
-// Package router is the data plane: callers' prompts in, workers' streams out (design 1, 4, 6, 8).
+// Package router implements the data plane: it admits clients' prompts, places them on workers and streams the workers'
+// answers back (docs/design.md, sections 1, 4, 6, 8).
 package router
 
 import (
@@ -26,15 +27,16 @@
 	"seamshunt/internal/units"
 )
 
-// MaxBodyBytes bounds a caller's body.
+// MaxBodyBytes is the maximum size of a client's request body.
 const MaxBodyBytes = 4 << 20
 
+// timedVerdict is an admission verdict with the time at which it was passed to the waiting request.
 type timedVerdict struct {
 	admission.Verdict
 	decidedAt units.Time
 }
 
-// Router is one process of the data plane.
+// Router is one data-plane process.
 type Router struct {
 	*node.Base
 	activeConfig         atomic.Pointer[activeConfig]
@@ -49,29 +51,30 @@
 	claimant             *idempotency.Claimant
 	pendingClaims        map[uint64]chan codes.Code
 	placer               placement.Placer
-	retryBudgets         sync.Map // service to *upstream.Budget
-	firstOutputLatencies sync.Map // service to *upstream.Habit
+	retryBudgets         sync.Map // service name to *upstream.Budget
+	firstOutputLatencies sync.Map // service name to *upstream.Habit
 	mappingStats         statsByMapping
 	nextTag              atomic.Uint64
 	ready                atomic.Bool
-	drainWindow          atomic.Pointer[drainWindow] // nil: this node stays
-	closing              atomic.Bool                 // nothing more is taken, however short
-	noControllerSince    atomic.Int64                // since when no controller has been heard, zero while one is
+	drainWindow          atomic.Pointer[drainWindow] // nil unless draining
+	closing              atomic.Bool                 // no further request is accepted, however short
+	noControllerSince    atomic.Int64                // time since which no controller is reachable; 0 while one is
 	startedAt            units.Time
 	inFlight             atomic.Int64
 	server               *fasthttp.Server
-	readinessServer      *fasthttp.Server // answers whether this node is ready, where that has an address of its own
-	Adapter              *adapter.Adapter // the outside world's words and formats; nil: the product's own interface
+	readinessServer      *fasthttp.Server // serves readiness probes where they have their own address
+	Adapter              *adapter.Adapter // the platform's header names and formats; nil for the native API
 	pool                 *upstream.Pool
 	tickLoop             tasks.Loop
 	clientWatcher        *clientwatch.Watcher
-	clientPollLoop       tasks.Loop // at the clients
+	clientPollLoop       tasks.Loop // checks for disconnected clients
 	stats                stats
 }
 
-// New builds a router; with an adapter it speaks that world's words to clients and workers (design 11).
+// New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md, section 11).
 func New(b *boot.Boot, clientAdapter *adapter.Adapter) *Router {
-	v := &Router{Base: node.New(b, node.Random(), membership.Router), pendingAdmissions: map[uint64]chan timedVerdict{}, pendingClaims: map[uint64]chan codes.Code{}}
+	v := &Router{Base: node.New(b, node.Random(), membership.Router),
+		pendingAdmissions: map[uint64]chan timedVerdict{}, pendingClaims: map[uint64]chan codes.Code{}}
 	if v.Adapter = clientAdapter; clientAdapter != nil {
 		v.pool = upstream.NewPool(clientAdapter.Names)
 	}
@@ -92,7 +95,7 @@
 	return v
 }
 
-// Start opens everything and returns.
+// Start opens the listeners, starts the background loops and returns.
 func (v *Router) Start() error {
 	ln, err := listener.Listen(v.Boot.Web)
 	if err != nil {
@@ -112,7 +115,9 @@
 		ln.Close()
 		return err
 	}
-	v.clientPollLoop.Start(v.Tasks, clientwatch.LookEvery, func(units.Time) time.Duration { return v.clientWatcher.Look(v.nearDrainDeadline()) })
+	v.clientPollLoop.Start(v.Tasks, clientwatch.LookEvery, func(units.Time) time.Duration {
+		return v.clientWatcher.Look(v.nearDrainDeadline())
+	})
 	v.Serve("clients", ln, v.server.Serve)
 	v.tickLoop.Start(v.Tasks, tickInterval, v.tick)
 	return nil
@@ -122,7 +127,8 @@
 
 func (discardLogger) Printf(string, ...any) {}
 
-// stepCapacity goes to the asking side and to the keeping side.
+// stepCapacity passes a capacity message to the admission queue, which borrows permits, or to the coordinator, which lends
+// them, or to both.
 func (v *Router) stepCapacity(now units.Time, msg message.Message) {
 	if msg.Kind != capacity.Ask && msg.Kind != capacity.Return && msg.Kind != capacity.Report {
 		v.queueMu.Lock()
@@ -143,7 +149,7 @@
 	}
 }
 
-// deliverVerdicts passes verdicts to the prompts that wait for them; the queue's lock is held.
+// deliverVerdicts passes the queue's verdicts to the requests that wait for them. The caller holds queueMu.
 func (v *Router) deliverVerdicts(now units.Time) {
 	for _, verdict := range v.queue.Verdicts {
 		if result := v.pendingAdmissions[verdict.Tag]; result != nil {
@@ -154,20 +160,22 @@
 	v.queue.Verdicts = v.queue.Verdicts[:0]
 }
 
-// onResume after a freeze: waiting prompts ask anew, and nothing new is taken before the news is confirmed.
+// onResume runs after the process was paused: waiting requests ask for permits again, and no new request is accepted until
+// the configuration is confirmed to be up to date.
 func (v *Router) onResume(now units.Time) {
 	v.markNotReady()
 	v.queueMu.Lock()
 	v.queue.Woke(now)
 	v.queueMu.Unlock()
 	v.viewMu.Lock()
-	v.view.changed = true // the new keeper is told of all workers and routers
+	v.view.changed = true // the new coordinator receives all workers and routers
 	v.coordinatorMu.Lock()
 	v.coordinator = capacity.New(v.Self)
 	v.coordinatorMu.Unlock()
 	v.viewMu.Unlock()
 }
 
+// onNodesRemoved drops the state of processes that were found to have ended.
 func (v *Router) onNodesRemoved(now units.Time, nodes []units.Node) {
 	v.coordinatorMu.Lock()
 	for _, n := range nodes {
@@ -199,11 +207,11 @@
 	return budget.(*upstream.Budget)
 }
 
-// adapterRetryShare leaves some of the budget for what nodes that don't see each other count differently.
+// adapterRetryShare keeps part of the retry budget in reserve, since nodes that don't see each other count differently.
 const adapterRetryShare = 0.9
 
-// retrySlack is this node's part of the further tries that are allowed on top of the share: never more than two, since a node
-// that has just started may know few of the others.
+// retrySlack returns this node's part of the retries that are allowed on top of the budget's ratio. It is at most 2, since a
+// node that has just started may know few of the other nodes.
 func (v *Router) retrySlack() int {
 	if v.Boot.Bounds.RetrySlack == 0 {
 		return 0
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -21,8 +21,9 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// isolated says whether this node has lost sight of everybody else: the platform should hand callers to others, which can
-// still claim what may not repeat. A zone that is cut off as a whole stays ready, since its callers may have no other.
+// isolated reports whether this node can reach no other member that it knows. It is then not ready, so that the platform sends
+// clients to nodes that can still claim idempotency keys. The nodes of a partitioned zone stay ready while they reach each
+// other, since their clients may have no other node.
 func (v *Router) isolated() bool {
 	sawOthers := false
 	for _, m := range v.Members() {
@@ -37,7 +38,7 @@
 	return sawOthers
 }
 
-// status tells operators all there is to know of this node.
+// status serves the state of this node to operators as JSON.
 func (v *Router) status(ctx *fasthttp.RequestCtx) {
 	now := v.Tasks.Now()
 	var a fastjson.Arena
@@ -96,13 +97,13 @@
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-// activeState is what requests are handled by here: the number of the configuration, and how many workers are known.
+// activeState returns the version of the active configuration and the number of known workers as JSON.
 func (v *Router) activeState(a *fastjson.Arena) *fastjson.Value {
 	x := a.NewObject()
 	if r := v.activeConfig.Load(); r != nil {
 		x.Set("config", a.NewNumberInt(int(r.updateVersion)))
 		if r.Version > 0 {
-			x.Set("version", a.NewNumberInt(int(r.Version))) // the operator's own, where the outside world has one
+			x.Set("version", a.NewNumberInt(int(r.Version))) // the operator's own version, if the configuration has one
 		}
 	}
 	n := 0
@@ -115,7 +116,7 @@
 	return x
 }
 
-// MemberJSON lays a member out for status pages.
+// MemberJSON returns a member as JSON for /status.
 func MemberJSON(a *fastjson.Arena, m membership.Member) *fastjson.Value {
 	x := a.NewObject()
 	x.Set("node", a.NewString(m.Node.String()))
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -8,7 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// tick works out the difference between what is wanted and what is; it gives how long the next may wait.
+// tick applies updates and advances the admission queue, the coordinator, the claims and the readiness. It returns the delay
+// until the next tick.
 func (v *Router) tick(now units.Time) time.Duration {
 	v.refresh(now)
 	v.queueMu.Lock()
@@ -25,7 +26,7 @@
 	v.coordinatorMu.Unlock()
 	v.Deliver(out)
 	if v.Adapter == nil {
-		v.tickClaimant(now) // an adapter's requests claim nothing
+		v.tickClaimant(now) // an adapter's requests claim no keys
 	}
 	v.confirmUpToDate(now)
 	if busy || v.Adapter == nil || !v.ready.Load() || !v.Calm(now) {
@@ -34,8 +35,9 @@
 	return node.Seldom
 }
 
-// tickInterval is how long the next tick waits while something is due: prompts that wait, keepers that take over, a fleet that moves.
+// tickInterval is the delay until the next tick while work is pending: waiting requests, coordinators that take over, changes of
+// the membership.
 const tickInterval = 20 * time.Millisecond
 
-// scheduleTick has the next tick come soon.
+// scheduleTick makes the next tick run within tickInterval.
 func (v *Router) scheduleTick() { v.tickLoop.By(tickInterval) }
