--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -11,21 +11,21 @@
 	"testing"
 )
 
-// uncancellable are calls that would let work for a request outlast its client: contexts of one's own, connections and waits
-// without a context, and looks at the client of one's own.
+// uncancellable lists calls with which work for a request could outlast its client: contexts not derived from the request's,
+// dials and waits without a context, and direct checks of the client's connection.
 var uncancellable = []string{
 	"context.Background", "context.TODO", "context.WithoutCancel",
 	"net.Dial", "net.DialTimeout", "shield.Dial",
 	"time.Sleep", "Tasks.Sleep", "socket.HungUp",
 }
 
-// exemptions are the files that do something for the process itself rather than for a request, with what they may call.
+// exemptions lists, by file, the uncancellable calls made on behalf of the process itself rather than of a request.
 var exemptions = map[string][]string{
-	"clientwatch/clientwatch.go": {"context.Background", "socket.HungUp"}, // where the contexts come from
-	"drain.go":                   {"context.Background", "Tasks.Sleep"},   // the end of the process
+	"clientwatch/clientwatch.go": {"context.Background", "socket.HungUp"}, // creates the requests' contexts
+	"drain.go":                   {"context.Background", "Tasks.Sleep"},   // shuts the process down
 }
 
-// calledName gives the last two names of a call like v.Tasks.Sleep or net.Dial.
+// calledName returns the last two names of a call such as v.Tasks.Sleep or net.Dial.
 func calledName(call *ast.CallExpr) string {
 	s, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -40,7 +40,8 @@
 	return ""
 }
 
-// Nothing in the data plane can work on a request without its context: what would is called nowhere else.
+// Work on a request is always bound to the request's context: no file in the data plane makes an uncancellable call unless it is
+// exempt.
 func TestRequestWorkIsCancellable(t *testing.T) {
 	usedExemptions := map[string]bool{}
 	visit := func(file string, entry fs.DirEntry, err error) error {
@@ -61,7 +62,7 @@
 				return true
 			}
 			if !slices.Contains(exemptions[filepath.ToSlash(file)], name) {
-				t.Errorf("%s calls %s: take the request's context, or say here why it needs none", file, name)
+				t.Errorf("%s calls %s: use the request's context, or add an exemption here with the reason", file, name)
 			}
 			usedExemptions[filepath.ToSlash(file)+" "+name] = true
 			return true
@@ -74,7 +75,7 @@
 	for file, names := range exemptions {
 		for _, name := range names {
 			if !usedExemptions[file+" "+name] {
-				t.Errorf("%s calls %s no more: take it out of the list", file, name)
+				t.Errorf("%s no longer calls %s: remove the exemption", file, name)
 			}
 		}
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -26,7 +26,7 @@
 }
 
 // tickClaimant advances the claims. The longest deadline of the non-repeatable mappings bounds how long a starting node
-// abstains from voting on claims.
+// abstains from granting claims.
 func (v *Router) tickClaimant(now units.Time) {
 	var longest time.Duration
 	if r := v.activeConfig.Load(); r != nil {
--- a/internal/router/client_disconnect_harness_test.go
+++ b/internal/router/client_disconnect_harness_test.go
@@ -12,7 +12,7 @@
 	"seamshunt/internal/testutil"
 )
 
-// silentWorker is a worker whose machine answers no attempt to connect, until it wakes.
+// silentWorker is a worker whose machine does not answer connection attempts until startAccepting is called.
 type silentWorker struct {
 	*scriptedWorker
 	listener *netfault.Listener
@@ -24,14 +24,14 @@
 	return &silentWorker{&scriptedWorker{id: id, addr: l.Addr().String(), conns: make(chan *workerConn, 256)}, l}
 }
 
-// startAccepting has the worker take connections from now on.
+// startAccepting makes the worker accept connections from now on.
 func (w *silentWorker) startAccepting() {
 	w.listener.Wake()
 	go w.accept(w.listener)
 }
 
-// received gives the ids of the requests that a worker got on connections that the test has not looked at. It comes after
-// the router is done: the test's own connection is the last one in the worker's queue.
+// received returns the IDs of the requests that a worker got on connections that the test has not read. It must be called after
+// the router has finished: the test's own connection then is the last one in the worker's accept queue.
 func (w *scriptedWorker) received(t testing.TB) (ids []string) {
 	t.Helper()
 	marker, err := net.Dial("tcp", w.addr)
@@ -50,19 +50,19 @@
 	return ids
 }
 
-// disconnect closes a client's connection, and waits until the router's machine knows.
+// disconnect closes a client's connection and waits until the router's kernel has seen the FIN.
 func (c *workerConn) disconnect(t testing.TB) {
 	t.Helper()
 	client, router := c.LocalAddr().(*net.TCPAddr), c.RemoteAddr().(*net.TCPAddr)
 	c.Close()
-	testutil.Until(t, "the client's end has come", func() bool {
+	testutil.Until(t, "the client's connection is closed at the router", func() bool {
 		const closeWait = "08"
 		state, ok := socketState(t, router, client)
 		return ok && state == closeWait || !ok
 	})
 }
 
-// socketState gives the state of a connection as the kernel's table shows it.
+// socketState returns the state of a connection from the kernel's TCP table.
 func socketState(t testing.TB, local, remote *net.TCPAddr) (state string, ok bool) {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -81,18 +81,18 @@
 	return "", false
 }
 
-// awaitInFlight waits until a request is under way at the router, and idle until none is.
+// awaitInFlight waits until a request is in flight at the router, and awaitIdle until none is.
 func awaitInFlight(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "a request is under way", func() bool { return v.inFlight.Load() > 0 })
+	testutil.Until(t, "a request is in flight", func() bool { return v.inFlight.Load() > 0 })
 }
 
 func awaitIdle(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
+	testutil.Until(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 }
 
-// awaitPermit waits until a permit is held.
+// awaitPermit waits until the router holds a permit.
 func awaitPermit(t testing.TB, v *Router) {
 	t.Helper()
 	testutil.Until(t, "a permit is held", func() bool {
--- a/internal/router/client_disconnect_test.go
+++ b/internal/router/client_disconnect_test.go
@@ -11,20 +11,20 @@
 	"seamshunt/platform"
 )
 
-// relayRoutes are the routes of a relayRig, one of each kind.
+// relayRoutes are the routes of relayConfig, one of each variant.
 var relayRoutes = []string{"pure", "effectful", "resumable", "streaming"}
 
-// disconnectPoints are the places where a request stands at the router when its client leaves. Each gives the worker that would
-// get the request, once the router has nothing more to do for it.
+// disconnectPoints are the stages of a request at which its client disconnects. Each function returns, once the router has finished
+// with the request, the worker that would have received it.
 var disconnectPoints = map[string]func(t *testing.T, route string) *scriptedWorker{
-	"connecting":          leftWhileConnecting,
-	"held for news":       leftWhileAwaitingConfirmation,
-	"held for keepers":    leftWhileAwaitingCoordinators,
-	"frozen at admission": leftWhilePaused,
-	"pipelining":          leftAfterFurtherBytes,
+	"connecting":            leftWhileConnecting,
+	"held for confirmation": leftWhileAwaitingConfirmation,
+	"held for coordinators": leftWhileAwaitingCoordinators,
+	"paused at admission":   leftWhilePaused,
+	"pipelining":            leftAfterFurtherBytes,
 }
 
-// Once a client has left, its request reaches no worker any more, wherever it stood.
+// Once a client has disconnected, its request is sent to no worker, whichever stage it was at.
 func TestNothingIsSentAfterTheClientLeft(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range disconnectPoints {
@@ -44,7 +44,7 @@
 		}
 	})
 	for _, stage := range []string{"claim", "admission"} {
-		t.Run("own interface, frozen at "+stage, func(t *testing.T) {
+		t.Run("native API, paused at "+stage, func(t *testing.T) {
 			t.Parallel()
 			if ids := leftNativeAPI(t, stage).received(t); len(ids) > 0 {
 				t.Errorf("the worker received %v", ids)
@@ -83,7 +83,7 @@
 func leftWhileAwaitingCoordinators(t *testing.T, route string) *scriptedWorker {
 	w := newScriptedWorker(t, "i-1")
 	v := newRelayRouter(t)
-	applyUpdates(t, v) // the configuration is in force
+	applyUpdates(t, v) // waits until the configuration is in force
 	c := dialRelayClient(t, v)
 	c.send(route, "s", "prompt")
 	awaitInFlight(t, v)
@@ -95,7 +95,7 @@
 	return w
 }
 
-// leftWhilePaused stops the router where it asks for admission, as a freeze of its process would.
+// leftWhilePaused blocks the router where it requests admission, as a pause of its process would.
 func leftWhilePaused(t *testing.T, route string) *scriptedWorker {
 	w := newScriptedWorker(t, "i-1")
 	v := newRelayRouter(t, w)
@@ -110,7 +110,8 @@
 	return w
 }
 
-// leftAfterFurtherBytes is a client whose end stands behind the beginning of a further request.
+// leftAfterFurtherBytes has a client send the beginning of another request before it disconnects, so that the FIN is not the next
+// thing that the router can read.
 func leftAfterFurtherBytes(t *testing.T, route string) *scriptedWorker {
 	w := newScriptedWorker(t, "i-1")
 	v := newRelayRouter(t, w)
@@ -118,7 +119,7 @@
 	c := dialRelayClient(t, v)
 	c.send(route, "s", "prompt")
 	awaitInFlight(t, v)
-	_, _ = io.WriteString(c, requestText(route, "next", "prompt")[:20]) // stays in the socket
+	_, _ = io.WriteString(c, requestText(route, "next", "prompt")[:20]) // stays unread in the socket buffer
 	c.disconnect(t)
 	v.queueMu.Unlock()
 	awaitIdle(t, v)
@@ -126,7 +127,7 @@
 	return w
 }
 
-// leftBeforeResumption has a stream break at its worker after its client left.
+// leftBeforeResumption breaks a resumable stream at its worker after its client has disconnected.
 func leftBeforeResumption(t *testing.T) *scriptedWorker {
 	a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
 	v := newRelayRouter(t, a, b)
@@ -146,7 +147,7 @@
 	return other
 }
 
-// leftNativeAPI stops the router where a request of the product's own interface is claimed or asks for admission.
+// leftNativeAPI blocks the router where a request of the native API claims its key or requests admission.
 func leftNativeAPI(t *testing.T, stage string) *scriptedWorker {
 	w := newScriptedWorker(t, "w1")
 	v := newTestRouter(t, w.addr)
@@ -164,7 +165,7 @@
 	return w
 }
 
-// A worker that answers no attempt to connect is passed over, like one that refuses them.
+// A worker that does not answer connection attempts is marked down, like one that refuses them.
 func TestSilentWorkerIsPassedOver(t *testing.T) {
 	t.Parallel()
 	w := newSilentWorker(t, "i-1")
@@ -175,12 +176,12 @@
 		t.Errorf("answered %+v", a)
 	}
 	if n := v.pool.Stats.TimedOut.Load(); n == 0 {
-		t.Fatal("no attempt to connect ran out of time: it shows nothing")
+		t.Fatal("no connection attempt timed out, so the test proves nothing")
 	}
 	v.viewMu.Lock()
 	_, down := v.view.outages["svc/i-1"]
 	v.viewMu.Unlock()
 	if !down {
-		t.Error("the worker is tried like any other")
+		t.Error("the worker is not marked down")
 	}
 }
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -23,8 +23,8 @@
 
 var markers atomic.Uint64
 
-// applyUpdates gives the router a change, and waits until it has been looked at: news is applied in its order, so a marker
-// behind it shows that.
+// applyUpdates passes updates to the router and waits until they are applied. Updates are applied in order, so it waits for a
+// marker that follows them.
 func applyUpdates(t *testing.T, v *Router, updates ...configpush.Item) {
 	t.Helper()
 	v.FeedMu.Lock()
@@ -36,15 +36,15 @@
 	v.FeedMu.Lock()
 	v.Feed.Take(configpush.Item{Key: "zone/" + marker, Num: 1, Data: []byte(`{"evacuated":true}`)})
 	v.FeedMu.Unlock()
-	testutil.Until(t, "the news is looked at", func() bool {
+	testutil.Until(t, "the updates are applied", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return v.view.evacuatedZones[marker]
 	})
 }
 
-// A step down leads only to the service that the mapping allows, and only once the first is full; a mapping that
-// names none is refused honestly.
+// A request falls back only to the service that the mapping names, and only once the first service is full. A mapping without a
+// fallback refuses the request as not run.
 func TestFallbackService(t *testing.T) {
 	t.Parallel()
 	a, big := startNativeWorker(t)
@@ -52,7 +52,7 @@
 	v := newTestRouter(t, a)
 	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(fallbackConfig)},
 		configpush.Item{Key: "workers/side", Num: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
-	testutil.Until(t, "both workers are kept", func() bool {
+	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		k := v.coordinator.Kept(v.Tasks.Now())
@@ -61,28 +61,28 @@
 	sendPrompt(t, v, "/stepped")
 	first := <-big
 	defer first.Close()
-	queued := sendPrompt(t, v, "/stepped") // waits for big: its list has room
+	queued := sendPrompt(t, v, "/stepped") // waits for big, whose waiting queue has room
 	defer queued.Close()
-	testutil.Until(t, "one waits", func() bool {
+	testutil.Until(t, "one request waits", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		return v.coordinator.Kept(v.Tasks.Now())[0].Waiting == 1
 	})
 	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"not_run":true`) {
-		t.Errorf("no step named: %d %s", status, body)
+		t.Errorf("no fallback: %d %s", status, body)
 	}
 	c := sendPrompt(t, v, "/stepped")
 	h := <-small
 	h.respond(2)
 	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) {
-		t.Errorf("stepped: %d %s", status, body)
+		t.Errorf("with a fallback: %d %s", status, body)
 	}
 	if len(big)+len(small) > 0 {
-		t.Error("something more was handed over")
+		t.Error("a further request was dispatched")
 	}
 }
 
-// A change of the configuration, even one that takes the mapping away, leaves a stream under way as it began.
+// A configuration change, even one that removes the mapping, does not affect a running stream.
 func TestConfigChangeKeepsRunningStreams(t *testing.T) {
 	t.Parallel()
 	a, conns := startNativeWorker(t)
@@ -96,14 +96,14 @@
 	}
 	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(fallbackConfig)}, configpush.Item{Key: "zone/z1", Num: 1, Data: []byte(`{"evacuated":true}`)})
 	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 404 || !strings.Contains(body, `"code":203`) {
-		t.Errorf("the mapping is gone: %d %s", status, body)
+		t.Errorf("the mapping is removed: %d %s", status, body)
 	}
 	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":303`) {
 		t.Errorf("the zone is evacuated: %d %s", status, body)
 	}
-	v.drainWindow.Store(newDrainWindow(v.Tasks.Now(), time.Minute)) // as a warning would
+	v.drainWindow.Store(newDrainWindow(v.Tasks.Now(), time.Minute)) // as SIGTERM does
 	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":305`) {
-		t.Errorf("leaving: %d %s", status, body)
+		t.Errorf("draining: %d %s", status, body)
 	}
 	h.writeChunk(pieceLine(1))
 	h.writeChunk(sealLine(h.id, 2))
@@ -111,7 +111,7 @@
 	for {
 		line, err := c.r.ReadString('\n')
 		if err != nil {
-			t.Fatalf("the stream was cut: %v", err)
+			t.Fatalf("the stream was aborted: %v", err)
 		}
 		if line == "0\r\n" {
 			break
@@ -119,7 +119,7 @@
 	}
 }
 
-// An older configuration is never taken again.
+// An older configuration never replaces a newer one.
 func TestOlderConfigIsIgnored(t *testing.T) {
 	t.Parallel()
 	a, _ := startNativeWorker(t)
@@ -127,11 +127,11 @@
 	applyUpdates(t, v, configpush.Item{Key: "config", Num: 3, Data: []byte(fallbackConfig)})
 	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(testConfig)})
 	if n := v.activeConfig.Load().updateVersion; n != 3 {
-		t.Errorf("number %d in force", n)
+		t.Errorf("version %d in force", n)
 	}
 }
 
-// A worker list that can't be read, and a note of permits or claims that can't, change nothing and are counted.
+// Worker lists and capacity or claim messages that can't be decoded change nothing and are counted.
 func TestBadMessagesAreCounted(t *testing.T) {
 	t.Parallel()
 	a, _ := startNativeWorker(t)
@@ -144,7 +144,7 @@
 	kept := v.coordinator.Kept(v.Tasks.Now())
 	v.coordinatorMu.Unlock()
 	if len(kept) != 1 || kept[0].Lent != 0 {
-		t.Errorf("kept %+v", kept)
+		t.Errorf("coordinated workers: %+v", kept)
 	}
 	if _, b, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
 		t.Errorf("%v %s", err, b)
--- a/internal/router/connection_limit_test.go
+++ b/internal/router/connection_limit_test.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/testutil"
 )
 
-// CONFIG: clients took all descriptors, and the router heard of nothing any more. They hold half of them at the most; one past that is
-// told so at once, and one that leaves makes room.
+// Guards against clients using up all file descriptors, after which the router received no configuration updates any more. Clients
+// may hold at most half of the descriptors. A connection beyond that is refused at once, and a closed one makes room.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	const files = 8
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Files: files}
@@ -33,7 +33,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	// answer reads what a connection is told, after a request if there is one.
+	// readAnswer sends a request, which may be empty, and returns the body of the answer.
 	readAnswer := func(c net.Conn, request string) string {
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Write([]byte(request)); err != nil {
@@ -52,15 +52,15 @@
 	for range files / 2 {
 		c := connect()
 		if got := readAnswer(c, request); got != served {
-			t.Fatalf("a connection within the bound: %s", got)
+			t.Fatalf("a connection within the limit: %s", got)
 		}
 		held = append(held, c)
 	}
 	if got := readAnswer(connect(), ""); !strings.Contains(got, "cannot be served") {
-		t.Errorf("one past the bound: %s", got)
+		t.Errorf("one beyond the limit: %s", got)
 	}
 	held[0].Close()
-	testutil.Until(t, "one that left makes room", func() bool {
+	testutil.Until(t, "a closed connection makes room", func() bool {
 		c := connect()
 		defer c.Close()
 		return readAnswer(c, request) == served
--- a/internal/router/drain_random_test.go
+++ b/internal/router/drain_random_test.go
@@ -14,7 +14,7 @@
 	"seamshunt/internal/units"
 )
 
-// drainRequest is one request of a client to a router that leaves, and how it ended.
+// drainRequest is a client's request to a draining router and its outcome.
 type drainRequest struct {
 	route    string
 	sentAt   units.Time
@@ -23,18 +23,18 @@
 	clientResponse
 }
 
-// wronglyAborted says whether a request was begun and cut though its time was not over. What is under way when the router has gone
-// is cut then, as its process ends. One that was sent while the router still took everything may be cut so.
+// wronglyAborted reports whether a request was started and aborted before its own deadline. Requests in flight at closedAt are
+// aborted then, as the process ends. Requests sent while the drain window was open may be aborted.
 func (a drainRequest) wronglyAborted(drain *drainWindow, closedAt units.Time) bool {
 	aborted := a.status != 0 && !a.complete || a.endedAt > closedAt
 	inTime := min(a.endedAt, closedAt).Sub(a.sentAt) < a.timeLeft
 	return aborted && inTime && !drain.isOpen(a.sentAt)
 }
 
-// maxEndlessStreams is how many streams that never end there are at one time: half of the clients always press on.
+// maxEndlessStreams is the maximum number of simultaneous endless streams, so that half of the clients keep sending.
 const maxEndlessStreams = concurrentClients / 2
 
-// serveRandomStreams answers each request by a stream: mostly of one event, now and then by one that never ends.
+// serveRandomStreams answers each request with a stream, mostly of one event, sometimes endless.
 func serveRandomStreams(w *scriptedWorker, seed uint64) {
 	var n atomic.Uint64
 	endless := make(chan struct{}, maxEndlessStreams)
@@ -55,7 +55,7 @@
 	}
 }
 
-// tryAcquire takes a place for one more endless stream, if there is one.
+// tryAcquire reserves a place for another endless stream. It reports whether there was one.
 func tryAcquire(endless chan struct{}) bool {
 	select {
 	case endless <- struct{}{}:
@@ -65,11 +65,10 @@
 	}
 }
 
-// concurrentClients is how many clients ask at the same time.
+// concurrentClients is the number of clients that send requests at the same time.
 const concurrentClients = 12
 
-// sendUntilClosed sends requests one after the other, on a connection that is kept as long as it may be, until nobody
-// listens any more.
+// sendUntilClosed sends requests one after another, reusing its connection where possible, until the router stops listening.
 func sendUntilClosed(v *Router, rng *rand.Rand, client int, record func(drainRequest)) {
 	routes := []string{"pure", "effectful", "resumable", "streaming"}
 	var c *workerConn
@@ -95,8 +94,8 @@
 	}
 }
 
-// Clients press on a router from its warning to its end, with streams that may never end: whatever was begun behind the open
-// span ends whole or by its own time, and the rest is refused as not run.
+// Clients keep sending to a draining router until it ends, with streams that may be endless. Whatever is started after the open
+// window finishes completely or at its own deadline, and the rest is refused as not run.
 func TestRandomRequestsToDrainingRouter(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -116,7 +115,7 @@
 				clients.Go(func() { sendUntilClosed(v, rand.New(rand.NewPCG(seed, uint64(client))), client, record) })
 			}
 			drain := newDrainWindow(v.Tasks.Now(), 1800*time.Millisecond)
-			v.drainWindow.Store(drain) // without the flags of Drain: it is alone, so nobody else could keep its workers
+			v.drainWindow.Store(drain) // without Drain's membership flags: no other router could coordinate its workers
 			v.awaitIdle(drain)
 			v.Close()
 			closedAt := v.Tasks.Now()
@@ -124,7 +123,8 @@
 			servedLate, refused := 0, 0
 			for _, a := range requests {
 				if a.wronglyAborted(drain, closedAt) {
-					t.Errorf("%s, sent %v after the warning with %v left, was cut %v later", a.route, a.sentAt.Sub(drain.startedAt), a.timeLeft, a.endedAt.Sub(a.sentAt))
+					t.Errorf("%s, sent %v after SIGTERM with %v left, was aborted %v later", a.route, a.sentAt.Sub(drain.startedAt),
+						a.timeLeft, a.endedAt.Sub(a.sentAt))
 				}
 				if !drain.isOpen(a.sentAt) && a.status == 200 && a.complete {
 					servedLate++
@@ -134,9 +134,9 @@
 				}
 			}
 			if servedLate == 0 || refused == 0 {
-				t.Errorf("of %d requests %d were served late and %d refused: it shows nothing", len(requests), servedLate, refused)
+				t.Errorf("of %d requests %d were served after the open window and %d refused, so the test proves nothing", len(requests), servedLate, refused)
 			}
-			t.Logf("%d requests, %d of them served late, %d refused", len(requests), servedLate, refused)
+			t.Logf("%d requests, %d of them served after the open window, %d refused", len(requests), servedLate, refused)
 		})
 	}
 }
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/units"
 )
 
-// Whatever a leaving node begins is over before its end, for every grace and every moment: within its open span by how long such
-// requests usually last, behind it however long they may last.
+// Whatever a draining node starts ends before the grace period does, for every grace period and every moment: judged by how long
+// such requests usually last within the open window, and by their deadline after it.
 func TestDrainWindowAdmitsOnlyWhatCanFinish(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 20))
@@ -34,24 +34,25 @@
 					expectedEnd = min(deadline, now.Add(durationMargin*observed.longest))
 				}
 				if admitted != (expectedEnd <= drain.deadline.Add(-finalAnswerMargin)) {
-					t.Fatalf("seed %d: taken %v after the warning: %v, though it ends %v before the end", seed, now.Sub(startedAt), admitted, drain.deadline.Sub(expectedEnd))
+					t.Fatalf("seed %d: %v after SIGTERM: admitted is %v, though the request ends %v before the deadline", seed,
+						now.Sub(startedAt), admitted, drain.deadline.Sub(expectedEnd))
 				}
 				if admitted && deadline > drain.deadline.Add(-finalAnswerMargin) {
 					admittedByHistory++
 				}
 			case admitted && deadline > drain.deadline.Add(-finalAnswerMargin):
-				t.Fatalf("seed %d: taken %v after the warning, over %v before the end", seed, now.Sub(startedAt), drain.deadline.Sub(deadline))
+				t.Fatalf("seed %d: admitted %v after SIGTERM, ends %v before the deadline", seed, now.Sub(startedAt), drain.deadline.Sub(deadline))
 			case !admitted:
 				refused++
 			}
 		}
 		if admittedByHistory == 0 || refused == 0 {
-			t.Errorf("seed %d: %d taken while open, %d refused: it shows nothing", seed, admittedByHistory, refused)
+			t.Errorf("seed %d: %d admitted while open, %d refused, so the test proves nothing", seed, admittedByHistory, refused)
 		}
 	}
 }
 
-// setDraining is a router that was warned some time ago and has some time left.
+// setDraining puts a router in a drain that started some time ago and has some time left.
 func setDraining(v *Router, elapsed, remaining time.Duration) *drainWindow {
 	now := v.Tasks.Now()
 	d := &drainWindow{startedAt: now.Add(-elapsed), deadline: now.Add(remaining)}
@@ -62,7 +63,7 @@
 // oneEvent is a stream of one event.
 const oneEvent = "id: 1\ndata: x\n\n"
 
-// serveShortStreams answers every request of a worker's connections with a short stream.
+// serveShortStreams answers every request on a worker's connections with a short stream.
 func serveShortStreams(w *scriptedWorker) {
 	for c := range w.conns {
 		go func() {
@@ -74,11 +75,11 @@
 	}
 }
 
-// caseJustWarned is the case of a leaving node that has seen requests of the kind end soon.
-const caseJustWarned = "just warned, long, and such ones end within a second"
+// caseJustWarned is the case of a draining node that has observed short requests of the same mapping.
+const caseJustWarned = "drain just started, long deadline, such requests end within a second"
 
-// What comes to a leaving node when it can't end within the grace is refused at once, as not run and with when to come
-// back, on a new connection and on one that was kept; no worker hears of it. What can end is served.
+// A request that can't finish within the grace period is refused at once, as not run and with Retry-After, on a new connection and
+// on a kept one. No worker receives it. A request that can finish is served.
 func TestDrainingRouterRefusesWhatCannotFinish(t *testing.T) {
 	for _, x := range []struct {
 		name      string
@@ -87,12 +88,12 @@
 		status    int
 	}{
 		{caseJustWarned, time.Second, 7 * time.Second, "15000", 200},
-		{"just warned, long, nobody knows how long", time.Second, 7 * time.Second, "15000", 503},
-		{"clients may have been told twice, long", 1900 * time.Millisecond, 5400 * time.Millisecond, "15000", 503},
-		{"open span over, long", 4 * time.Second, 4 * time.Second, "15000", 503},
-		{"open span over, ends in time", 4 * time.Second, 4 * time.Second, "3000", 200},
-		{"open span over, ends in the last moment", 4 * time.Second, 4 * time.Second, "3900", 503},
-		{"near the end", 7800 * time.Millisecond, 200 * time.Millisecond, "1000", 503},
+		{"drain just started, long deadline, durations unknown", time.Second, 7 * time.Second, "15000", 503},
+		{"clients may have probed readiness twice, long deadline", 1900 * time.Millisecond, 5400 * time.Millisecond, "15000", 503},
+		{"open window over, long deadline", 4 * time.Second, 4 * time.Second, "15000", 503},
+		{"open window over, ends in time", 4 * time.Second, 4 * time.Second, "3000", 200},
+		{"open window over, ends at the last moment", 4 * time.Second, 4 * time.Second, "3900", 503},
+		{"near the deadline", 7800 * time.Millisecond, 200 * time.Millisecond, "1000", 503},
 	} {
 		for _, route := range []string{"pure", "effectful", "resumable", "streaming"} {
 			t.Run(x.name+"/"+route, func(t *testing.T) {
@@ -103,7 +104,7 @@
 				kept := dialRelayClient(t, v)
 				kept.send(route, "before", "")
 				if got := kept.receive(); got.status != 200 || !got.complete || got.close {
-					t.Fatalf("before the warning: %+v", got)
+					t.Fatalf("before the drain: %+v", got)
 				}
 				if x.name == caseJustWarned {
 					recordDurations(t, v, route, minDurationSamples, time.Second, time.Minute)
@@ -114,7 +115,7 @@
 					_, _ = c.Write([]byte(text))
 					head, got := c.receiveWithHeader()
 					if got.status != x.status || !got.complete || !got.close {
-						t.Errorf("%s connection: %+v, wanted %d and its end", name, got, x.status)
+						t.Errorf("%s connection: %+v, want %d and a closed connection", name, got, x.status)
 					}
 					if retryAfter := head.Get("Retry-After"); (retryAfter != "") != (x.status == 503) {
 						t.Errorf("%s connection: %d with Retry-After %q", name, got.status, retryAfter)
@@ -125,7 +126,7 @@
 	}
 }
 
-// mappingOf finds a mapping of the rules in force.
+// mappingOf returns a mapping of the active configuration.
 func mappingOf(t *testing.T, v *Router, name string) *config.Mapping {
 	t.Helper()
 	for _, m := range v.activeConfig.Load().Mappings {
@@ -137,8 +138,8 @@
 	return nil
 }
 
-// LOST: a stream was sent to a leaving router so soon that its client couldn't know, and was cut at the end of the grace. Where it isn't
-// known that such requests are over in the time that is left, it is refused at once and goes to another router.
+// Guards against aborting a stream that was sent to a draining router before its client could know of the drain. Unless such
+// requests are known to finish in the remaining time, it is refused at once, so that the client retries on another router.
 func TestDrainingRouterRefusesWhatMayOutlastIt(t *testing.T) {
 	const remaining = 7 * time.Second
 	for _, x := range []struct {
@@ -148,10 +149,10 @@
 		watched  time.Duration
 		status   int
 	}{
-		{"too few measured", minDurationSamples - 1, time.Second, time.Hour, 503},
-		{"not watched for long enough", minDurationSamples, time.Second, observationFactor*remaining - time.Second, 503},
-		{"some last for longer than is left", minDurationSamples, remaining, time.Hour, 503},
-		{"one may last for longer than those seen", minDurationSamples, remaining - time.Second, time.Hour, 503},
+		{"too few samples", minDurationSamples - 1, time.Second, time.Hour, 503},
+		{"not observed for long enough", minDurationSamples, time.Second, observationFactor*remaining - time.Second, 503},
+		{"some last longer than the remaining time", minDurationSamples, remaining, time.Hour, 503},
+		{"one may last longer than those observed", minDurationSamples, remaining - time.Second, time.Hour, 503},
 		{"all end in time", minDurationSamples, remaining/durationMargin - time.Second, time.Hour, 200},
 	} {
 		for _, route := range []string{"pure", "effectful", "resumable", "streaming"} {
@@ -166,7 +167,7 @@
 				c.send(route, "early", "")
 				head, got := c.receiveWithHeader()
 				if got.status != x.status || !got.complete || !got.close {
-					t.Errorf("%+v, wanted %d and its end", got, x.status)
+					t.Errorf("%+v, want %d and a closed connection", got, x.status)
 				}
 				if retryAfter := head.Get("Retry-After"); (retryAfter != "") != (x.status == 503) {
 					t.Errorf("%d with Retry-After %q", got.status, retryAfter)
@@ -176,7 +177,7 @@
 	}
 }
 
-// recordDurations has a router have seen whole requests of a mapping, the longest of which lasted for a time, since a while ago.
+// recordDurations records complete requests of a mapping at a router, with the longest duration, first observed a time ago.
 func recordDurations(t *testing.T, v *Router, mapping string, measured int, longest, since time.Duration) {
 	t.Helper()
 	startedAt := v.Tasks.Now().Add(-since)
@@ -189,7 +190,7 @@
 	})
 }
 
-// How long a request lasted is counted from its reading to the end of its whole answer.
+// The duration of a request is measured from when it was read to the end of its complete answer.
 func TestRequestDurationIsMeasured(t *testing.T) {
 	w := newScriptedWorker(t, "w1")
 	v := newRelayRouter(t, w)
@@ -205,13 +206,13 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	testutil.Until(t, "all are measured", func() bool {
+	testutil.Until(t, "all durations are recorded", func() bool {
 		observed := v.mappingStats.durations(v.Tasks.Now(), mapping)
 		return observed.longest > 0 && observed.observedFor > observed.longest
 	})
 }
 
-// A node that has decided to end takes nothing more, however short.
+// A node that is closing accepts no further request, however short.
 func TestClosingRouterRefusesAll(t *testing.T) {
 	w := newScriptedWorker(t, "w1")
 	v := newRelayRouter(t, w)
@@ -223,11 +224,11 @@
 		t.Errorf("answered %+v", got)
 	}
 	if !noMoreConns(w) {
-		t.Error("a worker was handed something")
+		t.Error("a worker received a request")
 	}
 }
 
-// A node that hasn't confirmed its news serves nothing because it leaves.
+// A draining node does not serve requests with an unconfirmed configuration either.
 func TestDrainingRouterNeedsConfirmedConfig(t *testing.T) {
 	w := newScriptedWorker(t, "w1")
 	v := newRelayRouter(t, w)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -23,13 +23,14 @@
 "promises":[{"name":"p","first_ms":100,"deadline_ms":3000}],
 "layout":"mapping notice { when path = \"/notice\" to advice promise p once }\nmapping chat { when path = \"/chat\" to advice promise p repeat }"}`
 
-// nativeWorkerConn is one wire that a scripted worker took, with the request read.
+// nativeWorkerConn is a connection that a scripted worker has accepted, after the request has been read.
 type nativeWorkerConn struct {
 	net.Conn
 	id string
 }
 
-// startNativeWorker gives a worker whose every answer the test writes itself, byte for byte.
+// startNativeWorker starts a worker whose answers the test writes itself, byte for byte. It returns the address and the accepted
+// connections.
 func startNativeWorker(t *testing.T) (string, chan nativeWorkerConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +71,7 @@
 	return fmt.Sprintf("{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, n, b.Len(), hex.EncodeToString(d[:]))
 }
 
-// respond answers rightly with n pieces.
+// respond sends a correct answer of n pieces.
 func (h nativeWorkerConn) respond(n int) {
 	h.writeHeader()
 	for i := range n {
@@ -81,19 +82,19 @@
 	h.Close()
 }
 
-// newTestRouter is one router alone, its news put in by hand; it keeps all workers itself.
+// newTestRouter starts a single router with testConfig. Updates are inserted directly, and it coordinates all workers itself.
 func newTestRouter(t testing.TB, workers ...string) *Router {
 	t.Helper()
 	return newTestRouterWithConfig(t, testConfig, workers...)
 }
 
-// newTestRouterWithConfig is a rig with a configuration of its own.
+// newTestRouterWithConfig is newTestRouter with another configuration.
 func newTestRouterWithConfig(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, nil)
-	v.Woke = nil // alone, it could never confirm its news again if the machine stood still for a second
+	v.Woke = nil // a single router can't confirm its configuration again if the machine pauses for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +108,7 @@
 	v.Feed.Take(configpush.Item{Key: "workers/main", Num: 1, Data: config.PackWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
-	testutil.Until(t, "the router keeps its workers", func() bool {
+	testutil.Until(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		k := v.coordinator.Kept(v.Tasks.Now())
@@ -126,7 +127,7 @@
 	return v
 }
 
-// testClient is one caller's wire.
+// testClient is a client's connection.
 type testClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -156,13 +157,13 @@
 	return c
 }
 
-// readAll reads all that still comes, raw.
+// readAll returns all remaining bytes.
 func (c *testClient) readAll() string {
 	b, _ := io.ReadAll(c.r)
 	return string(b)
 }
 
-// readResponse reads one whole answer of known length.
+// readResponse reads one complete response with a Content-Length.
 func (c *testClient) readResponse(t *testing.T) (int, string) {
 	t.Helper()
 	var r fasthttp.Response
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -10,14 +10,14 @@
 	"seamshunt/internal/testutil"
 )
 
-// metricsText reads a router's metrics.
+// metricsText returns a router's metrics.
 func metricsText(v *Router) string {
 	var ctx fasthttp.RequestCtx
 	v.metrics(&ctx)
 	return string(bytes.Clone(ctx.Response.Body()))
 }
 
-// A client that leaves is counted by where its request stood, and so is each attempt to connect to a worker.
+// A disconnected client is counted by the stage of its request, and each dial to a worker by its outcome.
 func TestDisconnectMetrics(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
@@ -28,7 +28,7 @@
 	k.request()
 	c.Close()
 	k.closedByRouter()
-	testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
+	testutil.Until(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 	text := metricsText(v)
 	for _, want := range []string{
 		`seamshunt_results_total{code="403"} 1`,
--- a/internal/router/native_api_test.go
+++ b/internal/router/native_api_test.go
@@ -10,7 +10,7 @@
 	"seamshunt/internal/testutil"
 )
 
-// Every bad prompt gets its code, and is said not to run.
+// Every invalid prompt is refused with its code and as not run.
 func TestBadPrompts(t *testing.T) {
 	t.Parallel()
 	addr, conns := startNativeWorker(t)
@@ -48,14 +48,14 @@
 	c = dialClient(t, v)
 	fmt.Fprint(c, "what is this\r\n\r\n")
 	if status, body := c.readResponse(t); status != 400 || !strings.Contains(body, `"not_run":true`) {
-		t.Errorf("no HTTP: %d %s", status, body)
+		t.Errorf("not HTTP: %d %s", status, body)
 	}
 	if len(conns) > 0 {
-		t.Error("a bad prompt reached the worker")
+		t.Error("an invalid prompt reached the worker")
 	}
 }
 
-// Each piece reaches the caller before the worker sends the next: nothing is held back in a buffer.
+// Each piece reaches the client before the worker sends the next one: nothing is held back in a buffer.
 func TestStreamIsUnbuffered(t *testing.T) {
 	t.Parallel()
 	addr, conns := startNativeWorker(t)
@@ -68,7 +68,7 @@
 		for want := strings.TrimSpace(pieceLine(i)); ; {
 			line, err := c.r.ReadString('\n')
 			if err != nil {
-				t.Fatalf("piece %d never came: %v", i, err)
+				t.Fatalf("piece %d did not arrive: %v", i, err)
 			}
 			if strings.TrimSpace(line) == want {
 				break
@@ -80,7 +80,7 @@
 	for {
 		line, err := c.r.ReadString('\n')
 		if err != nil {
-			t.Fatalf("no proper end: %v", err)
+			t.Fatalf("no final chunk: %v", err)
 		}
 		if line == "0\r\n" {
 			break
@@ -88,7 +88,7 @@
 	}
 }
 
-// A broken answer never ends like a whole one: no final chunk, no seal, whatever the worker did wrong.
+// A broken answer never ends like a complete one: it has no final chunk and no seal, whatever the worker did wrong.
 func TestBrokenStreamIsUnterminated(t *testing.T) {
 	t.Parallel()
 	end := "0\r\n\r\n"
@@ -142,24 +142,24 @@
 			h.Close()
 			got := c.readAll()
 			if !strings.Contains(got, strings.TrimSpace(pieceLine(0))) {
-				t.Fatalf("the first piece never came: %q", got)
+				t.Fatalf("the first piece did not arrive: %q", got)
 			}
 			if strings.HasSuffix(got, end) || strings.Contains(got, `"seal"`) {
-				t.Errorf("it looks whole: %q", got)
+				t.Errorf("it looks complete: %q", got)
 			}
 		})
 	}
 }
 
-// awaitWorkerDisconnect says that the worker's wire was closed from the router's side.
+// awaitWorkerDisconnect waits until the router has closed the worker's connection.
 func awaitWorkerDisconnect(t *testing.T, h nativeWorkerConn) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, h); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the worker's wire: %v", err)
+		t.Errorf("the worker's connection: %v", err)
 	}
 }
 
-// A caller that hangs up has its run cancelled, before and after the first words, and its slot is free again.
+// When a client disconnects, its run is cancelled, before and after the first output, and its slot becomes free again.
 func TestClientDisconnect(t *testing.T) {
 	t.Parallel()
 	for _, afterFirstOutput := range []bool{false, true} {
@@ -186,13 +186,13 @@
 			v.stats.mu.Lock()
 			defer v.stats.mu.Unlock()
 			if n := v.stats.codes[codes.ClientLeft]; n != 1 {
-				t.Errorf("%d hang-ups were noticed; the run ended for another reason", n)
+				t.Errorf("%d disconnects were counted; the run ended for another reason", n)
 			}
 		})
 	}
 }
 
-// A caller that hangs up while it waits for a slot leaves the waitlist.
+// A request whose client disconnects while it waits for a slot leaves the waiting queue.
 func TestClientDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
 	addr, conns := startNativeWorker(t)
@@ -210,11 +210,11 @@
 	c := sendPrompt(t, v, "/chat")
 	testutil.Until(t, "the third waits", func() bool { return waiting() == 1 })
 	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"retry_after_ms"`) {
-		t.Errorf("the fourth finds the waitlist full: %d %s", status, body)
+		t.Errorf("the fourth finds the waiting queue full: %d %s", status, body)
 	}
 	c.Close()
 	testutil.Until(t, "the third has left", func() bool { return waiting() == 0 })
 	if len(conns) > 0 {
-		t.Error("more than the cap reached the worker")
+		t.Error("more requests than the worker's slots reached it")
 	}
 }
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/testutil"
 )
 
-// A worker that takes a prompt and says nothing is left for another once first words are later than the service's
-// habit allows, if the prompt may repeat and the budget has a try; what may not repeat is never handed over again.
+// A request whose worker sends no output is retried on another worker once the first output is later than is usual for the service,
+// if the request is repeatable and the retry budget allows. A non-repeatable request is never dispatched again.
 func TestUnresponsiveWorker(t *testing.T) {
 	t.Parallel()
 	for _, path := range []string{"/chat", "/notice"} {
@@ -41,26 +41,26 @@
 					t.Errorf("%d %s", status, body)
 				}
 			} else if status, body := c.readResponse(t); status != 502 || !strings.Contains(body, `"code":401`) || len(ha)+len(hb) > 0 {
-				t.Errorf("%d %s, handed over %d times more", status, body, len(ha)+len(hb))
+				t.Errorf("%d %s, dispatched %d more times", status, body, len(ha)+len(hb))
 			}
 			v.viewMu.Lock()
 			down := len(v.view.outages)
 			v.viewMu.Unlock()
 			if down != 1 {
-				t.Errorf("%d workers are passed over", down)
+				t.Errorf("%d workers are marked down", down)
 			}
 		})
 	}
 }
 
-// With no try left in the budget, or no habit known, a late worker is waited for: it may still answer.
+// Without a retry left in the budget, the router keeps waiting for an overdue worker, which may still answer.
 func TestOverdueWorkerIsAwaited(t *testing.T) {
 	t.Parallel()
 	a, ha := startNativeWorker(t)
 	b, hb := startNativeWorker(t)
 	v := newTestRouter(t, a, b)
 	for range 40 {
-		v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond) // and nothing in the budget
+		v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond) // and no retry in the budget
 	}
 	c := sendPrompt(t, v, "/chat")
 	var h nativeWorkerConn
@@ -68,7 +68,7 @@
 	case h = <-ha:
 	case h = <-hb:
 	}
-	testutil.Until(t, "it is late", func() bool {
+	testutil.Until(t, "the worker is marked down", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 1
@@ -77,7 +77,7 @@
 	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) || len(ha)+len(hb) > 0 {
 		t.Errorf("%d %s", status, body)
 	}
-	testutil.Until(t, "it is well again", func() bool {
+	testutil.Until(t, "the worker is no longer marked down", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 0
@@ -91,11 +91,11 @@
 		}
 	}
 	if err != nil || json.Unmarshal(body, &x) != nil || x.Promises["chat"].Asked != 1 || x.Promises["chat"].Missed != 1 || x.Promises["chat"].OnTime != 1 {
-		t.Errorf("the promise's tally: %v %+v", err, x)
+		t.Errorf("the mapping's statistics: %v %+v", err, x)
 	}
 }
 
-// A router that has lost sight of everybody else says so to the platform; one that never knew anybody is no such case.
+// A router that can reach no other known member reports that it is not ready. A router that never knew another member is ready.
 func TestIsolatedRouterIsNotReady(t *testing.T) {
 	t.Parallel()
 	a, _ := startNativeWorker(t)
@@ -105,7 +105,7 @@
 		return err == nil && code == 200
 	}
 	if !ready() {
-		t.Fatal("a fleet of one is ready")
+		t.Fatal("a single router is not ready")
 	}
 	peer := membership.New(membership.Member{Node: 9, Inc: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Boot.Addr}, rand.New(rand.NewPCG(1, 1)))
 	v.GossipMu.Lock()
@@ -115,7 +115,7 @@
 	}
 	v.GossipMu.Unlock()
 	if !ready() {
-		t.Error("it sees another")
+		t.Error("not ready although it reaches another member")
 	}
-	testutil.Until(t, "it is alone", func() bool { return !ready() })
+	testutil.Until(t, "it is isolated and not ready", func() bool { return !ready() })
 }
--- a/internal/router/overhead_test.go
+++ b/internal/router/overhead_test.go
@@ -13,7 +13,7 @@
 	"seamshunt/internal/standin"
 )
 
-// startInstantWorker is a stand-in worker that answers at once, so that what is measured is the way there.
+// startInstantWorker starts a stand-in worker that answers at once, so that the benchmark measures only the path to it.
 func startInstantWorker(b *testing.B) string {
 	journal, err := standin.Open(filepath.Join(b.TempDir(), "w.jsonl"))
 	if err != nil {
@@ -43,8 +43,9 @@
 	}
 }
 
-// What a router adds: the same prompts at a worker directly and by way of one router, each time on wires that callers
-// hold, and with a wire for each as the router has towards workers, by one caller and by two; compare the rows of one run (docs/measurements.md).
+// Measures the overhead of a router: the same prompts are sent to a worker directly and through a router, from one client and from
+// two. The direct ones are sent on kept connections and, as the router does towards workers, on a new connection each. Only the
+// rows of one run are comparable (docs/measurements.md).
 func BenchmarkRouterOverhead(b *testing.B) {
 	worker := startInstantWorker(b)
 	v := newTestRouter(b, worker)
--- a/internal/router/pause_test.go
+++ b/internal/router/pause_test.go
@@ -6,7 +6,7 @@
 	"seamshunt/internal/testutil"
 )
 
-// lentPermits gives the permits out and whether the one worker's slots are lent at all.
+// lentPermits returns the number of permits that are lent for the only worker, and whether its coordinator lends any at all.
 func lentPermits(v *Router) (lent int, open bool) {
 	v.coordinatorMu.Lock()
 	defer v.coordinatorMu.Unlock()
@@ -16,8 +16,8 @@
 	return 0, false
 }
 
-// After a freeze a router throws its keeper's books away, collects them anew, and serves again; the permit that a
-// stream holds meanwhile is found again.
+// After a pause a router discards its coordinator's state, collects it again from all routers and lends permits again. The permit
+// that a running stream holds is counted again.
 func TestCoordinatorRestartsAfterPause(t *testing.T) {
 	t.Parallel()
 	a, conns := startNativeWorker(t)
@@ -27,12 +27,12 @@
 	defer h.Close()
 	v.onResume(v.Tasks.Now())
 	if v.ready.Load() {
-		t.Error("a woken router takes prompts before its news is confirmed")
+		t.Error("a resumed router accepts prompts before its configuration is confirmed")
 	}
-	testutil.Until(t, "it lends again", func() bool { n, open := lentPermits(v); return open && n == 1 })
+	testutil.Until(t, "the coordinator lends again", func() bool { n, open := lentPermits(v); return open && n == 1 })
 }
 
-// The slot of a run that was cut short is free only after its worker had time to notice the broken wire.
+// The slot of an aborted run becomes free only after its worker has had time to notice the closed connection.
 func TestAbortedRunHoldsItsSlot(t *testing.T) {
 	t.Parallel()
 	a, conns := startNativeWorker(t)
--- a/internal/router/relay_checker_test.go
+++ b/internal/router/relay_checker_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// relayHistory are what callers and workers wrote down; the judge reads nothing else.
+// relayHistory is what clients and workers recorded. The checker uses nothing else.
 type relayHistory struct {
 	mu        sync.Mutex
 	requests  map[string]sentRequest
@@ -15,18 +15,18 @@
 	responses []observedResponse
 }
 
-// sentRequest is one request as its caller sent it.
+// sentRequest is a request as its client sent it.
 type sentRequest struct{ route, body string }
 
-// observedRun is one run, as its worker saw it.
+// observedRun is one run of a request as its worker saw it.
 type observedRun struct {
-	name     string // of this run alone
+	name     string // unique to this run
 	body     string // of the request
-	size     int    // of its answer, where that is no stream
-	complete bool   // answered rightly, whole and with nothing odd before it
+	size     int    // of its answer, unless that is a stream
+	complete bool   // answered correctly and completely, with nothing unexpected before it
 }
 
-// observedResponse is what the caller of an id read; status 0 when its connection ended.
+// observedResponse is what the client of requestID read. Its status is 0 if the connection ended instead.
 type observedResponse struct {
 	requestID string
 	clientResponse
@@ -54,18 +54,18 @@
 	n.responses = append(n.responses, observedResponse{asker, a})
 }
 
-// Rules of the judge.
+// Violations that the checker reports.
 const (
-	violationForeignResponse = "another's or a wrong answer"
+	violationForeignResponse = "a wrong answer or that of another request"
 	violationRunTwice        = "run twice"
-	violationRanAfterRefusal = "promised not to run, and ran"
-	violationUnrequestedRun  = "run though nobody asked so"
-	violationTooManyAttempts = "sent to more workers than its tries"
+	violationRanAfterRefusal = "refused as not run, but ran"
+	violationUnrequestedRun  = "run, but not requested like that"
+	violationTooManyAttempts = "sent to more workers than its attempts allow"
 	violationEventOrder      = "events out of order"
-	violationLostResponse    = "answered rightly, and the caller never got it"
+	violationLostResponse    = "answered correctly, but the client did not receive it"
 )
 
-// check gives every breach, each beginning with its rule.
+// check returns all violations. Each text begins with one of the constants above.
 func (n *relayHistory) check() (violations []string) {
 	report := func(rule, id string, what any) {
 		violations = append(violations, fmt.Sprintf("%s: %s %+v", rule, id, what))
@@ -107,7 +107,7 @@
 	return violations
 }
 
-// checkSuccess gives the rule that a success breaks.
+// checkSuccess returns the violation in a response of status 200, if any.
 func checkSuccess(route string, a observedResponse, runs []observedRun) string {
 	if a.id != a.requestID {
 		return violationForeignResponse
@@ -116,7 +116,7 @@
 		return checkEvents(route, a, runs)
 	}
 	if !a.complete {
-		return "" // known to be none
+		return "" // the client knows that it is incomplete
 	}
 	for _, r := range runs {
 		if a.body == runBody(r.name, a.requestID, r.size) {
@@ -126,7 +126,8 @@
 	return violationForeignResponse
 }
 
-// checkEvents looks at a stream's events: each of one of this request's runs, in order, and all of them if it looks whole.
+// checkEvents checks that each event of a stream comes from one of this request's runs, that they are in order, and that none is
+// missing if the stream looks complete.
 func checkEvents(route string, a observedResponse, runs []observedRun) string {
 	runNames := map[string]bool{}
 	for _, r := range runs {
@@ -138,7 +139,7 @@
 			if e != "" && a.complete {
 				return violationEventOrder
 			}
-			continue // the torn end of a broken stream
+			continue // the truncated last event of a broken stream
 		}
 		var n int
 		var id, name string
@@ -156,21 +157,21 @@
 	return ""
 }
 
-// streamEvents is how many events each stream has.
+// streamEvents is the number of events of each stream.
 const streamEvents = 5
 
-// runBody is the body of a run's answer, with dots up to a size.
+// runBody returns the body of a run's answer, padded with dots to size.
 func runBody(name, id string, size int) string {
 	text := "run " + name + " of " + id
 	return text + strings.Repeat(".", max(0, size-len(text)))
 }
 
-// runEvent is one event of a run's stream.
+// runEvent returns one event of a run's stream.
 func runEvent(n int, id, name string) string {
 	return fmt.Sprintf("id: %d\ndata: %s %s\n\n", n, id, name)
 }
 
-// Each planted breach is seen by its own rule and by no other.
+// Each planted violation is reported as such and as no other.
 func TestRelayCheckerDetectsViolations(t *testing.T) {
 	stream := func(asker string, whole bool, of string, numbers ...int) clientResponse {
 		a := clientResponse{status: 200, id: asker, complete: whole}
--- a/internal/router/relay_client_test.go
+++ b/internal/router/relay_client_test.go
@@ -10,15 +10,15 @@
 	"seamshunt/internal/testutil"
 )
 
-// Two requests in one segment, the second cut anywhere: each reaches a worker as it was sent, one behind the other,
-// and the answers come in the order of the requests.
+// Two requests are sent in one segment, with the second split anywhere. Each reaches a worker as it was sent, one after the other,
+// and the responses arrive in the order of the requests.
 func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	worker := newScriptedWorker(t, "i-1")
 	v := newRelayRouter(t, worker)
 	c := dialRelayClient(t, v)
 	var conn *workerConn
-	for _, later := range []int{0, 1, len("two"), len("two") + 1, 40, 1 << 20} { // bytes of the second that come later
+	for _, later := range []int{0, 1, len("two"), len("two") + 1, 40, 1 << 20} { // bytes of the second request that are sent later
 		id1, id2 := fmt.Sprint("first", later), fmt.Sprint("second", later)
 		first, second := requestText("pure", id1, "one"), requestText("pure", id2, "two")
 		split := len(second) - min(later, len(second))
@@ -48,8 +48,8 @@
 	}
 }
 
-// A client that sends on before its answer is there, and one whose first request ends without an answer: what is
-// behind it is not run under the broken answer's connection, nor answered with the first one's bytes.
+// A client sends a second request before the first is answered, and the first answer breaks. The second request is neither run nor
+// answered on that connection.
 func TestPipelinedRequestAfterBrokenResponse(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
@@ -62,17 +62,17 @@
 	k.writeChunk(event(1))
 	k.Close()
 	if got := c.receive(); got.id != "a" || got.complete || got.body != event(1) {
-		t.Errorf("the broken answer: %+v", got)
+		t.Errorf("the broken response: %+v", got)
 	}
 	if b, _ := io.ReadAll(c.r); len(b) > 0 {
-		t.Errorf("behind it: %q", b)
+		t.Errorf("after it: %q", b)
 	}
 	if !noMoreConns(w) {
-		t.Error("the second request was run, and nobody can be told")
+		t.Error("the second request was run, but its client can't be answered")
 	}
 }
 
-// A request whose sending ends anywhere never reaches a worker, whole or in part.
+// A truncated request never reaches a worker, not even in part.
 func TestTruncatedRequest(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
@@ -86,7 +86,7 @@
 				_, _ = io.WriteString(c, text[:i])
 				end(c)
 				if a := c.receive(); a.status/100 == 2 || a.status == 503 {
-					t.Fatalf("cut at %d: %+v", i, a)
+					t.Fatalf("truncated at %d: %+v", i, a)
 				}
 				c.Close()
 			}
@@ -96,15 +96,15 @@
 	_, _ = io.WriteString(c, inChunks)
 	k := <-w.conns
 	if q := k.request(); q.id != "a" || q.body != "prompt" {
-		t.Fatalf("the whole one: %+v", q)
+		t.Fatalf("the complete request: %+v", q)
 	}
 	if !noMoreConns(w) {
-		t.Error("a part was sent on")
+		t.Error("a truncated request was forwarded")
 	}
 }
 
-// A client that closes its connection, or only its write side, while a worker runs its request: the run is broken off,
-// nothing is sent on, and what the half-closed one reads promises nothing.
+// A client closes its connection, or only its write side, while a worker runs its request. The run is aborted and not retried, and a
+// half-closed client is not told that the request did not run.
 func TestClientDisconnectsWhileRequestRuns(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"effectful", "pure", "streaming", "resumable"} {
@@ -126,16 +126,16 @@
 				if got := c.receive(); half && got.status != 502 && got.status != 499 && got.status != 0 {
 					t.Errorf("answered %+v", got)
 				}
-				testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
+				testutil.Until(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 				if !noMoreConns(a, b) {
-					t.Error("it was sent on")
+					t.Error("the request was retried")
 				}
 			})
 		}
 	}
 }
 
-// A client that goes in the middle of its answer: the rest of it is never given to anybody.
+// A client disconnects during its response. The rest of the response is never sent to another client.
 func TestClientDisconnectsDuringResponse(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	c.reset()
-	for err := error(nil); err == nil; { // until the router has noticed
+	for err := error(nil); err == nil; { // until the router has closed the connection
 		_, err = io.WriteString(k, big)
 	}
 	c = dialRelayClient(t, v)
@@ -165,8 +165,8 @@
 	}
 }
 
-// A worker that closes or resets a kept connection as the next request arrives there: the effectful one is not sent
-// again, and no promise is made; the pure one is, over a new connection.
+// A worker closes or resets a kept connection as the next request arrives on it. An effectful request is not retried and its outcome
+// is reported as unknown. A pure one is retried on a new connection.
 func TestKeepAliveConnectionEndsOnNextRequest(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*workerConn){"closed": closeConn, "reset": resetConn} {
@@ -193,15 +193,15 @@
 					t.Errorf("answered %+v", got)
 				}
 				if !noMoreConns(w) {
-					t.Error("it was sent on once more")
+					t.Error("the request was sent once more")
 				}
 			})
 		}
 	}
 }
 
-// sendOnKeptConnection sends requests until one arrives at a kept connection, and gives that: on a busy machine a connection
-// may have been idle for too long to be used for what may not repeat.
+// sendOnKeptConnection sends requests until one arrives on a kept connection, which it returns. On a busy machine a connection may
+// have been idle for too long to be used for a non-repeatable request.
 func sendOnKeptConnection(c *workerConn, w *scriptedWorker, kept *workerConn, route string) *workerConn {
 	for n := 0; ; n++ {
 		id := fmt.Sprint("b", n)
@@ -223,8 +223,8 @@
 	}
 }
 
-// The version of a worker's answer concerns its connection alone; a client that can't read chunks is refused, since a
-// broken answer without any would look whole.
+// The protocol version of a worker's answer applies to its connection only. A client of HTTP/1.0, which can't read chunked responses,
+// is refused, since a broken response without chunks would look complete.
 func TestHTTPVersions(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
--- a/internal/router/relay_descriptors_test.go
+++ b/internal/router/relay_descriptors_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// isolatedProcessEnv is set for a test process of its own: one that takes all descriptors would starve the others.
+// isolatedProcessEnv is set in a separate test process, since a test that takes all descriptors would make parallel ones fail.
 const isolatedProcessEnv = "SEAMSHUNT_TEST_ALONE"
 
-// Without a free descriptor a router refuses honestly what it can't send on, and goes on accepting once there are
-// some again.
+// Without a free file descriptor a router refuses requests that it can't forward, as not run, and accepts connections again once
+// there are free descriptors.
 func TestDescriptorExhaustion(t *testing.T) {
 	if os.Getenv(isolatedProcessEnv) == "" {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestDescriptorExhaustion$", "-test.v")
@@ -42,13 +42,13 @@
 		held = held[:len(held)-1]
 	}
 	releaseOne()
-	pending, err := net.Dial("tcp", v.Boot.Web) // takes the last descriptor, so nobody can accept it
+	pending, err := net.Dial("tcp", v.Boot.Web) // takes the last descriptor, so the router can't accept it
 	if err != nil {
 		t.Fatal(err)
 	}
 	established.send("effectful", "b", "prompt")
 	if a := established.receive(); a.status != 503 || !noMoreConns(worker) {
-		t.Errorf("with no descriptor: %+v", a)
+		t.Errorf("without descriptors: %+v", a)
 	}
 	for len(held) > 0 {
 		releaseOne()
@@ -57,7 +57,7 @@
 	pendingClient := &workerConn{pending, bufio.NewReader(pending)}
 	pendingClient.send("unknown", "c", "prompt")
 	if a := pendingClient.receive(); a.status != 404 {
-		t.Fatalf("who waited to be accepted: %+v", a)
+		t.Fatalf("the client that waited to be accepted: %+v", a)
 	}
 	established.send("effectful", "d", "prompt")
 	conn = <-worker.conns
@@ -68,7 +68,7 @@
 	}
 }
 
-// exhaustDescriptors lowers this process's limit and takes all that are left.
+// exhaustDescriptors lowers this process's descriptor limit and takes all that are left.
 func exhaustDescriptors(t *testing.T) (held []int) {
 	t.Helper()
 	var old syscall.Rlimit
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -18,24 +18,24 @@
 	"seamshunt/platform"
 )
 
-// relayConfig has one route of each kind, all of one service.
+// relayConfig has one route of each variant, all with the same target.
 const relayConfig = `{"generation":1,"targets":[{"name":"svc","probe_path":"/health","max_conns":0}],"routes":[
 {"name":"pure","domain":"x","path_prefix":"/pure/","variant":"pure","deadline_ms":20000,"goal_ms":20000,"tries":2,"target":"svc"},
 {"name":"effectful","domain":"x","path_prefix":"/effectful/","variant":"effectful","deadline_ms":20000,"goal_ms":20000,"tries":2,"target":"svc"},
 {"name":"resumable","domain":"x","path_prefix":"/resumable/","variant":"streaming","resumable":true,"deadline_ms":20000,"goal_ms":20000,"tries":2,"target":"svc"},
 {"name":"streaming","domain":"x","path_prefix":"/streaming/","variant":"streaming","deadline_ms":20000,"goal_ms":20000,"tries":2,"target":"svc"}]}`
 
-// relaySlots is more than any test needs: a run of unknown outcome keeps its slot till its deadline.
+// relaySlots is more than any test needs, since a run of unknown outcome holds its slot until its deadline.
 const relaySlots = 1 << 14
 
-// scriptedWorker takes connections and leaves each of them to the test. Its name at the router is its id.
+// scriptedWorker accepts connections and leaves each of them to the test. The router knows it by its id.
 type scriptedWorker struct {
 	id    string
 	addr  string
 	conns chan *workerConn
 }
 
-// workerConn is the worker's end of one connection.
+// workerConn is a worker's or a client's end of one connection.
 type workerConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -53,14 +53,14 @@
 	return w
 }
 
-// accept takes connections until the listener closes.
+// accept accepts connections until the listener is closed.
 func (w *scriptedWorker) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only ends a test that would hang
+		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only so that a failing test does not hang
 		w.conns <- &workerConn{c, bufio.NewReader(c)}
 	}
 }
@@ -72,7 +72,7 @@
 	body string
 }
 
-// request reads one request whole; nil when the router has closed the connection.
+// request reads one complete request. It returns nil if the router has closed the connection.
 func (c *workerConn) request() *workerRequest {
 	q, err := http.ReadRequest(c.r)
 	if err != nil {
@@ -85,12 +85,12 @@
 	return &workerRequest{q, q.Header.Get("Attempt-Id"), string(b)}
 }
 
-// writeText writes text as it stands, but with line ends as HTTP wants them.
+// writeText writes formatted text with LF replaced by CRLF.
 func (c *workerConn) writeText(format string, args ...any) {
 	_, _ = io.WriteString(c, strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\r\n"))
 }
 
-// responseText is a whole answer of one id.
+// responseText returns a complete worker's answer to the request id.
 func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\nAttempt-Id: %s\nWorker-Seal: s\nContent-Length: %d\n\n%s", id, len(body), body)
 }
@@ -103,13 +103,14 @@
 // closedByRouter waits until the router has closed the connection.
 func (c *workerConn) closedByRouter() { _, _ = io.Copy(io.Discard, c.r) }
 
-// newRelayRouter is one router alone in the platform's words; it keeps all workers itself. Its budget allows further tries.
+// newRelayRouter starts a single router with the platform's adapter. It coordinates all workers itself, and its retry budget allows
+// retries.
 func newRelayRouter(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1, RetryRatio: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, platform.New("", "router"))
-	v.Woke = nil // alone, it could never confirm its news again if the machine stood still for a second
+	v.Woke = nil // a single router can't confirm its configuration again if the machine pauses for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +124,7 @@
 	v.Feed.Take(configpush.Item{Key: "workers/" + platform.Pool, Num: 1, Data: config.PackWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
-	testutil.Until(t, "the router keeps its workers", func() bool {
+	testutil.Until(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		open := 0
@@ -140,12 +141,12 @@
 	return v
 }
 
-// requestText is a request of a client to one route.
+// requestText returns a client's request to one route.
 func requestText(route, id, body string) string {
 	return fmt.Sprintf("POST /%s/q HTTP/1.1\r\nHost: x\r\nAttempt-Id: %s\r\nTime-Left-Ms: 15000\r\nContent-Length: %d\r\n\r\n%s", route, id, len(body), body)
 }
 
-// dialRelayClient dials the router's front.
+// dialRelayClient connects a client to the router.
 func dialRelayClient(t testing.TB, v *Router) *workerConn {
 	t.Helper()
 	c, err := net.Dial("tcp", v.Boot.Web)
@@ -162,7 +163,7 @@
 	_, _ = io.WriteString(c, requestText(route, id, body))
 }
 
-// clientResponse is what a client read: whole only if its end was proper.
+// clientResponse is what a client read. It is complete only if it ended as HTTP requires.
 type clientResponse struct {
 	status   int
 	id       string
@@ -171,13 +172,13 @@
 	close    bool
 }
 
-// receive reads one answer; status 0 when the connection ended instead.
+// receive reads one response. Its status is 0 if the connection ended instead.
 func (c *workerConn) receive() clientResponse {
 	_, a := c.receiveWithHeader()
 	return a
 }
 
-// receiveWithHeader is the same with the answer's headers.
+// receiveWithHeader is receive with the response's headers.
 func (c *workerConn) receiveWithHeader() (http.Header, clientResponse) {
 	r, err := http.ReadResponse(c.r, &http.Request{Method: "POST"})
 	if err != nil {
@@ -188,7 +189,7 @@
 	return r.Header, clientResponse{r.StatusCode, r.Header.Get("Attempt-Id"), b.String(), err == nil, r.Close}
 }
 
-// firstConn gives the first connection that any of the workers takes, and the other worker.
+// firstConn returns the first connection that one of the workers accepts, and the other worker.
 func firstConn(a, b *scriptedWorker) (first *workerConn, other *scriptedWorker) {
 	select {
 	case c := <-a.conns:
@@ -198,7 +199,7 @@
 	}
 }
 
-// noMoreConns says whether no worker has taken a further connection.
+// noMoreConns reports whether no worker has accepted a further connection.
 func noMoreConns(workers ...*scriptedWorker) bool {
 	for _, w := range workers {
 		if len(w.conns) > 0 {
--- a/internal/router/relay_placement_test.go
+++ b/internal/router/relay_placement_test.go
@@ -15,7 +15,7 @@
 		want uint8
 	}{{0, 1}, {topUrgencyReadTime, 1}, {topUrgencyReadTime + 1, 2}, {2 * topUrgencyReadTime, 2}, {5 * topUrgencyReadTime, 4}, {time.Second, 8}, {time.Hour, 9}} {
 		if got := urgencyOf(x.read); got != x.want {
-			t.Errorf("a prompt that is read in %v has urgency %d, not %d", x.read, got, x.want)
+			t.Errorf("a prompt with read time %v has urgency %d, want %d", x.read, got, x.want)
 		}
 	}
 	for _, x := range []struct {
@@ -23,7 +23,7 @@
 		want uint8
 	}{{0, 2}, {3, 5}, {20, 9}} {
 		if got := urgencyByRank(&config.Mapping{Rank: x.rank}); got != x.want {
-			t.Errorf("without a size, rank %d has urgency %d, not %d", x.rank, got, x.want)
+			t.Errorf("without a size, rank %d has urgency %d, want %d", x.rank, got, x.want)
 		}
 	}
 }
@@ -34,15 +34,16 @@
 	p := adapter.Prompt{In: 50000, Out: 1000, Parts: []adapter.Part{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
 	var q admission.Request
 	estimateCost(p, s, &q)
-	// 45,000 tokens at 75 a millisecond, and 45,000 x 27,500 pairs; away from home 5,000 more, and all pairs.
+	// With the prefix cached: 45,000 tokens at 75 per millisecond, and 45,000 x 27,500 attention pairs. Without it: 5,000 more tokens
+	// and all pairs.
 	cached, uncached := 600*time.Millisecond+269775*time.Microsecond, 666666*time.Microsecond+272500*time.Microsecond
 	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.Read, cached) || !near(q.Full, uncached) {
-		t.Errorf("read at home in %v, not %v; elsewhere in %v, not %v", q.Read, cached, q.Full, uncached)
+		t.Errorf("read with the cached prefix in %v, want %v; without in %v, want %v", q.Read, cached, q.Full, uncached)
 	}
 	if q.Mem != 46000 || q.Homes != 1 || q.Away <= q.Full-q.Read {
 		t.Errorf("%+v", q)
 	}
-	p.In = 100 // parts that claim more than the whole
+	p.In = 100 // the parts add up to more than the whole prompt
 	if estimateCost(p, s, &q); q.Read != 0 || q.Mem != 1000 || q.Full <= 0 {
 		t.Errorf("%+v", q)
 	}
--- a/internal/router/relay_random_test.go
+++ b/internal/router/relay_random_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// What the random test plays.
+// Size of the random test.
 const (
 	randomSeeds    = 250
 	randomClients  = 8
-	randomRequests = 4 // of each caller
+	randomRequests = 4 // per client
 )
 
-// Many callers at once, some of whom send on before they are answered, against workers that answer, break off, delay,
-// double, swap and garble as each seed draws it: whatever happens, nobody gets another's answer, nothing that may not
-// repeat runs twice, nothing is promised not to run that did, and no right answer is lost.
+// Many concurrent clients, some of which pipeline requests, use workers that answer, close, delay, repeat, swap and corrupt
+// responses at random, by seed. No client gets the answer of another request, no non-repeatable request runs twice, no request that
+// ran is refused as not run, and no correct answer is lost.
 func TestRandomWorkersAndClients(t *testing.T) {
 	t.Parallel()
 	behaviors, statuses := map[workerBehavior]int{}, map[int]int{}
@@ -42,7 +42,7 @@
 			}
 			g.Wait()
 			if violations := shared.history.check(); len(violations) > 0 {
-				t.Fatalf("seed %d: %d breaches, the first: %s", seed, len(violations), violations[0])
+				t.Fatalf("seed %d: %d violations, the first: %s", seed, len(violations), violations[0])
 			}
 		}
 		for _, a := range shared.history.responses {
@@ -51,16 +51,16 @@
 	}
 	for behavior := range workerBehaviors {
 		if behaviors[behavior] == 0 {
-			t.Errorf("way %d was never taken", behavior)
+			t.Errorf("behavior %d never occurred", behavior)
 		}
 	}
 	if total := 10 * randomSeeds / 10 * randomClients * randomRequests; statuses[200] < total/2 || statuses[502] == 0 || statuses[503] == 0 {
 		t.Errorf("answers by status: %v", statuses)
 	}
-	t.Logf("answers by status: %v; workers' ways: %v", statuses, behaviors)
+	t.Logf("answers by status: %v; workers' behaviors: %v", statuses, behaviors)
 }
 
-// runRandomClient sends its requests in batches over one connection, and over a new one once that has ended.
+// runRandomClient sends its requests in batches on one connection, and on a new one once that has ended.
 func runRandomClient(t *testing.T, v *Router, history *relayHistory, seed uint64, client int) {
 	rng := rand.New(rand.NewPCG(seed, uint64(client)))
 	c := dialRelayClient(t, v)
@@ -83,7 +83,7 @@
 			if a.status == 0 || !a.complete || a.close {
 				c.Close()
 				c = dialRelayClient(t, v)
-				break // those behind it were never read, or never answered
+				break // the requests after it were not read or not answered
 			}
 		}
 	}
--- a/internal/router/relay_random_worker_test.go
+++ b/internal/router/relay_random_worker_test.go
@@ -10,14 +10,14 @@
 	"sync"
 )
 
-// randomWorkers answer, break off, delay, double, swap and garble as the seed and the request's id draw it.
+// randomWorkers answer, close, delay, repeat, swap and corrupt responses, as drawn from the seed and the request's ID.
 type randomWorkers struct {
 	seed      uint64
 	history   *relayHistory
 	mu        sync.Mutex
 	runs      int
-	ids       []string               // that have arrived, for swapped answers
-	behaviors map[workerBehavior]int // how often each was taken
+	ids       []string               // of the requests so far, for swapped responses
+	behaviors map[workerBehavior]int // how often each occurred
 }
 
 // workerBehavior is what a worker does with one request.
@@ -35,20 +35,20 @@
 	truncatesBody
 	writesGarbage
 	omitsID
-	sendsOtherResponse      // another request's answer comes in its place, and nothing else
-	sendsOtherResponseFirst // the same, and then its own
-	repeatsResponse         // its answer comes twice at once
-	repeatsResponseLater    // the second time in the place of the next one
-	appendsBytes            // bytes behind the answer
-	appendsRefusal          // an unnamed refusal in the place of the next answer
+	sendsOtherResponse      // another request's response instead of its own
+	sendsOtherResponseFirst // another request's response, then its own
+	repeatsResponse         // its response twice in one write
+	repeatsResponseLater    // its response again before the next one
+	appendsBytes            // extra bytes after the response
+	appendsRefusal          // a refusal without an ID before the next response
 	overstatesLength
 	workerBehaviors
 )
 
-// connState is what a worker still owes to a connection.
+// connState is a connection with the bytes that the worker still has to write to it.
 type connState struct {
 	*workerConn
-	delayed string // comes before the next answer
+	delayed string // written before the next response
 }
 
 func (w *randomWorkers) serve(s *scriptedWorker) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// handle handles one; false ends the connection.
+// handle handles one request. It returns false if the connection has to be closed.
 func (w *randomWorkers) handle(s *scriptedWorker, k *connState, q *workerRequest) bool {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, q.id+s.id)
@@ -85,7 +85,7 @@
 	w.behaviors[behavior]++
 	w.mu.Unlock()
 	for range rng.IntN(50) {
-		runtime.Gosched() // others go first
+		runtime.Gosched() // lets other goroutines run first
 	}
 	delayed := k.delayed
 	k.delayed = ""
@@ -100,14 +100,14 @@
 	complete := delayed == "" && (behavior == respondsCorrectly || behavior == repeatsResponse || behavior == repeatsResponseLater || behavior == appendsBytes || behavior == appendsRefusal)
 	size := rng.IntN(100)
 	if behavior != appendsBytes && rng.IntN(3) == 0 {
-		size = rng.IntN(5 * 4096) // more than a reader takes at once: what is behind it stays in the socket
+		size = rng.IntN(5 * 4096) // more than a buffered reader reads at once, so that later bytes stay in the socket
 	}
 	w.history.recordRun(q.id, observedRun{name, q.body, size, complete})
 	response := w.fullResponse(q, name, size, rng)
 	return k.writeResponse(behavior, delayed, response, q.id, other, rng)
 }
 
-// fullResponse is the whole right answer of a run.
+// fullResponse returns the complete correct response of a run.
 func (w *randomWorkers) fullResponse(q *workerRequest, name string, size int, rng *rand.Rand) string {
 	head := "HTTP/1.1 200 OK\r\nAttempt-Id: " + q.id + "\r\nWorker-Seal: s\r\n"
 	if strings.HasPrefix(q.URL.Path, "/pure") || strings.HasPrefix(q.URL.Path, "/effectful") {
@@ -127,7 +127,7 @@
 	return text + "0\r\n\r\n"
 }
 
-// writeResponse writes what the way leaves of an answer, in one write; false ends the connection.
+// writeResponse writes a response as changed by the behavior, in one write. It returns false if the connection has to be closed.
 func (k *connState) writeResponse(behavior workerBehavior, delayed, response, id, other string, rng *rand.Rand) bool {
 	write := func(s string) { _, _ = io.WriteString(k, delayed+s) }
 	head := strings.Index(response, "\r\n\r\n") + 4
--- a/internal/router/relay_streams_test.go
+++ b/internal/router/relay_streams_test.go
@@ -8,7 +8,7 @@
 
 const streamHead = "HTTP/1.1 200 OK\nAttempt-Id: %s\nWorker-Seal: s\nContent-Type: text/event-stream\n"
 
-// event is one event of a stream; its id is its number.
+// event returns one event of a stream. Its ID is its number.
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n) }
 
 func eventRange(from, to int) string {
@@ -19,10 +19,10 @@
 	return b.String()
 }
 
-// writeChunk is text as one chunk; its lines end with LF alone, as say would otherwise change its length.
+// writeChunk writes text as one chunk. Its lines end with LF only: writeText would change its length.
 func (c *workerConn) writeChunk(s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
-// streamBreaks are the ways in which a stream breaks behind its second event.
+// streamBreaks are the ways in which a stream breaks after its second event.
 var streamBreaks = map[string]func(c *workerConn){
 	"closed":            func(c *workerConn) { c.Close() },
 	"reset":             func(c *workerConn) { c.reset() },
@@ -33,8 +33,8 @@
 	"no last line":      func(c *workerConn) { _, _ = c.Write([]byte("0\r\n")); c.Close() },
 }
 
-// A stream that may be resumed goes on at another worker, each event once and in its order; any other ends there,
-// does not look whole, and is not run again.
+// A resumable stream continues on another worker, with each event once and in order. Any other stream ends there, does not look
+// complete and is not retried.
 func TestEveryBreakOfAStream(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"resumable", "streaming"} {
@@ -42,7 +42,7 @@
 			t.Parallel()
 			for name, breakStream := range streamBreaks {
 				if route == "streaming" && (name == "event doubled" || name == "ended in an event") {
-					continue // only what may be resumed is read event by event
+					continue // only resumable streams are parsed event by event
 				}
 				a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
 				v := newRelayRouter(t, a, b)
@@ -58,7 +58,7 @@
 					resumed := <-other.conns
 					q := resumed.request()
 					if after := q.Header.Get("Last-Event-Id"); after != "2" {
-						t.Errorf("%s: taken up behind %q", name, after)
+						t.Errorf("%s: resumed after %q", name, after)
 					}
 					resumed.writeText(streamHead+chunkedHeader, "s")
 					resumed.writeChunk(eventRange(3, 4))
@@ -66,21 +66,21 @@
 					want.body, want.complete = eventRange(1, 4), true
 				}
 				if name == "closed in a chunk" && route == "streaming" {
-					want.body += "id: 3\n" // passed on as it came
+					want.body += "id: 3\n" // forwarded unchanged
 				}
 				if got := c.receive(); got != want {
 					t.Errorf("%s: %+v, want %+v", name, got, want)
 				}
 				if !noMoreConns(a, b) {
-					t.Errorf("%s: it was sent on once more", name)
+					t.Errorf("%s: the request was sent once more", name)
 				}
 			}
 		})
 	}
 }
 
-// A stream with a length may go on with any other: what the client gets is neither cut at the first length nor looks
-// whole before its last event.
+// A stream with a Content-Length may resume with a different length. The client's response is neither truncated at the first length
+// nor looks complete before its last event.
 func TestResumedStreamOfKnownLength(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
@@ -101,8 +101,8 @@
 	}
 }
 
-// Where an event had data and no id, nobody knows what the client has: the stream is not taken up, and doesn't look
-// whole.
+// If an event has data but no ID, the last event that the client has is unknown. The stream is not resumed and does not look
+// complete.
 func TestStreamWithoutIDsIsNotResumed(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
@@ -118,6 +118,6 @@
 		t.Errorf("%+v", got)
 	}
 	if !noMoreConns(a, b) {
-		t.Error("it was taken up")
+		t.Error("the stream was resumed")
 	}
 }
--- a/internal/router/relay_worker_failures_test.go
+++ b/internal/router/relay_worker_failures_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// workerFailure is one way in which a worker ends the first run of a request. The request's id is in the text as ID.
+// workerFailure is one way in which a worker ends the first run of a request. In text, ID stands for the request's ID.
 type workerFailure struct {
 	name    string
 	text    string // what the worker writes
 	closing func(*workerConn)
-	// what is owed to an effectful request: its status, and whether another worker is asked
+	// expected for an effectful request: its status, and whether it is retried on another worker
 	status  int
 	retried bool
 }
@@ -51,15 +51,15 @@
 	{"408 that promises nothing", "HTTP/1.1 408 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
 	{"504 that says not run", "HTTP/1.1 504 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n", keepOpen, 504, false},
 	{"failure of its own", "HTTP/1.1 500 No\nAttempt-Id: ID\nContent-Length: 1\n\nx", keepOpen, 500, false},
-	{"garbled last chunk of a small answer", okHeader + chunkedHeader + "1\nx\nzz\n", keepOpen, 200, false}, // broken off, below
+	{"garbled last chunk of a small answer", okHeader + chunkedHeader + "1\nx\nzz\n", keepOpen, 200, false}, // incomplete, see check
 	{"refused with 503", "HTTP/1.1 503 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n", keepOpen, 200, true},
 	{"refused with 429", "HTTP/1.1 429 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n", keepOpen, 200, true},
 	{"refused with 503 and cut in its body", "HTTP/1.1 503 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 9\n\nabc", closeConn, 200, true},
 	{"another worker is there", "HTTP/1.1 421 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 200, true},
 }
 
-// failingWorkers has two workers that end the first arrival of an id as its ending says and answer a second one rightly. It
-// counts arrivals by id.
+// failingWorkers are two workers that fail the first run of a request as its workerFailure says and answer a second one correctly.
+// They count arrivals by request ID.
 type failingWorkers struct {
 	mu       sync.Mutex
 	arrivals map[string]int
@@ -91,8 +91,8 @@
 	return w.arrivals[id]
 }
 
-// However a worker ends a run: an effectful request is sent on only behind a promise that it has not run, and is
-// answered with a promise never; a pure one goes to the other worker.
+// However a worker ends a run, an effectful request is retried only if the worker has stated that it did not run, and is never
+// refused as not run. A pure request is retried on the other worker.
 func TestWorkerFailures(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"effectful", "pure"} {
@@ -126,14 +126,14 @@
 	}
 	whole := true
 	if strings.Contains(failure.text, chunkedHeader) {
-		whole = false // its head has gone on before its end was known
+		whole = false // its header was forwarded before its end was known
 	} else if route == "pure" && status >= 500 && !strings.Contains(failure.text, "HTTP/1.1 4") {
 		status, arrivals = 200, 2
 	}
 	if got.status != status || got.complete != whole || w.arrivalsOf(id) != arrivals {
-		t.Errorf("%s, %s: answered %+v behind %d arrivals, want %d behind %d", route, failure.name, got, w.arrivalsOf(id), status, arrivals)
+		t.Errorf("%s, %s: answered %+v after %d arrivals, want %d after %d", route, failure.name, got, w.arrivalsOf(id), status, arrivals)
 	}
 	if got.status == 200 && got.complete && (got.id != id || got.body != "rightly") {
-		t.Errorf("%s, %s: an answer that nobody gave to it: %+v", route, failure.name, got)
+		t.Errorf("%s, %s: an answer that no worker gave: %+v", route, failure.name, got)
 	}
 }
--- a/internal/router/retries_test.go
+++ b/internal/router/retries_test.go
@@ -9,14 +9,14 @@
 	"seamshunt/internal/units"
 )
 
-// What may not repeat is handed over once when the outcome is unknown, and the answer says so.
+// A non-repeatable request of unknown outcome is not retried, and the answer says that the outcome is unknown.
 func TestNonRepeatableIsNeverRetried(t *testing.T) {
 	t.Parallel()
 	a, ha := startNativeWorker(t)
 	b, hb := startNativeWorker(t)
 	v := newTestRouter(t, a, b)
 	for range 50 {
-		v.retryBudgetOf("advice").First(v.Tasks.Now()) // the budget would allow it
+		v.retryBudgetOf("advice").First(v.Tasks.Now()) // the retry budget would allow a retry
 	}
 	c := sendPrompt(t, v, "/notice")
 	var h nativeWorkerConn
@@ -24,17 +24,17 @@
 	case h = <-ha:
 	case h = <-hb:
 	}
-	h.Close() // it may have run
+	h.Close() // the request may have run
 	status, body := c.readResponse(t)
 	if status != 502 || !strings.Contains(body, `"code":401`) || !strings.Contains(body, `"not_run":false`) {
 		t.Errorf("%d %s", status, body)
 	}
 	if len(ha)+len(hb) > 0 {
-		t.Error("it was handed over again")
+		t.Error("the request was dispatched again")
 	}
 }
 
-// A sealed refusal is no run: even what may not repeat goes to the next worker, if the budget allows.
+// A sealed refusal proves that the request did not run, so even a non-repeatable one is retried if the budget allows.
 func TestSealedRefusalIsRetried(t *testing.T) {
 	t.Parallel()
 	a, ha := startNativeWorker(t)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A refusal that does not name the request, or does not say so, is no proof that it did not run.
+// A refusal that does not name the request or does not say that it did not run is no proof of that.
 func TestUnprovenRefusals(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{`{"id":"other","ran":false}`, `{"ran":false}`, `{"id":"ID"}`, `{"id":"ID","ran":true}`, `{"id":"ID","ran":0}`, `busy`, ``} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// The same key is not run twice; what came of it is not known to the second.
+// A request with a claimed key is not run again, and its answer does not say what became of the first.
 func TestDuplicateIdempotencyKey(t *testing.T) {
 	t.Parallel()
 	a, ha := startNativeWorker(t)
@@ -112,12 +112,12 @@
 	}
 }
 
-// The budget holds further tries to a fifth of the first ones over any ten seconds, with no free minimum.
+// The budget limits retries to a fifth of the first attempts over any ten seconds, without a free minimum.
 func TestRetryBudget(t *testing.T) {
 	t.Parallel()
 	var b upstream.Budget
 	if b.Again(0, 0) {
-		t.Error("a further try without any first one")
+		t.Error("a retry without any first attempt")
 	}
 	type try struct {
 		at    units.Time
@@ -151,15 +151,15 @@
 			}
 		}
 		if 5*retriesBefore > firstBefore {
-			t.Fatalf("at %d: %d further tries on %d first ones", x.at, retriesBefore, firstBefore)
+			t.Fatalf("at %d: %d retries for %d first attempts", x.at, retriesBefore, firstBefore)
 		}
 	}
 	if retries < 100 {
-		t.Errorf("only %d further tries were allowed", retries)
+		t.Errorf("only %d retries were allowed", retries)
 	}
 }
 
-// A few further tries are allowed on top of the share, where the world grants an allowance: each node takes its part.
+// Where the platform grants an allowance, each node may make its part of these retries on top of the ratio.
 func TestRetryBudgetSlack(t *testing.T) {
 	b := upstream.Budget{Ratio: 0.1}
 	for range 20 {
@@ -170,6 +170,6 @@
 		n++
 	}
 	if n != 4 {
-		t.Errorf("%d further tries for 20 first ones at a tenth and two on top", n)
+		t.Errorf("%d retries for 20 first attempts at a ratio of a tenth and two on top", n)
 	}
 }
--- a/internal/router/routing_rules_test.go
+++ b/internal/router/routing_rules_test.go
@@ -20,7 +20,7 @@
  "mapping lone { when host = \"x\" and under = \"/part/lone\" to small promise p repeat tries 1 stream resume pause 100 rank 2 }",
  "mapping free { when host = \"x\" and under = \"/free\" to small promise p once single }"]}`
 
-// newRoutingTestRouter is a rig with one worker for each of two services.
+// newRoutingTestRouter starts a test router with one worker for each of two services.
 func newRoutingTestRouter(t *testing.T) (v *Router, big, small chan nativeWorkerConn) {
 	t.Helper()
 	a, big := startNativeWorker(t)
@@ -29,7 +29,7 @@
 	v.FeedMu.Lock()
 	v.Feed.Take(configpush.Item{Key: "workers/side", Num: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: time.Hour}})})
 	v.FeedMu.Unlock()
-	testutil.Until(t, "the router keeps both workers", func() bool {
+	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		k := v.coordinator.Kept(v.Tasks.Now())
@@ -40,7 +40,8 @@
 
 func codeField(c codes.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
 
-// A mapping shared by two services reaches both; one key always the same one, and without a key it is drawn anew.
+// A mapping shared by two services uses both. Requests with the same key always use the same one, and those without a key a random
+// one.
 func TestServiceSharesOfNativeAPI(t *testing.T) {
 	t.Parallel()
 	v, big, small := newRoutingTestRouter(t)
@@ -60,7 +61,7 @@
 			name = "small"
 		case <-time.After(5 * time.Second):
 			status, body := c.readResponse(t)
-			t.Fatalf("it reached no worker: %d %s", status, body)
+			t.Fatalf("the request reached no worker: %d %s", status, body)
 		}
 		if status, body := c.readResponse(t); status != 200 {
 			t.Fatalf("%d %s", status, body)
@@ -74,16 +75,17 @@
 		got[sendOne("")]++
 	}
 	if got["big"] == 0 || got["small"] == 0 {
-		t.Errorf("not both were reached: %v", got)
+		t.Errorf("not both services were used: %v", got)
 	}
 	for i := range 4 {
 		if key := fmt.Sprint("key", i); got[key+"big"]*got[key+"small"] != 0 {
-			t.Errorf("%s fell to both: %v", key, got)
+			t.Errorf("%s used both services: %v", key, got)
 		}
 	}
 }
 
-// The host and the longest prefix decide; the mapping's tries and the limits hold; a single one claims nothing.
+// Host and longest path prefix select the mapping, the mapping's attempts and the limits are respected, and a mapping with single
+// claims no keys.
 func TestRoutingRulesOfNativeAPI(t *testing.T) {
 	t.Parallel()
 	v, big, small := newRoutingTestRouter(t)
@@ -101,11 +103,11 @@
 	c = dialClient(t, v)
 	c.post("/part/lone/x", timeLeft, promptBody)
 	h := <-small
-	h.Close() // it may have run, and it may repeat; but one try is all
+	h.Close() // it may have run and is repeatable, but the mapping allows only one attempt
 	if status, body := c.readResponse(t); !strings.Contains(body, codeField(codes.Unknown)) {
-		t.Errorf("one try: %d %s", status, body)
+		t.Errorf("one attempt: %d %s", status, body)
 	}
-	for range 2 { // both run: nothing is claimed for them
+	for range 2 { // both run, since no key is claimed
 		c = dialClient(t, v)
 		c.post("/free", timeLeft+"Idempotency-Key: k\r\n", promptBody)
 		h = <-small
@@ -115,6 +117,6 @@
 		}
 	}
 	if len(big)+len(small) > 0 {
-		t.Error("more tries than the mapping allows")
+		t.Error("more attempts than the mapping allows")
 	}
 }
