--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	const name = "controller"
-	dump := func(d console.Daemon) { d.(*controller.Controller).Book.Dump() }
+	dump := func(d console.Daemon) { d.(*controller.Controller).LogRing.Dump() }
 	root := console.Root(name, "the control plane: state on disk, operators, the platform, news")
 	root.AddCommand(
 		console.Run(name, func(b *boot.Boot) (console.Daemon, error) { return controller.New(b, nil) }, dump),
@@ -20,7 +20,7 @@
 			func(b *boot.Boot) (console.Daemon, error) {
 				return controller.New(b, platform.New(os.Getenv(platform.SettingsEnv), name))
 			},
-			func(d console.Daemon, b *boot.Boot) { d.(*controller.Controller).Again(b) }, dump),
+			func(d console.Daemon, b *boot.Boot) { d.(*controller.Controller).Reload(b) }, dump),
 		console.Check(name, &console.Look{Flag: "settings", What: "a settings file", At: func(path string) error {
 			_, err := platform.Boot(path, name)
 			return err
--- a/internal/control/controller/caller.go
+++ b/internal/control/controller/caller.go
@@ -51,7 +51,7 @@
 
 // callersOf has operators' connections remember when their orders can have been sent.
 func (c *Controller) callersOf(ln net.Listener) net.Listener {
-	return &callers{Listener: ln, arrivedAfter: func() units.Time { return c.ArrivedAfter(c.Tasks.Now()) }}
+	return &callers{Listener: ln, arrivedAfter: func() units.Time { return c.EarliestArrival(c.Tasks.Now()) }}
 }
 
 // sentAfter gives a time before which the order that came on a connection was not sent.
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -72,14 +72,14 @@
 	c.audit, c.heir = make(chan entry, 256), o.heir
 	c.disk.file = a
 	c.disk.wake = make(chan struct{}, 1)
-	c.replica = register.New(self, node.Random())
+	c.replica = register.New(self, node.RandomID())
 	if err := c.replica.Load(a.Live()); err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
-	c.polled.stoodStill = c.StoodStill
+	c.polled.stoodStill = c.WasPausedSince
 	c.seeds, c.born = founding(b, a.Live()), born(a.Live())
-	c.Flag(membership.Counts, b.Counts || !b.Grow)
-	c.Flag(membership.First, b.Grow && c.seeds.Participates)
+	c.SetFlag(membership.Counts, b.Counts || !b.Grow)
+	c.SetFlag(membership.First, b.Grow && c.seeds.Participates)
 	if book != nil && book.Control != nil {
 		c.door = book.Control(c.Control())
 	}
@@ -90,16 +90,16 @@
 	if o.blank {
 		c.Log.Warn("a blank disk: this node has no vote yet")
 	}
-	c.tag.Store(uint64(node.Random()) >> 2)
-	c.lease = lease.New(self, "platform", func() []units.Node { return c.voters().Members }, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.Random()), 1)))
-	c.syncer = antientropy.New(self, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.Random()), 2)))
-	c.Later = c.later
-	c.Steps[message.KindAntiEntropy] = func(_ units.Time, n message.Message) {
+	c.tag.Store(uint64(node.RandomID()) >> 2)
+	c.lease = lease.New(self, "platform", func() []units.Node { return c.voters().Members }, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 1)))
+	c.syncer = antientropy.New(self, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 2)))
+	c.PersistEffects = c.later
+	c.MessageHandlers[message.KindAntiEntropy] = func(_ units.Time, n message.Message) {
 		c.replicaMu.Lock()
 		c.Deliver(c.syncer.Step(n, c.replica.States(), c.replica.Resend))
 		c.replicaMu.Unlock()
 	}
-	c.Woke = func(now units.Time) {
+	c.OnResume = func(now units.Time) {
 		c.leaseMu.Lock()
 		c.lease.Resign()
 		c.leaseMu.Unlock()
@@ -108,20 +108,20 @@
 		c.syncer.CatchUp()
 		c.replicaMu.Unlock()
 	}
-	c.Refused = func(now units.Time, l []units.Node) {
+	c.OnPeersEnded = func(now units.Time, l []units.Node) {
 		c.leaseMu.Lock()
 		for _, n := range l {
 			c.lease.HolderStopped(now, n)
 		}
 		c.leaseMu.Unlock()
 	}
-	c.Steps[message.KindRegister] = c.step
-	c.Steps[message.KindClaim] = func(now units.Time, n message.Message) {
+	c.MessageHandlers[message.KindRegister] = c.step
+	c.MessageHandlers[message.KindClaim] = func(now units.Time, n message.Message) {
 		c.replicaMu.Lock()
 		c.Deliver(c.claims.Step(now, n, c.replica.QuorumVersion()))
 		c.replicaMu.Unlock()
 	}
-	c.Steps[message.KindLease] = func(now units.Time, n message.Message) {
+	c.MessageHandlers[message.KindLease] = func(now units.Time, n message.Message) {
 		c.leaseMu.Lock()
 		out := c.lease.Step(now, n)
 		c.leaseMu.Unlock()
@@ -145,7 +145,7 @@
 		ln.Close()
 		return err
 	}
-	c.web = &fasthttp.Server{Handler: c.serve, Name: "controller", MaxRequestBodySize: 16 << 20, NoDefaultDate: true, Logger: quiet{}, Concurrency: c.ConnectionsMost()}
+	c.web = &fasthttp.Server{Handler: c.serve, Name: "controller", MaxRequestBodySize: 16 << 20, NoDefaultDate: true, Logger: quiet{}, Concurrency: c.MaxClientConnections()}
 	c.Serve("operators", ln, func(ln net.Listener) error { return c.web.Serve(c.callersOf(ln)) })
 	c.Tasks.Go(c.writer)
 	c.Tasks.Go(c.recorder)
@@ -213,8 +213,8 @@
 	all := c.Members()
 	unfit := c.disk.unfit(now)
 	low, full := c.tryDisk(now)
-	c.Flag(membership.Full, full)
-	c.Flag(membership.Draining, c.leaving.Load())
+	c.SetFlag(membership.Full, full)
+	c.SetFlag(membership.Draining, c.leaving.Load())
 	look := register.NewControllerView(all)
 	c.FeedMu.Lock()
 	told, fresh := c.Feed.Items[register.KeyQuorum], c.Feed.Fresh
@@ -238,8 +238,8 @@
 	news := c.drain()
 	c.Deliver(out)
 	c.replicaMu.Unlock()
-	c.Flag(membership.Voter, voter)
-	c.Flag(membership.Unfit, unfit)
+	c.SetFlag(membership.Voter, voter)
+	c.SetFlag(membership.Unfit, unfit)
 	c.spread(now, news)
 	c.leaseMu.Lock()
 	c.lease.SetSeatExpiry(seat)
--- a/internal/control/controller/metrics.go
+++ b/internal/control/controller/metrics.go
@@ -23,7 +23,7 @@
 	c.writeDiskMetrics(ctx, c.Tasks.Now())
 	writeMetric(ctx, "bad_frames_total", c.Transport.Bad.Load())
 	writeMetric(ctx, "bad_notes_total", c.Errors.Load())
-	writeMetric(ctx, "dropped_notes_total", c.Dropped.Load())
+	writeMetric(ctx, "dropped_notes_total", c.DroppedMessages.Load())
 	writeMetric(ctx, "audit_missed_total", c.missed.Load())
 }
 
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -40,7 +40,7 @@
 			return o, nil
 		}
 	}
-	o.self, o.blank = node.Random(), true
+	o.self, o.blank = node.RandomID(), true
 	var seeds []string
 	if b.Grow && b.First && b.Counts && !o.heir {
 		seeds = b.Seeds
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -75,7 +75,7 @@
 		}
 		return true
 	})
-	id := c.Self.String() + "-" + node.Random().String()
+	id := c.Self.String() + "-" + node.RandomID().String()
 	c.plans.Store(id, p)
 	c.showPlan(ctx, id, p, d)
 }
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -18,7 +18,7 @@
 
 // reload rebuilds the machine from what the disk holds, and drops what the old one still wanted to say.
 func (c *Controller) reload(a *wal.Log) {
-	b := register.New(c.Self, node.Random())
+	b := register.New(c.Self, node.RandomID())
 	if err := b.Load(a.Live()); err != nil {
 		c.Log.WithError(err).Error("the disk's records can't be read")
 		return
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -29,7 +29,7 @@
 		return register.Result{Code: codes.DiskFull}
 	}
 	if a.Write && a.RequestID == "" {
-		a.RequestID = node.Random().String() // so that it may be sent on when its key changes owners
+		a.RequestID = node.RandomID().String() // so that it may be sent on when its key changes owners
 	}
 	a.Tag = c.tag.Add(1)
 	ch := make(chan register.Result, 1)
@@ -83,12 +83,12 @@
 	c.leaseMu.Lock()
 	c.lease.Resign()
 	c.leaseMu.Unlock()
-	c.Flag(membership.Draining, true)
+	c.SetFlag(membership.Draining, true)
 	c.Tasks.Sleep(handOver) // the others take the keys over under higher epochs
 	c.leaveQuorum()
 	c.StopServing()
 	_ = c.web.Shutdown()
-	c.Goodbye()
+	c.Leave()
 }
 
 // change makes an operator's change, and has it in the audit record before it is acknowledged (design 10).
--- a/internal/node/calm.go
+++ b/internal/node/calm.go
@@ -9,9 +9,9 @@
 // How long a daemon's loops wait. While the fleet is calm nothing in them is due sooner than Seldom; each wake-up costs
 // some 50 us of processor time, which an idle fleet would pay for nothing else.
 const (
-	Seldom  = 100 * time.Millisecond
-	often   = 50 * time.Millisecond
-	calmFor = 3 * time.Second
+	IdleInterval = 100 * time.Millisecond
+	often        = 50 * time.Millisecond
+	calmFor      = 3 * time.Second
 )
 
 // saw notes membership's version and says whether it is a new one.
@@ -26,10 +26,12 @@
 }
 
 func (t *Base) moved() {
-	if t.Moved != nil {
-		t.Moved()
+	if t.OnChange != nil {
+		t.OnChange()
 	}
 }
 
-// Calm says whether membership has stood still for a while.
-func (t *Base) Calm(now units.Time) bool { return now.Sub(units.Time(t.since.Load())) > calmFor }
+// MembershipStable says whether membership has stood still for a while.
+func (t *Base) MembershipStable(now units.Time) bool {
+	return now.Sub(units.Time(t.since.Load())) > calmFor
+}
--- a/internal/node/freeze.go
+++ b/internal/node/freeze.go
@@ -59,8 +59,10 @@
 	return latest != nil && latest.ended > since
 }
 
-// StoodStill says whether this process stood still at any time since the one given.
-func (t *Base) StoodStill(since units.Time) bool { return t.freezes.stoodStill(since, t.Tasks.Now()) }
+// WasPausedSince says whether this process stood still at any time since the one given.
+func (t *Base) WasPausedSince(since units.Time) bool {
+	return t.freezes.stoodStill(since, t.Tasks.Now())
+}
 
-// ArrivedAfter gives the latest time of which this process is sure that what it reads from a socket now came later.
-func (t *Base) ArrivedAfter(now units.Time) units.Time { return t.freezes.arrivedAfter(now) }
+// EarliestArrival gives the latest time of which this process is sure that what it reads from a socket now came later.
+func (t *Base) EarliestArrival(now units.Time) units.Time { return t.freezes.arrivedAfter(now) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 	Self      units.Node
 	Tasks     *tasks.Group
 	Transport *transport.Transport
-	Book      *logbook.Book
+	LogRing   *logbook.Book
 	Log       *log.Logger
 
 	GossipMu sync.Mutex
@@ -39,23 +39,23 @@
 	FeedMu   sync.Mutex
 	Feed     *configpush.Feed
 
-	Steps    map[message.Kind]func(units.Time, message.Message) // by range of kinds, for the program's own machines
-	Woke     func(units.Time)                                   // after a freeze
-	Refused  func(units.Time, []units.Node)                     // processes found to have ended
-	Moved    func()                                             // news came, or membership changed
-	Later    func(message.Effects)                              // disk work; nil on a router
-	Dropped  atomic.Uint64
-	open     atomic.Bool // the wires stand
-	Errors   atomic.Uint64
-	freezes  freezes
-	stopping atomic.Bool // servers end because they are to
-	pace     tasks.Loop
-	ver      atomic.Uint64 // of membership's table, as last seen
-	since    atomic.Int64  // when that changed
+	MessageHandlers map[message.Kind]func(units.Time, message.Message) // by range of kinds, for the program's own machines
+	OnResume        func(units.Time)                                   // after a freeze
+	OnPeersEnded    func(units.Time, []units.Node)                     // processes found to have ended
+	OnChange        func()                                             // news came, or membership changed
+	PersistEffects  func(message.Effects)                              // disk work; nil on a router
+	DroppedMessages atomic.Uint64
+	open            atomic.Bool // the wires stand
+	Errors          atomic.Uint64
+	freezes         freezes
+	stopping        atomic.Bool // servers end because they are to
+	pace            tasks.Loop
+	ver             atomic.Uint64 // of membership's table, as last seen
+	since           atomic.Int64  // when that changed
 }
 
-// Random gives a fresh id.
-func Random() units.Node {
+// RandomID gives a fresh id.
+func RandomID() units.Node {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return units.Node(binary.LittleEndian.Uint64(b[:]) | 1)
@@ -63,11 +63,11 @@
 
 // New builds the tables; Start brings them to life.
 func New(b *boot.Boot, self units.Node, role membership.Role) *Base {
-	t := &Base{Boot: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), Book: logbook.New(512, os.Stderr),
-		Feed: configpush.New(self), Steps: map[message.Kind]func(units.Time, message.Message){}}
-	t.Log = &log.Logger{Handler: t.Book, Level: log.DebugLevel}
+	t := &Base{Boot: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logbook.New(512, os.Stderr),
+		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
+	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
 	me := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, Web: b.Web, Zone: b.Zone}
-	t.Gossip = membership.New(me, b.Seeds, mrand.New(mrand.NewPCG(uint64(Random()), 0)))
+	t.Gossip = membership.New(me, b.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
 	return t
 }
 
@@ -87,9 +87,9 @@
 
 // beat is all that goes by the clock; it gives how long the next may wait.
 func (t *Base) beat(now units.Time) time.Duration {
-	if gap := t.freezes.beat(now); gap > 0 && t.Woke != nil {
+	if gap := t.freezes.beat(now); gap > 0 && t.OnResume != nil {
 		t.Log.WithField("gap", gap).Error("woke from a freeze: nothing held before is trusted")
-		t.Woke(now)
+		t.OnResume(now)
 	}
 	t.FeedMu.Lock()
 	sum := t.Feed.Sum
@@ -108,17 +108,17 @@
 	out.Join(t.Feed.Beat(now, all, t.Self))
 	t.FeedMu.Unlock()
 	t.Deliver(out)
-	if asking || !t.Calm(now) {
+	if asking || !t.MembershipStable(now) {
 		return often
 	}
-	return Seldom
+	return IdleInterval
 }
 
 // take is called on the wires' loop and only passes the note to a goroutine of the group. One that comes before the wires stand here is
 // lost, as on any net.
 func (t *Base) take(n message.Message) {
 	if !t.open.Load() || !t.Tasks.Do(func() { t.step(n) }) {
-		t.Dropped.Add(1)
+		t.DroppedMessages.Add(1)
 	}
 }
 
@@ -148,7 +148,7 @@
 			t.moved()
 		}
 	default:
-		if f := t.Steps[n.Kind&^15]; f != nil {
+		if f := t.MessageHandlers[n.Kind&^15]; f != nil {
 			f(now, n)
 		}
 	}
@@ -159,8 +159,8 @@
 	for _, n := range out.Messages {
 		t.Transport.Send(n)
 	}
-	if t.Later != nil && len(out.Writes)+len(out.AfterSync) > 0 {
-		t.Later(out)
+	if t.PersistEffects != nil && len(out.Writes)+len(out.AfterSync) > 0 {
+		t.PersistEffects(out)
 	} else {
 		for _, n := range out.AfterSync {
 			t.Transport.Send(n)
@@ -177,20 +177,20 @@
 	t.GossipMu.Lock()
 	l := t.Gossip.Refused(now, addr)
 	t.GossipMu.Unlock()
-	if len(l) > 0 && t.Refused != nil {
-		t.Refused(now, l)
+	if len(l) > 0 && t.OnPeersEnded != nil {
+		t.OnPeersEnded(now, l)
 	}
 }
 
-// Again takes a boot file that has changed: only the seeds may be others.
-func (t *Base) Again(b *boot.Boot) {
+// Reload takes a boot file that has changed: only the seeds may be others.
+func (t *Base) Reload(b *boot.Boot) {
 	t.GossipMu.Lock()
 	t.Gossip.Seeds(b.Seeds)
 	t.GossipMu.Unlock()
 }
 
-// Flag sets what this node says of itself.
-func (t *Base) Flag(f uint16, on bool) {
+// SetFlag sets what this node says of itself.
+func (t *Base) SetFlag(f uint16, on bool) {
 	t.GossipMu.Lock()
 	t.Gossip.Flag(f, on)
 	t.GossipMu.Unlock()
@@ -203,8 +203,8 @@
 	return t.Gossip.All()
 }
 
-// Goodbye tells the others and closes the wires.
-func (t *Base) Goodbye() {
+// Leave tells the others and closes the wires.
+func (t *Base) Leave() {
 	t.GossipMu.Lock()
 	out := t.Gossip.Leave()
 	t.GossipMu.Unlock()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -40,9 +40,9 @@
 // connectionsUnbounded is how many connections callers may hold where nobody said how many descriptors there are.
 const connectionsUnbounded = 65536
 
-// ConnectionsMost gives how many connections callers may hold: half of the descriptors. The rest is for other nodes, workers, the
+// MaxClientConnections gives how many connections callers may hold: half of the descriptors. The rest is for other nodes, workers, the
 // platform and files; without them a process would neither hear of changes nor reach a worker.
-func (t *Base) ConnectionsMost() int {
+func (t *Base) MaxClientConnections() int {
 	if t.Boot.Files == 0 {
 		return connectionsUnbounded
 	}
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -138,7 +138,7 @@
 	v.FeedMu.Unlock()
 	if ok {
 		v.ready.Store(true)
-		v.Flag(membership.Ready, !v.draining())
+		v.SetFlag(membership.Ready, !v.draining())
 		v.Log.Info("configuration confirmed up to date; serving")
 	}
 	v.Deliver(out)
@@ -147,7 +147,7 @@
 // markNotReady requires the updates to be confirmed again before requests are accepted.
 func (v *Router) markNotReady() {
 	v.ready.Store(false)
-	v.Flag(membership.Ready, false)
+	v.SetFlag(membership.Ready, false)
 	v.FeedMu.Lock()
 	clear(v.Feed.Vouch)
 	v.FeedMu.Unlock()
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -138,7 +138,7 @@
 	v := newTestRouter(t, a)
 	applyUpdates(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
 	for _, k := range []message.Kind{capacity.Ask, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
-		v.Steps[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
+		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.coordinatorMu.Lock()
 	kept := v.coordinator.Kept(v.Tasks.Now())
--- a/internal/router/connection_limit_test.go
+++ b/internal/router/connection_limit_test.go
@@ -19,7 +19,7 @@
 	const files = 8
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Files: files}
 	v := New(b, nil)
-	v.Woke = nil
+	v.OnResume = nil
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -84,8 +84,8 @@
 	now := v.Tasks.Now()
 	d := newDrainWindow(now, time.Duration(v.Boot.DrainMs)*time.Millisecond)
 	v.drainWindow.Store(d)
-	v.Flag(membership.Draining, true)
-	v.Flag(membership.Ready, false)
+	v.SetFlag(membership.Draining, true)
+	v.SetFlag(membership.Ready, false)
 	v.awaitIdle(d)
 	v.Close()
 }
@@ -121,5 +121,5 @@
 	if v.readinessServer != nil {
 		_ = v.readinessServer.ShutdownWithContext(ctx)
 	}
-	v.Goodbye()
+	v.Leave()
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -94,7 +94,7 @@
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, nil)
-	v.Woke = nil // a single router can't confirm its configuration again if the machine pauses for a second
+	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -87,7 +87,7 @@
 	fmt.Fprintf(ctx, "seamshunt_wire_bytes_total %d\n", v.Transport.Out.Load())
 	fmt.Fprintf(ctx, "seamshunt_in_flight %d\n", v.inFlight.Load())
 	fmt.Fprintf(ctx, "seamshunt_bad_frames_total %d\nseamshunt_bad_notes_total %d\n", v.Transport.Bad.Load(), v.Errors.Load())
-	fmt.Fprintf(ctx, "seamshunt_dropped_notes_total %d\n", v.Dropped.Load())
+	fmt.Fprintf(ctx, "seamshunt_dropped_notes_total %d\n", v.DroppedMessages.Load())
 	age := 0.0
 	if t := v.noControllerSince.Load(); t > 0 {
 		age = v.Tasks.Now().Sub(v.startedAt).Seconds() - (time.Duration(t) - time.Duration(v.startedAt)).Seconds()
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -110,7 +110,7 @@
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1, RetryRatio: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, platform.New("", "router"))
-	v.Woke = nil // a single router can't confirm its configuration again if the machine pauses for a second
+	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -73,7 +73,7 @@
 
 // New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md, section 11).
 func New(b *boot.Boot, clientAdapter *adapter.Adapter) *Router {
-	v := &Router{Base: node.New(b, node.Random(), membership.Router),
+	v := &Router{Base: node.New(b, node.RandomID(), membership.Router),
 		pendingAdmissions: map[uint64]chan timedVerdict{}, pendingClaims: map[uint64]chan codes.Code{}}
 	if v.Adapter = clientAdapter; clientAdapter != nil {
 		v.pool = upstream.NewPool(clientAdapter.Names)
@@ -84,12 +84,12 @@
 	v.claimant = idempotency.New(v.Self, v.Tasks.Now())
 	v.view = newClusterView()
 	v.view.peerWatch.Lax = clientAdapter != nil
-	v.nextTag.Store(uint64(node.Random()) >> 1)
-	v.Woke = v.onResume
-	v.Refused = v.onNodesRemoved
-	v.Moved = v.scheduleTick
-	v.Steps[message.KindCapacity] = v.stepCapacity
-	v.Steps[message.KindClaim] = func(now units.Time, msg message.Message) {
+	v.nextTag.Store(uint64(node.RandomID()) >> 1)
+	v.OnResume = v.onResume
+	v.OnPeersEnded = v.onNodesRemoved
+	v.OnChange = v.scheduleTick
+	v.MessageHandlers[message.KindCapacity] = v.stepCapacity
+	v.MessageHandlers[message.KindClaim] = func(now units.Time, msg message.Message) {
 		v.withClaimant(func() message.Effects { return v.claimant.Step(now, msg) })
 	}
 	return v
@@ -107,7 +107,7 @@
 	}
 	v.startedAt = v.Tasks.Now()
 	v.server = &fasthttp.Server{Handler: v.serve, Name: "router", MaxRequestBodySize: MaxBodyBytes, NoDefaultDate: true,
-		ReadTimeout: 30 * time.Second, Logger: discardLogger{}, ErrorHandler: v.malformed, Concurrency: v.ConnectionsMost()}
+		ReadTimeout: 30 * time.Second, Logger: discardLogger{}, ErrorHandler: v.malformed, Concurrency: v.MaxClientConnections()}
 	if v.Adapter != nil {
 		v.configureForAdapter()
 	}
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -29,10 +29,10 @@
 		v.tickClaimant(now) // an adapter's requests claim no keys
 	}
 	v.confirmUpToDate(now)
-	if busy || v.Adapter == nil || !v.ready.Load() || !v.Calm(now) {
+	if busy || v.Adapter == nil || !v.ready.Load() || !v.MembershipStable(now) {
 		return tickInterval
 	}
-	return node.Seldom
+	return node.IdleInterval
 }
 
 // tickInterval is the delay until the next tick while work is pending: waiting requests, coordinators that take over, changes of
