--- a/internal/config/keep.go
+++ b/internal/config/keep.go
@@ -16,17 +16,17 @@
 			if w.Service != "" && w.Service != s.Name {
 				continue
 			}
-			k := capacity.Worker{Zone: w.Zone, Cap: s.Cap, Bound: s.Waitlist, Warm: s.Warm, Start: start[w.ID],
-				Closed: w.Leaving || out[w.Zone], Adapt: s.Adapt, Floor: s.Floor, Aim: s.WaitAim, First: s.First,
-				Memory: int(s.Share * float64(s.Memory)), WarmRate: s.WarmRate, Lax: s.Lax}
-			if k.Cap == 0 {
-				k.Cap = max(1, w.Slots)
+			k := capacity.Worker{Zone: w.Zone, Capacity: s.Cap, MaxWaiting: s.Waitlist, WarmUp: s.Warm, StartedAt: start[w.ID],
+				Closed: w.Leaving || out[w.Zone], Adaptive: s.Adapt, MinCapacity: s.Floor, TargetWait: s.WaitAim, FirstTokenTime: s.First,
+				Memory: int(s.Share * float64(s.Memory)), WarmUpRate: s.WarmRate, QuickTakeover: s.Lax}
+			if k.Capacity == 0 {
+				k.Capacity = max(1, w.Slots)
 			}
-			if k.Bound == 0 {
-				k.Bound = 2 * k.Cap
+			if k.MaxWaiting == 0 {
+				k.MaxWaiting = 2 * k.Capacity
 			}
 			if s.WarmRate > 0 {
-				k.ColdTil = start[w.ID].Add(s.Warm)
+				k.WarmingUpUntil = start[w.ID].Add(s.Warm)
 			}
 			ws[s.Name+"/"+w.ID] = k
 		}
--- a/internal/config/words_test.go
+++ b/internal/config/words_test.go
@@ -95,8 +95,8 @@
 	ws := c.Keep(map[string][]Worker{"main": {{ID: "w", Slots: 12}, {ID: "x"}}, "side": {{ID: "w", Slots: 12}}, "rest": {{ID: "w", Slots: 5}}},
 		map[string]units.Time{}, nil)
 	for n, want := range map[string][2]int{"big/w": {12, 24}, "big/x": {1, 2}, "small/w": {8, 16}, "spare/w": {5, 9}} {
-		if w := ws[n]; w.Cap != want[0] || w.Bound != want[1] {
-			t.Errorf("%s: cap %d, waitlist %d, want %v", n, w.Cap, w.Bound, want)
+		if w := ws[n]; w.Capacity != want[0] || w.MaxWaiting != want[1] {
+			t.Errorf("%s: cap %d, waitlist %d, want %v", n, w.Capacity, w.MaxWaiting, want)
 		}
 	}
 }
--- a/internal/hollow/load.go
+++ b/internal/hollow/load.go
@@ -126,8 +126,8 @@
 	s := v.config.Services[fmt.Sprintf("m%02d", w.rng.IntN(w.Models))]
 	cands, keepers := v.cands(now, s, units.Mix("prefix", fmt.Sprint(w.rng.IntN(prefixes))))
 	v.tag++
-	out := v.queue.Arrive(now, admission.Request{Tag: v.tag, Policy: s.Allow, Cands: cands, Tries: s.Spread + 4, Until: now.Add(deadline), First: s.First,
-		Keeper: func(n string) units.Node { return keepers[n] }})
+	out := v.queue.Submit(now, admission.Request{Tag: v.tag, Policy: s.Allow, Candidates: cands, MaxCandidates: s.Spread + 4, Deadline: now.Add(deadline), FirstTokenTime: s.First,
+		Coordinator: func(n string) units.Node { return keepers[n] }})
 	v.tell()
 	return out
 }
@@ -142,7 +142,7 @@
 // tell takes the queue's verdicts and the claimant's results.
 func (v *router) tell() {
 	w, life := v.n.w, v.n.life
-	for _, x := range v.queue.Verdicts {
+	for _, x := range v.queue.Decisions {
 		w.Verdicts[x.Code]++
 		if x.Code != codes.OK {
 			continue
@@ -154,7 +154,7 @@
 			}
 		})
 	}
-	v.queue.Verdicts = v.queue.Verdicts[:0]
+	v.queue.Decisions = v.queue.Decisions[:0]
 	for _, r := range v.claimant.Results {
 		w.Claimed[r.Code]++
 	}
--- a/internal/hollow/vane.go
+++ b/internal/hollow/vane.go
@@ -29,7 +29,7 @@
 	voters   register.QuorumSet
 	queue    *admission.Queue
 	ledger   *capacity.Ledger
-	watch    *capacity.Watch
+	watch    *capacity.RouterTracker
 	claimant *idempotency.Claimant
 	placer   placement.Placer
 	peers    []capacity.Peer
@@ -40,17 +40,17 @@
 
 func newRouter(n *node) *router {
 	return &router{n: n, pools: map[string][]config.Worker{}, out: map[string]bool{}, sky: discovery.New(), queue: admission.New(n.self),
-		ledger: capacity.New(n.self), watch: capacity.NewWatch(), claimant: idempotency.New(n.self, n.w.Now), began: n.w.Now, tag: n.w.rng.Uint64() >> 1}
+		ledger: capacity.New(n.self), watch: capacity.NewRouterTracker(), claimant: idempotency.New(n.self, n.w.Now), began: n.w.Now, tag: n.w.rng.Uint64() >> 1}
 }
 
 func (v *router) step(now units.Time, n message.Message) (out message.Effects) {
 	switch n.Kind &^ 15 {
 	case message.KindCapacity:
-		if n.Kind != capacity.Ask && n.Kind != capacity.Return && n.Kind != capacity.Report {
+		if n.Kind != capacity.Acquire && n.Kind != capacity.Release && n.Kind != capacity.Report {
 			out = v.queue.Step(now, n)
 			v.tell()
 		}
-		if n.Kind == capacity.Ask || n.Kind == capacity.Return || n.Kind == capacity.Report || n.Kind == capacity.ReportAsk {
+		if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
 			out.Join(v.ledger.Step(now, n))
 		}
 	case message.KindClaim:
@@ -62,8 +62,8 @@
 
 func (v *router) gone(now units.Time, l []units.Node) {
 	for _, n := range l {
-		v.ledger.Gone(now, n)
-		v.watch.Void(now, n)
+		v.ledger.ProcessEnded(now, n)
+		v.watch.ProcessEnded(now, n)
 	}
 	v.fresh = true
 }
@@ -101,7 +101,7 @@
 		v.news(now, it)
 	}
 	v.fresh = v.fresh || len(fresh) > 0
-	peers, silent := v.watch.See(now, v.n.membership.All())
+	peers, silent := v.watch.Update(now, v.n.membership.All())
 	v.fresh = v.fresh || silent
 	if !v.fresh && slices.Equal(peers, v.peers) {
 		return
@@ -110,8 +110,8 @@
 	if v.config == nil {
 		return
 	}
-	v.ledger.Workers(v.config.Keep(v.pools, v.sky.Start(), v.out))
-	v.ledger.View(peers, v.watch.Holds(v.config.Longest(false)))
+	v.ledger.SetWorkers(v.config.Keep(v.pools, v.sky.Start(), v.out))
+	v.ledger.SetRouters(peers, v.watch.RunDeadlines(v.config.Longest(false)))
 }
 
 func (v *router) news(now units.Time, it configpush.Item) {
@@ -148,19 +148,19 @@
 
 // cands is the daemon's own search for a prompt's workers and their keepers.
 func (v *router) cands(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.Node) {
-	q := placement.Query{Prefix: prefix, Zone: v.n.zone, Spread: s.Spread}
+	q := placement.Query{Prefix: prefix, Zone: v.n.zone, PreferredCount: s.Spread}
 	keepers := map[string]units.Node{}
 	for _, x := range v.pools[s.Pool] {
 		name := s.Name + "/" + x.ID
 		if x.Leaving || v.out[x.Zone] || x.Service != "" && x.Service != s.Name {
 			continue
 		}
-		keepers[name] = capacity.Keeper(v.peers, name, x.Zone)
-		spot := placement.Spot{Name: name, Zone: x.Zone}
-		if l, ok := v.queue.Loads[name]; ok && now.Sub(l.At) < 2*time.Second {
-			spot.Load = float64(l.Lent+l.Wait) / float64(l.Cap)
+		keepers[name] = capacity.Coordinator(v.peers, name, x.Zone)
+		spot := placement.Candidate{Name: name, Zone: x.Zone}
+		if l, ok := v.queue.Loads[name]; ok && now.Sub(l.UpdatedAt) < 2*time.Second {
+			spot.Load = float64(l.InUse+l.Waiting) / float64(l.Capacity)
 		}
-		q.Spots = append(q.Spots, spot)
+		q.Candidates = append(q.Candidates, spot)
 	}
-	return v.placer.Order(s.Place, q), keepers
+	return v.placer.Rank(s.Place, q), keepers
 }
--- a/internal/rig/simulator/edge.go
+++ b/internal/rig/simulator/edge.go
@@ -33,13 +33,13 @@
 	voters   register.QuorumSet
 	queue    *admission.Queue
 	ledger   *capacity.Ledger
-	watch    *capacity.Watch
+	watch    *capacity.RouterTracker
 	claimant *idempotency.Claimant
 	claims   map[uint64]func(codes.Code, bool)
 	placer   placement.Placer
 	peers    []capacity.Peer
 	began    units.Time
-	verdict  map[uint64]func(admission.Verdict)
+	verdict  map[uint64]func(admission.Decision)
 	tag      uint64
 	Drain    bool
 }
@@ -49,16 +49,16 @@
 	return s.Add(addr, zone, nil, func(h *Host) *Proc {
 		self := units.Node(s.Rng.Uint64() | 1)
 		e := &Edge{common: s.common(h, self, membership.Router, seeds), H: h, Pools: map[string][]config.Worker{}, Out: map[string]bool{},
-			sky: discovery.New(), queue: admission.New(self), ledger: capacity.New(self), watch: capacity.NewWatch(), claimant: idempotency.New(self, s.Now), claims: map[uint64]func(codes.Code, bool){}, began: s.Now,
-			verdict: map[uint64]func(admission.Verdict){}, tag: s.Rng.Uint64() >> 8}
+			sky: discovery.New(), queue: admission.New(self), ledger: capacity.New(self), watch: capacity.NewRouterTracker(), claimant: idempotency.New(self, s.Now), claims: map[uint64]func(codes.Code, bool){}, began: s.Now,
+			verdict: map[uint64]func(admission.Decision){}, tag: s.Rng.Uint64() >> 8}
 		e.Proc = &Proc{Self: self, Step: e.step, Tick: e.tick, Woke: func(now units.Time) {
 			e.unready()
-			e.queue.Woke(now)
+			e.queue.ProcessResumed(now)
 			e.ledger = capacity.New(self)
 		}, Refused: func(now units.Time, a string) {
 			for _, n := range e.gossip.Refused(now, a) {
-				e.ledger.Gone(now, n)
-				e.watch.Void(now, n)
+				e.ledger.ProcessEnded(now, n)
+				e.watch.ProcessEnded(now, n)
 			}
 		}}
 		edges[h] = e
@@ -79,10 +79,10 @@
 	case message.KindConfigPush:
 		return e.feed.Step(now, n)
 	case message.KindCapacity:
-		if n.Kind != capacity.Ask && n.Kind != capacity.Return && n.Kind != capacity.Report {
+		if n.Kind != capacity.Acquire && n.Kind != capacity.Release && n.Kind != capacity.Report {
 			out = e.queue.Step(now, n)
 		}
-		if n.Kind == capacity.Ask || n.Kind == capacity.Return || n.Kind == capacity.Report || n.Kind == capacity.ReportAsk {
+		if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
 			out.Join(e.ledger.Step(now, n))
 		}
 		e.tell()
@@ -94,8 +94,8 @@
 }
 
 func (e *Edge) tell() {
-	l := e.queue.Verdicts
-	e.queue.Verdicts = nil
+	l := e.queue.Decisions
+	e.queue.Decisions = nil
 	for _, v := range l {
 		if f := e.verdict[v.Tag]; f != nil {
 			delete(e.verdict, v.Tag)
@@ -120,11 +120,11 @@
 	for _, it := range fresh {
 		e.news(now, it)
 	}
-	peers, _ := e.watch.See(now, all)
+	peers, _ := e.watch.Update(now, all)
 	e.peers = peers
 	if e.Config != nil {
-		e.ledger.Workers(e.Config.Keep(e.Pools, e.sky.Start(), e.Out))
-		e.ledger.View(peers, e.watch.Holds(e.Config.Longest(false)))
+		e.ledger.SetWorkers(e.Config.Keep(e.Pools, e.sky.Start(), e.Out))
+		e.ledger.SetRouters(peers, e.watch.RunDeadlines(e.Config.Longest(false)))
 	}
 	var others []units.Node
 	for _, m := range all {
--- a/internal/rig/simulator/judge.go
+++ b/internal/rig/simulator/judge.go
@@ -74,7 +74,7 @@
 		if !w.alive(h) {
 			continue
 		}
-		for _, k := range w.edges[h].ledger.Kept(w.Now) {
+		for _, k := range w.edges[h].ledger.Status(w.Now) {
 			open[k.Worker] = open[k.Worker] || k.Open
 		}
 	}
--- a/internal/rig/simulator/load.go
+++ b/internal/rig/simulator/load.go
@@ -127,7 +127,7 @@
 
 func (w *World) admit(e *Edge, until units.Time, topic int, key string) {
 	s := e.Config.Services["advice"]
-	q := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(topic)), Zone: e.H.Zone, Spread: s.Spread}
+	q := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(topic)), Zone: e.H.Zone, PreferredCount: s.Spread}
 	keepers := map[string]units.Node{}
 	for _, x := range e.Pools[s.Pool] {
 		name := s.Name + "/" + x.ID
@@ -135,22 +135,22 @@
 			continue
 		}
 		load := 0.0
-		if l, ok := e.queue.Loads[name]; ok && w.Now.Sub(l.At) < 2*time.Second {
-			load = float64(l.Lent+l.Wait) / float64(l.Cap)
+		if l, ok := e.queue.Loads[name]; ok && w.Now.Sub(l.UpdatedAt) < 2*time.Second {
+			load = float64(l.InUse+l.Waiting) / float64(l.Capacity)
 		}
-		q.Spots = append(q.Spots, placement.Spot{Name: name, Zone: x.Zone, Load: load})
-		keepers[name] = capacity.Keeper(e.peers, name, x.Zone)
+		q.Candidates = append(q.Candidates, placement.Candidate{Name: name, Zone: x.Zone, Load: load})
+		keepers[name] = capacity.Coordinator(e.peers, name, x.Zone)
 	}
 	e.tag++
 	tag := e.tag
-	e.verdict[tag] = func(v admission.Verdict) { w.verdict(e, tag, until, key, v) }
-	out := e.queue.Arrive(w.Now, admission.Request{Tag: tag, Policy: s.Allow, Cands: e.placer.Order(s.Place, q), Tries: s.Spread + 4, Until: until,
-		First: s.First, Keeper: func(n string) units.Node { return keepers[n] }})
+	e.verdict[tag] = func(v admission.Decision) { w.verdict(e, tag, until, key, v) }
+	out := e.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: s.Allow, Candidates: e.placer.Rank(s.Place, q), MaxCandidates: s.Spread + 4, Deadline: until,
+		FirstTokenTime: s.First, Coordinator: func(n string) units.Node { return keepers[n] }})
 	e.tell()
 	w.out(e.H, out)
 }
 
-func (w *World) verdict(e *Edge, tag uint64, until units.Time, key string, v admission.Verdict) {
+func (w *World) verdict(e *Edge, tag uint64, until units.Time, key string, v admission.Decision) {
 	if v.Code != codes.OK {
 		w.notRun(e, key)
 		return
--- a/internal/rig/simulator/mishap.go
+++ b/internal/rig/simulator/mishap.go
@@ -130,7 +130,7 @@
 		if h.life != life {
 			return
 		}
-		if len(e.queue.Flight)+e.queue.Waiting() > 0 && w.Now < end {
+		if len(e.queue.InFlight)+e.queue.Pending() > 0 && w.Now < end {
 			w.After(50*time.Millisecond, look)
 			return
 		}
--- a/internal/rig/simulator/orders_test.go
+++ b/internal/rig/simulator/orders_test.go
@@ -147,39 +147,39 @@
 	n := orders(6, func(choose func(int) int) {
 		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
 		peers := []capacity.Peer{{Node: 1, Zone: "z"}, {Node: 2, Zone: "z"}}
-		w := map[string]capacity.Worker{"s/w": {Zone: "z", Cap: 1, Bound: 2}}
+		w := map[string]capacity.Worker{"s/w": {Zone: "z", Capacity: 1, MaxWaiting: 2}}
 		desks, keeps := map[units.Node]*admission.Queue{}, map[units.Node]*capacity.Ledger{}
 		for _, x := range []units.Node{1, 2} {
 			d, g := admission.New(x), capacity.New(x)
 			desks[x], keeps[x] = d, g
 			b.step[x] = func(k message.Message) (out message.Effects) {
-				if k.Kind != capacity.Ask && k.Kind != capacity.Return && k.Kind != capacity.Report {
+				if k.Kind != capacity.Acquire && k.Kind != capacity.Release && k.Kind != capacity.Report {
 					out = d.Step(0, k)
 				}
-				if k.Kind == capacity.Ask || k.Kind == capacity.Return || k.Kind == capacity.Report || k.Kind == capacity.ReportAsk {
+				if k.Kind == capacity.Acquire || k.Kind == capacity.Release || k.Kind == capacity.Report || k.Kind == capacity.ReportRequest {
 					out.Join(g.Step(0, k))
 				}
 				return out
 			}
 		}
-		keeper := capacity.Keeper(peers, "s/w", "z")
+		keeper := capacity.Coordinator(peers, "s/w", "z")
 		other := 3 - keeper
-		keeps[keeper].Workers(w)
-		keeps[keeper].View(peers, nil)
+		keeps[keeper].SetWorkers(w)
+		keeps[keeper].SetRouters(peers, nil)
 		b.put(keeper, keeps[keeper].Tick(0))
 		b.run(func(int) int { return 0 }, func() {})
 		ask := func(x, of units.Node) {
-			b.put(x, desks[x].Arrive(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Cands: []string{"s/w"}, Tries: 1, Until: units.Time(time.Minute),
-				Keeper: func(string) units.Node { return of }}))
+			b.put(x, desks[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
+				Coordinator: func(string) units.Node { return of }}))
 		}
 		ask(1, keeper)
 		ask(2, keeper)
 		// The other takes the worker over while the asks are on their way.
-		keeps[other].Workers(w)
-		keeps[other].View(peers, nil)
-		b.put(other, keeps[other].Take(0, "s/w"))
+		keeps[other].SetWorkers(w)
+		keeps[other].SetRouters(peers, nil)
+		b.put(other, keeps[other].TakeOver(0, "s/w"))
 		b.run(choose, func() {
-			if k := desks[1].Flight["s/w"] + desks[2].Flight["s/w"]; k > 1 {
+			if k := desks[1].InFlight["s/w"] + desks[2].InFlight["s/w"]; k > 1 {
 				t.Fatalf("%d in flight, cap 1", k)
 			} else {
 				most = max(most, k)
--- a/internal/rig/simulator/play.go
+++ b/internal/rig/simulator/play.go
@@ -165,10 +165,10 @@
 			name := "advice/" + l.ID
 			e.tag++
 			tags[name] = e.tag
-			e.verdict[e.tag] = func(v admission.Verdict) { got[name] = v.Code }
+			e.verdict[e.tag] = func(v admission.Decision) { got[name] = v.Code }
 			w.Inject(h, func(now units.Time) message.Effects {
-				return e.queue.Arrive(now, admission.Request{Tag: e.tag, Policy: "knee", Cands: []string{name}, Tries: 1, Until: now.Add(4 * time.Second),
-					Keeper: func(string) units.Node { return capacity.Keeper(e.peers, name, l.Zone) }})
+				return e.queue.Submit(now, admission.Request{Tag: e.tag, Policy: "knee", Candidates: []string{name}, MaxCandidates: 1, Deadline: now.Add(4 * time.Second),
+					Coordinator: func(string) units.Node { return capacity.Coordinator(e.peers, name, l.Zone) }})
 			})
 		}
 		w.Run(w.Now.Add(600 * time.Millisecond))
--- a/internal/router/adapter.go
+++ b/internal/router/adapter.go
@@ -25,7 +25,7 @@
 	server.CloseOnShutdown = true
 	server.DisablePreParseMultipartForm = true
 	server.ReduceMemoryUsage = true
-	v.Tasks.Every(time.Second, func(units.Time) { v.pool.Sweep() })
+	v.Tasks.Every(time.Second, func(units.Time) { v.pool.CloseExpired() })
 }
 
 // acceptableRequest reports whether a request may be relayed. Requests whose end two parsers could see at different places
--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -28,40 +28,40 @@
 	waits   = 3                      // how many waitlists one prompt may try
 )
 
-// Verdict is what becomes of a prompt.
-type Verdict struct {
-	Tag    uint64
-	Worker string // set when it goes in
-	Code   codes.Code
-	Due    time.Duration // when refused: how long the shortest waitlist seen would take
+// Decision is what becomes of a prompt.
+type Decision struct {
+	Tag          uint64
+	Worker       string // set when it goes in
+	Code         codes.Code
+	ExpectedWait time.Duration // when refused: how long the shortest waitlist seen would take
 }
 
 // Load is what was last heard of a worker.
 type Load struct {
-	Lent, Cap, Wait int
-	Reads           time.Duration // how long it still reads what it was sent
-	At              units.Time
+	InUse, Capacity, Waiting int
+	PrefillBacklog           time.Duration // how long it still reads what it was sent
+	UpdatedAt                units.Time
 }
 
 // Queue is the step machine.
 type Queue struct {
-	self     units.Node
-	reqs     map[uint64]*Request
-	Flight   map[string]int // this node's own prompts in flight, per worker
-	loyal    map[string]units.Node
-	mute     map[units.Node]units.Time // keepers that said nothing, till when they are asked last
-	sent     map[string][]units.Time   // what went to a worker in the last second
-	Loads    map[string]Load
-	Verdicts []Verdict
+	self      units.Node
+	reqs      map[uint64]*Request
+	InFlight  map[string]int // this node's own prompts in flight, per worker
+	loyal     map[string]units.Node
+	mute      map[units.Node]units.Time // keepers that said nothing, till when they are asked last
+	sent      map[string][]units.Time   // what went to a worker in the last second
+	Loads     map[string]Load
+	Decisions []Decision
 }
 
 // New gives an empty one.
 func New(self units.Node) *Queue {
-	return &Queue{self: self, reqs: map[uint64]*Request{}, Flight: map[string]int{}, loyal: map[string]units.Node{}, mute: map[units.Node]units.Time{}, sent: map[string][]units.Time{}, Loads: map[string]Load{}}
+	return &Queue{self: self, reqs: map[uint64]*Request{}, InFlight: map[string]int{}, loyal: map[string]units.Node{}, mute: map[units.Node]units.Time{}, sent: map[string][]units.Time{}, Loads: map[string]Load{}}
 }
 
-// Arrive takes a prompt in at the door.
-func (h *Queue) Arrive(now units.Time, r Request) (out message.Effects) {
+// Submit takes a prompt in at the door.
+func (h *Queue) Submit(now units.Time, r Request) (out message.Effects) {
 	h.reqs[r.Tag] = &r
 	Policies[r.Policy](h, now, &r, &out)
 	return out
@@ -69,22 +69,22 @@
 
 // open lets everything in at the first worker.
 func (h *Queue) open(now units.Time, r *Request, out *message.Effects) {
-	if len(r.Cands) == 0 {
+	if len(r.Candidates) == 0 {
 		h.shed(r, codes.NoWorker)
 		return
 	}
-	r.worker = r.Cands[0]
+	r.worker = r.Candidates[0]
 	h.enter(now, r)
 }
 
 // knee asks the candidates' keepers for a free slot in turn, then waits where the wait is shortest.
 func (h *Queue) knee(now units.Time, r *Request, out *message.Effects) {
-	for r.next < len(r.Cands) && r.next < r.Tries {
-		r.worker = r.Cands[r.next]
+	for r.next < len(r.Candidates) && r.next < r.MaxCandidates {
+		r.worker = r.Candidates[r.next]
 		r.next++
-		r.keeper = r.Keeper(r.worker)
-		if now < h.mute[r.keeper] && r.next < len(r.Cands) {
-			r.Tries++ // the next one is asked in its place
+		r.keeper = r.Coordinator(r.worker)
+		if now < h.mute[r.keeper] && r.next < len(r.Candidates) {
+			r.MaxCandidates++ // the next one is asked in its place
 			continue
 		}
 		if r.keeper != 0 {
@@ -109,60 +109,60 @@
 	}
 	o := r.opts[best]
 	r.opts = append(r.opts[:best:best], r.opts[best+1:]...)
-	if now.Add(o.due+r.First) > r.Until {
-		r.why = capacity.Late
+	if now.Add(o.due+r.FirstTokenTime) > r.Deadline {
+		r.why = capacity.ReasonTooLate
 		h.shed(r, codes.WaitLate)
 		return
 	}
 	r.tried++
-	r.worker, r.keeper = o.name, r.Keeper(o.name)
+	r.worker, r.keeper = o.name, r.Coordinator(o.name)
 	r.stage = waiting
 	h.ask(now, r, true, out)
 }
 
 func why(reason uint8) codes.Code {
 	switch reason {
-	case capacity.Full, capacity.Busy:
+	case capacity.ReasonQueueFull, capacity.ReasonBusy:
 		return codes.WaitFull
-	case capacity.Late:
+	case capacity.ReasonTooLate:
 		return codes.WaitLate
 	}
 	return codes.NoWorker
 }
 
 func (h *Queue) ask(now units.Time, r *Request, wait bool, out *message.Effects) {
-	a := capacity.Head{Tag: r.Tag, Left: uint32(units.ToMillis(r.Until.Sub(now))), Worth: r.Worth, Mem: r.Mem, Urgent: r.Urge, Soon: uint32(units.ToMillis(r.Soon))}
-	a.Read = micros(r.Read)
+	a := capacity.Header{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), Worth: r.Worth, MemoryTokens: r.MemoryTokens, Priority: r.Priority, MaxFirstTokenTime: uint32(units.ToMillis(r.MaxFirstTokenTime))}
+	a.PrefillTime = micros(r.PrefillTime)
 	if !r.home(r.worker) {
-		a.Read = micros(r.Full)
+		a.PrefillTime = micros(r.FullPrefillTime)
 	}
 	if wait {
 		a.Wait = 1
 	}
 	if k, ok := h.loyal[r.worker]; ok && k != r.keeper {
-		a.Reason = capacity.NotKeeper
+		a.Reason = capacity.ReasonNotCoordinator
 	}
 	r.sent = now
 	r.heard = now
-	out.Send(r.keeper, capacity.Ask, capacity.Pack(a, r.worker))
+	out.Send(r.keeper, capacity.Acquire, capacity.Pack(a, r.worker))
 }
 
 func micros(d time.Duration) uint32 { return uint32(min(max(0, d/time.Microsecond), 1<<32-1)) }
 
 func (h *Queue) enter(now units.Time, r *Request) {
 	r.stage = held
-	h.Flight[r.worker]++
+	h.InFlight[r.worker]++
 	h.sent[r.worker] = append(h.lately(now, r.worker), now)
-	h.Verdicts = append(h.Verdicts, Verdict{Tag: r.Tag, Worker: r.worker, Code: codes.OK})
+	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: codes.OK})
 }
 
 func (h *Queue) shed(r *Request, c codes.Code) {
 	delete(h.reqs, r.Tag)
-	h.Verdicts = append(h.Verdicts, Verdict{Tag: r.Tag, Code: c, Due: r.due})
+	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.due})
 }
 
-// Words notes how long a prompt's first words took; the keeper learns of it with the slot's return.
-func (h *Queue) Words(tag uint64, took time.Duration) {
+// RecordFirstToken notes how long a prompt's first words took; the keeper learns of it with the slot's return.
+func (h *Queue) RecordFirstToken(tag uint64, took time.Duration) {
 	if r := h.reqs[tag]; r != nil {
 		r.words = took
 	}
@@ -178,7 +178,7 @@
 	if r.stage == held {
 		h.leave(r)
 	}
-	b := capacity.Head{Tag: tag, Read: micros(r.words)}
+	b := capacity.Header{Tag: tag, PrefillTime: micros(r.words)}
 	if unsure && r.stage == held {
 		r.stage = ghost
 		b.Wait = 1
@@ -186,15 +186,15 @@
 		delete(h.reqs, tag)
 	}
 	if r.keeper != 0 {
-		out.Send(h.keeper(r), capacity.Return, capacity.Pack(b, r.worker))
+		out.Send(h.keeper(r), capacity.Release, capacity.Pack(b, r.worker))
 	}
 	return out
 }
 
-// Cut is Done for a run whose wire this node broke off: its slot comes back once the worker had time to notice.
-func (h *Queue) Cut(now units.Time, tag uint64) (out message.Effects) {
+// Abort is Done for a run whose wire this node broke off: its slot comes back once the worker had time to notice.
+func (h *Queue) Abort(now units.Time, tag uint64) (out message.Effects) {
 	if r := h.reqs[tag]; r != nil && r.stage == held {
-		r.Until = now.Add(notice - grace)
+		r.Deadline = now.Add(notice - grace)
 		h.leave(r)
 		r.stage = ghost
 		return out
@@ -203,8 +203,8 @@
 }
 
 func (h *Queue) leave(r *Request) {
-	if h.Flight[r.worker]--; h.Flight[r.worker] <= 0 {
-		delete(h.Flight, r.worker)
+	if h.InFlight[r.worker]--; h.InFlight[r.worker] <= 0 {
+		delete(h.InFlight, r.worker)
 	}
 }
 
--- a/internal/router/admission/request.go
+++ b/internal/router/admission/request.go
@@ -24,22 +24,22 @@
 
 // Request is one prompt at the door of one service.
 type Request struct {
-	Tag    uint64
-	Policy string
-	Cands  []string // workers, best first
-	Tries  int      // how many of them may be asked for a free slot
-	Until  units.Time
-	First  time.Duration
-	Worth  uint16 // of its promise
-	Keeper func(worker string) units.Node
-
-	Homes int           // the first so many of Cands hold the shared parts of its prompt
-	Read  time.Duration // what reading its prompt takes a home
-	Full  time.Duration // and any other worker
-	Urge  uint8         // its urgency at the worker
-	Mem   uint32        // tokens of memory that its run needs
-	Soon  time.Duration // a worker whose first words come later than this is passed by while others are free; 0: none is
-	Away  time.Duration // how much sooner another worker than a home must be
+	Tag            uint64
+	Policy         string
+	Candidates     []string // workers, best first
+	MaxCandidates  int      // how many of them may be asked for a free slot
+	Deadline       units.Time
+	FirstTokenTime time.Duration
+	Worth          uint16 // of its promise
+	Coordinator    func(worker string) units.Node
+
+	PreferredCount      int           // the first so many of Cands hold the shared parts of its prompt
+	PrefillTime         time.Duration // what reading its prompt takes a home
+	FullPrefillTime     time.Duration // and any other worker
+	Priority            uint8         // its urgency at the worker
+	MemoryTokens        uint32        // tokens of memory that its run needs
+	MaxFirstTokenTime   time.Duration // a worker whose first words come later than this is passed by while others are free; 0: none is
+	NonPreferredPenalty time.Duration // how much sooner another worker than a home must be
 
 	stage  stage
 	worker string
@@ -56,5 +56,5 @@
 
 // home says whether a worker holds the shared parts of the prompt.
 func (r *Request) home(worker string) bool {
-	return slices.Contains(r.Cands[:min(r.Homes, len(r.Cands))], worker)
+	return slices.Contains(r.Candidates[:min(r.PreferredCount, len(r.Candidates))], worker)
 }
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -18,23 +18,23 @@
 			if now.Sub(r.sent) >= silent {
 				h.drop(r, &out)
 				h.mute[r.keeper] = now.Add(muteFor)
-				h.refused(now, r, capacity.Silent, 0, &out)
+				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
 			}
 		case waiting:
 			switch {
-			case now.Add(r.First) > r.Until:
+			case now.Add(r.FirstTokenTime) > r.Deadline:
 				h.drop(r, &out)
 				h.shed(r, codes.WaitLate)
 			case now.Sub(r.heard) >= lostAt:
 				h.drop(r, &out)
-				h.refused(now, r, capacity.Silent, 0, &out)
+				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
 			case now.Sub(r.sent) >= again:
 				heard := r.heard
 				h.ask(now, r, true, &out)
 				r.heard = heard
 			}
 		case ghost:
-			if now > r.Until.Add(grace) {
+			if now > r.Deadline.Add(grace) {
 				h.drop(r, &out)
 				delete(h.reqs, r.Tag)
 			}
@@ -64,23 +64,23 @@
 		to = h.keeper(r)
 	}
 	if to != 0 {
-		out.Send(to, capacity.Return, capacity.Pack(capacity.Head{Tag: r.Tag}, r.worker))
+		out.Send(to, capacity.Release, capacity.Pack(capacity.Header{Tag: r.Tag}, r.worker))
 	}
 }
 
 // refused takes a keeper's no, or its silence, and goes on to the next worker.
 func (h *Queue) refused(now units.Time, r *Request, reason uint8, due time.Duration, out *message.Effects) {
-	if r.why == 0 || reason == capacity.Full || reason == capacity.Late && r.why != capacity.Full {
+	if r.why == 0 || reason == capacity.ReasonQueueFull || reason == capacity.ReasonTooLate && r.why != capacity.ReasonQueueFull {
 		r.why = reason
 	}
 	if due > 0 && (r.due == 0 || due < r.due) {
 		r.due = due
 	}
 	if r.stage == asking {
-		if reason == capacity.Busy {
+		if reason == capacity.ReasonBusy {
 			o := option{name: r.worker, due: due}
 			if !r.home(r.worker) {
-				o.away = r.Away
+				o.away = r.NonPreferredPenalty
 			}
 			r.opts = append(r.opts, o)
 		}
@@ -97,7 +97,7 @@
 		out.Fail(err)
 		for _, x := range l {
 			if h.reqs[x.Tag] == nil {
-				out.Send(n.From, capacity.Return, capacity.Pack(capacity.Head{Tag: x.Tag}, name))
+				out.Send(n.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
 			}
 		}
 		return out
@@ -108,45 +108,45 @@
 		out.Fail(err)
 		return out
 	}
-	if n.Kind == capacity.ReportAsk {
+	if n.Kind == capacity.ReportRequest {
 		h.report(now, n.From, name, &out)
 		return out
 	}
-	if b.Cap > 0 {
-		h.Loads[name] = Load{Lent: int(b.Lent), Cap: int(b.Cap), Wait: int(b.Wait), Reads: time.Duration(b.Read) * time.Microsecond, At: now}
+	if b.Capacity > 0 {
+		h.Loads[name] = Load{InUse: int(b.InUse), Capacity: int(b.Capacity), Waiting: int(b.Wait), PrefillBacklog: time.Duration(b.PrefillTime) * time.Microsecond, UpdatedAt: now}
 	}
 	r := h.reqs[b.Tag]
 	mine := r != nil && r.stage <= waiting && r.worker == name && r.keeper == n.From
 	switch n.Kind {
 	case capacity.Grant:
 		h.granted(now, n.From, r, mine, b, name, &out)
-	case capacity.No:
+	case capacity.Refusal:
 		if mine {
-			h.refused(now, r, b.Reason, units.Millis(b.Left).Span(), &out)
+			h.refused(now, r, b.Reason, units.Millis(b.TimeLeft).Span(), &out)
 		}
-	case capacity.Waiting:
+	case capacity.Queued:
 		if mine {
 			r.heard = now
-			r.due = units.Millis(b.Left).Span()
+			r.due = units.Millis(b.TimeLeft).Span()
 		}
 	}
 	return out
 }
 
-func (h *Queue) granted(now units.Time, from units.Node, r *Request, mine bool, b capacity.Head, name string, out *message.Effects) {
+func (h *Queue) granted(now units.Time, from units.Node, r *Request, mine bool, b capacity.Header, name string, out *message.Effects) {
 	if r != nil && r.stage >= held && r.worker == name {
 		return // the same grant again
 	}
-	back := capacity.Pack(capacity.Head{Tag: b.Tag}, name)
+	back := capacity.Pack(capacity.Header{Tag: b.Tag}, name)
 	if k, ok := h.loyal[name]; !mine || ok && k != from {
-		out.Send(from, capacity.Return, back)
+		out.Send(from, capacity.Release, back)
 		if mine {
-			h.refused(now, r, capacity.NotKeeper, 0, out)
+			h.refused(now, r, capacity.ReasonNotCoordinator, 0, out)
 		}
 		return
 	}
-	if now.Add(r.First) > r.Until {
-		out.Send(from, capacity.Return, back)
+	if now.Add(r.FirstTokenTime) > r.Deadline {
+		out.Send(from, capacity.Release, back)
 		h.shed(r, codes.WaitLate)
 		return
 	}
@@ -156,10 +156,10 @@
 // report tells a new keeper all that is held of a worker; from then on only its grants count (design 6).
 func (h *Queue) report(now units.Time, from units.Node, name string, out *message.Effects) {
 	h.loyal[name] = from
-	var l []capacity.Held
+	var l []capacity.HeldPermit
 	for _, r := range h.sorted() {
 		if r.worker == name && r.stage >= held && r.keeper != 0 {
-			l = append(l, capacity.Held{Tag: r.Tag, Left: uint32(units.ToMillis(r.Until.Sub(now))), Mem: r.Mem})
+			l = append(l, capacity.HeldPermit{Tag: r.Tag, TimeLeft: uint32(units.ToMillis(r.Deadline.Sub(now))), MemoryTokens: r.MemoryTokens})
 		}
 	}
 	out.Send(from, capacity.Report, capacity.PackReport(name, l, len(h.lately(now, name))))
@@ -175,8 +175,8 @@
 	return l
 }
 
-// Waiting counts the prompts that are not in yet.
-func (h *Queue) Waiting() int {
+// Pending counts the prompts that are not in yet.
+func (h *Queue) Pending() int {
 	k := 0
 	for _, r := range h.reqs {
 		if r.stage <= waiting {
@@ -186,8 +186,8 @@
 	return k
 }
 
-// Woke distrusts every permit after a freeze: what ran out is gone, and what waits asks anew (design 6).
-func (h *Queue) Woke(now units.Time) {
+// ProcessResumed distrusts every permit after a freeze: what ran out is gone, and what waits asks anew (design 6).
+func (h *Queue) ProcessResumed(now units.Time) {
 	for _, r := range h.reqs {
 		if r.stage <= waiting {
 			r.sent = now.Add(-lostAt)
--- a/internal/router/cancellation.go
+++ b/internal/router/cancellation.go
@@ -10,10 +10,10 @@
 
 // cancellationCode returns the code for the reason that a request is cancelled, or 0 if it is not.
 func cancellationCode(client *clientwatch.Request) codes.Code {
-	switch err := client.Look(); {
+	switch err := client.Check(); {
 	case err == nil:
 		return 0
-	case errors.Is(err, clientwatch.ErrRouterEnds):
+	case errors.Is(err, clientwatch.ErrRouterShutdown):
 		return codes.Draining
 	default:
 		return codes.ClientLeft
@@ -23,7 +23,7 @@
 // finishRequest releases the client of a request and records it as disconnected if it left before a complete answer. No work for
 // the request may be left.
 func (v *Router) finishRequest(client *clientwatch.Request, at stage, startedAt units.Time, complete bool) {
-	if !complete && errors.Is(client.Look(), clientwatch.ErrClientLeft) {
+	if !complete && errors.Is(client.Check(), clientwatch.ErrClientDisconnected) {
 		v.recordDisconnect(at, v.Tasks.Now().Sub(startedAt))
 	}
 	client.End()
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -11,41 +11,41 @@
 
 // candidates returns the workers in the order of the placement policy, and each one's coordinator.
 func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.Node) {
-	query := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, Spread: service.Spread}
+	query := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, PreferredCount: service.Spread}
 	coordinators := map[string]units.Node{}
-	var fallbacks []placement.Spot // workers in an outage, used only if there is no other
+	var fallbacks []placement.Candidate // workers in an outage, used only if there is no other
 	v.viewMu.Lock()
 	for _, worker := range v.view.workersByPool[service.Pool] {
 		name := service.Name + "/" + worker.ID
 		if worker.Leaving || v.view.evacuatedZones[worker.Zone] || worker.Service != "" && worker.Service != service.Name {
 			continue
 		}
-		coordinators[name] = capacity.Keeper(v.view.peers, name, worker.Zone)
-		if spot := (placement.Spot{Name: name, Zone: worker.Zone}); now < v.view.outages[name].until {
+		coordinators[name] = capacity.Coordinator(v.view.peers, name, worker.Zone)
+		if spot := (placement.Candidate{Name: name, Zone: worker.Zone}); now < v.view.outages[name].until {
 			fallbacks = append(fallbacks, spot)
 		} else {
-			query.Spots = append(query.Spots, spot)
+			query.Candidates = append(query.Candidates, spot)
 		}
 	}
 	v.viewMu.Unlock()
-	if len(query.Spots) == 0 {
-		query.Spots = fallbacks
+	if len(query.Candidates) == 0 {
+		query.Candidates = fallbacks
 	}
 	v.queueMu.Lock()
-	for i := range query.Spots {
-		if load, ok := v.queue.Loads[query.Spots[i].Name]; ok && now.Sub(load.At) < 2*time.Second {
-			query.Spots[i].Load = float64(load.Lent+load.Wait)/float64(load.Cap) + float64(max(0, load.Reads-now.Sub(load.At)))/float64(time.Second)
+	for i := range query.Candidates {
+		if load, ok := v.queue.Loads[query.Candidates[i].Name]; ok && now.Sub(load.UpdatedAt) < 2*time.Second {
+			query.Candidates[i].Load = float64(load.InUse+load.Waiting)/float64(load.Capacity) + float64(max(0, load.PrefillBacklog-now.Sub(load.UpdatedAt)))/float64(time.Second)
 		}
 	}
 	v.queueMu.Unlock()
-	return v.placer.Order(service.Place, query), coordinators
+	return v.placer.Rank(service.Place, query), coordinators
 }
 
 // releaseAborted returns the permit of a run that this node aborted, or withdraws its admission request.
 func (v *Router) releaseAborted(tag uint64) {
 	v.queueMu.Lock()
 	delete(v.pendingAdmissions, tag)
-	out := v.queue.Cut(v.Tasks.Now(), tag)
+	out := v.queue.Abort(v.Tasks.Now(), tag)
 	v.deliverVerdicts(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
--- a/internal/router/capacity/busy_test.go
+++ b/internal/router/capacity/busy_test.go
@@ -7,7 +7,7 @@
 
 // A keeper is busy while a book is not open or a prompt waits, and not with nothing but lent slots.
 func TestBusy(t *testing.T) {
-	b := newBench(Worker{Cap: 1, Bound: 3, First: 50 * ms})
+	b := newBench(Worker{Capacity: 1, MaxWaiting: 3, FirstTokenTime: 50 * ms})
 	busy := func(want bool, when string) {
 		t.Helper()
 		if b.Busy() != want {
@@ -22,11 +22,11 @@
 	busy(true, "one prompt waits")
 	b.back(1)
 	busy(false, "it has gone in")
-	b.View([]Peer{{Node: 1}, {Node: 2}}, nil)
+	b.SetRouters([]Peer{{Node: 1}, {Node: 2}}, nil)
 	busy(true, "another router came")
 	g := New(1)
-	g.Workers(map[string]Worker{"s/w": {Cap: 1}})
-	g.View([]Peer{{Node: 1}}, nil)
+	g.SetWorkers(map[string]Worker{"s/w": {Capacity: 1}})
+	g.SetRouters([]Peer{{Node: 1}}, nil)
 	busy(true, "a worker to keep")
 	g.Tick(b.now)
 	if !g.Busy() {
--- a/internal/router/capacity/engine.go
+++ b/internal/router/capacity/engine.go
@@ -94,21 +94,21 @@
 	return w.Memory <= 0 || k.mem == 0 || k.mem+int(mem) <= w.Memory
 }
 
-// Allow sets what a cold worker's rate may be exceeded by, and which part of the known routers this node sees live:
+// SetRateLimits sets what a cold worker's rate may be exceeded by, and which part of the known routers this node sees live:
 // keepers on two sides of a cut then lend no more together than one would (design 12).
-func (g *Ledger) Allow(excess float64, slack int, part float64) {
+func (g *Ledger) SetRateLimits(excess float64, slack int, part float64) {
 	g.excess, g.slack, g.part = excess, slack, part
 }
 
 // rate is how many requests a worker may get in any one second. A worker may turn cold unseen at any moment, so the
 // bound for cold ones holds always; one that is known to be cold gets what it bears.
 func (g *Ledger) rate(now units.Time, w Worker) int {
-	if w.WarmRate <= 0 {
+	if w.WarmUpRate <= 0 {
 		return 1 << 30
 	}
-	most := w.WarmRate*g.excess + float64(g.slack) - 2
-	if now < w.ColdTil {
-		most = min(most, w.WarmRate)
+	most := w.WarmUpRate*g.excess + float64(g.slack) - 2
+	if now < w.WarmingUpUntil {
+		most = min(most, w.WarmUpRate)
 	}
 	return max(1, int(most*g.part))
 }
@@ -126,7 +126,7 @@
 
 // granted notes a grant, and what it makes the worker read and hold.
 func (k *keep) granted(now units.Time, w Worker, a ask) {
-	if w.WarmRate > 0 {
+	if w.WarmUpRate > 0 {
 		k.ring = append(k.ring, now)
 	}
 	k.read(now)
@@ -136,18 +136,18 @@
 	k.mem += int(a.mem)
 }
 
-// Cap gives how many permits a worker may have out now.
-func (g *Ledger) Cap(now units.Time, name string) int {
+// Capacity gives how many permits a worker may have out now.
+func (g *Ledger) Capacity(now units.Time, name string) int {
 	w, ok := g.workers[name]
 	if !ok || w.Closed {
 		return 0
 	}
-	c := w.Cap
-	if k := g.keeps[name]; w.Adapt && k != nil && k.cap > 0 {
+	c := w.Capacity
+	if k := g.keeps[name]; w.Adaptive && k != nil && k.cap > 0 {
 		c = min(c, int(k.cap))
 	}
-	if up := now.Sub(w.Start); w.Warm > 0 && up < w.Warm && w.WarmRate == 0 {
-		c = min(c, max(1, int(int64(w.Cap)*int64(up)/int64(w.Warm))))
+	if up := now.Sub(w.StartedAt); w.WarmUp > 0 && up < w.WarmUp && w.WarmUpRate == 0 {
+		c = min(c, max(1, int(int64(w.Capacity)*int64(up)/int64(w.WarmUp))))
 	}
 	return c
 }
--- a/internal/router/capacity/engine_test.go
+++ b/internal/router/capacity/engine_test.go
@@ -8,16 +8,16 @@
 )
 
 // engineBench is a keeper of one engine.
-func engineBench() *bench { return newBench(Worker{Cap: 100, Bound: 200}) }
+func engineBench() *bench { return newBench(Worker{Capacity: 100, MaxWaiting: 200}) }
 
 // prompt asks for one that is read in a time, at an urgency, with its first words due in soon (0: whenever).
 func (b *bench) prompt(tag uint64, read time.Duration, urge uint8, soon time.Duration) message.Kind {
-	h := Head{Tag: tag, Left: 15000, Read: uint32(read / time.Microsecond), Urgent: urge, Soon: uint32(soon / ms)}
-	b.out(b.Step(b.now, message.Message{From: 2, Kind: Ask, Body: Pack(h, "s/w")}))
+	h := Header{Tag: tag, TimeLeft: 15000, PrefillTime: uint32(read / time.Microsecond), Priority: urge, MaxFirstTokenTime: uint32(soon / ms)}
+	b.out(b.Step(b.now, message.Message{From: 2, Kind: Acquire, Body: Pack(h, "s/w")}))
 	return b.kind[len(b.kind)-1]
 }
 
-func (b *bench) told() Head { return b.sent[len(b.sent)-1] }
+func (b *bench) told() Header { return b.sent[len(b.sent)-1] }
 
 func (b *bench) unread() time.Duration {
 	k := b.keeps["s/w"]
@@ -27,14 +27,14 @@
 
 func TestWhatIsBegunIsReadFirstWhateverTheUrgency(t *testing.T) {
 	b := engineBench()
-	if b.prompt(1, 1000*ms, 8, 800*ms) != No || b.told().Left != 1000 { // it can't be in time anywhere: the asker decides
+	if b.prompt(1, 1000*ms, 8, 800*ms) != Refusal || b.told().TimeLeft != 1000 { // it can't be in time anywhere: the asker decides
 		t.Fatalf("%+v", b.told())
 	}
 	if b.prompt(1, 1000*ms, 8, 0) != Grant {
 		t.Fatal("a prompt without a bound was not granted")
 	}
 	b.pass(300 * ms)
-	if b.prompt(2, 20*ms, 1, 700*ms) != No || b.told().Reason != Busy || b.told().Left != 720 {
+	if b.prompt(2, 20*ms, 1, 700*ms) != Refusal || b.told().Reason != ReasonBusy || b.told().TimeLeft != 720 {
 		t.Fatalf("an urgent prompt does not wait for what is begun: %+v", b.told())
 	}
 	if b.prompt(3, 20*ms, 1, 720*ms) != Grant {
@@ -44,7 +44,7 @@
 		t.Fatal(b.unread())
 	}
 	b.pass(400 * ms)
-	if b.prompt(4, 20*ms, 1, 339*ms) != No || b.prompt(4, 20*ms, 1, 340*ms) != Grant {
+	if b.prompt(4, 20*ms, 1, 339*ms) != Refusal || b.prompt(4, 20*ms, 1, 340*ms) != Grant {
 		t.Fatal("300 ms of what is begun, 20 of an equal and 20 of its own make 340")
 	}
 	b.pass(time.Second)
@@ -71,7 +71,7 @@
 			urge uint8
 			want uint32
 		}{{2, 510}, {3, 550}, {4, 550}, {5, 650}, {6, 650}, {7, 850}, {9, 850}} {
-			if b.prompt(99, 10*ms, x.urge, 1*ms) != No || b.told().Left != x.want {
+			if b.prompt(99, 10*ms, x.urge, 1*ms) != Refusal || b.told().TimeLeft != x.want {
 				t.Errorf("order %v, urgency %d: %+v, want %d", o, x.urge, b.told(), x.want)
 			}
 		}
@@ -81,7 +81,7 @@
 func TestAWorkersSpeedIsLearnedFromPromptsThatFoundItFree(t *testing.T) {
 	b := engineBench()
 	back := func(tag uint64, words time.Duration) {
-		b.out(b.Step(b.now, message.Message{From: 2, Kind: Return, Body: Pack(Head{Tag: tag, Read: uint32(words / time.Microsecond)}, "s/w")}))
+		b.out(b.Step(b.now, message.Message{From: 2, Kind: Release, Body: Pack(Header{Tag: tag, PrefillTime: uint32(words / time.Microsecond)}, "s/w")}))
 	}
 	k := b.keeps["s/w"]
 	for i := uint64(1); i < 40; i++ {
@@ -94,7 +94,7 @@
 	if k.slow < 1.99 || k.slow > 2.01 {
 		t.Fatalf("twice as slow, learned as %.2f", k.slow)
 	}
-	if b.prompt(1000, 100*ms, 5, 199*ms) != No || b.prompt(1000, 100*ms, 5, 201*ms) != Grant {
+	if b.prompt(1000, 100*ms, 5, 199*ms) != Refusal || b.prompt(1000, 100*ms, 5, 201*ms) != Grant {
 		t.Fatal("its speed is not reckoned with")
 	}
 	b.pass(100 * ms)
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -81,15 +81,15 @@
 	return &Ledger{self: self, workers: map[string]Worker{}, keeps: map[string]*keep{}, holds: map[units.Node]units.Time{}, strange: map[units.Node]units.Time{}, excess: 1, part: 1}
 }
 
-// Workers sets what there is to keep.
-func (g *Ledger) Workers(w map[string]Worker) {
+// SetWorkers sets what there is to keep.
+func (g *Ledger) SetWorkers(w map[string]Worker) {
 	if !maps.Equal(g.workers, w) {
 		g.workers, g.moved = w, true
 	}
 }
 
-// View takes membership's view: the live routers, and till when others' runs may still be going.
-func (g *Ledger) View(routers []Peer, holds map[units.Node]units.Time) {
+// SetRouters takes membership's view: the live routers, and till when others' runs may still be going.
+func (g *Ledger) SetRouters(routers []Peer, holds map[units.Node]units.Time) {
 	g.moved = g.moved || !slices.Equal(g.routers, routers)
 	for _, v := range routers {
 		if !slices.ContainsFunc(g.routers, func(o Peer) bool { return o.Node == v.Node }) {
@@ -101,8 +101,8 @@
 	g.routers, g.holds = routers, holds
 }
 
-// Gone frees what a process held that is known to have ended: the kernel broke its runs' wires off.
-func (g *Ledger) Gone(now units.Time, n units.Node) {
+// ProcessEnded frees what a process held that is known to have ended: the kernel broke its runs' wires off.
+func (g *Ledger) ProcessEnded(now units.Time, n units.Node) {
 	for _, k := range g.keeps {
 		for p, l := range k.lent {
 			if p.node == n {
@@ -122,7 +122,7 @@
 	g.moved = false
 	for _, name := range names {
 		w := g.workers[name]
-		mine := Keeper(g.routers, name, w.Zone) == g.self
+		mine := Coordinator(g.routers, name, w.Zone) == g.self
 		k := g.keeps[name]
 		if mine && k == nil {
 			g.begin(now, name, &out)
@@ -157,8 +157,8 @@
 	return out
 }
 
-// Take begins the keeping of one worker, as Tick does when it falls to this node.
-func (g *Ledger) Take(now units.Time, name string) (out message.Effects) {
+// TakeOver begins the keeping of one worker, as Tick does when it falls to this node.
+func (g *Ledger) TakeOver(now units.Time, name string) (out message.Effects) {
 	g.begin(now, name, &out)
 	return out
 }
@@ -215,7 +215,7 @@
 			k.sent = now.Add(-reask)
 		}
 	}
-	lax := g.workers[name].Lax && (len(k.need) == 0 || now.Sub(k.begun) >= laxFor)
+	lax := g.workers[name].QuickTakeover && (len(k.need) == 0 || now.Sub(k.begun) >= laxFor)
 	if len(k.need) == 0 || lax {
 		if lax || now >= k.holdTil() {
 			k.open = true
@@ -226,7 +226,7 @@
 	if now.Sub(k.sent) >= reask {
 		k.sent = now
 		for _, n := range message.Keys(k.need) {
-			out.Send(n, ReportAsk, Pack(Head{}, name))
+			out.Send(n, ReportRequest, Pack(Header{}, name))
 		}
 	}
 }
@@ -234,7 +234,7 @@
 // cede lets those that wait ask elsewhere.
 func (g *Ledger) cede(name string, k *keep, out *message.Effects) {
 	for _, a := range k.list {
-		out.Send(a.node, No, Pack(Head{Tag: a.tag, Reason: NotKeeper}, name))
+		out.Send(a.node, Refusal, Pack(Header{Tag: a.tag, Reason: ReasonNotCoordinator}, name))
 	}
 	delete(g.keeps, name)
 }
--- a/internal/router/capacity/note.go
+++ b/internal/router/capacity/note.go
@@ -10,122 +10,122 @@
 
 // The notes of permits.
 const (
-	Ask = message.KindCapacity + iota
+	Acquire = message.KindCapacity + iota
 	Grant
-	No
-	Waiting
-	Return
+	Refusal
+	Queued
+	Release
 	Audit
-	ReportAsk
+	ReportRequest
 	Report
 )
 
-// Head is the fixed part of every permit note. Spans are in milliseconds.
-type Head struct {
-	Tag    uint64
-	Left   uint32 // the prompt's time left; in a No or Waiting, the expected wait
-	Lent   uint16
-	Cap    uint16
-	Wait   uint8 // Ask: may wait; Return: the run may still be going; Waiting, No: list's length, capped
-	Reason uint8
-	Worth  uint16 // Ask: of the prompt's promise
-	Turn   uint16 // milliseconds from one slot's return to the next, as measured
-	Read   uint32 // microseconds. Ask: that reading the prompt takes; answers: that all unread takes; Return: till first words
-	Mem    uint32 // Ask: tokens of memory that the run needs
-	Soon   uint32 // Ask, not waiting: a worker whose first words would come later than so many milliseconds is no free one
-	Urgent uint8  // Ask: the prompt's urgency at the worker, 0 the most urgent
+// Header is the fixed part of every permit note. Spans are in milliseconds.
+type Header struct {
+	Tag               uint64
+	TimeLeft          uint32 // the prompt's time left; in a No or Waiting, the expected wait
+	InUse             uint16
+	Capacity          uint16
+	Wait              uint8 // Ask: may wait; Return: the run may still be going; Waiting, No: list's length, capped
+	Reason            uint8
+	Worth             uint16 // Ask: of the prompt's promise
+	ReleaseInterval   uint16 // milliseconds from one slot's return to the next, as measured
+	PrefillTime       uint32 // microseconds. Ask: that reading the prompt takes; answers: that all unread takes; Return: till first words
+	MemoryTokens      uint32 // Ask: tokens of memory that the run needs
+	MaxFirstTokenTime uint32 // Ask, not waiting: a worker whose first words would come later than so many milliseconds is no free one
+	Priority          uint8  // Ask: the prompt's urgency at the worker, 0 the most urgent
 }
 
 // Reasons of a No.
 const (
-	Busy uint8 = 1 + iota
-	Full
-	Late
-	NotKeeper // in an Ask: the asker has last reported to another node
-	Closed
-	Silent // never on the wire: the asker's own finding
+	ReasonBusy uint8 = 1 + iota
+	ReasonQueueFull
+	ReasonTooLate
+	ReasonNotCoordinator // in an Ask: the asker has last reported to another node
+	ReasonClosed
+	ReasonNoReply // never on the wire: the asker's own finding
 )
 
 // Pack lays a note out.
-func Pack(h Head, worker string) []byte { return message.Pack(h, []byte(worker)) }
+func Pack(h Header, worker string) []byte { return message.Pack(h, []byte(worker)) }
 
 // Unpack is the inverse.
-func Unpack(b []byte) (Head, string, error) {
-	var h Head
+func Unpack(b []byte) (Header, string, error) {
+	var h Header
 	var w []byte
 	err := message.Unpack(b, &h, &w)
 	return h, string(w), err
 }
 
-// Held is one permit in a report.
-type Held struct {
-	Tag  uint64
-	Left uint32
-	Mem  uint32
+// HeldPermit is one permit in a report.
+type HeldPermit struct {
+	Tag          uint64
+	TimeLeft     uint32
+	MemoryTokens uint32
 }
 
 // PackReport lays out what a node holds of a worker, and how much it sent there in the last second.
-func PackReport(worker string, l []Held, sent int) []byte {
+func PackReport(worker string, l []HeldPermit, sent int) []byte {
 	items := make([][]byte, len(l))
 	for i, x := range l {
 		items[i] = message.Pack(x)
 	}
-	return message.Pack(Head{Lent: uint16(min(sent, 65535))}, []byte(worker), message.PackList(items))
+	return message.Pack(Header{InUse: uint16(min(sent, 65535))}, []byte(worker), message.PackList(items))
 }
 
 // UnpackReport is the inverse; an audit has the same form.
-func UnpackReport(b []byte) (string, []Held, int, error) {
-	var h Head
+func UnpackReport(b []byte) (string, []HeldPermit, int, error) {
+	var h Header
 	var w, list []byte
 	if err := message.Unpack(b, &h, &w, &list); err != nil {
 		return "", nil, 0, err
 	}
 	items, err := message.UnpackList(list)
-	var l []Held
+	var l []HeldPermit
 	for _, t := range items {
-		var x Held
+		var x HeldPermit
 		if err == nil {
 			err = message.Unpack(t, &x)
 		}
 		l = append(l, x)
 	}
-	return string(w), l, int(h.Lent), err
+	return string(w), l, int(h.InUse), err
 }
 
 // Worker is what a keeper must know of one worker.
 type Worker struct {
-	Zone   string
-	Cap    int
-	Bound  int
-	Warm   time.Duration
-	Start  units.Time // when it began, on this process's clock
-	Closed bool       // leaving, or its zone is evacuated: nothing new
-	Adapt  bool
-	Floor  int
-	Aim    time.Duration
-	First  time.Duration
+	Zone           string
+	Capacity       int
+	MaxWaiting     int
+	WarmUp         time.Duration
+	StartedAt      units.Time // when it began, on this process's clock
+	Closed         bool       // leaving, or its zone is evacuated: nothing new
+	Adaptive       bool
+	MinCapacity    int
+	TargetWait     time.Duration
+	FirstTokenTime time.Duration
 
-	Memory   int        // tokens that may be lent out; 0 for a worker that is no engine
-	WarmRate float64    // requests a second that it bears while cold; 0 when any
-	ColdTil  units.Time // till when it is known to be cold
-	Lax      bool       // a new keeper lends without waiting out what silent nodes may hold
+	Memory         int        // tokens that may be lent out; 0 for a worker that is no engine
+	WarmUpRate     float64    // requests a second that it bears while cold; 0 when any
+	WarmingUpUntil units.Time // till when it is known to be cold
+	QuickTakeover  bool       // a new keeper lends without waiting out what silent nodes may hold
 }
 
 // Peer is one router in membership's view.
 type Peer struct {
-	Node   units.Node
-	Zone   string
-	Leaves bool // it drains: it holds permits and reports them, and keeps no worker
+	Node     units.Node
+	Zone     string
+	Draining bool // it drains: it holds permits and reports them, and keeps no worker
 }
 
-// Keeper gives the router that keeps a worker: rendezvous order, the worker's zone first.
-func Keeper(routers []Peer, worker, zone string) units.Node {
+// Coordinator gives the router that keeps a worker: rendezvous order, the worker's zone first.
+func Coordinator(routers []Peer, worker, zone string) units.Node {
 	var best units.Node
 	var top uint64
 	own := false
 	for _, v := range routers {
 		near := v.Zone == zone
-		if v.Leaves {
+		if v.Draining {
 			continue
 		}
 		if own && !near {
--- a/internal/router/capacity/rate_test.go
+++ b/internal/router/capacity/rate_test.go
@@ -18,10 +18,10 @@
 		most int
 	}{{1, 0, 33}, {0.5, 0, 16}, {1, 30, 3}} {
 		g := New(1)
-		g.Allow(1.5, 5, x.part)
+		g.SetRateLimits(1.5, 5, x.part)
 		now := units.Time(time.Hour)
-		g.Workers(map[string]Worker{"s/w": {Zone: "z", Cap: 1000, Bound: 2000, WarmRate: 20, Lax: true}})
-		g.View([]Peer{{Node: 1}}, nil)
+		g.SetWorkers(map[string]Worker{"s/w": {Zone: "z", Capacity: 1000, MaxWaiting: 2000, WarmUpRate: 20, QuickTakeover: true}})
+		g.SetRouters([]Peer{{Node: 1}}, nil)
 		var grants []units.Time
 		take := func(o message.Effects) {
 			for _, n := range o.Messages {
@@ -34,10 +34,10 @@
 		take(g.Step(now, message.Message{From: 1, Kind: Report, Body: PackReport("s/w", nil, x.sent)}))
 		begun := now
 		for i := range uint64(600) {
-			h := Head{Tag: i + 1, Left: 20000, Wait: uint8(i % 2)}
-			take(g.Step(now, message.Message{From: 1, Kind: Ask, Body: Pack(h, "s/w")}))
+			h := Header{Tag: i + 1, TimeLeft: 20000, Wait: uint8(i % 2)}
+			take(g.Step(now, message.Message{From: 1, Kind: Acquire, Body: Pack(h, "s/w")}))
 			if i%3 == 0 {
-				take(g.Step(now, message.Message{From: 1, Kind: Return, Body: Pack(Head{Tag: i/2 + 1}, "s/w")}))
+				take(g.Step(now, message.Message{From: 1, Kind: Release, Body: Pack(Header{Tag: i/2 + 1}, "s/w")}))
 			}
 			now = now.Add(5 * time.Millisecond)
 			take(g.Tick(now))
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -16,8 +16,8 @@
 		if k := g.keeps[name]; err == nil && k != nil && (!k.open || k.late[n.From]) {
 			for _, h := range held {
 				if p := (permit{n.From, h.Tag}); k.lent[p] == nil {
-					k.lent[p] = &loan{until: now.Add(units.Millis(h.Left).Span() + grace), since: now, mem: h.Mem}
-					k.mem += int(h.Mem)
+					k.lent[p] = &loan{until: now.Add(units.Millis(h.TimeLeft).Span() + grace), since: now, mem: h.MemoryTokens}
+					k.mem += int(h.MemoryTokens)
 				}
 			}
 			for range sent {
@@ -38,13 +38,13 @@
 	}
 	k := g.keeps[name]
 	if k == nil {
-		if n.Kind == Ask {
-			out.Send(n.From, No, Pack(Head{Tag: h.Tag, Reason: NotKeeper}, name))
+		if n.Kind == Acquire {
+			out.Send(n.From, Refusal, Pack(Header{Tag: h.Tag, Reason: ReasonNotCoordinator}, name))
 		}
 		return out
 	}
 	switch n.Kind {
-	case ReportAsk:
+	case ReportRequest:
 		if n.From != g.self {
 			g.moved = true
 			if !slices.ContainsFunc(g.routers, func(v Peer) bool { return v.Node == n.From }) {
@@ -52,23 +52,23 @@
 			}
 			g.cede(name, k, &out) // another has taken the worker over; if views differ, the taking over is repeated
 		}
-	case Ask:
+	case Acquire:
 		g.asked(now, n.From, name, k, h, &out)
-	case Return:
-		if l := k.lent[permit{n.From, h.Tag}]; l != nil && h.Read > 0 {
-			k.learn(l.reads, time.Duration(h.Read)*time.Microsecond)
+	case Release:
+		if l := k.lent[permit{n.From, h.Tag}]; l != nil && h.PrefillTime > 0 {
+			k.learn(l.reads, time.Duration(h.PrefillTime)*time.Microsecond)
 		}
 		g.returned(now, name, k, permit{n.From, h.Tag}, h.Wait == 1, &out)
 	}
 	return out
 }
 
-func (g *Ledger) state(now units.Time, name string, k *keep, h Head) Head {
-	h.Lent, h.Cap = uint16(len(k.lent)), uint16(g.Cap(now, name))
+func (g *Ledger) state(now units.Time, name string, k *keep, h Header) Header {
+	h.InUse, h.Capacity = uint16(len(k.lent)), uint16(g.Capacity(now, name))
 	h.Wait = uint8(min(255, len(k.list)))
-	h.Turn = uint16(min(k.gap(max(1, int(h.Cap)))/time.Millisecond, 65535))
+	h.ReleaseInterval = uint16(min(k.gap(max(1, int(h.Capacity)))/time.Millisecond, 65535))
 	k.read(now)
-	h.Read = uint32(min(k.backlog(len(k.line))/time.Microsecond, 1<<32-1))
+	h.PrefillTime = uint32(min(k.backlog(len(k.line))/time.Microsecond, 1<<32-1))
 	return h
 }
 
@@ -80,34 +80,34 @@
 	return k.turn
 }
 
-func (g *Ledger) asked(now units.Time, from units.Node, name string, k *keep, h Head, out *message.Effects) {
+func (g *Ledger) asked(now units.Time, from units.Node, name string, k *keep, h Header, out *message.Effects) {
 	p := permit{from, h.Tag}
 	if k.lent[p] != nil {
-		out.Send(from, Grant, Pack(g.state(now, name, k, Head{Tag: h.Tag}), name))
+		out.Send(from, Grant, Pack(g.state(now, name, k, Header{Tag: h.Tag}), name))
 		return
 	}
-	if h.Reason == NotKeeper && k.open {
+	if h.Reason == ReasonNotCoordinator && k.open {
 		g.recollect(now, name, k, out)
 	}
-	left := units.Millis(h.Left).Span()
-	wait := k.gap(max(1, g.Cap(now, name)))
+	left := units.Millis(h.TimeLeft).Span()
+	wait := k.gap(max(1, g.Capacity(now, name)))
 	for i, a := range k.list {
 		if a.permit == p {
-			out.Send(from, Waiting, Pack(g.state(now, name, k, Head{Tag: h.Tag, Left: uint32(units.ToMillis(wait * time.Duration(i+1)))}), name))
+			out.Send(from, Queued, Pack(g.state(now, name, k, Header{Tag: h.Tag, TimeLeft: uint32(units.ToMillis(wait * time.Duration(i+1)))}), name))
 			return
 		}
 	}
-	r := Head{Tag: h.Tag}
-	c := g.Cap(now, name)
+	r := Header{Tag: h.Tag}
+	c := g.Capacity(now, name)
 	if c == 0 {
-		r.Reason = Closed
-		out.Send(from, No, Pack(g.state(now, name, k, r), name))
+		r.Reason = ReasonClosed
+		out.Send(from, Refusal, Pack(g.state(now, name, k, r), name))
 		return
 	}
 	w := g.workers[name]
-	me := ask{permit: p, until: now.Add(left), worth: h.Worth, read: time.Duration(h.Read) * time.Microsecond, urge: h.Urgent, mem: h.Mem, since: now}
+	me := ask{permit: p, until: now.Add(left), worth: h.Worth, read: time.Duration(h.PrefillTime) * time.Microsecond, urge: h.Priority, mem: h.MemoryTokens, since: now}
 	late, pace := k.words(now, me), k.due(now, g.rate(now, w))
-	busy := h.Wait == 0 && h.Soon > 0 && late > units.Millis(h.Soon).Span()
+	busy := h.Wait == 0 && h.MaxFirstTokenTime > 0 && late > units.Millis(h.MaxFirstTokenTime).Span()
 	if k.open && len(k.lent) < c && len(k.list) == 0 && !busy && pace == 0 && k.fits(w, me.mem) {
 		g.lend(now, name, k, me, out)
 		return
@@ -117,28 +117,28 @@
 	if len(k.lent)+at < c {
 		due = max(pace, late) // a slot is free for it: only the reports, the rate or the reading are waited for
 	}
-	if !k.open && !w.Lax {
+	if !k.open && !w.QuickTakeover {
 		due = max(due, k.holdTil().Sub(now))
 	}
-	r.Left = uint32(units.ToMillis(due))
+	r.TimeLeft = uint32(units.ToMillis(due))
 	switch {
-	case len(k.list)-len(yield) >= w.Bound:
-		r.Reason = Full
-	case due+w.First > left:
-		r.Reason = Late
+	case len(k.list)-len(yield) >= w.MaxWaiting:
+		r.Reason = ReasonQueueFull
+	case due+w.FirstTokenTime > left:
+		r.Reason = ReasonTooLate
 	case h.Wait == 0:
-		r.Reason = Busy
+		r.Reason = ReasonBusy
 	}
 	if r.Reason != 0 {
-		out.Send(from, No, Pack(g.state(now, name, k, r), name))
+		out.Send(from, Refusal, Pack(g.state(now, name, k, r), name))
 		return
 	}
 	for _, a := range yield {
 		k.list = slices.DeleteFunc(k.list, func(b ask) bool { return a.permit == b.permit })
-		out.Send(a.node, No, Pack(g.state(now, name, k, Head{Tag: a.tag, Reason: Full}), name))
+		out.Send(a.node, Refusal, Pack(g.state(now, name, k, Header{Tag: a.tag, Reason: ReasonQueueFull}), name))
 	}
 	k.list = slices.Insert(k.list, at, me)
-	out.Send(from, Waiting, Pack(g.state(now, name, k, r), name))
+	out.Send(from, Queued, Pack(g.state(now, name, k, r), name))
 }
 
 func (g *Ledger) lend(now units.Time, name string, k *keep, a ask, out *message.Effects) {
@@ -149,17 +149,17 @@
 	k.granted(now, g.workers[name], a)
 	k.waitSum += now.Sub(a.since)
 	k.waitN++
-	out.Send(a.node, Grant, Pack(g.state(now, name, k, Head{Tag: a.tag}), name))
+	out.Send(a.node, Grant, Pack(g.state(now, name, k, Header{Tag: a.tag}), name))
 }
 
 // serve lends free slots to the earliest deadlines. What can no longer be met is told so at once, wherever
 // it stands in the list: nothing is held back until its time has run out.
 func (g *Ledger) serve(now units.Time, name string, k *keep, out *message.Effects) {
 	w := g.workers[name]
-	c := g.Cap(now, name)
+	c := g.Capacity(now, name)
 	for c > 0 && k.open && len(k.list) > 0 && len(k.lent) < c {
 		a := k.list[0]
-		if a.until < now.Add(w.First) || k.due(now, g.rate(now, w)) > 0 || !k.fits(w, a.mem) {
+		if a.until < now.Add(w.FirstTokenTime) || k.due(now, g.rate(now, w)) > 0 || !k.fits(w, a.mem) {
 			break
 		}
 		k.list = k.list[1:]
@@ -167,12 +167,14 @@
 	}
 	gap, left := k.gap(max(1, c)), k.list[:0:0]
 	shed := func(a ask, reason uint8, due time.Duration) {
-		out.Send(a.node, No, Pack(g.state(now, name, k, Head{Tag: a.tag, Reason: reason, Left: uint32(units.ToMillis(due))}), name))
+		out.Send(a.node, Refusal, Pack(g.state(now, name, k, Header{Tag: a.tag, Reason: reason, TimeLeft: uint32(units.ToMillis(due))}), name))
 	}
 	for _, a := range k.list {
-		late := func() bool { return len(left) > 0 && a.until < now.Add(gap*time.Duration(len(left)+1)+w.First) }
+		late := func() bool {
+			return len(left) > 0 && a.until < now.Add(gap*time.Duration(len(left)+1)+w.FirstTokenTime)
+		}
 		if c == 0 {
-			shed(a, Closed, 0)
+			shed(a, ReasonClosed, 0)
 			continue
 		}
 		for late() {
@@ -180,11 +182,11 @@
 			if i < 0 {
 				break
 			}
-			shed(left[i], Late, gap*time.Duration(len(left)+1))
+			shed(left[i], ReasonTooLate, gap*time.Duration(len(left)+1))
 			left = slices.Delete(left, i, i+1)
 		}
-		if a.until < now.Add(w.First) || late() {
-			shed(a, Late, gap*time.Duration(len(left)+1))
+		if a.until < now.Add(w.FirstTokenTime) || late() {
+			shed(a, ReasonTooLate, gap*time.Duration(len(left)+1))
 			continue
 		}
 		left = append(left, a)
@@ -224,22 +226,22 @@
 	return (7*old + x) / 8
 }
 
-// Kept describes one worker in this node's keeping, for status and tests.
-type Kept struct {
-	Worker  string
-	Open    bool
-	Lent    int
-	Cap     int
-	Waiting int
+// WorkerStatus describes one worker in this node's keeping, for status and tests.
+type WorkerStatus struct {
+	Worker   string
+	Open     bool
+	InUse    int
+	Capacity int
+	Waiting  int
 }
 
-// Kept lists all that this node keeps.
-func (g *Ledger) Kept(now units.Time) []Kept {
-	var l []Kept
+// Status lists all that this node keeps.
+func (g *Ledger) Status(now units.Time) []WorkerStatus {
+	var l []WorkerStatus
 	for n, k := range g.keeps {
-		l = append(l, Kept{n, k.open, len(k.lent), g.Cap(now, n), len(k.list)})
+		l = append(l, WorkerStatus{n, k.open, len(k.lent), g.Capacity(now, n), len(k.list)})
 	}
-	slices.SortFunc(l, func(a, b Kept) int {
+	slices.SortFunc(l, func(a, b WorkerStatus) int {
 		if a.Worker < b.Worker {
 			return -1
 		}
--- a/internal/router/capacity/upkeep.go
+++ b/internal/router/capacity/upkeep.go
@@ -23,10 +23,10 @@
 func (g *Ledger) audit(now units.Time, out *message.Effects) {
 	for _, name := range message.Keys(g.keeps) {
 		k := g.keeps[name]
-		by := map[units.Node][]Held{}
+		by := map[units.Node][]HeldPermit{}
 		for _, p := range k.permits() {
 			if now.Sub(k.lent[p].since) >= audit {
-				by[p.node] = append(by[p.node], Held{Tag: p.tag})
+				by[p.node] = append(by[p.node], HeldPermit{Tag: p.tag})
 			}
 		}
 		for _, n := range message.Keys(by) {
@@ -38,17 +38,17 @@
 // adapt is the optional AIMD, keyed on waiting time only.
 func (g *Ledger) adapt(now units.Time, name string, k *keep) {
 	w := g.workers[name]
-	if !w.Adapt || now.Sub(k.adapted) < adaptGap {
+	if !w.Adaptive || now.Sub(k.adapted) < adaptGap {
 		return
 	}
 	k.adapted = now
 	if k.cap == 0 {
-		k.cap = float64(w.Cap)
+		k.cap = float64(w.Capacity)
 	}
-	if k.waitN > 0 && k.waitSum/time.Duration(k.waitN) > w.Aim {
-		k.cap = max(float64(w.Floor), k.cap*0.8)
+	if k.waitN > 0 && k.waitSum/time.Duration(k.waitN) > w.TargetWait {
+		k.cap = max(float64(w.MinCapacity), k.cap*0.8)
 	} else {
-		k.cap = min(float64(w.Cap), k.cap+1)
+		k.cap = min(float64(w.Capacity), k.cap+1)
 	}
 	k.waitSum, k.waitN = 0, 0
 }
@@ -66,7 +66,7 @@
 			delete(k.late, n)
 			continue
 		}
-		out.Send(n, ReportAsk, Pack(Head{}, name))
+		out.Send(n, ReportRequest, Pack(Header{}, name))
 	}
 }
 
--- a/internal/router/capacity/watch.go
+++ b/internal/router/capacity/watch.go
@@ -7,29 +7,29 @@
 	"seamshunt/internal/units"
 )
 
-// Watch keeps what membership says of the routers: who is live, who fell silent and since when, and
+// RouterTracker keeps what membership says of the routers: who is live, who fell silent and since when, and
 // who is known to have ended.
-type Watch struct {
-	Lax  bool // one that is only suspected keeps no worker: a needless change costs a few notes, a dark keeper seconds
-	lost map[units.Node]units.Time
-	void map[units.Node]units.Time
+type RouterTracker struct {
+	ExcludeSuspects bool // one that is only suspected keeps no worker: a needless change costs a few notes, a dark keeper seconds
+	lost            map[units.Node]units.Time
+	void            map[units.Node]units.Time
 }
 
-// NewWatch gives an empty one.
-func NewWatch() *Watch {
-	return &Watch{lost: map[units.Node]units.Time{}, void: map[units.Node]units.Time{}}
+// NewRouterTracker gives an empty one.
+func NewRouterTracker() *RouterTracker {
+	return &RouterTracker{lost: map[units.Node]units.Time{}, void: map[units.Node]units.Time{}}
 }
 
-// Void notes that a process has ended: its wires are broken, it holds nothing.
-func (w *Watch) Void(now units.Time, n units.Node) {
+// ProcessEnded notes that a process has ended: its wires are broken, it holds nothing.
+func (w *RouterTracker) ProcessEnded(now units.Time, n units.Node) {
 	if _, ok := w.void[n]; !ok {
 		delete(w.lost, n)
 		w.void[n] = now
 	}
 }
 
-// See takes membership's list. Changed says whether somebody fell silent since the last look.
-func (w *Watch) See(now units.Time, all []membership.Member) (peers []Peer, changed bool) {
+// Update takes membership's list. Changed says whether somebody fell silent since the last look.
+func (w *RouterTracker) Update(now units.Time, all []membership.Member) (peers []Peer, changed bool) {
 	here := map[string]bool{}
 	for _, m := range all {
 		if m.Role == membership.Router && m.State <= membership.Suspect {
@@ -41,12 +41,12 @@
 			continue
 		}
 		if m.State > membership.Suspect && here[m.Addr] {
-			w.Void(now, m.Node) // its machine runs another process in its place
+			w.ProcessEnded(now, m.Node) // its machine runs another process in its place
 		}
 		switch {
 		case m.State <= membership.Suspect:
 			delete(w.lost, m.Node)
-			peers = append(peers, Peer{Node: m.Node, Zone: m.Zone, Leaves: m.Flags&membership.Draining != 0 || w.Lax && m.State == membership.Suspect})
+			peers = append(peers, Peer{Node: m.Node, Zone: m.Zone, Draining: m.Flags&membership.Draining != 0 || w.ExcludeSuspects && m.State == membership.Suspect})
 		case m.State == membership.Left:
 			delete(w.lost, m.Node)
 		default:
@@ -63,9 +63,9 @@
 // lostFor is how long one that fell silent is held to be at work behind a cut, when rates are shared.
 const lostFor = 30 * time.Second
 
-// Part is the share of a cold worker's rate that this node's side may lend: as many as it sees live of all that may be at
+// RateShare is the share of a cold worker's rate that this node's side may lend: as many as it sees live of all that may be at
 // work, and never under a half, since a cut has two sides (design 12).
-func (w *Watch) Part(now units.Time, live int) float64 {
+func (w *RouterTracker) RateShare(now units.Time, live int) float64 {
 	n := 0
 	for _, t := range w.lost {
 		if now.Sub(t) < lostFor {
@@ -75,9 +75,9 @@
 	return max(0.5, float64(live)/float64(max(1, live+n)))
 }
 
-// Holds gives the moments until which processes that are not live may still have runs going: those that fell
+// RunDeadlines gives the moments until which processes that are not live may still have runs going: those that fell
 // silent for the longest time left there is, those known to have ended for as long as workers take to notice.
-func (w *Watch) Holds(longest time.Duration) map[units.Node]units.Time {
+func (w *RouterTracker) RunDeadlines(longest time.Duration) map[units.Node]units.Time {
 	m := map[units.Node]units.Time{}
 	for n, t := range w.lost {
 		m[n] = t.Add(longest + grace)
--- a/internal/router/capacity/watch_test.go
+++ b/internal/router/capacity/watch_test.go
@@ -14,10 +14,10 @@
 	router := func(n units.Node, addr string, s membership.State) membership.Member {
 		return membership.Member{Node: n, Role: membership.Router, Addr: addr, State: s}
 	}
-	w := NewWatch()
+	w := NewRouterTracker()
 	see := func(at time.Duration, all ...membership.Member) float64 {
-		peers, _ := w.See(units.Time(at), all)
-		return w.Part(units.Time(at), len(peers))
+		peers, _ := w.Update(units.Time(at), all)
+		return w.RateShare(units.Time(at), len(peers))
 	}
 	a, b, c := router(1, "a", membership.Alive), router(2, "b", membership.Alive), router(3, "c", membership.Alive)
 	if p := see(0, a, b, c); p != 1 {
@@ -45,10 +45,10 @@
 func TestSuspectKeepsNothing(t *testing.T) {
 	all := []membership.Member{{Node: 1, Role: membership.Router, Addr: "a"}, {Node: 2, Role: membership.Router, Addr: "b", State: membership.Suspect}}
 	for _, lax := range []bool{false, true} {
-		w := NewWatch()
-		w.Lax = lax
-		peers, _ := w.See(0, all)
-		if len(peers) != 2 || peers[1].Leaves != lax {
+		w := NewRouterTracker()
+		w.ExcludeSuspects = lax
+		peers, _ := w.Update(0, all)
+		if len(peers) != 2 || peers[1].Draining != lax {
 			t.Errorf("lax %v: %+v", lax, peers)
 		}
 	}
--- a/internal/router/capacity/worth.go
+++ b/internal/router/capacity/worth.go
@@ -22,13 +22,13 @@
 // place finds where a prompt stands in the list by its deadline, and who yields to it: only prompts of less worth, and
 // only as many as it takes for it to be in time and within the bound. If that is not enough, nobody does.
 func (g *Ledger) place(now units.Time, name string, k *keep, me ask) (at int, yield []ask) {
-	w, gap := g.workers[name], k.gap(max(1, g.Cap(now, name)))
+	w, gap := g.workers[name], k.gap(max(1, g.Capacity(now, name)))
 	l := slices.Clone(k.list)
 	for at < len(l) && l[at].until <= me.until {
 		at++
 	}
 	was := at
-	for at > 0 && now.Add(gap*time.Duration(at+1)+w.First) > me.until {
+	for at > 0 && now.Add(gap*time.Duration(at+1)+w.FirstTokenTime) > me.until {
 		i := least(l, me.worth, at)
 		if i < 0 {
 			return was, nil
@@ -37,7 +37,7 @@
 		l = slices.Delete(l, i, i+1)
 		at--
 	}
-	if len(l) >= w.Bound {
+	if len(l) >= w.MaxWaiting {
 		i := least(l, me.worth, len(l))
 		if i < 0 {
 			return was, nil
--- a/internal/router/client_disconnect_harness_test.go
+++ b/internal/router/client_disconnect_harness_test.go
@@ -99,7 +99,7 @@
 		v.queueMu.Lock()
 		defer v.queueMu.Unlock()
 		n := 0
-		for _, k := range v.queue.Flight {
+		for _, k := range v.queue.InFlight {
 			n += k
 		}
 		return n > 0
--- a/internal/router/client_disconnect_test.go
+++ b/internal/router/client_disconnect_test.go
@@ -62,7 +62,7 @@
 	c.disconnect(t)
 	w.startAccepting()
 	awaitIdle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w.scriptedWorker
 }
 
@@ -76,7 +76,7 @@
 	c.disconnect(t)
 	v.ready.Store(true)
 	awaitIdle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -91,7 +91,7 @@
 	list := []config.Worker{{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots}}
 	applyUpdates(t, v, configpush.Item{Key: "workers/" + platform.Pool, Num: 2, Data: config.PackWorkers(list)})
 	awaitIdle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -106,7 +106,7 @@
 	c.disconnect(t)
 	v.queueMu.Unlock()
 	awaitIdle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -123,7 +123,7 @@
 	c.disconnect(t)
 	v.queueMu.Unlock()
 	awaitIdle(t, v)
-	v.pool.Drop(w.id)
+	v.pool.CloseIdle(w.id)
 	return w
 }
 
@@ -143,7 +143,7 @@
 	c.disconnect(t)
 	k.reset()
 	awaitIdle(t, v)
-	v.pool.Drop(other.id)
+	v.pool.CloseIdle(other.id)
 	return other
 }
 
--- a/internal/router/clientwatch/clientwatch.go
+++ b/internal/router/clientwatch/clientwatch.go
@@ -13,16 +13,16 @@
 	"seamshunt/internal/socket"
 )
 
-// LookEvery is how often the clients of all requests under way are looked at. Whoever begins something for a request looks
+// CheckInterval is how often the clients of all requests under way are looked at. Whoever begins something for a request looks
 // by itself besides, so this bounds only how long what is under way goes on for nobody.
-const LookEvery = 100 * time.Millisecond
+const CheckInterval = 100 * time.Millisecond
 
 // Why a request is cancelled.
 var (
-	// ErrClientLeft says that the client has closed its connection.
-	ErrClientLeft = errors.New("clientwatch: the client has left")
-	// ErrRouterEnds says that the router is about to end and no answer had begun.
-	ErrRouterEnds = errors.New("clientwatch: the router is about to end")
+	// ErrClientDisconnected says that the client has closed its connection.
+	ErrClientDisconnected = errors.New("clientwatch: the client has left")
+	// ErrRouterShutdown says that the router is about to end and no answer had begun.
+	ErrRouterShutdown = errors.New("clientwatch: the router is about to end")
 	// errEnded releases what still hangs on the context of a request that is over.
 	errEnded = errors.New("clientwatch: the request is over")
 )
@@ -49,8 +49,8 @@
 	answering atomic.Bool
 }
 
-// Begin watches the client at the other end of a connection until End.
-func (w *Watcher) Begin(conn net.Conn) *Request {
+// Watch watches the client at the other end of a connection until End.
+func (w *Watcher) Watch(conn net.Conn) *Request {
 	r := &Request{watcher: w, conn: conn}
 	r.Context, r.cancel = context.WithCancelCause(context.Background())
 	w.mu.Lock()
@@ -58,14 +58,14 @@
 	first := len(w.requests) == 1
 	w.mu.Unlock()
 	if first {
-		w.wake(LookEvery)
+		w.wake(CheckInterval)
 	}
 	return r
 }
 
-// Look looks at all clients once, and cancels what has no answer yet if the router is about to end. It gives how long the
+// CheckAll looks at all clients once, and cancels what has no answer yet if the router is about to end. It gives how long the
 // next look may wait, 0 for as long as nothing is under way.
-func (w *Watcher) Look(routerEnds bool) time.Duration {
+func (w *Watcher) CheckAll(routerEnds bool) time.Duration {
 	w.mu.Lock()
 	w.round = w.round[:0]
 	for r := range w.requests {
@@ -73,8 +73,8 @@
 	}
 	w.mu.Unlock()
 	for _, r := range w.round {
-		if r.Look() == nil && routerEnds && !r.answering.Load() {
-			r.cancel(ErrRouterEnds)
+		if r.Check() == nil && routerEnds && !r.answering.Load() {
+			r.cancel(ErrRouterShutdown)
 		}
 	}
 	clear(w.round)
@@ -83,13 +83,13 @@
 	if len(w.requests) == 0 {
 		return 0
 	}
-	return LookEvery
+	return CheckInterval
 }
 
-// Look looks at the client now, and gives why the request is cancelled; nil while somebody waits for it.
-func (r *Request) Look() error {
+// Check looks at the client now, and gives why the request is cancelled; nil while somebody waits for it.
+func (r *Request) Check() error {
 	if r.Err() == nil && socket.HungUp(r.conn) {
-		r.cancel(ErrClientLeft)
+		r.cancel(ErrClientDisconnected)
 	}
 	return r.Cause()
 }
@@ -97,8 +97,8 @@
 // Cause gives why the request is cancelled, as far as that is known.
 func (r *Request) Cause() error { return context.Cause(r.Context) }
 
-// Answering is called once a worker's answer has begun: the end of the router doesn't cancel it any more.
-func (r *Request) Answering() { r.answering.Store(true) }
+// AnswerStarted is called once a worker's answer has begun: the end of the router doesn't cancel it any more.
+func (r *Request) AnswerStarted() { r.answering.Store(true) }
 
 // End stops watching. What still hangs on the context is released.
 func (r *Request) End() {
--- a/internal/router/clientwatch/clientwatch_test.go
+++ b/internal/router/clientwatch/clientwatch_test.go
@@ -50,9 +50,9 @@
 		t.Run(name, func(t *testing.T) {
 			w, _ := watcher()
 			router, client := pair(t)
-			r := w.Begin(router)
+			r := w.Watch(router)
 			defer r.End()
-			if again := w.Look(false); again != LookEvery || r.Err() != nil || r.Look() != nil {
+			if again := w.CheckAll(false); again != CheckInterval || r.Err() != nil || r.Check() != nil {
 				t.Fatal("cancelled while the client waits", again, r.Cause())
 			}
 			child, release := context.WithCancel(r)
@@ -61,8 +61,8 @@
 				t.Fatal(err)
 			}
 			awaitEnd(router)
-			w.Look(false)
-			if !errors.Is(r.Cause(), ErrClientLeft) || !errors.Is(context.Cause(child), ErrClientLeft) {
+			w.CheckAll(false)
+			if !errors.Is(r.Cause(), ErrClientDisconnected) || !errors.Is(context.Cause(child), ErrClientDisconnected) {
 				t.Fatal(r.Cause(), context.Cause(child))
 			}
 		})
@@ -73,11 +73,11 @@
 func TestLookNow(t *testing.T) {
 	w, _ := watcher()
 	router, client := pair(t)
-	r := w.Begin(router)
+	r := w.Watch(router)
 	defer r.End()
 	client.Close()
 	awaitEnd(router)
-	if err := r.Look(); !errors.Is(err, ErrClientLeft) || r.Err() == nil {
+	if err := r.Check(); !errors.Is(err, ErrClientDisconnected) || r.Err() == nil {
 		t.Fatal(err)
 	}
 }
@@ -87,12 +87,12 @@
 	w, _ := watcher()
 	routerA, _ := pair(t)
 	routerB, _ := pair(t)
-	waits, answered := w.Begin(routerA), w.Begin(routerB)
+	waits, answered := w.Watch(routerA), w.Watch(routerB)
 	defer waits.End()
 	defer answered.End()
-	answered.Answering()
-	w.Look(true)
-	if !errors.Is(waits.Cause(), ErrRouterEnds) || answered.Cause() != nil {
+	answered.AnswerStarted()
+	w.CheckAll(true)
+	if !errors.Is(waits.Cause(), ErrRouterShutdown) || answered.Cause() != nil {
 		t.Fatal(waits.Cause(), answered.Cause())
 	}
 }
@@ -100,24 +100,24 @@
 // The watcher is woken by the first request alone, and rests once none is under way.
 func TestWatcherRests(t *testing.T) {
 	w, woken := watcher()
-	if w.Look(false) != 0 {
+	if w.CheckAll(false) != 0 {
 		t.Error("it looks on with nothing under way")
 	}
 	a, _ := pair(t)
 	b, _ := pair(t)
-	first, second := w.Begin(a), w.Begin(b)
+	first, second := w.Watch(a), w.Watch(b)
 	if *woken != 1 {
 		t.Errorf("woken %d times, want once", *woken)
 	}
 	first.End()
-	if w.Look(false) != LookEvery {
+	if w.CheckAll(false) != CheckInterval {
 		t.Error("it rests with a request under way")
 	}
 	second.End()
-	if w.Look(false) != 0 || first.Err() == nil {
+	if w.CheckAll(false) != 0 || first.Err() == nil {
 		t.Error("it looks on, or a request that is over holds what hangs on it")
 	}
-	w.Begin(a).End()
+	w.Watch(a).End()
 	if *woken != 2 {
 		t.Errorf("woken %d times, want twice", *woken)
 	}
@@ -136,7 +136,7 @@
 				case <-over:
 					return
 				default:
-					w.Look(false)
+					w.CheckAll(false)
 				}
 			}
 		})
@@ -145,12 +145,12 @@
 			requests.Go(func() {
 				rng := rand.New(rand.NewPCG(seed, n))
 				leaves := rng.IntN(2) == 0
-				r := w.Begin(router)
+				r := w.Watch(router)
 				if leaves {
 					client.Close()
 					<-r.Done()
 				}
-				if left := errors.Is(r.Cause(), ErrClientLeft); left != leaves {
+				if left := errors.Is(r.Cause(), ErrClientDisconnected); left != leaves {
 					t.Errorf("seed %d: left %v, cancelled for it %v", seed, leaves, left)
 				}
 				r.End()
@@ -159,7 +159,7 @@
 		requests.Wait()
 		close(over)
 		rounds.Wait()
-		if again := w.Look(false); again != 0 {
+		if again := w.CheckAll(false); again != 0 {
 			t.Errorf("seed %d: something is left", seed)
 		}
 	}
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -28,7 +28,7 @@
 	catalog        *discovery.Catalog // the workers that the platform lists
 	evacuatedZones map[string]bool    // by zone
 	outages        map[string]outage  // workers that this node found unreachable or unresponsive, by name
-	peerWatch      *capacity.Watch
+	peerWatch      *capacity.RouterTracker
 	peers          []capacity.Peer
 	voters         register.QuorumSet
 	changed        bool // since the coordinator was last updated
@@ -36,7 +36,7 @@
 
 func newClusterView() clusterView {
 	return clusterView{workersByPool: map[string][]config.Worker{}, catalog: discovery.New(), evacuatedZones: map[string]bool{},
-		outages: map[string]outage{}, peerWatch: capacity.NewWatch()}
+		outages: map[string]outage{}, peerWatch: capacity.NewRouterTracker()}
 }
 
 // refresh applies updates and membership to the cluster view and passes changes on to the coordinator.
@@ -53,7 +53,7 @@
 	defer v.viewMu.Unlock()
 	view := &v.view
 	view.changed = view.changed || len(updates) > 0
-	peers, silent := view.peerWatch.See(now, members)
+	peers, silent := view.peerWatch.Update(now, members)
 	view.changed = view.changed || silent
 	if !view.changed && slices.Equal(peers, view.peers) {
 		return
@@ -65,9 +65,9 @@
 	}
 	workers := active.Keep(view.workersByPool, view.catalog.Start(), view.evacuatedZones)
 	v.coordinatorMu.Lock()
-	v.coordinator.Workers(workers)
-	v.coordinator.Allow(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, view.peerWatch.Part(now, len(peers)))
-	v.coordinator.View(peers, view.peerWatch.Holds(active.Longest(false)))
+	v.coordinator.SetWorkers(workers)
+	v.coordinator.SetRateLimits(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, view.peerWatch.RateShare(now, len(peers)))
+	v.coordinator.SetRouters(peers, view.peerWatch.RunDeadlines(active.Longest(false)))
 	v.coordinatorMu.Unlock()
 }
 
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -55,7 +55,7 @@
 	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		k := v.coordinator.Kept(v.Tasks.Now())
+		k := v.coordinator.Status(v.Tasks.Now())
 		return len(k) == 2 && k[0].Open && k[1].Open
 	})
 	sendPrompt(t, v, "/stepped")
@@ -66,7 +66,7 @@
 	testutil.Until(t, "one request waits", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		return v.coordinator.Kept(v.Tasks.Now())[0].Waiting == 1
+		return v.coordinator.Status(v.Tasks.Now())[0].Waiting == 1
 	})
 	if status, body := sendPrompt(t, v, "/plain").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"not_run":true`) {
 		t.Errorf("no fallback: %d %s", status, body)
@@ -137,13 +137,13 @@
 	a, _ := startNativeWorker(t)
 	v := newTestRouter(t, a)
 	applyUpdates(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
-	for _, k := range []message.Kind{capacity.Ask, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
+	for _, k := range []message.Kind{capacity.Acquire, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
 		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.coordinatorMu.Lock()
-	kept := v.coordinator.Kept(v.Tasks.Now())
+	kept := v.coordinator.Status(v.Tasks.Now())
 	v.coordinatorMu.Unlock()
-	if len(kept) != 1 || kept[0].Lent != 0 {
+	if len(kept) != 1 || kept[0].InUse != 0 {
 		t.Errorf("coordinated workers: %+v", kept)
 	}
 	if _, b, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -111,7 +111,7 @@
 	testutil.Until(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		k := v.coordinator.Kept(v.Tasks.Now())
+		k := v.coordinator.Status(v.Tasks.Now())
 		for _, x := range k {
 			if !x.Open {
 				return false
--- a/internal/router/mapping_stats.go
+++ b/internal/router/mapping_stats.go
@@ -28,8 +28,8 @@
 	refusalTime       time.Duration // total time from arrival to refusal
 	streamTime        time.Duration // total duration of the streams that ended
 	streamsEnded      uint64
-	firstOutput       upstream.Habit
-	durations         upstream.Habit // of requests with complete answers, from when they were read to the end of the answer
+	firstOutput       upstream.FirstTokenTimes
+	durations         upstream.FirstTokenTimes // of requests with complete answers, from when they were read to the end of the answer
 	firstRequestAt    units.Time
 	seconds           [60]struct { // requests in each of the last 60 seconds
 		second int64
@@ -70,7 +70,7 @@
 // durations returns the durations of a mapping's latest requests.
 func (t *statsByMapping) durations(now units.Time, m *config.Mapping) (seen requestDurations) {
 	t.update(m, func(stats *mappingStats) {
-		if longest, measured := stats.durations.At(1); measured >= minDurationSamples {
+		if longest, measured := stats.durations.Quantile(1); measured >= minDurationSamples {
 			seen = requestDurations{longest: longest, observedFor: now.Sub(stats.firstRequestAt)}
 		}
 	})
@@ -127,8 +127,8 @@
 			{"on_time", stats.onTime}, {"refused", stats.refused}, {"again", stats.retries}, {"ended", stats.streamsEnded}} {
 			entry.Set(c.name, a.NewNumberInt(int(c.n)))
 		}
-		median, _ := stats.firstOutput.At(0.5)
-		p95, _ := stats.firstOutput.At(0.95)
+		median, _ := stats.firstOutput.Quantile(0.5)
+		p95, _ := stats.firstOutput.Quantile(0.95)
 		entry.Set("first_ms_median", a.NewNumberInt(int(median.Milliseconds())))
 		entry.Set("first_ms_95th", a.NewNumberInt(int(p95.Milliseconds())))
 		entry.Set("refused_after_ms", a.NewNumberInt(int(stats.refusalTime.Milliseconds()/int64(max(1, stats.refused)))))
--- a/internal/router/native_api.go
+++ b/internal/router/native_api.go
@@ -63,7 +63,7 @@
 func (v *Router) handlePrompt(ctx *fasthttp.RequestCtx, path string) {
 	v.inFlight.Add(1)
 	w := &nativeRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), config: v.activeConfig.Load(),
-		client: v.clientWatcher.Begin(ctx.Conn()), stage: stageClaim}
+		client: v.clientWatcher.Watch(ctx.Conn()), stage: stageClaim}
 	defer func() {
 		if !w.streaming {
 			w.finish(false)
--- a/internal/router/native_api_test.go
+++ b/internal/router/native_api_test.go
@@ -181,7 +181,7 @@
 			testutil.Until(t, "the slot is free", func() bool {
 				v.coordinatorMu.Lock()
 				defer v.coordinatorMu.Unlock()
-				return v.coordinator.Kept(v.Tasks.Now())[0].Lent == 0 && v.inFlight.Load() == 0
+				return v.coordinator.Status(v.Tasks.Now())[0].InUse == 0 && v.inFlight.Load() == 0
 			})
 			v.stats.mu.Lock()
 			defer v.stats.mu.Unlock()
@@ -205,7 +205,7 @@
 	waiting := func() int {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		return v.coordinator.Kept(v.Tasks.Now())[0].Waiting
+		return v.coordinator.Status(v.Tasks.Now())[0].Waiting
 	}
 	c := sendPrompt(t, v, "/chat")
 	testutil.Until(t, "the third waits", func() bool { return waiting() == 1 })
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -93,7 +93,7 @@
 		tag := v.nextTag.Add(1)
 		verdict := w.admit(now, tag, service)
 		if verdict.Code != codes.OK {
-			w.reason, w.expectedWait = verdict.Code, verdict.Due
+			w.reason, w.expectedWait = verdict.Code, verdict.ExpectedWait
 			return w.dispatches > 0 && w.endWithRefusal()
 		}
 		if v.Tasks.Now().Sub(verdict.decidedAt) > maxVerdictAge {
@@ -118,9 +118,9 @@
 	result := make(chan timedVerdict, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
-	out := v.queue.Arrive(now, admission.Request{Tag: tag, Policy: service.Allow, Cands: candidates, Tries: service.Spread + 4,
-		Until: w.deadline, First: service.First, Worth: uint16(w.mapping.Promise.Worth),
-		Keeper: func(n string) units.Node { return coordinators[n] }})
+	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.Allow, Candidates: candidates, MaxCandidates: service.Spread + 4,
+		Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth),
+		Coordinator: func(n string) units.Node { return coordinators[n] }})
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
@@ -130,7 +130,7 @@
 	case <-w.client.Done():
 		v.releaseAborted(tag)
 		w.checkCancelled()
-		return timedVerdict{Verdict: admission.Verdict{Code: w.reason}}
+		return timedVerdict{Decision: admission.Decision{Code: w.reason}}
 	}
 }
 
@@ -158,26 +158,26 @@
 	}
 	now := v.Tasks.Now()
 	id := fmt.Sprintf("%s-%s", v.Self, strconv.FormatUint(tag, 16))
-	attempt := upstream.NewTry(w.client, addr, id, w.body, w.deadline.Sub(now))
+	attempt := upstream.NewAttempt(w.client, addr, id, w.body, w.deadline.Sub(now))
 	v.stats.countDispatch(zone, v.Boot.Zone, len(w.body))
 	v.Tasks.Go(attempt.Run)
 	if w.dispatches == 0 {
-		v.retryBudgetOf(service.Name).First(now)
+		v.retryBudgetOf(service.Name).RecordFirstAttempt(now)
 	}
 	w.dispatchedAt, w.stage = now, stageAnswer
 	event := w.awaitFirstEvent(attempt, service, worker)
-	if w.client.Err() != nil && event.Kind != upstream.Piece && event.Kind != upstream.Sealed {
+	if w.client.Err() != nil && event.Outcome != upstream.Partial && event.Outcome != upstream.Complete {
 		return w.abortAttempt(tag, event)
 	}
-	switch event.Kind {
-	case upstream.Piece, upstream.Sealed:
-		w.client.Answering()
+	switch event.Outcome {
+	case upstream.Partial, upstream.Complete:
+		w.client.AnswerStarted()
 		v.firstOutputLatencyOf(service.Name).Add(v.Tasks.Now().Sub(now))
 		w.startStream(tag, attempt, event, worker)
 		return true
 	case upstream.NotSent:
 		v.release(tag, false)
-		if event.Down {
+		if event.Unreachable {
 			v.markDown(worker)
 		}
 		w.reason = codes.NoWorker
@@ -192,7 +192,7 @@
 	w.dispatches++
 	w.knownNotRun = false
 	w.reason = codes.Unknown
-	v.release(tag, !event.Down)
+	v.release(tag, !event.Unreachable)
 	v.markDown(worker)
 	v.Log.WithError(event.Err).WithField("worker", worker).Warn("attempt with unknown outcome")
 	return w.mapping.Once && w.endWithRefusal()
@@ -201,7 +201,7 @@
 // abortAttempt answers a request that was cancelled during an attempt.
 func (w *nativeRequest) abortAttempt(tag uint64, event upstream.Event) bool {
 	w.checkCancelled()
-	if event.Kind == upstream.NotSent {
+	if event.Outcome == upstream.NotSent {
 		w.router.release(tag, false)
 		return w.endWithRefusal()
 	}
--- a/internal/router/native_stream.go
+++ b/internal/router/native_stream.go
@@ -52,7 +52,7 @@
 }
 
 // startStream begins the client's response. Its body is read from the attempt as it arrives.
-func (w *nativeRequest) startStream(tag uint64, attempt *upstream.Try, first upstream.Event, worker string) {
+func (w *nativeRequest) startStream(tag uint64, attempt *upstream.Attempt, first upstream.Event, worker string) {
 	w.streaming, w.stage = true, stageStream
 	body := &nativeStream{request: w, tag: tag, attempt: attempt, worker: worker, firstEvent: &first}
 	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
@@ -73,7 +73,7 @@
 type nativeStream struct {
 	request        *nativeRequest
 	tag            uint64
-	attempt        *upstream.Try
+	attempt        *upstream.Attempt
 	worker         string
 	firstEvent     *upstream.Event
 	pending        []byte
@@ -93,7 +93,7 @@
 			return 0, err
 		}
 		s.pending = event.Line
-		s.sealed = event.Kind == upstream.Sealed
+		s.sealed = event.Outcome == upstream.Complete
 	}
 	n := copy(p, s.pending)
 	s.pending = s.pending[n:]
@@ -111,7 +111,7 @@
 	defer timeout.Stop()
 	select {
 	case e := <-s.attempt.Events:
-		if e.Kind == upstream.Piece || e.Kind == upstream.Sealed {
+		if e.Outcome == upstream.Partial || e.Outcome == upstream.Complete {
 			return &e, nil
 		}
 		if s.request.client.Err() != nil {
--- a/internal/router/overdue_worker.go
+++ b/internal/router/overdue_worker.go
@@ -18,7 +18,7 @@
 		w.retryReserved = false
 		return true
 	}
-	if !w.router.retryBudgetOf(service).Again(now, 0) {
+	if !w.router.retryBudgetOf(service).AllowRetry(now, 0) {
 		return false
 	}
 	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.retries++ })
@@ -28,9 +28,9 @@
 // awaitFirstEvent waits for the first event of an attempt. A worker that takes longer than is usual for the service is marked
 // down. A repeatable request is then cancelled there, if the retry budget and the time left allow another attempt
 // (docs/design.md, section 8).
-func (w *nativeRequest) awaitFirstEvent(attempt *upstream.Try, service *config.Service, worker string) upstream.Event {
+func (w *nativeRequest) awaitFirstEvent(attempt *upstream.Attempt, service *config.Service, worker string) upstream.Event {
 	v := w.router
-	overdueAfter, known := v.firstOutputLatencyOf(service.Name).Late()
+	overdueAfter, known := v.firstOutputLatencyOf(service.Name).OverdueAfter()
 	marked := !known
 	tick := time.NewTicker(overdueCheckInterval)
 	defer tick.Stop()
@@ -40,15 +40,15 @@
 			return e
 		case <-w.client.Done():
 			if attempt.Abandon() {
-				return upstream.Event{Kind: upstream.NotSent, Err: w.client.Cause()}
+				return upstream.Event{Outcome: upstream.NotSent, Err: w.client.Cause()}
 			}
-			return upstream.Event{Kind: upstream.Unknown, Err: w.client.Cause()}
+			return upstream.Event{Outcome: upstream.Unknown, Err: w.client.Cause()}
 		case <-tick.C:
 		}
 		now := v.Tasks.Now()
 		if now > w.deadline {
 			attempt.Cancel()
-			return upstream.Event{Kind: upstream.Unknown, Err: errors.New("router: deadline exceeded")}
+			return upstream.Event{Outcome: upstream.Unknown, Err: errors.New("router: deadline exceeded")}
 		}
 		if !known || now.Sub(w.dispatchedAt) < overdueAfter {
 			continue
@@ -61,7 +61,7 @@
 			!w.retryReserved && w.takeRetry(service.Name, now) {
 			w.retryReserved = true
 			attempt.Cancel()
-			return upstream.Event{Kind: upstream.Unknown, Err: errOverdue}
+			return upstream.Event{Outcome: upstream.Unknown, Err: errOverdue}
 		}
 	}
 }
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -25,7 +25,7 @@
 			v := newTestRouter(t, a, b)
 			for range 40 {
 				v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond)
-				v.retryBudgetOf("advice").First(v.Tasks.Now())
+				v.retryBudgetOf("advice").RecordFirstAttempt(v.Tasks.Now())
 			}
 			c := sendPrompt(t, v, path)
 			other := hb
--- a/internal/router/pause_test.go
+++ b/internal/router/pause_test.go
@@ -10,8 +10,8 @@
 func lentPermits(v *Router) (lent int, open bool) {
 	v.coordinatorMu.Lock()
 	defer v.coordinatorMu.Unlock()
-	for _, k := range v.coordinator.Kept(v.Tasks.Now()) {
-		return k.Lent, k.Open
+	for _, k := range v.coordinator.Status(v.Tasks.Now()) {
+		return k.InUse, k.Open
 	}
 	return 0, false
 }
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -8,8 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// Spot is one worker that could take the prompt.
-type Spot struct {
+// Candidate is one worker that could take the prompt.
+type Candidate struct {
 	Name string
 	Zone string
 	Load float64 // last known share of its cap in use, its waitlist counted; late and never trusted for admission
@@ -17,10 +17,10 @@
 
 // Query is what a policy may look at.
 type Query struct {
-	Prefix uint64
-	Zone   string // the node's own
-	Spread int
-	Spots  []Spot
+	Prefix         uint64
+	Zone           string // the node's own
+	PreferredCount int
+	Candidates     []Candidate
 }
 
 // Policies by name; a new one is a new line here and nothing elsewhere.
@@ -41,10 +41,10 @@
 	return units.Mix(string(prompt[:min(n, len(prompt))]))
 }
 
-// Order lists workers, best first.
-func (w *Placer) Order(policy string, q Query) []string { return Policies[policy](w, q) }
+// Rank lists workers, best first.
+func (w *Placer) Rank(policy string, q Query) []string { return Policies[policy](w, q) }
 
-func names(l []Spot) []string {
+func names(l []Candidate) []string {
 	s := make([]string, len(l))
 	for i, x := range l {
 		s[i] = x.Name
@@ -55,11 +55,11 @@
 // prefix: the own zone's first few in rendezvous order hold the prefix; behind them the least loaded.
 func (w *Placer) prefix(q Query) []string {
 	type ranked struct {
-		Spot
+		Candidate
 		rank uint64
 	}
-	l := make([]ranked, len(q.Spots))
-	for i, s := range q.Spots {
+	l := make([]ranked, len(q.Candidates))
+	for i, s := range q.Candidates {
 		l[i] = ranked{s, units.Mix(units.Hex(q.Prefix), s.Name)}
 	}
 	slices.SortFunc(l, func(a, b ranked) int {
@@ -68,8 +68,8 @@
 		}
 		return flip(a.rank > b.rank)
 	})
-	if len(l) > q.Spread {
-		slices.SortStableFunc(l[q.Spread:], func(a, b ranked) int { return byLoad(a.Spot, b.Spot, q.Zone) })
+	if len(l) > q.PreferredCount {
+		slices.SortStableFunc(l[q.PreferredCount:], func(a, b ranked) int { return byLoad(a.Candidate, b.Candidate, q.Zone) })
 	}
 	s := make([]string, len(l))
 	for i, x := range l {
@@ -81,16 +81,16 @@
 // home: one order for the whole fleet, whatever the zone, so that a long shared part is read by few workers; behind
 // the first few, and where nothing is shared, the least loaded.
 func (w *Placer) home(q Query) []string {
-	l := slices.Clone(q.Spots)
+	l := slices.Clone(q.Candidates)
 	if q.Prefix == 0 {
 		rotate(l, int(w.next.Add(1)))
-		slices.SortStableFunc(l, func(a, b Spot) int { return byLoad(a, b, "") })
+		slices.SortStableFunc(l, func(a, b Candidate) int { return byLoad(a, b, "") })
 		return names(l)
 	}
-	rank := func(s Spot) uint64 { return units.Mix(units.Hex(q.Prefix), s.Name) }
-	slices.SortFunc(l, func(a, b Spot) int { return flip(rank(a) > rank(b)) })
-	if len(l) > q.Spread {
-		slices.SortStableFunc(l[q.Spread:], func(a, b Spot) int { return byLoad(a, b, "") })
+	rank := func(s Candidate) uint64 { return units.Mix(units.Hex(q.Prefix), s.Name) }
+	slices.SortFunc(l, func(a, b Candidate) int { return flip(rank(a) > rank(b)) })
+	if len(l) > q.PreferredCount {
+		slices.SortStableFunc(l[q.PreferredCount:], func(a, b Candidate) int { return byLoad(a, b, "") })
 	}
 	return names(l)
 }
@@ -103,7 +103,7 @@
 }
 
 // byLoad puts the less loaded first; a worker in another zone must be much less loaded to come before.
-func byLoad(a, b Spot, zone string) int {
+func byLoad(a, b Candidate, zone string) int {
 	x, y := a.Load, b.Load
 	if a.Zone != zone && zone != "" {
 		x += 0.5
@@ -122,20 +122,20 @@
 
 // least: the least loaded first, the own zone preferred.
 func (w *Placer) least(q Query) []string {
-	l := slices.Clone(q.Spots)
+	l := slices.Clone(q.Candidates)
 	rotate(l, int(w.next.Add(1)))
-	slices.SortStableFunc(l, func(a, b Spot) int { return byLoad(a, b, q.Zone) })
+	slices.SortStableFunc(l, func(a, b Candidate) int { return byLoad(a, b, q.Zone) })
 	return names(l)
 }
 
 // turn: each in its turn, whatever the zone.
 func (w *Placer) turn(q Query) []string {
-	l := slices.Clone(q.Spots)
+	l := slices.Clone(q.Candidates)
 	rotate(l, int(w.next.Add(1)))
 	return names(l)
 }
 
-func rotate(l []Spot, by int) {
+func rotate(l []Candidate, by int) {
 	if len(l) < 2 {
 		return
 	}
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -50,7 +50,7 @@
 // handleRelay handles one request in the adapter's protocol.
 func (v *Router) handleRelay(ctx *fasthttp.RequestCtx) {
 	v.inFlight.Add(1)
-	w := &relayRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), client: v.clientWatcher.Begin(ctx.Conn()),
+	w := &relayRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), client: v.clientWatcher.Watch(ctx.Conn()),
 		stage: stageAdmission}
 	defer func() {
 		if w.stream == nil {
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -33,7 +33,7 @@
 		return false
 	case w.dispatches >= w.maxAttempts() || w.mayHaveRun && w.mapping.Once:
 		return false
-	case !w.router.retryBudgetOf(service).Again(now, w.router.retrySlack()):
+	case !w.router.retryBudgetOf(service).AllowRetry(now, w.router.retrySlack()):
 		w.reason = codes.Budget
 		return false
 	}
@@ -64,7 +64,7 @@
 			continue
 		}
 		if verdict.Code != codes.OK {
-			w.reason, w.expectedWait = verdict.Code, verdict.Due
+			w.reason, w.expectedWait = verdict.Code, verdict.ExpectedWait
 			return false
 		}
 		if v.Tasks.Now().Sub(verdict.decidedAt) > maxVerdictAge {
@@ -100,13 +100,13 @@
 func (w *relayRequest) admit(now units.Time, service *config.Service) (timedVerdict, uint64) {
 	v, tag := w.router, w.router.nextTag.Add(1)
 	w.stage = w.stageUnlessStreaming(stageAdmission)
-	query := admission.Request{Tag: tag, Policy: service.Allow, Until: w.deadline, First: service.First, Worth: uint16(w.mapping.Promise.Worth), Tries: 3}
+	query := admission.Request{Tag: tag, Policy: service.Allow, Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth), MaxCandidates: 3}
 	candidates, coordinators := v.placeRelay(now, service, w, &query)
-	query.Cands, query.Keeper = candidates, func(n string) units.Node { return coordinators[n] }
+	query.Candidates, query.Coordinator = candidates, func(n string) units.Node { return coordinators[n] }
 	result := make(chan timedVerdict, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
-	out := v.queue.Arrive(now, query)
+	out := v.queue.Submit(now, query)
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
@@ -116,7 +116,7 @@
 	case <-w.client.Done():
 		v.releaseAborted(tag)
 		w.checkCancelled()
-		return timedVerdict{Verdict: admission.Verdict{Code: w.reason}}, tag
+		return timedVerdict{Decision: admission.Decision{Code: w.reason}}, tag
 	}
 }
 
@@ -157,19 +157,19 @@
 	now := v.Tasks.Now()
 	worker := name[len(service.Name)+1:]
 	req := w.newWorkerRequest(worker, w.deadline.Sub(now))
-	order := &upstream.Order{Worker: worker, Addr: addr, ID: w.id, Req: req, Due: time.Now().Add(w.deadline.Sub(now)), Fresh: w.mapping.Once,
-		Most: v.connectionShare(service)}
+	order := &upstream.Dispatch{Worker: worker, Addr: addr, ID: w.id, Request: req, Deadline: time.Now().Add(w.deadline.Sub(now)), SendOnce: w.mapping.Once,
+		MaxConns: v.connectionShare(service)}
 	v.stats.countDispatch(zone, v.Boot.Zone, len(w.body))
 	if w.dispatches == 0 {
-		v.retryBudgetOf(service.Name).First(now)
+		v.retryBudgetOf(service.Name).RecordFirstAttempt(now)
 	}
 	w.stage = w.stageUnlessStreaming(stageAnswer)
 	exchange := v.pool.Do(w.client, order)
 	fasthttp.ReleaseRequest(req)
-	if exchange.Kind == upstream.Piece {
+	if exchange.Outcome == upstream.Partial {
 		w.dispatches++
 		w.mayHaveRun = true
-		if w.shouldRetryStatus(exchange.Resp.StatusCode()) {
+		if w.shouldRetryStatus(exchange.Response.StatusCode()) {
 			exchange.End()
 			v.release(tag, false)
 			v.markDown(name)
@@ -179,7 +179,7 @@
 		elapsed := v.Tasks.Now().Sub(now)
 		v.firstOutputLatencyOf(service.Name).Add(elapsed)
 		v.queueMu.Lock()
-		v.queue.Words(tag, elapsed)
+		v.queue.RecordFirstToken(tag, elapsed)
 		v.queueMu.Unlock()
 		return &workerResponse{Exchange: exchange, tag: tag, worker: name, service: service, dispatchedAt: now}
 	}
@@ -191,30 +191,30 @@
 // recordUnanswered updates the request, its permit and the worker's state after an attempt without an answer.
 func (w *relayRequest) recordUnanswered(tag uint64, worker string, exchange *upstream.Exchange) {
 	v := w.router
-	if exchange.Kind != upstream.NotSent {
+	if exchange.Outcome != upstream.NotSent {
 		w.dispatches++
 	}
 	switch cancelled := w.client.Err() != nil; {
-	case exchange.Kind == upstream.NotSent && cancelled:
+	case exchange.Outcome == upstream.NotSent && cancelled:
 		v.release(tag, false)
-	case exchange.Kind == upstream.Unknown && cancelled: // aborted here, so the worker is not marked down
+	case exchange.Outcome == upstream.Unknown && cancelled: // aborted here, so the worker is not marked down
 		w.mayHaveRun = true
 		v.releaseAborted(tag)
-	case exchange.Kind == upstream.NotSent:
+	case exchange.Outcome == upstream.NotSent:
 		v.release(tag, false)
-		if exchange.Down {
+		if exchange.Unreachable {
 			v.markDown(worker)
 		}
 		w.reason = codes.NoWorker
 		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("cannot connect to worker")
-	case exchange.Kind == upstream.NotRun || exchange.Kind == upstream.Moved:
+	case exchange.Outcome == upstream.NotRun || exchange.Outcome == upstream.WorkerReplaced:
 		v.release(tag, false)
 		v.markDown(worker)
 		w.reason = codes.WorkerNo
 	default:
 		w.mayHaveRun = true
 		w.reason = codes.Unknown
-		v.release(tag, !exchange.Down)
+		v.release(tag, !exchange.Unreachable)
 		v.markDown(worker)
 		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("attempt with unknown outcome")
 	}
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -128,7 +128,7 @@
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		open := 0
-		for _, k := range v.coordinator.Kept(v.Tasks.Now()) {
+		for _, k := range v.coordinator.Status(v.Tasks.Now()) {
 			if k.Open {
 				open++
 			}
@@ -136,7 +136,7 @@
 		return open == len(workers)
 	})
 	for range 20 {
-		v.retryBudgetOf("svc").First(v.Tasks.Now())
+		v.retryBudgetOf("svc").RecordFirstAttempt(v.Tasks.Now())
 	}
 	return v
 }
--- a/internal/router/relay_placement.go
+++ b/internal/router/relay_placement.go
@@ -16,12 +16,12 @@
 	request.urgency = urgencyByRank(request.mapping)
 	if request.hasSize && service.Memory > 0 {
 		estimateCost(request.prompt, service, query)
-		request.urgency = urgencyOf(query.Read)
-		if target := request.mapping.Promise.First * firstOutputTargetPercent / 100; query.Read < target {
-			query.Soon = max(0, target-now.Sub(request.startedAt)-service.First)
+		request.urgency = urgencyOf(query.PrefillTime)
+		if target := request.mapping.Promise.First * firstOutputTargetPercent / 100; query.PrefillTime < target {
+			query.MaxFirstTokenTime = max(0, target-now.Sub(request.startedAt)-service.First)
 		}
 	}
-	query.Urge = request.urgency
+	query.Priority = request.urgency
 	candidates, coordinators := v.candidates(now, service, prefixKey(request.prompt, request.hasSize))
 	if request.failedWorker != "" && len(candidates) > 1 && candidates[0] == request.failedWorker {
 		candidates = append(candidates[1:], candidates[0])
@@ -57,9 +57,9 @@
 		}
 	}
 	shared = min(shared, p.In)
-	query.Homes, query.Full, query.Read = 1, readTime(service, p.In, 0), readTime(service, p.In-shared, shared)
-	query.Mem = uint32(p.In - shared + p.Out)
-	query.Away = 4*(query.Full-query.Read) + 1
+	query.PreferredCount, query.FullPrefillTime, query.PrefillTime = 1, readTime(service, p.In, 0), readTime(service, p.In-shared, shared)
+	query.MemoryTokens = uint32(p.In - shared + p.Out)
+	query.NonPreferredPenalty = 4*(query.FullPrefillTime-query.PrefillTime) + 1
 }
 
 // topUrgencyReadTime is the read time up to which a prompt has urgency 1, the highest. Each doubling lowers the urgency by one
--- a/internal/router/relay_placement_test.go
+++ b/internal/router/relay_placement_test.go
@@ -37,14 +37,14 @@
 	// With the prefix cached: 45,000 tokens at 75 per millisecond, and 45,000 x 27,500 attention pairs. Without it: 5,000 more tokens
 	// and all pairs.
 	cached, uncached := 600*time.Millisecond+269775*time.Microsecond, 666666*time.Microsecond+272500*time.Microsecond
-	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.Read, cached) || !near(q.Full, uncached) {
-		t.Errorf("read with the cached prefix in %v, want %v; without in %v, want %v", q.Read, cached, q.Full, uncached)
+	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.PrefillTime, cached) || !near(q.FullPrefillTime, uncached) {
+		t.Errorf("read with the cached prefix in %v, want %v; without in %v, want %v", q.PrefillTime, cached, q.FullPrefillTime, uncached)
 	}
-	if q.Mem != 46000 || q.Homes != 1 || q.Away <= q.Full-q.Read {
+	if q.MemoryTokens != 46000 || q.PreferredCount != 1 || q.NonPreferredPenalty <= q.FullPrefillTime-q.PrefillTime {
 		t.Errorf("%+v", q)
 	}
 	p.In = 100 // the parts add up to more than the whole prompt
-	if estimateCost(p, s, &q); q.Read != 0 || q.Mem != 1000 || q.Full <= 0 {
+	if estimateCost(p, s, &q); q.PrefillTime != 0 || q.MemoryTokens != 1000 || q.FullPrefillTime <= 0 {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/router/relay_response.go
+++ b/internal/router/relay_response.go
@@ -16,17 +16,17 @@
 // respondFromWorker passes a worker's answer to the client.
 func (w *relayRequest) respondFromWorker(response *workerResponse) {
 	v := w.router
-	if c := response.Resp.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
+	if c := response.Response.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
 		response.End() // a refusal without proof that the request has not run must not be passed on as one
 		v.release(response.tag, false)
 		w.respond(codes.Unknown, 0)
 		return
 	}
-	w.client.Answering()
+	w.client.AnswerStarted()
 	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.recordFirstOutput(v.Tasks.Now().Sub(w.startedAt)) })
 	w.copyHeader(response)
 	body := &responseBody{request: w, workerResponse: response}
-	body.events.Last = w.lastEventID
+	body.events.LastID = w.lastEventID
 	if w.mapping.Stream || response.Length() < 0 || response.Length() > maxBufferedResponse {
 		w.stream = body
 		w.stage = stageStream
@@ -50,7 +50,7 @@
 
 // copyHeader copies the worker's status and headers to the client's response, except hop-by-hop headers.
 func (w *relayRequest) copyHeader(response *workerResponse) {
-	out, in := &w.ctx.Response, response.Resp
+	out, in := &w.ctx.Response, response.Response
 	out.Reset()
 	in.Header.CopyTo(&out.Header)
 	for _, h := range hopByHopHeaders {
@@ -70,7 +70,7 @@
 type responseBody struct {
 	request *relayRequest
 	*workerResponse
-	events   upstream.Events
+	events   upstream.EventStream
 	pending  []byte // complete events that have not been read yet
 	buf      []byte
 	complete bool
@@ -80,7 +80,7 @@
 
 // resumable reports whether another worker may continue this response.
 func (r *responseBody) resumable() bool {
-	return r.request.mapping.Resume && r.Resp.StatusCode() == fasthttp.StatusOK
+	return r.request.mapping.Resume && r.Response.StatusCode() == fasthttp.StatusOK
 }
 
 // contentLength returns the length to announce, or -1 for a chunked response. A resumable response can have any length: the
@@ -126,12 +126,12 @@
 		r.buf = make([]byte, 4096)
 	}
 	n, err := r.workerResponse.Read(r.buf)
-	events, formatErr := r.events.Whole(r.buf[:n])
+	events, formatErr := r.events.Append(r.buf[:n])
 	r.pending = append(r.pending[:0], events...)
 	switch {
 	case formatErr != nil:
 		err = formatErr
-	case err == io.EOF && r.events.Tail() > 0:
+	case err == io.EOF && r.events.PendingBytes() > 0:
 		err = errBroken // the stream ended within an event
 	case err == io.EOF:
 		r.complete = true
@@ -161,10 +161,10 @@
 // resume continues the stream on another worker after the last complete event. It reports whether it could.
 func (r *responseBody) resume() bool {
 	w := r.request
-	if r.events.Bare {
+	if r.events.HasEventWithoutID {
 		return false // an event had no ID, so the last one that the client has is unknown
 	}
-	w.lastEventID, w.failedWorker = r.events.Last, r.worker
+	w.lastEventID, w.failedWorker = r.events.LastID, r.worker
 	r.workerResponse.End()
 	w.router.releaseAborted(r.tag)
 	r.workerResponse.tag = 0
@@ -181,13 +181,13 @@
 		if response == nil {
 			continue
 		}
-		if response.Resp.StatusCode() != 200 {
+		if response.Response.StatusCode() != 200 {
 			response.End()
 			w.router.releaseAborted(tag)
 			return false
 		}
 		r.workerResponse = response
-		r.events = upstream.Events{Last: r.events.Last}
+		r.events = upstream.EventStream{LastID: r.events.LastID}
 		return true
 	}
 }
--- a/internal/router/retries_test.go
+++ b/internal/router/retries_test.go
@@ -16,7 +16,7 @@
 	b, hb := startNativeWorker(t)
 	v := newTestRouter(t, a, b)
 	for range 50 {
-		v.retryBudgetOf("advice").First(v.Tasks.Now()) // the retry budget would allow a retry
+		v.retryBudgetOf("advice").RecordFirstAttempt(v.Tasks.Now()) // the retry budget would allow a retry
 	}
 	c := sendPrompt(t, v, "/notice")
 	var h nativeWorkerConn
@@ -41,7 +41,7 @@
 	b, hb := startNativeWorker(t)
 	v := newTestRouter(t, a, b)
 	for range 20 {
-		v.retryBudgetOf("advice").First(v.Tasks.Now())
+		v.retryBudgetOf("advice").RecordFirstAttempt(v.Tasks.Now())
 	}
 	c := sendPrompt(t, v, "/notice")
 	var h, next nativeWorkerConn
@@ -115,8 +115,8 @@
 // The budget limits retries to a fifth of the first attempts over any ten seconds, without a free minimum.
 func TestRetryBudget(t *testing.T) {
 	t.Parallel()
-	var b upstream.Budget
-	if b.Again(0, 0) {
+	var b upstream.RetryBudget
+	if b.AllowRetry(0, 0) {
 		t.Error("a retry without any first attempt")
 	}
 	type try struct {
@@ -127,10 +127,10 @@
 	for i := range 4000 {
 		now := units.Time(i) * 10_000_000 // 10 ms
 		if i%3 == 0 && (i/500)%2 == 0 {
-			b.First(now)
+			b.RecordFirstAttempt(now)
 			attempts = append(attempts, try{now, false})
 		}
-		if b.Again(now, 0) {
+		if b.AllowRetry(now, 0) {
 			attempts = append(attempts, try{now, true})
 		}
 	}
@@ -161,12 +161,12 @@
 
 // Where the platform grants an allowance, each node may make its part of these retries on top of the ratio.
 func TestRetryBudgetSlack(t *testing.T) {
-	b := upstream.Budget{Ratio: 0.1}
+	b := upstream.RetryBudget{Ratio: 0.1}
 	for range 20 {
-		b.First(0)
+		b.RecordFirstAttempt(0)
 	}
 	n := 0
-	for b.Again(0, 2) {
+	for b.AllowRetry(0, 2) {
 		n++
 	}
 	if n != 4 {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -32,7 +32,7 @@
 
 // timedVerdict is an admission verdict with the time at which it was passed to the waiting request.
 type timedVerdict struct {
-	admission.Verdict
+	admission.Decision
 	decidedAt units.Time
 }
 
@@ -83,7 +83,7 @@
 	v.coordinator = capacity.New(v.Self)
 	v.claimant = idempotency.New(v.Self, v.Tasks.Now())
 	v.view = newClusterView()
-	v.view.peerWatch.Lax = clientAdapter != nil
+	v.view.peerWatch.ExcludeSuspects = clientAdapter != nil
 	v.nextTag.Store(uint64(node.RandomID()) >> 1)
 	v.OnResume = v.onResume
 	v.OnPeersEnded = v.onNodesRemoved
@@ -115,8 +115,8 @@
 		ln.Close()
 		return err
 	}
-	v.clientPollLoop.Start(v.Tasks, clientwatch.LookEvery, func(units.Time) time.Duration {
-		return v.clientWatcher.Look(v.nearDrainDeadline())
+	v.clientPollLoop.Start(v.Tasks, clientwatch.CheckInterval, func(units.Time) time.Duration {
+		return v.clientWatcher.CheckAll(v.nearDrainDeadline())
 	})
 	v.Serve("clients", ln, v.server.Serve)
 	v.tickLoop.Start(v.Tasks, tickInterval, v.tick)
@@ -130,14 +130,14 @@
 // stepCapacity passes a capacity message to the admission queue, which borrows permits, or to the coordinator, which lends
 // them, or to both.
 func (v *Router) stepCapacity(now units.Time, msg message.Message) {
-	if msg.Kind != capacity.Ask && msg.Kind != capacity.Return && msg.Kind != capacity.Report {
+	if msg.Kind != capacity.Acquire && msg.Kind != capacity.Release && msg.Kind != capacity.Report {
 		v.queueMu.Lock()
 		out := v.queue.Step(now, msg)
 		v.deliverVerdicts(now)
 		v.queueMu.Unlock()
 		v.Deliver(out)
 	}
-	if msg.Kind == capacity.Ask || msg.Kind == capacity.Return || msg.Kind == capacity.Report || msg.Kind == capacity.ReportAsk {
+	if msg.Kind == capacity.Acquire || msg.Kind == capacity.Release || msg.Kind == capacity.Report || msg.Kind == capacity.ReportRequest {
 		v.coordinatorMu.Lock()
 		out := v.coordinator.Step(now, msg)
 		busy := v.coordinator.Busy()
@@ -151,13 +151,13 @@
 
 // deliverVerdicts passes the queue's verdicts to the requests that wait for them. The caller holds queueMu.
 func (v *Router) deliverVerdicts(now units.Time) {
-	for _, verdict := range v.queue.Verdicts {
+	for _, verdict := range v.queue.Decisions {
 		if result := v.pendingAdmissions[verdict.Tag]; result != nil {
 			delete(v.pendingAdmissions, verdict.Tag)
 			result <- timedVerdict{verdict, now}
 		}
 	}
-	v.queue.Verdicts = v.queue.Verdicts[:0]
+	v.queue.Decisions = v.queue.Decisions[:0]
 }
 
 // onResume runs after the process was paused: waiting requests ask for permits again, and no new request is accepted until
@@ -165,7 +165,7 @@
 func (v *Router) onResume(now units.Time) {
 	v.markNotReady()
 	v.queueMu.Lock()
-	v.queue.Woke(now)
+	v.queue.ProcessResumed(now)
 	v.queueMu.Unlock()
 	v.viewMu.Lock()
 	v.view.changed = true // the new coordinator receives all workers and routers
@@ -179,32 +179,32 @@
 func (v *Router) onNodesRemoved(now units.Time, nodes []units.Node) {
 	v.coordinatorMu.Lock()
 	for _, n := range nodes {
-		v.coordinator.Gone(now, n)
+		v.coordinator.ProcessEnded(now, n)
 	}
 	v.coordinatorMu.Unlock()
 	v.viewMu.Lock()
 	for _, n := range nodes {
-		v.view.peerWatch.Void(now, n)
+		v.view.peerWatch.ProcessEnded(now, n)
 		v.view.changed = true
 	}
 	v.viewMu.Unlock()
 }
 
-func (v *Router) firstOutputLatencyOf(service string) *upstream.Habit {
-	latency, _ := v.firstOutputLatencies.LoadOrStore(service, &upstream.Habit{})
-	return latency.(*upstream.Habit)
+func (v *Router) firstOutputLatencyOf(service string) *upstream.FirstTokenTimes {
+	latency, _ := v.firstOutputLatencies.LoadOrStore(service, &upstream.FirstTokenTimes{})
+	return latency.(*upstream.FirstTokenTimes)
 }
 
-func (v *Router) retryBudgetOf(service string) *upstream.Budget {
+func (v *Router) retryBudgetOf(service string) *upstream.RetryBudget {
 	budget, ok := v.retryBudgets.Load(service)
 	if !ok {
 		ratio := v.Boot.Bounds.RetryRatio
 		if v.Adapter != nil {
 			ratio *= adapterRetryShare
 		}
-		budget, _ = v.retryBudgets.LoadOrStore(service, &upstream.Budget{Ratio: ratio})
+		budget, _ = v.retryBudgets.LoadOrStore(service, &upstream.RetryBudget{Ratio: ratio})
 	}
-	return budget.(*upstream.Budget)
+	return budget.(*upstream.RetryBudget)
 }
 
 // adapterRetryShare keeps part of the retry budget in reserve, since nodes that don't see each other count differently.
--- a/internal/router/routing_rules_test.go
+++ b/internal/router/routing_rules_test.go
@@ -32,7 +32,7 @@
 	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		k := v.coordinator.Kept(v.Tasks.Now())
+		k := v.coordinator.Status(v.Tasks.Now())
 		return len(k) == 2 && k[0].Open && k[1].Open
 	})
 	return v, big, small
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -62,12 +62,12 @@
 	o.Set("in_force", v.activeState(&a))
 	coordinated := a.NewArray()
 	v.coordinatorMu.Lock()
-	for i, k := range v.coordinator.Kept(now) {
+	for i, k := range v.coordinator.Status(now) {
 		x := a.NewObject()
 		x.Set("worker", a.NewString(k.Worker))
 		x.Set("open", jsonBool(&a, k.Open))
-		x.Set("lent", a.NewNumberInt(k.Lent))
-		x.Set("cap", a.NewNumberInt(k.Cap))
+		x.Set("lent", a.NewNumberInt(k.InUse))
+		x.Set("cap", a.NewNumberInt(k.Capacity))
 		x.Set("waiting", a.NewNumberInt(k.Waiting))
 		coordinated.SetArrayItem(i, x)
 	}
@@ -75,7 +75,7 @@
 	o.Set("keeps", coordinated)
 	inFlight := a.NewObject()
 	v.queueMu.Lock()
-	for w, n := range v.queue.Flight {
+	for w, n := range v.queue.InFlight {
 		inFlight.Set(w, a.NewNumberInt(n))
 	}
 	v.queueMu.Unlock()
--- a/internal/router/upstream/answer_test.go
+++ b/internal/router/upstream/answer_test.go
@@ -42,7 +42,7 @@
 func given(answer, id string, sizes ...byte) *Exchange {
 	q := &fasthttp.Request{}
 	q.Header.SetMethod("POST")
-	x := &Exchange{o: Order{ID: id, Req: q}, Resp: &fasthttp.Response{}}
+	x := &Exchange{o: Dispatch{ID: id, Request: q}, Response: &fasthttp.Response{}}
 	x.c = &conn{Conn: &script{b: []byte(answer), sizes: sizes}}
 	x.r = bufio.NewReaderSize(x.c, bufSize)
 	return x
@@ -67,13 +67,13 @@
 		}
 		x, b, err := run(nil)
 		y, c, errY := run(sizes)
-		if (err == nil) != (errY == nil) || x.Kind != y.Kind || !bytes.Equal(b, c) {
-			t.Fatalf("split, it is another: %d %q %v, %d %q %v", x.Kind, b, err, y.Kind, c, errY)
+		if (err == nil) != (errY == nil) || x.Outcome != y.Outcome || !bytes.Equal(b, c) {
+			t.Fatalf("split, it is another: %d %q %v, %d %q %v", x.Outcome, b, err, y.Outcome, c, errY)
 		}
-		if err != nil || x.Kind != Piece {
+		if err != nil || x.Outcome != Partial {
 			return
 		}
-		if id := string(x.Resp.Header.Peek("Attempt-Id")); id != "a" {
+		if id := string(x.Response.Header.Peek("Attempt-Id")); id != "a" {
 			t.Fatalf("an answer of %q is taken", id)
 		}
 		r := bufio.NewReader(bytes.NewReader(s))
@@ -89,8 +89,8 @@
 			if z.StatusCode < 200 || z.Header.Get("Attempt-Id") != "a" {
 				continue
 			}
-			if !bytes.Equal(b, d) || z.StatusCode != x.Resp.StatusCode() {
-				t.Fatalf("%s, not %s", fmt.Sprint(z.StatusCode, d), fmt.Sprint(x.Resp.StatusCode(), b))
+			if !bytes.Equal(b, d) || z.StatusCode != x.Response.StatusCode() {
+				t.Fatalf("%s, not %s", fmt.Sprint(z.StatusCode, d), fmt.Sprint(x.Response.StatusCode(), b))
 			}
 			return
 		}
--- a/internal/router/upstream/body.go
+++ b/internal/router/upstream/body.go
@@ -117,8 +117,8 @@
 		x.c = nil
 	}
 	x.shut()
-	fasthttp.ReleaseResponse(x.Resp)
-	x.Resp = nil
+	fasthttp.ReleaseResponse(x.Response)
+	x.Response = nil
 }
 
 // reusable says whether the answer leaves the connection fit for another order.
@@ -129,7 +129,7 @@
 // until gives how long the connection may stay idle by the answer's Keep-Alive.
 func (x *Exchange) until() time.Time {
 	d := idleFor
-	for f := range strings.SplitSeq(string(x.Resp.Header.Peek("Keep-Alive")), ",") {
+	for f := range strings.SplitSeq(string(x.Response.Header.Peek("Keep-Alive")), ",") {
 		if k, v, _ := strings.Cut(strings.TrimSpace(f), "="); strings.EqualFold(k, "timeout") {
 			if n, err := strconv.Atoi(strings.Trim(v, `" `)); err == nil && n < 3600 {
 				d = max(time.Duration(n-1)*time.Second, idleLeast)
--- a/internal/router/upstream/budget.go
+++ b/internal/router/upstream/budget.go
@@ -18,15 +18,15 @@
 	first, again int
 }
 
-// Budget holds a service's further tries to a share of this node's own first tries over ten seconds, a fifth unless said
+// RetryBudget holds a service's further tries to a share of this node's own first tries over ten seconds, a fifth unless said
 // otherwise (design 8, 11).
-type Budget struct {
+type RetryBudget struct {
 	mu    sync.Mutex
 	ring  [slots]slot
 	Ratio float64
 }
 
-func (b *Budget) slot(now units.Time) *slot {
+func (b *RetryBudget) slot(now units.Time) *slot {
 	at := int64(now) / int64(budgetSlot)
 	s := &b.ring[at%int64(slots)]
 	if s.at != at {
@@ -35,15 +35,15 @@
 	return s
 }
 
-// First counts a first try.
-func (b *Budget) First(now units.Time) {
+// RecordFirstAttempt counts a first try.
+func (b *RetryBudget) RecordFirstAttempt(now units.Time) {
 	b.mu.Lock()
 	b.slot(now).first++
 	b.mu.Unlock()
 }
 
-// Again asks for a further try, a few of which are allowed on top of the share, and counts it when it is allowed.
-func (b *Budget) Again(now units.Time, slack int) bool {
+// AllowRetry asks for a further try, a few of which are allowed on top of the share, and counts it when it is allowed.
+func (b *RetryBudget) AllowRetry(now units.Time, slack int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.slot(now)
--- a/internal/router/upstream/caller.go
+++ b/internal/router/upstream/caller.go
@@ -6,7 +6,7 @@
 // request is sent, and waits for an answer end.
 type Caller interface {
 	context.Context
-	// Look looks now whether somebody still waits, and gives the cause if not. It is called right before the first byte of
+	// Check looks now whether somebody still waits, and gives the cause if not. It is called right before the first byte of
 	// a request leaves, since a context alone may be behind.
-	Look() error
+	Check() error
 }
--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -17,8 +17,8 @@
 	looks atomic.Int64
 }
 
-// Look gives what the context tells.
-func (c *testCaller) Look() error {
+// Check gives what the context tells.
+func (c *testCaller) Check() error {
 	c.looks.Add(1)
 	return context.Cause(c)
 }
@@ -58,8 +58,8 @@
 		addr, ended := closed(t, say, leave)
 		p := NewPool(names)
 		x := p.Do(caller, order(addr, "a"))
-		if x.Kind != Unknown || !errors.Is(x.Err, errLeft) || caller.looks.Load() != 1 {
-			t.Fatal(x.Kind, x.Err, caller.looks.Load())
+		if x.Outcome != Unknown || !errors.Is(x.Err, errLeft) || caller.looks.Load() != 1 {
+			t.Fatal(x.Outcome, x.Err, caller.looks.Load())
 		}
 		x.End()
 		<-ended
@@ -76,8 +76,8 @@
 		caller, leave := cancellable(t)
 		late := &leavesAtLook{caller, leave}
 		x := p.Do(late, order(addr, "left"))
-		if x.Kind != NotSent || !errors.Is(x.Err, errLeft) || x.Down || x.Reused != kept {
-			t.Fatal(x.Kind, x.Err, x.Down, x.Reused)
+		if x.Outcome != NotSent || !errors.Is(x.Err, errLeft) || x.Unreachable || x.Reused != kept {
+			t.Fatal(x.Outcome, x.Err, x.Unreachable, x.Reused)
 		}
 		x.End()
 		wantCounts(t, p, 1, 1)
@@ -96,9 +96,9 @@
 	leave func()
 }
 
-func (c *leavesAtLook) Look() error {
+func (c *leavesAtLook) Check() error {
 	c.leave()
-	return c.testCaller.Look()
+	return c.testCaller.Check()
 }
 
 // A caller that leaves while a connection is made ends the attempt; nothing is held against the worker.
@@ -109,8 +109,8 @@
 	go func() { got <- p.Do(caller, order(l.Addr().String(), "a")) }()
 	leave()
 	x := <-got
-	if x.Kind != NotSent || !errors.Is(x.Err, errLeft) || x.Down {
-		t.Error(x.Kind, x.Err, x.Down)
+	if x.Outcome != NotSent || !errors.Is(x.Err, errLeft) || x.Unreachable {
+		t.Error(x.Outcome, x.Err, x.Unreachable)
 	}
 	x.End()
 	if s := &p.Stats; s.Cancelled.Load() != 1 || s.TimedOut.Load() != 0 || len(p.hosts) != 0 {
@@ -122,12 +122,12 @@
 func TestSilentWorkerIsDown(t *testing.T) {
 	l := netfault.Silent(t)
 	p := NewPool(names)
-	if x := wantKind(t, p, order(l.Addr().String(), "a"), NotSent); !x.Down {
+	if x := wantKind(t, p, order(l.Addr().String(), "a"), NotSent); !x.Unreachable {
 		t.Error("not down after the whole span", x.Err)
 	}
 	o := order(l.Addr().String(), "b")
-	o.Due = time.Now().Add(dialMost / 5)
-	if x := wantKind(t, p, o, NotSent); x.Down {
+	o.Deadline = time.Now().Add(dialMost / 5)
+	if x := wantKind(t, p, o, NotSent); x.Unreachable {
 		t.Error("down after a fifth of the span", x.Err)
 	}
 	if n := p.Stats.TimedOut.Load(); n != 2 {
@@ -147,8 +147,8 @@
 	})
 	x := NewPool(names).Do(waiting(t), order(addr, "a"))
 	defer x.End()
-	if x.Kind != Piece {
-		t.Fatal(x.Kind, x.Err)
+	if x.Outcome != Partial {
+		t.Fatal(x.Outcome, x.Err)
 	}
 	var b [4]byte
 	if n, err := x.Read(b[:]); n != 1 || err != nil { // handed on before the rest is there
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -27,8 +27,8 @@
 }
 
 // dial makes a connection. Go sets TCP_NODELAY itself.
-func (p *Pool) dial(ctx context.Context, o *Order) (*conn, error) {
-	left := time.Until(o.Due)
+func (p *Pool) dial(ctx context.Context, o *Dispatch) (*conn, error) {
+	left := time.Until(o.Deadline)
 	if left <= 0 {
 		return nil, fmt.Errorf("upstream: no time left to dial %s", o.Addr)
 	}
--- a/internal/router/upstream/events.go
+++ b/internal/router/upstream/events.go
@@ -6,16 +6,16 @@
 	"strconv"
 )
 
-// EventMost bounds one event of a stream.
-const EventMost = 1 << 20
+// MaxEventBytes bounds one event of a stream.
+const MaxEventBytes = 1 << 20
 
-// Events follows a text/event-stream as its bytes go by, and passes on whole events only: so a stream that broke can
+// EventStream follows a text/event-stream as its bytes go by, and passes on whole events only: so a stream that broke can
 // go on at another worker behind the last whole one (design 8). An event ends with a blank line.
-type Events struct {
-	Last  string // the id of the last whole event; when set before the first, that one's must be above it
-	N     int    // whole events that bore an id or data
-	Bare  bool   // one of them bore data and no id: behind it nobody can go on exactly
-	Ended bool   // the last of them says that it is the end, as some streams do
+type EventStream struct {
+	LastID            string // the id of the last whole event; when set before the first, that one's must be above it
+	Count             int    // whole events that bore an id or data
+	HasEventWithoutID bool   // one of them bore data and no id: behind it nobody can go on exactly
+	Ended             bool   // the last of them says that it is the end, as some streams do
 
 	rest []byte // what is kept, behind what was given out last
 	out  int    // how much of rest was given out
@@ -33,9 +33,9 @@
 	end   bool
 }
 
-// Whole appends b and gives the whole events that are now complete; they are valid until the next call and no longer
+// Append appends b and gives the whole events that are now complete; they are valid until the next call and no longer
 // than b itself. An error is for good: the stream's ids don't rise, or one event is too large.
-func (e *Events) Whole(b []byte) (out []byte, err error) {
+func (e *EventStream) Append(b []byte) (out []byte, err error) {
 	if e.err != nil {
 		return nil, e.err
 	}
@@ -54,8 +54,8 @@
 		i := bytes.IndexByte(buf[e.seen:], '\n')
 		if i < 0 {
 			e.seen = len(buf)
-			if e.seen-whole > EventMost {
-				e.err = fmt.Errorf("upstream: an event of more than %d bytes", EventMost)
+			if e.seen-whole > MaxEventBytes {
+				e.err = fmt.Errorf("upstream: an event of more than %d bytes", MaxEventBytes)
 			}
 			break
 		}
@@ -80,8 +80,8 @@
 	return buf[:whole], e.err
 }
 
-// Tail gives how many bytes are kept of an event that is not whole yet.
-func (e *Events) Tail() int { return len(e.rest) - e.out }
+// PendingBytes gives how many bytes are kept of an event that is not whole yet.
+func (e *EventStream) PendingBytes() int { return len(e.rest) - e.out }
 
 // field reads one line of an event.
 func (v *event) field(l []byte) {
@@ -99,10 +99,10 @@
 }
 
 // close ends the event of so many bytes.
-func (e *Events) close(size int) error {
+func (e *EventStream) close(size int) error {
 	v := e.ev
 	e.ev = event{id: v.id[:0]}
-	if size > EventMost {
+	if size > MaxEventBytes {
 		return fmt.Errorf("upstream: an event of %d bytes", size)
 	}
 	if v.named {
@@ -110,17 +110,17 @@
 		if err != nil {
 			return fmt.Errorf("upstream: an event's id %q is no number", v.id)
 		}
-		if e.Last != "" {
-			if last, err := strconv.ParseUint(e.Last, 10, 64); err != nil || id <= last {
-				return fmt.Errorf("upstream: event %d behind event %s", id, e.Last)
+		if e.LastID != "" {
+			if last, err := strconv.ParseUint(e.LastID, 10, 64); err != nil || id <= last {
+				return fmt.Errorf("upstream: event %d behind event %s", id, e.LastID)
 			}
 		}
-		e.Last = string(v.id)
+		e.LastID = string(v.id)
 	}
 	if v.named || v.data {
-		e.N++
+		e.Count++
 		e.Ended = v.end
-		e.Bare = e.Bare || v.data && !v.named
+		e.HasEventWithoutID = e.HasEventWithoutID || v.data && !v.named
 	}
 	return nil
 }
--- a/internal/router/upstream/events_test.go
+++ b/internal/router/upstream/events_test.go
@@ -8,7 +8,7 @@
 )
 
 // split feeds a stream in pieces of the sizes given, in turn, and gives all that came out.
-func split(e *Events, s []byte, sizes []byte) (out []byte, err error) {
+func split(e *EventStream, s []byte, sizes []byte) (out []byte, err error) {
 	for i := 0; len(s) > 0; i++ {
 		n := len(s)
 		if len(sizes) > 0 {
@@ -16,7 +16,7 @@
 		}
 		b := bytes.Clone(s[:n])
 		s = s[n:]
-		o, err := e.Whole(b)
+		o, err := e.Append(b)
 		out = append(out, o...)
 		clear(b) // whoever fed it uses it again
 		if err != nil {
@@ -48,20 +48,20 @@
 		{"", "", "", 0, false},
 	} {
 		for size := range 7 {
-			var e Events
+			var e EventStream
 			var sizes []byte
 			if size > 0 {
 				sizes = []byte{byte(size)}
 			}
 			out, err := split(&e, []byte(x.in), sizes)
-			if string(out) != x.out || (err != nil) != x.bad || e.Last != x.last || e.N != x.n {
-				t.Fatalf("%q in pieces of %d: %q, %v, last %s of %d", x.in, size, out, err, e.Last, e.N)
+			if string(out) != x.out || (err != nil) != x.bad || e.LastID != x.last || e.Count != x.n {
+				t.Fatalf("%q in pieces of %d: %q, %v, last %s of %d", x.in, size, out, err, e.LastID, e.Count)
 			}
-			if !x.bad && e.Tail() != len(x.in)-len(x.out) {
-				t.Fatalf("%q: tail %d", x.in, e.Tail())
+			if !x.bad && e.PendingBytes() != len(x.in)-len(x.out) {
+				t.Fatalf("%q: tail %d", x.in, e.PendingBytes())
 			}
 			if x.bad {
-				if o, err := e.Whole([]byte("id: 99\n\n")); len(o) > 0 || err == nil {
+				if o, err := e.Append([]byte("id: 99\n\n")); len(o) > 0 || err == nil {
 					t.Fatal("it goes on behind an error")
 				}
 			}
@@ -70,15 +70,15 @@
 }
 
 func TestEventsGoOnBehindLast(t *testing.T) {
-	e := Events{Last: "5"}
-	if _, err := e.Whole([]byte("id: 5\ndata: a\n\n")); err == nil {
+	e := EventStream{LastID: "5"}
+	if _, err := e.Append([]byte("id: 5\ndata: a\n\n")); err == nil {
 		t.Fatal("a piece twice")
 	}
-	e = Events{Last: "5"}
-	if _, err := e.Whole([]byte("id: 6\ndata: a\n\ndata: b\n\n")); err != nil || !e.Bare || e.Ended {
-		t.Fatal(err, e.Bare)
+	e = EventStream{LastID: "5"}
+	if _, err := e.Append([]byte("id: 6\ndata: a\n\ndata: b\n\n")); err != nil || !e.HasEventWithoutID || e.Ended {
+		t.Fatal(err, e.HasEventWithoutID)
 	}
-	if _, err := e.Whole([]byte("event: end\nid: 7\ndata: c\n\n")); err != nil || !e.Ended || e.N != 3 {
+	if _, err := e.Append([]byte("event: end\nid: 7\ndata: c\n\n")); err != nil || !e.Ended || e.Count != 3 {
 		t.Fatal(err, e.Ended)
 	}
 }
@@ -86,12 +86,12 @@
 func TestEventsBound(t *testing.T) {
 	line := "data: " + strings.Repeat("x", 1017) + "\n"
 	for _, size := range []int{1, 255} {
-		var e Events
+		var e EventStream
 		out, err := split(&e, []byte(strings.Repeat(line, 1024)+"\n"), []byte{byte(size)})
 		if err == nil || len(out) > 0 {
 			t.Fatal("an event over the bound is let by")
 		}
-		e = Events{}
+		e = EventStream{}
 		if out, err = split(&e, []byte(strings.Repeat(line, 1023)+"\n"), []byte{byte(size)}); err != nil || len(out) == 0 {
 			t.Fatal(err)
 		}
@@ -104,11 +104,11 @@
 	f.Add([]byte("\n\r\n\n: x\n\nid\n\ndata\n\n"), []byte{2})
 	f.Add([]byte("id:1\n\r\nid: 3\n\nid: 2"), []byte{0, 5})
 	f.Fuzz(func(t *testing.T, s, sizes []byte) {
-		var a, b Events
+		var a, b EventStream
 		x, errA := split(&a, s, nil)
 		y, errB := split(&b, s, sizes)
-		state := func(e *Events, err error) string {
-			return fmt.Sprint(e.Last, e.N, e.Bare, e.Ended, err)
+		state := func(e *EventStream, err error) string {
+			return fmt.Sprint(e.LastID, e.Count, e.HasEventWithoutID, e.Ended, err)
 		}
 		if !bytes.Equal(x, y) || state(&a, errA) != state(&b, errB) {
 			t.Fatalf("%q and %q, %s and %s", x, y, state(&a, errA), state(&b, errB))
@@ -116,8 +116,8 @@
 		if !bytes.HasPrefix(s, x) || len(x) > 0 && x[len(x)-1] != '\n' {
 			t.Fatalf("%q out of %q", x, s)
 		}
-		if errA == nil && a.Tail() != len(s)-len(x) {
-			t.Fatalf("tail %d of %q", a.Tail(), s)
+		if errA == nil && a.PendingBytes() != len(s)-len(x) {
+			t.Fatalf("tail %d of %q", a.PendingBytes(), s)
 		}
 	})
 }
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -21,27 +21,27 @@
 	drainFor    = 50 * time.Millisecond
 )
 
-// Order is one request to one worker.
-type Order struct {
+// Dispatch is one request to one worker.
+type Dispatch struct {
 	Worker, Addr string
 	ID           string            // the value of Names.Try
-	Req          *fasthttp.Request // complete; only its length is set here, and the path is that of its header
-	Due          time.Time         // the latest end
-	Fresh        bool              // not over a connection idle for longer than FreshFor: it may not be sent twice
-	Most         int               // connections that this node may have open to this worker; 0 for any
+	Request      *fasthttp.Request // complete; only its length is set here, and the path is that of its header
+	Deadline     time.Time         // the latest end
+	SendOnce     bool              // not over a connection idle for longer than FreshFor: it may not be sent twice
+	MaxConns     int               // connections that this node may have open to this worker; 0 for any
 }
 
 // Exchange is one request and its answer. Kind is Piece when a head came and Read gives the body; else NotSent,
 // NotRun, Moved or Unknown. A refusal's body, if small, is in Resp.
 type Exchange struct {
-	Kind   Kind
-	Err    error
-	Down   bool // nobody answers an attempt to connect
-	Reused bool
-	Resp   *fasthttp.Response // the head; valid until End
+	Outcome     Outcome
+	Err         error
+	Unreachable bool // nobody answers an attempt to connect
+	Reused      bool
+	Response    *fasthttp.Response // the head; valid until End
 
 	p      *Pool
-	o      Order
+	o      Dispatch
 	c      *conn
 	r      *bufio.Reader
 	body   body
@@ -53,16 +53,16 @@
 
 // Do sends one request for a caller and awaits the head of its answer. End must follow. Once nobody waits any more nothing is
 // sent, and what is awaited ends with the caller's reason.
-func (p *Pool) Do(caller Caller, o *Order) *Exchange {
-	x := &Exchange{p: p, o: *o, Resp: fasthttp.AcquireResponse()}
-	defer func() { x.o.Req = nil }()
+func (p *Pool) Do(caller Caller, o *Dispatch) *Exchange {
+	x := &Exchange{p: p, o: *o, Response: fasthttp.AcquireResponse()}
+	defer func() { x.o.Request = nil }()
 	for again := false; ; again = true {
 		var err error
 		if x.c, x.Reused, err = p.take(caller, o, again); err != nil {
-			x.Down = unreachable(err)
+			x.Unreachable = unreachable(err)
 			return x.fail(NotSent, err)
 		}
-		if err = caller.Look(); err != nil {
+		if err = caller.Check(); err != nil {
 			p.Stats.Abandoned.Add(1)
 			p.put(x.c, x.c.until)
 			x.c = nil
@@ -97,15 +97,15 @@
 		}
 		return x.fail(Unknown, err)
 	}
-	if x.Kind != Piece {
+	if x.Outcome != Partial {
 		x.drain()
 	}
 	return x
 }
 
 // fail ends an exchange without an answer.
-func (x *Exchange) fail(k Kind, err error) *Exchange {
-	x.Kind, x.Err = k, err
+func (x *Exchange) fail(k Outcome, err error) *Exchange {
+	x.Outcome, x.Err = k, err
 	x.shut()
 	return x
 }
@@ -131,7 +131,7 @@
 		if err := x.head(); err != nil {
 			return err
 		}
-		h := &x.Resp.Header
+		h := &x.Response.Header
 		s := h.StatusCode()
 		if s < 200 {
 			if interim++; interim > interimMost || s == fasthttp.StatusSwitchingProtocols {
@@ -165,8 +165,8 @@
 
 // judge says what an answer means that is no other request's. A success without the id is never passed on.
 func (x *Exchange) judge(n adapter.Names, s int, named bool) error {
-	h := &x.Resp.Header
-	head := x.o.Req.Header.IsHead()
+	h := &x.Response.Header
+	head := x.o.Request.Header.IsHead()
 	if head {
 		x.body.left = 0
 	}
@@ -176,10 +176,10 @@
 	case !named && x.Reused: // it may be the surplus refusal of an earlier request
 		return fmt.Errorf("upstream: an answer %d without an id on a connection that others used", s)
 	case s == fasthttp.StatusMisdirectedRequest:
-		x.Kind, x.keep = Moved, false
+		x.Outcome, x.keep = WorkerReplaced, false
 		x.Err = errors.New("upstream: another worker is there now")
 	case (s == 400 || s == 429 || s == 503) && len(h.Peek(n.NotRun)) > 0:
-		x.Kind = NotRun
+		x.Outcome = NotRun
 		x.Err = fmt.Errorf("upstream: worker refused with %d", s)
 	case !named:
 		return fmt.Errorf("upstream: an answer %d without an id", s)
@@ -202,10 +202,10 @@
 		}
 	}
 	var small *fasthttp.ErrSmallBuffer
-	err := x.Resp.Header.Read(x.r)
+	err := x.Response.Header.Read(x.r)
 	if errors.As(err, &small) {
 		x.r = bufio.NewReaderSize(x.r, headMost)
-		err = x.Resp.Header.Read(x.r)
+		err = x.Response.Header.Read(x.r)
 	}
 	return err
 }
@@ -218,6 +218,6 @@
 	x.c.readUntil(earlier(x.c.due, time.Now().Add(drainFor)))
 	b, err := io.ReadAll(io.LimitReader(x.rest(), smallMost+1))
 	if err == nil && x.body.ended() {
-		x.Resp.SetBody(b)
+		x.Response.SetBody(b)
 	}
 }
--- a/internal/router/upstream/exchange_test.go
+++ b/internal/router/upstream/exchange_test.go
@@ -37,11 +37,11 @@
 		w.ended()
 	})
 	o := order(addr, "a")
-	o.Req.Header.Del("Attempt-Id")
-	o.Req.Header.SetRequestURI("/a//b/../%2e%2F?x=%20y&&z")
-	o.Req.Header.Set("X-One", "1")
-	o.Req.Header.Set("Attempt-Id", "a")
-	_ = o.Req.URI() // as a look at the path would do
+	o.Request.Header.Del("Attempt-Id")
+	o.Request.Header.SetRequestURI("/a//b/../%2e%2F?x=%20y&&z")
+	o.Request.Header.Set("X-One", "1")
+	o.Request.Header.Set("Attempt-Id", "a")
+	_ = o.Request.URI() // as a look at the path would do
 	want(t, NewPool(names), o, "")
 	if s := <-got; s != strings.ReplaceAll(sent, "\n", "\r\n") {
 		t.Fatalf("%q", s)
@@ -52,7 +52,7 @@
 	big := strings.Repeat("x", 1<<20)
 	addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nX-Long: "+strings.Repeat("y", 20000)+"\nContent-Length: 1048576\n\n"+big, false)
 	o := order(addr, "a")
-	o.Req.SetBodyString(big)
+	o.Request.SetBodyString(big)
 	p := NewPool(names)
 	want(t, p, o, big)
 	want(t, p, order(addr, "b"), "b")
@@ -63,25 +63,25 @@
 	old := "HTTP/1.1 200 OK\nAttempt-Id: old\nContent-Length: 3\n\nold"
 	for _, x := range []struct {
 		name, answer string
-		kind         Kind
+		kind         Outcome
 		body         string
 		broken       bool // while reading
 		idle         int
 	}{
-		{"length", ok + a + "Content-Length: 3\n\nabc", Piece, "abc", false, 1},
-		{"chunks", ok + a + "Transfer-Encoding: chunked\n\n1\na\n2;x=y\nbc\n0\n\n", Piece, "abc", false, 1},
-		{"trailer", ok + a + "Transfer-Encoding: chunked\n\n3\nabc\n0\nX: y\n\n", Piece, "abc", false, 1},
-		{"close", ok + a + "Connection: close\nContent-Length: 3\n\nabc", Piece, "abc", false, 0},
-		{"no body", "HTTP/1.1 204 No Content\n" + a + "\n", Piece, "", false, 1},
-		{"not modified", "HTTP/1.1 304 Not Modified\n" + a + "Content-Length: 9\n\n", Piece, "", false, 1},
-		{"interim", "HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Early Hints\n\n" + ok + a + "Content-Length: 3\n\nabc", Piece, "abc", false, 1},
-		{"failure with id", "HTTP/1.1 500 No\n" + a + "Content-Length: 3\n\nabc", Piece, "abc", false, 1},
-		{"extra bytes", ok + a + "Content-Length: 3\n\nabcEXTRA", Piece, "abc", false, 0},
-		{"extra answer", ok + a + "Content-Length: 3\n\nabc" + old, Piece, "abc", false, 0},
-		{"extra behind chunks", ok + a + "Transfer-Encoding: chunked\n\n3\nabc\n0\n\nx", Piece, "abc", false, 0},
-		{"surplus", old + ok + a + "Content-Length: 3\n\nabc", Piece, "abc", false, 1},
-		{"three surplus", old + old + old + ok + a + "Content-Length: 3\n\nabc", Piece, "abc", false, 1},
-		{"surplus in chunks", ok + "Attempt-Id: o\nTransfer-Encoding: chunked\n\n1\na\n0\n\n" + ok + a + "Content-Length: 3\n\nabc", Piece, "abc", false, 1},
+		{"length", ok + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
+		{"chunks", ok + a + "Transfer-Encoding: chunked\n\n1\na\n2;x=y\nbc\n0\n\n", Partial, "abc", false, 1},
+		{"trailer", ok + a + "Transfer-Encoding: chunked\n\n3\nabc\n0\nX: y\n\n", Partial, "abc", false, 1},
+		{"close", ok + a + "Connection: close\nContent-Length: 3\n\nabc", Partial, "abc", false, 0},
+		{"no body", "HTTP/1.1 204 No Content\n" + a + "\n", Partial, "", false, 1},
+		{"not modified", "HTTP/1.1 304 Not Modified\n" + a + "Content-Length: 9\n\n", Partial, "", false, 1},
+		{"interim", "HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Early Hints\n\n" + ok + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
+		{"failure with id", "HTTP/1.1 500 No\n" + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
+		{"extra bytes", ok + a + "Content-Length: 3\n\nabcEXTRA", Partial, "abc", false, 0},
+		{"extra answer", ok + a + "Content-Length: 3\n\nabc" + old, Partial, "abc", false, 0},
+		{"extra behind chunks", ok + a + "Transfer-Encoding: chunked\n\n3\nabc\n0\n\nx", Partial, "abc", false, 0},
+		{"surplus", old + ok + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
+		{"three surplus", old + old + old + ok + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
+		{"surplus in chunks", ok + "Attempt-Id: o\nTransfer-Encoding: chunked\n\n1\na\n0\n\n" + ok + a + "Content-Length: 3\n\nabc", Partial, "abc", false, 1},
 		{"refusal behind surplus", old + "HTTP/1.1 503 Full\n" + a + "Not-Run: 1\nContent-Length: 2\n\nno", NotRun, "", false, 1},
 		{"four surplus", old + old + old + old + ok + a + "Content-Length: 3\n\nabc", Unknown, "", false, 0},
 		{"two ids", ok + a + "Attempt-Id: b\nContent-Length: 3\n\nabc", Unknown, "", false, 0},
@@ -92,21 +92,21 @@
 		{"503 not run", "HTTP/1.1 503 No\n" + a + "Not-Run: 1\nContent-Length: 0\n\n", NotRun, "", false, 1},
 		{"429 not run", "HTTP/1.1 429 No\n" + a + "Not-Run: 1\nTransfer-Encoding: chunked\n\n2\nno\n0\n\n", NotRun, "", false, 1},
 		{"400 not run", "HTTP/1.1 400 No\nNot-Run: 1\nContent-Length: 0\n\n", NotRun, "", false, 1},
-		{"421", "HTTP/1.1 421 Moved\n" + a + "Not-Run: 1\nContent-Length: 0\n\n", Moved, "", false, 0},
+		{"421", "HTTP/1.1 421 Moved\n" + a + "Not-Run: 1\nContent-Length: 0\n\n", WorkerReplaced, "", false, 0},
 		{"garbage", "\x00\x01\x02", Unknown, "", false, 0},
 		{"garbage like HTTP", "HTTP/9.1 200 OK\n" + a + "Content-Length: 0\n\n", Unknown, "", false, 0},
 		{"garbage behind the mark", "HTTP/1.1 2x0 OK\n" + a + "Content-Length: 0\n\n", Unknown, "", false, 0},
 		{"two lengths", ok + a + "Content-Length: 3\nContent-Length: 4\n\nabc", Unknown, "", false, 0},
 		{"switching", "HTTP/1.1 101 Switching\n\n", Unknown, "", false, 0},
-		{"bad chunk", ok + a + "Transfer-Encoding: chunked\n\n3\nabc\nzz\n", Piece, "abc", true, 0},
-		{"chunk too long", ok + a + "Transfer-Encoding: chunked\n\n3\nabcd\n0\n\n", Piece, "abc", true, 0},
+		{"bad chunk", ok + a + "Transfer-Encoding: chunked\n\n3\nabc\nzz\n", Partial, "abc", true, 0},
+		{"chunk too long", ok + a + "Transfer-Encoding: chunked\n\n3\nabcd\n0\n\n", Partial, "abc", true, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			p := NewPool(names)
 			addr := once(t, x.answer, false)
 			b, y, err := all(t, p, order(addr, "a"))
-			if y.Kind != x.kind || b != x.body || (err != nil) != (x.broken || x.kind != Piece) {
-				t.Fatalf("kind %d, body %q, error %v", y.Kind, b, err)
+			if y.Outcome != x.kind || b != x.body || (err != nil) != (x.broken || x.kind != Partial) {
+				t.Fatalf("kind %d, body %q, error %v", y.Outcome, b, err)
 			}
 			wantCounts(t, p, x.idle, 1)
 			if y := want(t, p, order(addr, "b"), "b"); y.Reused != (x.idle == 1) {
@@ -144,8 +144,8 @@
 		p := NewPool(names)
 		addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\n"+s, true)
 		b, x, err := all(t, p, order(addr, "a"))
-		if x.Kind != Piece || b != "abc" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-			t.Fatalf("%q: kind %d, body %q, error %v", s, x.Kind, b, err)
+		if x.Outcome != Partial || b != "abc" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
+			t.Fatalf("%q: kind %d, body %q, error %v", s, x.Outcome, b, err)
 		}
 		wantCounts(t, p, 0, 1)
 	}
@@ -154,11 +154,11 @@
 func TestExchangeUnknownAfterSilence(t *testing.T) {
 	p := NewPool(names)
 	addr := once(t, "", true)
-	if x := wantKind(t, p, order(addr, "a"), Unknown); x.Down {
+	if x := wantKind(t, p, order(addr, "a"), Unknown); x.Unreachable {
 		t.Fatal("down though it took the request")
 	}
 	o := order(serve(t, (*wire).ended), "b")
-	o.Worker, o.Due = "v", time.Now().Add(20*time.Millisecond)
+	o.Worker, o.Deadline = "v", time.Now().Add(20*time.Millisecond)
 	if x := wantKind(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) {
 		t.Fatal(x.Err)
 	}
@@ -167,7 +167,7 @@
 func TestExchangeReadEndsAtDue(t *testing.T) {
 	addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", false)
 	o := order(addr, "a")
-	o.Due = time.Now().Add(200 * time.Millisecond)
+	o.Deadline = time.Now().Add(200 * time.Millisecond)
 	b, _, err := all(t, NewPool(names), o)
 	if b != "abc" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(b, err)
@@ -178,8 +178,8 @@
 	p := NewPool(names)
 	addr := once(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\n", false)
 	o := order(addr, "a")
-	o.Req.ResetBody()
-	o.Req.Header.SetMethod("HEAD")
+	o.Request.ResetBody()
+	o.Request.Header.SetMethod("HEAD")
 	if x := want(t, p, o, ""); x.Length() != 0 {
 		t.Fatal(x.Length())
 	}
@@ -190,8 +190,8 @@
 	p := NewPool(names)
 	addr := once(t, "HTTP/1.1 503 Full\nNot-Run: 1\nRetry-After: 0.3\nContent-Length: 2\n\nno", false)
 	x := p.Do(waiting(t), order(addr, "a"))
-	if x.Kind != NotRun || string(x.Resp.Body()) != "no" || string(x.Resp.Header.Peek("Retry-After")) != "0.3" {
-		t.Fatal(x.Kind, x.Err, x.Resp)
+	if x.Outcome != NotRun || string(x.Response.Body()) != "no" || string(x.Response.Header.Peek("Retry-After")) != "0.3" {
+		t.Fatal(x.Outcome, x.Err, x.Response)
 	}
 	if n, err := x.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Fatal(n, err)
@@ -202,8 +202,8 @@
 	p = NewPool(names)
 	addr, ended := closed(t, "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 2\n\nn", func() {})
 	x = p.Do(waiting(t), order(addr, "a"))
-	if x.Kind != NotRun || bytes.Contains(x.Resp.Body(), []byte("n")) {
-		t.Fatal(x.Kind, x.Err)
+	if x.Outcome != NotRun || bytes.Contains(x.Response.Body(), []byte("n")) {
+		t.Fatal(x.Outcome, x.Err)
 	}
 	x.End()
 	<-ended
--- a/internal/router/upstream/habit.go
+++ b/internal/router/upstream/habit.go
@@ -12,15 +12,15 @@
 	habitFloor = 300 * time.Millisecond
 )
 
-// Habit remembers the last times to first words, from the hand-over on (design 8).
-type Habit struct {
+// FirstTokenTimes remembers the last times to first words, from the hand-over on (design 8).
+type FirstTokenTimes struct {
 	mu   sync.Mutex
 	ring []time.Duration
 	next int
 }
 
 // Add takes one.
-func (h *Habit) Add(d time.Duration) {
+func (h *FirstTokenTimes) Add(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.ring) < habitMost {
@@ -31,8 +31,8 @@
 	h.next = (h.next + 1) % habitMost
 }
 
-// At gives the time that a share of them kept, and how many there are.
-func (h *Habit) At(q float64) (time.Duration, int) {
+// Quantile gives the time that a share of them kept, and how many there are.
+func (h *FirstTokenTimes) Quantile(q float64) (time.Duration, int) {
 	h.mu.Lock()
 	l := slices.Clone(h.ring)
 	h.mu.Unlock()
@@ -43,9 +43,9 @@
 	return l[min(len(l)-1, int(q*float64(len(l))))], len(l)
 }
 
-// Late gives how long first words may take before a worker is held to be dark: twice what 99 of 100 took. With too
+// OverdueAfter gives how long first words may take before a worker is held to be dark: twice what 99 of 100 took. With too
 // few measured there is no habit.
-func (h *Habit) Late() (time.Duration, bool) {
-	d, n := h.At(0.99)
+func (h *FirstTokenTimes) OverdueAfter() (time.Duration, bool) {
+	d, n := h.Quantile(0.99)
 	return max(2*d, habitFloor), n >= habitLeast
 }
--- a/internal/router/upstream/owed_test.go
+++ b/internal/router/upstream/owed_test.go
@@ -65,8 +65,8 @@
 		if x := wantKind(t, p, order(addr, "b"), Unknown); !x.Reused {
 			t.Fatal("not on the used connection")
 		}
-		if x := p.Do(waiting(t), order(addr, "c")); x.Kind != NotRun && x.Kind != Moved || x.Reused {
-			t.Fatalf("%d on a new connection: kind %d", status, x.Kind)
+		if x := p.Do(waiting(t), order(addr, "c")); x.Outcome != NotRun && x.Outcome != WorkerReplaced || x.Reused {
+			t.Fatalf("%d on a new connection: kind %d", status, x.Outcome)
 		} else {
 			x.End()
 		}
@@ -107,10 +107,10 @@
 	for _, cut := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET} {
 		for _, x := range []struct {
 			say  string
-			kind Kind
+			kind Outcome
 		}{
 			{"HTTP/1.1 503 Full\nAttempt-Id: b\nNot-Run: 1\nContent-Length: 0\n\n", NotRun},
-			{"HTTP/1.1 413 Large\nAttempt-Id: b\nContent-Length: 0\n\n", Piece},
+			{"HTTP/1.1 413 Large\nAttempt-Id: b\nContent-Length: 0\n\n", Partial},
 			{"HTTP/1.1 200 OK\nAttempt-Id: other\nContent-Length: 0\n\n", Unknown},
 			{"", Unknown},
 		} {
@@ -129,10 +129,10 @@
 			c := p.hosts["w"].idle[0]
 			c.Conn = &cutting{shield.Bare(c.Conn).(*net.TCPConn), 4000, cut, full}
 			o := order(addr, "b")
-			o.Req.SetBodyString(strings.Repeat("x", 1<<16))
+			o.Request.SetBodyString(strings.Repeat("x", 1<<16))
 			y := p.Do(waiting(t), o)
-			if y.Kind != x.kind || !y.Reused {
-				t.Fatalf("%v, %q: kind %d, %v", cut, x.say, y.Kind, y.Err)
+			if y.Outcome != x.kind || !y.Reused {
+				t.Fatalf("%v, %q: kind %d, %v", cut, x.say, y.Outcome, y.Err)
 			}
 			y.End()
 			wantCounts(t, p, 0, 1)
@@ -152,8 +152,8 @@
 	})
 	p := NewPool(names)
 	o := order(addr, "a")
-	o.Due = time.Now().Add(200 * time.Millisecond)
-	due, cancel := context.WithDeadline(t.Context(), o.Due.Add(50*time.Millisecond))
+	o.Deadline = time.Now().Add(200 * time.Millisecond)
+	due, cancel := context.WithDeadline(t.Context(), o.Deadline.Add(50*time.Millisecond))
 	defer cancel()
 	c, _, err := p.take(waiting(t), o, false)
 	if err != nil {
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -10,8 +10,8 @@
 	"seamshunt/internal/socket"
 )
 
-// FreshFor is how long a connection may have been idle for what may not be sent twice.
-const FreshFor = 300 * time.Millisecond
+// SendOnceMaxIdle is how long a connection may have been idle for what may not be sent twice.
+const SendOnceMaxIdle = 300 * time.Millisecond
 
 const (
 	idleFor   = 4 * time.Second // without a Keep-Alive in the answer
@@ -54,8 +54,8 @@
 // Dials gives the connections made so far.
 func (p *Pool) Dials() uint64 { return p.Stats.Connected.Load() }
 
-// Drop closes the idle connections of a worker that is gone; those in use close after their answer.
-func (p *Pool) Drop(worker string) {
+// CloseIdle closes the idle connections of a worker that is gone; those in use close after their answer.
+func (p *Pool) CloseIdle(worker string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[worker]; h != nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Sweep closes the idle connections that are past their time.
-func (p *Pool) Sweep() {
+// CloseExpired closes the idle connections that are past their time.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,11 +104,11 @@
 }
 
 // pop takes the newest idle connection, if it may be used. Callers hold the lock.
-func (h *host) pop(o *Order, now time.Time) *conn {
+func (h *host) pop(o *Dispatch, now time.Time) *conn {
 	for len(h.idle) > 0 {
 		i := len(h.idle) - 1
 		c := h.idle[i]
-		if o.Fresh && now.Sub(c.at) > FreshFor {
+		if o.SendOnce && now.Sub(c.at) > SendOnceMaxIdle {
 			return nil
 		}
 		h.idle[i], h.idle = nil, h.idle[:i]
@@ -121,7 +121,7 @@
 }
 
 // take gives a connection to the order's worker: an idle one that is well or, with fresh, a new one.
-func (p *Pool) take(ctx context.Context, o *Order, fresh bool) (c *conn, reused bool, err error) {
+func (p *Pool) take(ctx context.Context, o *Dispatch, fresh bool) (c *conn, reused bool, err error) {
 	now := time.Now()
 	for {
 		p.mu.Lock()
@@ -144,7 +144,7 @@
 				continue
 			}
 		}
-		if o.Most > 0 && h.open >= o.Most {
+		if o.MaxConns > 0 && h.open >= o.MaxConns {
 			if len(h.idle) == 0 {
 				p.mu.Unlock()
 				return nil, false, ErrNoConn
--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -34,7 +34,7 @@
 	if x := want(t, p, o, "v0"); x.Reused {
 		t.Fatal("a connection of one worker id was used for another")
 	}
-	p.Drop("w")
+	p.CloseIdle("w")
 	if p.Idle("w") != 0 || p.Idle("v") != 1 {
 		t.Fatal("Drop dropped others, or not all")
 	}
@@ -108,15 +108,15 @@
 	}
 	wantCounts(t, p, 1, 1)
 	c := p.hosts["w"].idle[0]
-	c.at = time.Now().Add(-FreshFor)
+	c.at = time.Now().Add(-SendOnceMaxIdle)
 	o := order(addr, "once")
-	o.Fresh = true
+	o.SendOnce = true
 	if x := want(t, p, o, ""); x.Reused {
 		t.Fatal("a stale connection was used for what may not be sent twice")
 	}
 	wantCounts(t, p, 2, 2)
 	p.hosts["w"].idle[1].until = time.Now()
-	p.Sweep()
+	p.CloseExpired()
 	wantCounts(t, p, 1, 2)
 	if p.hosts["w"].idle[0] != c {
 		t.Fatal("the wrong one was swept")
@@ -126,7 +126,7 @@
 		t.Fatal("one past its time was used")
 	}
 	p.hosts["w"].idle[0].until = time.Now()
-	p.Sweep()
+	p.CloseExpired()
 	if len(p.hosts) != 0 {
 		t.Fatal("an empty worker is kept")
 	}
@@ -135,12 +135,12 @@
 func TestPoolHoldsToMost(t *testing.T) {
 	p := NewPool(names)
 	addr := serve(t, echo)
-	few := func(id string) *Order { o := order(addr, id); o.Most = 1; return o }
+	few := func(id string) *Dispatch { o := order(addr, id); o.MaxConns = 1; return o }
 	x := p.Do(waiting(t), few("a"))
-	if x.Kind != Piece {
+	if x.Outcome != Partial {
 		t.Fatal(x.Err)
 	}
-	if y := wantKind(t, p, few("b"), NotSent); !errors.Is(y.Err, ErrNoConn) || y.Down {
+	if y := wantKind(t, p, few("b"), NotSent); !errors.Is(y.Err, ErrNoConn) || y.Unreachable {
 		t.Fatal(y.Err)
 	}
 	x.End() // its body wasn't read, so the connection is closed
@@ -148,7 +148,7 @@
 	want(t, p, few("c"), "c")
 	p.hosts["w"].idle[0].at = time.Now().Add(-time.Second)
 	o := few("d")
-	o.Fresh = true
+	o.SendOnce = true
 	want(t, p, o, "d")
 	wantCounts(t, p, 1, 3)
 	if n := p.hosts["w"].open; n != 1 {
@@ -160,7 +160,7 @@
 	p := NewPool(names)
 	addr := serve(t, echo)
 	x := p.Do(waiting(t), order(addr, "a"))
-	p.Drop("w")
+	p.CloseIdle("w")
 	var b [9]byte
 	if n, err := x.Read(b[:]); n != 1 || err != nil {
 		t.Fatal(n, err)
@@ -181,12 +181,12 @@
 	addr := l.Addr().String()
 	l.Close()
 	p := NewPool(names)
-	if x := wantKind(t, p, order(addr, "a"), NotSent); !x.Down {
+	if x := wantKind(t, p, order(addr, "a"), NotSent); !x.Unreachable {
 		t.Fatal("not down")
 	}
 	o := order(addr, "b")
-	o.Due = time.Now()
-	if x := wantKind(t, p, o, NotSent); x.Down {
+	o.Deadline = time.Now()
+	if x := wantKind(t, p, o, NotSent); x.Unreachable {
 		t.Fatal("down though never asked")
 	}
 	if p.Dials() != 0 || len(p.hosts) != 0 {
@@ -224,11 +224,11 @@
 			for j := range 50 {
 				id := fmt.Sprintf("r%d-%d", i, j)
 				if b, x, err := all(t, p, order(addr, id)); b != id || err != nil {
-					t.Errorf("%s: %q %v kind %d", id, b, err, x.Kind)
+					t.Errorf("%s: %q %v kind %d", id, b, err, x.Outcome)
 				}
-				p.Sweep()
+				p.CloseExpired()
 				if j == 25 {
-					p.Drop("w")
+					p.CloseIdle("w")
 				}
 			}
 		})
--- a/internal/router/upstream/seal.go
+++ b/internal/router/upstream/seal.go
@@ -13,12 +13,12 @@
 
 // Bounds of a worker's answer.
 const (
-	MaxLine  = 1 << 20
-	MaxBytes = 64 << 20
+	MaxLineBytes   = 1 << 20
+	MaxAnswerBytes = 64 << 20
 )
 
-// Seal checks a worker's stream line by line.
-type Seal struct {
+// StreamVerifier checks a worker's stream line by line.
+type StreamVerifier struct {
 	id     string
 	next   int
 	bytes  int
@@ -27,11 +27,11 @@
 	p      fastjson.Parser
 }
 
-// NewSeal begins the check of the answer to request id.
-func NewSeal(id string) *Seal { return &Seal{id: id, sum: sha256.New()} }
+// NewStreamVerifier begins the check of the answer to request id.
+func NewStreamVerifier(id string) *StreamVerifier { return &StreamVerifier{id: id, sum: sha256.New()} }
 
-// Line takes one line of the stream. It says whether the line was the seal; an error means the answer is not whole.
-func (s *Seal) Line(b []byte) (bool, error) {
+// VerifyLine takes one line of the stream. It says whether the line was the seal; an error means the answer is not whole.
+func (s *StreamVerifier) VerifyLine(b []byte) (bool, error) {
 	if s.sealed {
 		return false, errors.New("upstream: a line after the seal")
 	}
@@ -56,8 +56,8 @@
 	text := t.GetStringBytes()
 	s.next++
 	s.bytes += len(text)
-	if s.bytes > MaxBytes {
-		return false, fmt.Errorf("upstream: an answer of more than %d bytes", MaxBytes)
+	if s.bytes > MaxAnswerBytes {
+		return false, fmt.Errorf("upstream: an answer of more than %d bytes", MaxAnswerBytes)
 	}
 	s.sum.Write(text)
 	return false, nil
@@ -75,7 +75,7 @@
 	return n, nil
 }
 
-func (s *Seal) check(x *fastjson.Value) error {
+func (s *StreamVerifier) check(x *fastjson.Value) error {
 	if id := string(x.GetStringBytes("id")); id != s.id {
 		return fmt.Errorf("upstream: sealed for request %q", id)
 	}
@@ -97,5 +97,5 @@
 	return nil
 }
 
-// Sealed says whether the seal has come and fits.
-func (s *Seal) Sealed() bool { return s.sealed }
+// Complete says whether the seal has come and fits.
+func (s *StreamVerifier) Complete() bool { return s.sealed }
--- a/internal/router/upstream/seal_test.go
+++ b/internal/router/upstream/seal_test.go
@@ -20,13 +20,13 @@
 
 // whole feeds lines to a seal and says whether the answer counts as whole.
 func whole(id string, l []string) bool {
-	s := NewSeal(id)
+	s := NewStreamVerifier(id)
 	for _, x := range l {
-		if _, err := s.Line([]byte(x)); err != nil {
+		if _, err := s.VerifyLine([]byte(x)); err != nil {
 			return false
 		}
 	}
-	return s.Sealed()
+	return s.Complete()
 }
 
 // Every way of damaging a sealed answer of three pieces must be seen; the undamaged one must pass (design 8).
@@ -64,11 +64,11 @@
 // A piece out of its turn is refused as it comes, not only by the seal: it must never reach the caller.
 func TestSealStopsAtThePiece(t *testing.T) {
 	for _, x := range []string{`{"n":0,"text":"a"}`, `{"n":2,"text":"c"}`, `{"n":-1,"text":"c"}`, `{"n":1}`, `{"text":"b"}`, `{"n":1,"text":7}`} {
-		s := NewSeal("r1")
-		if _, err := s.Line([]byte(`{"n":0,"text":"a"}`)); err != nil {
+		s := NewStreamVerifier("r1")
+		if _, err := s.VerifyLine([]byte(`{"n":0,"text":"a"}`)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := s.Line([]byte(x)); err == nil {
+		if _, err := s.VerifyLine([]byte(x)); err == nil {
 			t.Errorf("after piece 0, %s is taken", x)
 		}
 	}
--- a/internal/router/upstream/send.go
+++ b/internal/router/upstream/send.go
@@ -16,7 +16,7 @@
 
 // send writes header and body by themselves: Request.Write would make path and host anew from a parsed URI.
 func (x *Exchange) send() error {
-	h, b := &x.o.Req.Header, x.o.Req.Body()
+	h, b := &x.o.Request.Header, x.o.Request.Body()
 	h.SetNoDefaultContentType(true)
 	if len(b) > 0 || !h.IsGet() && !h.IsHead() || h.ContentLength() > 0 || len(h.Peek(fasthttp.HeaderTransferEncoding)) > 0 {
 		h.SetContentLength(len(b))
--- a/internal/router/upstream/wire.go
+++ b/internal/router/upstream/wire.go
@@ -29,9 +29,9 @@
 }
 
 // begin readies it for one order.
-func (c *conn) begin(caller Caller, o *Order) {
+func (c *conn) begin(caller Caller, o *Dispatch) {
 	c.ids.add(o.ID)
-	c.sent, c.err, c.due, c.caller = 0, nil, o.Due, caller
+	c.sent, c.err, c.due, c.caller = 0, nil, o.Deadline, caller
 	_ = c.SetDeadline(c.due)
 	c.stop = context.AfterFunc(caller, c.interrupt)
 }
--- a/internal/router/upstream/worker_test.go
+++ b/internal/router/upstream/worker_test.go
@@ -72,22 +72,22 @@
 }
 
 // order makes a plain request of an id to worker "w".
-func order(addr, id string) *Order {
+func order(addr, id string) *Dispatch {
 	q := &fasthttp.Request{}
 	q.Header.SetMethod("POST")
 	q.Header.SetRequestURI("/a/b")
 	q.Header.SetHost("site.example")
 	q.Header.Set("Attempt-Id", id)
 	q.SetBodyString("prompt")
-	return &Order{Worker: "w", Addr: addr, ID: id, Req: q, Due: time.Now().Add(soon)}
+	return &Dispatch{Worker: "w", Addr: addr, ID: id, Request: q, Deadline: time.Now().Add(soon)}
 }
 
 // all does one order, reads its body whole and ends it.
-func all(t *testing.T, p *Pool, o *Order) (body string, x *Exchange, err error) {
+func all(t *testing.T, p *Pool, o *Dispatch) (body string, x *Exchange, err error) {
 	t.Helper()
 	x = p.Do(waiting(t), o)
 	defer x.End()
-	if x.Kind != Piece {
+	if x.Outcome != Partial {
 		return "", x, x.Err
 	}
 	b, err := io.ReadAll(x.rest())
@@ -95,21 +95,21 @@
 }
 
 // want does one order that must go well.
-func want(t *testing.T, p *Pool, o *Order, body string) *Exchange {
+func want(t *testing.T, p *Pool, o *Dispatch, body string) *Exchange {
 	t.Helper()
 	b, x, err := all(t, p, o)
-	if b != body || err != nil || x.Kind != Piece {
-		t.Fatalf("%s: kind %d, body %q, error %v", o.ID, x.Kind, b, err)
+	if b != body || err != nil || x.Outcome != Partial {
+		t.Fatalf("%s: kind %d, body %q, error %v", o.ID, x.Outcome, b, err)
 	}
 	return x
 }
 
 // wantKind does one order that must end so.
-func wantKind(t *testing.T, p *Pool, o *Order, k Kind) *Exchange {
+func wantKind(t *testing.T, p *Pool, o *Dispatch, k Outcome) *Exchange {
 	t.Helper()
 	_, x, err := all(t, p, o)
-	if x.Kind != k || err == nil {
-		t.Fatalf("%s: kind %d, error %v, want kind %d", o.ID, x.Kind, err, k)
+	if x.Outcome != k || err == nil {
+		t.Fatalf("%s: kind %d, error %v, want kind %d", o.ID, x.Outcome, err, k)
 	}
 	return x
 }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -125,12 +125,12 @@
 		refusal(lines, e)
 		return
 	}
-	seal := upstream.NewSeal(e.ID)
+	seal := upstream.NewStreamVerifier(e.ID)
 	for lines.Scan() {
 		if e.FirstUs == 0 {
 			e.FirstUs = Now() - e.At
 		}
-		done, err := seal.Line(lines.Bytes())
+		done, err := seal.VerifyLine(lines.Bytes())
 		if err != nil {
 			e.Fault = err.Error()
 		}
@@ -143,7 +143,7 @@
 		e.Pieces++
 	}
 	e.Whole = lines.Err() == nil
-	if e.Whole && e.Fault == "" && !seal.Sealed() {
+	if e.Whole && e.Fault == "" && !seal.Complete() {
 		e.Fault = "it ends properly without a seal"
 	}
 	if !e.Whole {
