--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/boot"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 )
 
 // Names are the headers of requests and answers.
@@ -43,11 +43,11 @@
 
 // Control is what the control plane does for operators. Version is the configuration's own.
 type Control struct {
-	Read   func() (data []byte, version uint64, code codes.Code)
-	Put    func(builds uint64, data []byte) (codes.Code, []*codes.Fault)
-	Change func(builds uint64, change []byte) (codes.Code, []*codes.Fault)
+	Read   func() (data []byte, version uint64, code resultcode.Code)
+	Put    func(builds uint64, data []byte) (resultcode.Code, []*resultcode.Fault)
+	Change func(builds uint64, change []byte) (resultcode.Code, []*resultcode.Fault)
 	// Zone has a zone evacuated, or takes that back. The caller is the connection that the order came on.
-	Zone func(caller net.Conn, zone string, out bool) codes.Code
+	Zone func(caller net.Conn, zone string, out bool) resultcode.Code
 }
 
 // Adapter is one outside world.
@@ -58,9 +58,9 @@
 	// Prompt reads what a request's headers tell of its prompt; false when they tell nothing.
 	Prompt func(h *fasthttp.RequestHeader) (Prompt, bool)
 	// Config takes an operator's bytes to a compiled configuration, or to all its faults.
-	Config func(data []byte) (*config.Config, []*codes.Fault)
+	Config func(data []byte) (*config.Config, []*resultcode.Fault)
 	// Change applies changes by item to a configuration's bytes and gives the whole.
-	Change func(old, change []byte) ([]byte, []*codes.Fault)
+	Change func(old, change []byte) ([]byte, []*resultcode.Fault)
 	// Workers asks for all workers of all services; get asks the platform for one path, once.
 	Workers func(get func(path string) (status int, body []byte, err error)) ([]config.Worker, error)
 	// Control serves operators' calls.
--- a/internal/boot/boot.go
+++ b/internal/boot/boot.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // Boot is a process's place in the world.
@@ -76,18 +76,20 @@
 func Read(path, program string) (*Boot, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{fmt.Sprintf("%d %v", codes.BadBoot, err)}
+		return nil, Faults{fmt.Sprintf("%d %v", resultcode.InvalidSettings, err)}
 	}
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
-		return nil, Faults{fmt.Sprintf("%d %s: %v", codes.BadBoot, path, err)}
+		return nil, Faults{fmt.Sprintf("%d %s: %v", resultcode.InvalidSettings, path, err)}
 	}
 	o, err := v.Object()
 	if err != nil {
-		return nil, Faults{fmt.Sprintf("%d %s: an object is wanted", codes.BadBoot, path)}
+		return nil, Faults{fmt.Sprintf("%d %s: an object is wanted", resultcode.InvalidSettings, path)}
 	}
 	var f Faults
-	bad := func(at, text string) { f = append(f, fmt.Sprintf("%d %s: %s: %s", codes.BadBoot, path, at, text)) }
+	bad := func(at, text string) {
+		f = append(f, fmt.Sprintf("%d %s: %s: %s", resultcode.InvalidSettings, path, at, text))
+	}
 	o.Visit(func(k []byte, _ *fastjson.Value) {
 		if !slices.Contains(known[program], string(k)) {
 			bad(string(k), "unknown field")
--- a/internal/cluster/configpush/confirm.go
+++ b/internal/cluster/configpush/confirm.go
@@ -24,7 +24,7 @@
 // vouched is one voucher's answer: the newest numbers that it holds, as of a question of this node.
 type vouched struct {
 	asked   units.Time // when the question left, by this node's own clock
-	numbers map[string]units.Num
+	numbers map[string]units.Version
 }
 
 // Confirm says whether a starting or woken node may serve: a majority of the voters have vouched that nothing newer
@@ -32,7 +32,7 @@
 //
 // The quorum set is part of the news that must not be older. Every change of it is accepted by a majority of the set
 // before, so among any majority of an old set there is one whose disk holds a newer set's number.
-func (b *Feed) Confirm(now units.Time, all []membership.Member, self units.Node, voters []units.Node, began units.Time) (ok bool, out message.Effects) {
+func (b *Feed) Confirm(now units.Time, all []membership.Member, self units.NodeID, voters []units.NodeID, began units.Time) (ok bool, out message.Effects) {
 	core, peers := Neighbours(all, self)
 	ok = len(voters) > 0 && b.confirmed(now, voters)
 	if !ok && len(core) == 0 && now.Sub(began) > alone && len(peers) > 0 {
@@ -49,7 +49,7 @@
 }
 
 // Neighbours lists the live controllers, and the live routers that serve.
-func Neighbours(all []membership.Member, self units.Node) (core, peers []units.Node) {
+func Neighbours(all []membership.Member, self units.NodeID) (core, peers []units.NodeID) {
 	for _, m := range all {
 		switch {
 		case m.State > membership.Suspect || m.Node == self:
@@ -63,7 +63,7 @@
 }
 
 // confirmed says whether a majority of voters have vouched lately and nothing they hold is newer than the news here.
-func (b *Feed) confirmed(now units.Time, voters []units.Node) bool {
+func (b *Feed) confirmed(now units.Time, voters []units.NodeID) bool {
 	vouchers := 0
 	for _, n := range voters {
 		answer, ok := b.Vouch[n]
@@ -116,8 +116,8 @@
 
 // Beat pushes on what is on its way, and asks neighbours whose digest differs for what is lacking (design 4). A digest
 // that was told before this node's own news last changed says nothing: who told it has, as a rule, changed as well.
-func (b *Feed) Beat(now units.Time, all []membership.Member, self units.Node) message.Effects {
-	var live []units.Node
+func (b *Feed) Beat(now units.Time, all []membership.Member, self units.NodeID) message.Effects {
+	var live []units.NodeID
 	for _, m := range all {
 		if m.State <= membership.Suspect && m.Node != self {
 			live = append(live, m.Node)
--- a/internal/cluster/configpush/confirm_test.go
+++ b/internal/cluster/configpush/confirm_test.go
@@ -14,25 +14,25 @@
 	t      *testing.T
 	now    units.Time
 	router *Feed
-	disks  map[units.Node]*Feed
+	disks  map[units.NodeID]*Feed
 }
 
 func newVouching(t *testing.T) *vouching {
-	return &vouching{t: t, now: units.Time(time.Hour), router: New(9), disks: map[units.Node]*Feed{}}
+	return &vouching{t: t, now: units.Time(time.Hour), router: New(9), disks: map[units.NodeID]*Feed{}}
 }
 
-func (v *vouching) disk(node units.Node, numbers map[string]units.Num) {
+func (v *vouching) disk(node units.NodeID, numbers map[string]units.Version) {
 	f := New(node)
-	f.Stored = func() map[string]units.Num { return numbers }
+	f.Stored = func() map[string]units.Version { return numbers }
 	v.disks[node] = f
 }
 
-func (v *vouching) heard(key string, number units.Num) {
+func (v *vouching) heard(key string, number units.Version) {
 	v.router.Take(Item{Key: key, Num: number})
 }
 
 // answers lets the router ask once, and gives what the reachable controllers answer.
-func (v *vouching) answers(reachable ...units.Node) (answers []message.Message) {
+func (v *vouching) answers(reachable ...units.NodeID) (answers []message.Message) {
 	v.t.Helper()
 	v.now = v.now.Add(2 * vouchAgain)
 	var all []membership.Member
@@ -61,7 +61,7 @@
 	}
 }
 
-func (v *vouching) expect(what string, want bool, voters ...units.Node) {
+func (v *vouching) expect(what string, want bool, voters ...units.NodeID) {
 	v.t.Helper()
 	if ok, _ := v.router.Confirm(v.now, nil, 9, voters, v.now); ok != want {
 		v.t.Errorf("%s: confirmed %v", what, ok)
@@ -72,10 +72,10 @@
 // configuration is what the router has: one of them took part in the change of the set.
 func TestOldQuorumIsNotVouchedFor(t *testing.T) {
 	v := newVouching(t)
-	v.disk(1, map[string]units.Num{"voters": 1, "config": 4})
-	v.disk(2, map[string]units.Num{"voters": 2, "config": 4})
-	v.disk(3, map[string]units.Num{"voters": 3, "config": 5})
-	v.disk(4, map[string]units.Num{"voters": 3, "config": 5})
+	v.disk(1, map[string]units.Version{"voters": 1, "config": 4})
+	v.disk(2, map[string]units.Version{"voters": 2, "config": 4})
+	v.disk(3, map[string]units.Version{"voters": 3, "config": 5})
+	v.disk(4, map[string]units.Version{"voters": 3, "config": 5})
 	v.heard("voters", 1)
 	v.heard("config", 4)
 	v.deliver(v.answers(1, 2))
@@ -95,14 +95,14 @@
 func TestVouchesOfDifferentTimesDoNotAdd(t *testing.T) {
 	v := newVouching(t)
 	v.heard("config", 4)
-	v.disk(1, map[string]units.Num{"config": 4})
-	v.disk(2, map[string]units.Num{"config": 4})
-	v.disk(3, map[string]units.Num{"config": 4})
+	v.disk(1, map[string]units.Version{"config": 4})
+	v.disk(2, map[string]units.Version{"config": 4})
+	v.disk(3, map[string]units.Version{"config": 4})
 	v.deliver(v.answers(1))
 	v.expect("one of three", false, 1, 2, 3)
 	v.now = v.now.Add(20 * time.Second) // meanwhile 1 and 3 take number 5; then 1 is cut off
-	v.disk(1, map[string]units.Num{"config": 5})
-	v.disk(3, map[string]units.Num{"config": 5})
+	v.disk(1, map[string]units.Version{"config": 5})
+	v.disk(3, map[string]units.Version{"config": 5})
 	late := v.answers(2)
 	v.deliver(late)
 	v.expect("an old answer and a new one", false, 1, 2, 3)
--- a/internal/cluster/configpush/feed.go
+++ b/internal/cluster/configpush/feed.go
@@ -32,15 +32,15 @@
 // Item is one key's newest news.
 type Item struct {
 	Key   string
-	Num   units.Num
+	Num   units.Version
 	Data  []byte
 	Heard units.Time // when this node had it; the time isn't sent
 }
 
 type pushed struct {
-	need map[units.Node]bool
+	need map[units.NodeID]bool
 	sent units.Time
-	num  units.Num
+	num  units.Version
 }
 
 // Feed is one node's state machine of the numbered values that are spread to all nodes: what it holds, what it pushes and
@@ -48,23 +48,23 @@
 type Feed struct {
 	Items      map[string]*Item
 	Sum        uint64
-	Fresh      []Item                              // what changed since the daemon last looked
-	Acks       map[string]map[units.Node]units.Num // who has acknowledged what, on the pushing side
-	asked      map[units.Node]units.Time           // when a neighbour was last asked for its news
+	Fresh      []Item                                    // what changed since the daemon last looked
+	Acks       map[string]map[units.NodeID]units.Version // who has acknowledged what, on the pushing side
+	asked      map[units.NodeID]units.Time               // when a neighbour was last asked for its news
 	vouchAsked units.Time
-	me         string                      // salt for drawing whom to relay to
-	out        map[string]*pushed          // news on its way
-	Vouch      map[units.Node]vouched      // a starting node's confirmations
-	Stored     func() map[string]units.Num // a controller's numbers on disk; nil on a router
-	seen       uint64                      // the digest at the last beat
-	moved      units.Time                  // when that was found changed
-	told       bool                        // something new came from a neighbour since the last tick
+	me         string                          // salt for drawing whom to relay to
+	out        map[string]*pushed              // news on its way
+	Vouch      map[units.NodeID]vouched        // a starting node's confirmations
+	Stored     func() map[string]units.Version // a controller's numbers on disk; nil on a router
+	seen       uint64                          // the digest at the last beat
+	moved      units.Time                      // when that was found changed
+	told       bool                            // something new came from a neighbour since the last tick
 }
 
 // New gives an empty one.
-func New(self units.Node) *Feed {
-	return &Feed{me: self.String(), Items: map[string]*Item{}, Acks: map[string]map[units.Node]units.Num{}, asked: map[units.Node]units.Time{},
-		out: map[string]*pushed{}, Vouch: map[units.Node]vouched{}}
+func New(self units.NodeID) *Feed {
+	return &Feed{me: self.String(), Items: map[string]*Item{}, Acks: map[string]map[units.NodeID]units.Version{}, asked: map[units.NodeID]units.Time{},
+		out: map[string]*pushed{}, Vouch: map[units.NodeID]vouched{}}
 }
 
 // Take sets a key's news if it is newer; it never goes back.
@@ -83,10 +83,10 @@
 }
 
 // Spread takes a chosen value and begins to push it to the nodes given.
-func (b *Feed) Spread(now units.Time, it Item, to []units.Node) (out message.Effects) {
+func (b *Feed) Spread(now units.Time, it Item, to []units.NodeID) (out message.Effects) {
 	it.Heard = now
 	b.Take(it)
-	p := &pushed{need: map[units.Node]bool{}, num: it.Num, sent: now}
+	p := &pushed{need: map[units.NodeID]bool{}, num: it.Num, sent: now}
 	for _, n := range to {
 		p.need[n] = true
 		out.Send(n, Push, pack(it))
@@ -100,7 +100,7 @@
 }
 
 // Tick pushes again to those that have not acknowledged and still live, and to newcomers.
-func (b *Feed) Tick(now units.Time, live []units.Node) (out message.Effects) {
+func (b *Feed) Tick(now units.Time, live []units.NodeID) (out message.Effects) {
 	for _, key := range message.Keys(b.out) {
 		p := b.out[key]
 		it := b.Items[key]
@@ -125,14 +125,14 @@
 
 // relay tells a few others by number what came newly, so that they ask for what they lack: news goes round cuts that
 // part its pusher from some. The few are drawn by hash, so that every node draws others.
-func (b *Feed) relay(live []units.Node, out *message.Effects) {
+func (b *Feed) relay(live []units.NodeID, out *message.Effects) {
 	if !b.told {
 		return
 	}
 	b.told = false
 	l := slices.Clone(live)
 	salt := units.Hex(b.Sum) + units.Hex(uint64(len(l)))
-	slices.SortFunc(l, func(x, y units.Node) int {
+	slices.SortFunc(l, func(x, y units.NodeID) int {
 		return cmp.Compare(units.Mix(salt, b.me, x.String()), units.Mix(salt, b.me, y.String()))
 	})
 	for _, n := range l[:min(relays, len(l))] {
@@ -141,7 +141,7 @@
 }
 
 // Behind is told that a neighbour's digest differs: the two exchange what each lacks.
-func (b *Feed) Behind(now units.Time, from units.Node) (out message.Effects) {
+func (b *Feed) Behind(now units.Time, from units.NodeID) (out message.Effects) {
 	if t, ok := b.asked[from]; ok && now.Sub(t) < again {
 		return out
 	}
@@ -150,15 +150,15 @@
 	return out
 }
 
-func (b *Feed) nums() map[string]units.Num {
-	m := map[string]units.Num{}
+func (b *Feed) nums() map[string]units.Version {
+	m := map[string]units.Version{}
 	for k, x := range b.Items {
 		m[k] = x.Num
 	}
 	return m
 }
 
-func (b *Feed) packNums(m map[string]units.Num) []byte {
+func (b *Feed) packNums(m map[string]units.Version) []byte {
 	var l [][]byte
 	for _, k := range message.Keys(m) {
 		l = append(l, message.Pack(newsHead{uint64(m[k])}, []byte(k)))
@@ -166,16 +166,16 @@
 	return message.PackList(l)
 }
 
-func unpackNums(body []byte) (map[string]units.Num, error) {
+func unpackNums(body []byte) (map[string]units.Version, error) {
 	l, err := message.UnpackList(body)
-	m := map[string]units.Num{}
+	m := map[string]units.Version{}
 	for _, t := range l {
 		var h newsHead
 		var k []byte
 		if err == nil {
 			err = message.Unpack(t, &h, &k)
 		}
-		m[string(k)] = units.Num(h.Num)
+		m[string(k)] = units.Version(h.Num)
 	}
 	return m, err
 }
@@ -188,15 +188,15 @@
 	switch n.Kind {
 	case Push:
 		if err = message.Unpack(n.Body, &h, &key, &data); err == nil {
-			b.told = b.Take(Item{Key: string(key), Num: units.Num(h.Num), Data: data, Heard: now}) || b.told
+			b.told = b.Take(Item{Key: string(key), Num: units.Version(h.Num), Data: data, Heard: now}) || b.told
 			out.Send(n.From, Ack, message.Pack(h, key))
 		}
 	case Ack:
 		if err = message.Unpack(n.Body, &h, &key); err == nil {
-			b.acked(n.From, string(key), units.Num(h.Num))
+			b.acked(n.From, string(key), units.Version(h.Num))
 		}
 	case Pull:
-		var theirs map[string]units.Num
+		var theirs map[string]units.Version
 		if theirs, err = unpackNums(n.Body); err == nil {
 			b.pulled(now, n.From, theirs, &out)
 		}
@@ -209,10 +209,10 @@
 	return out
 }
 
-func (b *Feed) acked(from units.Node, key string, num units.Num) {
+func (b *Feed) acked(from units.NodeID, key string, num units.Version) {
 	m := b.Acks[key]
 	if m == nil {
-		m = map[units.Node]units.Num{}
+		m = map[units.NodeID]units.Version{}
 		b.Acks[key] = m
 	}
 	m[from] = max(m[from], num)
@@ -222,7 +222,7 @@
 }
 
 // pulled sends what the neighbour lacks, and asks back when it is ahead.
-func (b *Feed) pulled(now units.Time, from units.Node, theirs map[string]units.Num, out *message.Effects) {
+func (b *Feed) pulled(now units.Time, from units.NodeID, theirs map[string]units.Version, out *message.Effects) {
 	for _, k := range message.Keys(b.Items) {
 		it := b.Items[k]
 		if theirs[k] < it.Num {
--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -28,9 +28,9 @@
 // sighting is one answer of the platform. Knew says which sightings its asker had heard of before it asked: only
 // those does it replace, since only then is it certain to be the later one.
 type sighting struct {
-	num  units.Num
+	num  units.Version
 	list []config.Worker
-	knew map[string]units.Num
+	knew map[string]units.Version
 }
 
 // Catalog merges the sightings of all askers into one list of workers for each pool. It isn't safe for concurrent use.
@@ -47,20 +47,20 @@
 }
 
 // Key names an asker's sightings of a pool in the news.
-func Key(pool string, asker units.Node) string { return Prefix + pool + "/" + asker.String() }
+func Key(pool string, asker units.NodeID) string { return Prefix + pool + "/" + asker.String() }
 
 // Take takes a sighting from the news, and gives the pool that it is of.
-func (n *Catalog) Take(now units.Time, key string, num units.Num, data []byte) (string, error) {
+func (n *Catalog) Take(now units.Time, key string, num units.Version, data []byte) (string, error) {
 	pool, asker, _ := strings.Cut(strings.TrimPrefix(key, Prefix), "/")
 	l, err := config.ReadWorkers(data)
 	if err != nil {
 		return pool, err
 	}
-	s := &sighting{num: num, list: l, knew: map[string]units.Num{}}
+	s := &sighting{num: num, list: l, knew: map[string]units.Version{}}
 	if o := fastjson.MustParseBytes(data).GetObject("knew"); o != nil {
 		o.Visit(func(k []byte, v *fastjson.Value) {
 			x, _ := v.Uint64()
-			s.knew[string(k)] = units.Num(x)
+			s.knew[string(k)] = units.Version(x)
 		})
 	}
 	by := n.pools[pool]
@@ -117,15 +117,15 @@
 // Query is one question to the platform: its number, and which sightings its asker had heard of when it began.
 type Query struct {
 	Pool  string
-	Num   units.Num
+	Num   units.Version
 	Began units.Time
-	knew  map[string]units.Num
+	knew  map[string]units.Version
 }
 
 // Ask begins a question. Wall is the asker's calendar in milliseconds; a number also goes past every one that the
 // asker is known to have given, so a wrong calendar costs nothing.
-func (n *Catalog) Ask(now units.Time, pool string, self units.Node, wall int64) Query {
-	a := Query{Pool: pool, Num: units.Num(max(1, wall)), Began: now, knew: map[string]units.Num{}}
+func (n *Catalog) Ask(now units.Time, pool string, self units.NodeID, wall int64) Query {
+	a := Query{Pool: pool, Num: units.Version(max(1, wall)), Began: now, knew: map[string]units.Version{}}
 	for k, s := range n.pools[pool] {
 		a.knew[k] = s.num
 		if k == self.String() {
--- a/internal/cluster/discovery/discovery_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 
 type told struct {
 	key  string
-	num  units.Num
+	num  units.Version
 	data []byte
 }
 
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	tell := func(n *Catalog, self units.Node, wall int64, l []config.Worker) told {
+	tell := func(n *Catalog, self units.NodeID, wall int64, l []config.Worker) told {
 		q := n.Ask(0, "main", self, wall)
 		data, news := n.Heard(q, l)
 		if !news {
@@ -139,7 +139,7 @@
 		t.Errorf("after a calendar set back: number %d", q.Num)
 	}
 	for i, bad := range []string{"", "{}", `{"workers":[{"id":""}]}`, `{"workers":3}`, `{"workers":[],"knew":4}`} {
-		if _, err := n.Take(0, Key("main", 2), units.Num(i+1), []byte(bad)); (err == nil) != (i == 4) || len(n.List("main")) != 2 {
+		if _, err := n.Take(0, Key("main", 2), units.Version(i+1), []byte(bad)); (err == nil) != (i == 4) || len(n.List("main")) != 2 {
 			t.Errorf("%q: %v, %d listed", bad, err, len(n.List("main")))
 		}
 	}
--- a/internal/cluster/membership/intro_test.go
+++ b/internal/cluster/membership/intro_test.go
@@ -12,16 +12,16 @@
 // whole table; and two sides of a cut, each of which gave the other up, still come to know all within a few seconds.
 func TestIntroductionsHealACut(t *testing.T) {
 	const n = 12
-	ms, at, now := map[units.Node]*Gossip{}, map[string]units.Node{}, units.Time(1e10)
-	var ids []units.Node
-	for i := units.Node(1); i <= n; i++ {
+	ms, at, now := map[units.NodeID]*Gossip{}, map[string]units.NodeID{}, units.Time(1e10)
+	var ids []units.NodeID
+	for i := units.NodeID(1); i <= n; i++ {
 		ids = append(ids, i)
 		at[member(i).Addr] = i
 	}
 	for _, i := range ids {
 		ms[i] = grown(i, ids...)
 	}
-	side := func(i units.Node) bool { return i <= n/2 }
+	side := func(i units.NodeID) bool { return i <= n/2 }
 	for _, m := range ms {
 		for _, x := range m.all {
 			if side(x.Node) != side(m.Self) {
@@ -34,8 +34,8 @@
 	}
 	now = now.Add(time.Minute)
 	intros, most := 0, 0
-	var deliver func(from units.Node, out message.Effects)
-	deliver = func(from units.Node, out message.Effects) {
+	var deliver func(from units.NodeID, out message.Effects)
+	deliver = func(from units.NodeID, out message.Effects) {
 		for _, x := range out.Messages {
 			x.From = from
 			if x.Addr != "" {
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -43,7 +43,7 @@
 
 // Member is one process.
 type Member struct {
-	Node  units.Node
+	Node  units.NodeID
 	Inc   uint64
 	State State
 	Role  Role
@@ -68,7 +68,7 @@
 )
 
 type relay struct {
-	to  units.Node
+	to  units.NodeID
 	seq uint64
 	at  units.Time
 }
@@ -76,31 +76,31 @@
 // Gossip is one node's state machine of membership: its table, its probes and the changes still to be told. It isn't safe
 // for concurrent use.
 type Gossip struct {
-	Self    units.Node
+	Self    units.NodeID
 	News    uint64
-	all     map[units.Node]*Member
-	order   []units.Node // of all, sorted; made anew when it changes
-	kept    []Member     // what All last gave, till something changes
-	digest  uint64       // of the live members, while summed holds
+	all     map[units.NodeID]*Member
+	order   []units.NodeID // of all, sorted; made anew when it changes
+	kept    []Member       // what All last gave, till something changes
+	digest  uint64         // of the live members, while summed holds
 	summed  bool
 	ver     uint64
 	seeds   []string
 	rng     *rand.Rand
-	ring    []units.Node
+	ring    []units.NodeID
 	seq     uint64
-	open    units.Node
+	open    units.NodeID
 	seqOf   uint64
 	at      units.Time
 	asked   bool
 	relay   map[uint64]relay
-	fresh   map[units.Node]int // how often each change is still to be told
-	wholeAt units.Time         // when a whole table was last sent for a digest's sake
+	fresh   map[units.NodeID]int // how often each change is still to be told
+	wholeAt units.Time           // when a whole table was last sent for a digest's sake
 	intro   units.Time
 }
 
 // New starts with oneself and the seeds.
 func New(self Member, seeds []string, rng *rand.Rand) *Gossip {
-	m := &Gossip{Self: self.Node, all: map[units.Node]*Member{}, seeds: seeds, rng: rng, relay: map[uint64]relay{}, fresh: map[units.Node]int{}}
+	m := &Gossip{Self: self.Node, all: map[units.NodeID]*Member{}, seeds: seeds, rng: rng, relay: map[uint64]relay{}, fresh: map[units.NodeID]int{}}
 	m.all[self.Node] = &self
 	m.at = -units.Time(round)
 	m.intro = -units.Time(introAt)
@@ -126,7 +126,7 @@
 }
 
 // Get finds a member.
-func (m *Gossip) Get(n units.Node) (Member, bool) {
+func (m *Gossip) Get(n units.NodeID) (Member, bool) {
 	x, ok := m.all[n]
 	if !ok {
 		return Member{}, false
@@ -202,7 +202,7 @@
 }
 
 // turn gives the next neighbour of a shuffled round.
-func (m *Gossip) turn() units.Node {
+func (m *Gossip) turn() units.NodeID {
 	for range 2 {
 		for len(m.ring) > 0 {
 			n := m.ring[0]
@@ -217,8 +217,8 @@
 	return 0
 }
 
-func (m *Gossip) others(but units.Node) []units.Node {
-	var l []units.Node
+func (m *Gossip) others(but units.NodeID) []units.NodeID {
+	var l []units.NodeID
 	for n, x := range m.all {
 		if n != m.Self && n != but && x.State <= Suspect {
 			l = append(l, n)
@@ -228,7 +228,7 @@
 	return l
 }
 
-func (m *Gossip) pick(k int, but units.Node) []units.Node {
+func (m *Gossip) pick(k int, but units.NodeID) []units.NodeID {
 	l := m.others(but)
 	m.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 	return l[:min(k, len(l))]
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -9,11 +9,11 @@
 	"seamshunt/internal/units"
 )
 
-func member(n units.Node) Member {
+func member(n units.NodeID) Member {
 	return Member{Node: n, Inc: 1, Role: Router, Addr: "a" + n.String(), Zone: "z"}
 }
 
-func grown(self units.Node, others ...units.Node) *Gossip {
+func grown(self units.NodeID, others ...units.NodeID) *Gossip {
 	m := New(member(self), nil, rand.New(rand.NewPCG(1, uint64(self))))
 	for _, n := range others {
 		x := member(n)
@@ -40,7 +40,7 @@
 		t.Errorf("a quiet node tells of %d members", n)
 	}
 	now := units.Time(1e10)
-	for i := range units.Node(3) {
+	for i := range units.NodeID(3) {
 		fresh := New(member(20+i), nil, rand.New(rand.NewPCG(1, 9)))
 		out := a.Step(now, message.Message{From: 20 + i, Kind: Probe, Body: fresh.pack(0, 0, true)})
 		if n := count(out.Messages[0].Body); n != 6+int(i) {
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -31,7 +31,7 @@
 }
 
 // pack lays out what the neighbour should hear: this node itself and what changed lately, or the whole table.
-func (m *Gossip) pack(seq uint64, target units.Node, whole bool) []byte {
+func (m *Gossip) pack(seq uint64, target units.NodeID, whole bool) []byte {
 	var items [][]byte
 	for _, n := range m.ids() {
 		x := m.all[n]
@@ -59,7 +59,7 @@
 	return m.lay(0, 0, items)
 }
 
-func (m *Gossip) lay(seq uint64, target units.Node, items [][]byte) []byte {
+func (m *Gossip) lay(seq uint64, target units.NodeID, items [][]byte) []byte {
 	return message.Pack(probeHead{Seq: seq, News: m.News, Target: uint64(target), Sum: m.sum()}, message.PackList(items))
 }
 
@@ -69,7 +69,7 @@
 }
 
 // tell has a change ride on so many notes that all hear of it, as a rule; the digests find the exceptions.
-func (m *Gossip) tell(n units.Node) { m.fresh[n] = bits.Len(uint(len(m.all))) + 4 }
+func (m *Gossip) tell(n units.NodeID) { m.fresh[n] = bits.Len(uint(len(m.all))) + 4 }
 
 // differs says whether the whole table is due, since the neighbour's digest is another: at most once in wholeGap.
 func (m *Gossip) differs(now units.Time, sum uint64) bool {
@@ -97,7 +97,7 @@
 		if err := message.Unpack(t, &mh, &addr, &web, &zone); err != nil {
 			return h, nil, err
 		}
-		ms = append(ms, Member{Node: units.Node(mh.Node), Inc: mh.Inc, Flags: mh.Flags, State: State(mh.State),
+		ms = append(ms, Member{Node: units.NodeID(mh.Node), Inc: mh.Inc, Flags: mh.Flags, State: State(mh.State),
 			Role: Role(mh.Role), Addr: string(addr), Web: string(web), Zone: string(zone)})
 	}
 	return h, ms, nil
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -31,9 +31,9 @@
 	case Second:
 		m.seq++
 		m.relay[m.seq] = relay{to: n.From, seq: h.Seq, at: now}
-		out.Send(units.Node(h.Target), Probe, m.pack(m.seq, 0, false))
+		out.Send(units.NodeID(h.Target), Probe, m.pack(m.seq, 0, false))
 	case SecondAck:
-		if h.Seq == m.seqOf && units.Node(h.Target) == m.open {
+		if h.Seq == m.seqOf && units.NodeID(h.Target) == m.open {
 			m.hold(now, m.open)
 			m.open = 0
 		}
@@ -41,7 +41,7 @@
 	return out
 }
 
-func (m *Gossip) acked(now units.Time, from units.Node, seq uint64, out *message.Effects) {
+func (m *Gossip) acked(now units.Time, from units.NodeID, seq uint64, out *message.Effects) {
 	if r, ok := m.relay[seq]; ok {
 		delete(m.relay, seq)
 		out.Send(r.to, SecondAck, m.pack(r.seq, from, false))
@@ -53,7 +53,7 @@
 }
 
 // hold takes back one's own suspicion after word from the node itself or from a witness.
-func (m *Gossip) hold(now units.Time, n units.Node) {
+func (m *Gossip) hold(now units.Time, n units.NodeID) {
 	if x := m.all[n]; x != nil && x.State == Suspect {
 		m.set(x, Alive, now)
 	}
@@ -95,8 +95,8 @@
 
 // Refused takes evidence that nobody listens at addr: whoever lived there has ended, even where membership
 // had given it up before for its silence (design 6).
-func (m *Gossip) Refused(now units.Time, addr string) []units.Node {
-	var l []units.Node
+func (m *Gossip) Refused(now units.Time, addr string) []units.NodeID {
+	var l []units.NodeID
 	for _, x := range m.All() {
 		if x.Addr != addr || x.Node == m.Self || x.State == Left {
 			continue
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -19,7 +19,7 @@
 func (m *Gossip) heard() { m.kept = nil }
 
 // ids gives all nodes in order.
-func (m *Gossip) ids() []units.Node {
+func (m *Gossip) ids() []units.NodeID {
 	if m.order == nil {
 		m.order = message.Keys(m.all)
 	}
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -14,9 +14,9 @@
 // that was given out never changes any more.
 func TestKeptIsTrue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	ms, now := map[units.Node]*Gossip{}, units.Time(1e9)
-	for n := units.Node(1); n <= 9; n++ {
-		ms[n] = New(member(n), []string{"a" + units.Node(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
+	ms, now := map[units.NodeID]*Gossip{}, units.Time(1e9)
+	for n := units.NodeID(1); n <= 9; n++ {
+		ms[n] = New(member(n), []string{"a" + units.NodeID(1).String()}, rand.New(rand.NewPCG(1, uint64(n))))
 	}
 	type given struct{ list, copy []Member }
 	var old []given
@@ -40,7 +40,7 @@
 		old = append(old, given{all, slices.Clone(all)})
 	}
 	var wire []message.Message
-	send := func(from units.Node, out message.Effects) {
+	send := func(from units.NodeID, out message.Effects) {
 		for _, x := range out.Messages {
 			x.From = from
 			if x.Addr != "" {
@@ -55,12 +55,12 @@
 	for range 6000 {
 		now = now.Add(40 * time.Millisecond)
 		n := 1 + rng.Uint64N(9)
-		m := ms[units.Node(n)]
+		m := ms[units.NodeID(n)]
 		switch rng.IntN(400) {
 		case 0:
 			m.Flag(Ready, rng.IntN(2) == 0)
 		case 1:
-			m.Refused(now, "a"+units.Node(1+rng.Uint64N(9)).String())
+			m.Refused(now, "a"+units.NodeID(1+rng.Uint64N(9)).String())
 		case 2:
 			send(m.Self, m.Leave())
 			check(m)
--- a/internal/cluster/membership/version_test.go
+++ b/internal/cluster/membership/version_test.go
@@ -12,7 +12,7 @@
 // The version moves with the members, not with their news; a probe counts as under way once it has waited.
 func TestVersion(t *testing.T) {
 	now := units.Time(time.Hour)
-	a := New(member(1), []string{"a" + units.Node(2).String()}, rand.New(rand.NewPCG(1, 1)))
+	a := New(member(1), []string{"a" + units.NodeID(2).String()}, rand.New(rand.NewPCG(1, 1)))
 	b := New(member(2), nil, rand.New(rand.NewPCG(1, 2)))
 	v := a.Version()
 	hello := func(m *Gossip, to *Gossip) {
--- a/internal/cluster/message/message.go
+++ b/internal/cluster/message/message.go
@@ -28,7 +28,7 @@
 
 // Message is one message between two processes. Addr is set only for a first message to a seed, whose node id isn't known.
 type Message struct {
-	From, To units.Node
+	From, To units.NodeID
 	Addr     string
 	Kind     Kind
 	Body     []byte
@@ -50,12 +50,12 @@
 }
 
 // Send adds a note that may leave at once.
-func (o *Effects) Send(to units.Node, k Kind, b []byte) {
+func (o *Effects) Send(to units.NodeID, k Kind, b []byte) {
 	o.Messages = append(o.Messages, Message{To: to, Kind: k, Body: b})
 }
 
 // SendAfterSync adds a message that may be sent only once the step's writes are synced.
-func (o *Effects) SendAfterSync(to units.Node, k Kind, b []byte) {
+func (o *Effects) SendAfterSync(to units.NodeID, k Kind, b []byte) {
 	o.AfterSync = append(o.AfterSync, Message{To: to, Kind: k, Body: b})
 }
 
--- a/internal/cluster/transport/engine.go
+++ b/internal/cluster/transport/engine.go
@@ -43,8 +43,8 @@
 }
 
 // Open listens on addr and gives messages to the handlers.
-func Open(self units.Node, addr string, c *tasks.Group, handlers Handlers) (*Transport, error) {
-	t := &Transport{Self: self, tasks: c, handlers: handlers, wires: map[string]*wire{}, addrs: map[units.Node]string{}}
+func Open(self units.NodeID, addr string, c *tasks.Group, handlers Handlers) (*Transport, error) {
+	t := &Transport{Self: self, tasks: c, handlers: handlers, wires: map[string]*wire{}, addrs: map[units.NodeID]string{}}
 	engine, err := gnet.NewClient(&events{t: t}, gnet.WithLogger(quiet{}), gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 	if err != nil {
 		return nil, fmt.Errorf("transport: %w", err)
@@ -169,7 +169,7 @@
 
 // takeFrame takes one, if it is meant for this node: another may have lived at this address before.
 func (t *Transport) takeFrame(h head, b []byte) {
-	if to := units.Node(h.To); to != 0 && to != t.Self {
+	if to := units.NodeID(h.To); to != 0 && to != t.Self {
 		return
 	}
 	n, err := h.note(b[headLen:])
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -61,7 +61,7 @@
 
 // note makes a note of a frame, whose bytes are not kept.
 func (h head) note(body []byte) (message.Message, error) {
-	n := message.Message{From: units.Node(h.From), To: units.Node(h.To), Kind: message.Kind(h.Kind)}
+	n := message.Message{From: units.NodeID(h.From), To: units.NodeID(h.To), Kind: message.Kind(h.Kind)}
 	if h.Mark != packed {
 		n.Body = bytes.Clone(body)
 		return n, nil
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -43,7 +43,7 @@
 
 // Transport holds a process's connections to its neighbours. It is safe for concurrent use.
 type Transport struct {
-	Self     units.Node
+	Self     units.NodeID
 	tasks    *tasks.Group
 	handlers Handlers
 	engine   *gnet.Client // the event loop of all connections
@@ -51,7 +51,7 @@
 	listener net.Listener // nil while none is open
 	closed   bool
 	wires    map[string]*wire
-	addrs    map[units.Node]string
+	addrs    map[units.NodeID]string
 	Bad      atomic.Uint64
 	In       atomic.Uint64
 	Out      atomic.Uint64
@@ -59,7 +59,7 @@
 }
 
 // Learn notes where a node can be reached.
-func (t *Transport) Learn(n units.Node, addr string) {
+func (t *Transport) Learn(n units.NodeID, addr string) {
 	t.mu.Lock()
 	t.addrs[n] = addr
 	t.mu.Unlock()
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 )
 
 // compile lays the mappings out as one program; the first that matches a request serves it.
@@ -17,12 +17,12 @@
 	for i, m := range c.Mappings {
 		at := fmt.Sprintf("layout line %d column %d", m.line, m.col)
 		if names[m.Name] {
-			f.add(codes.Duplicate, at, "mapping "+m.Name+" given twice")
+			f.add(resultcode.Duplicate, at, "mapping "+m.Name+" given twice")
 		}
 		names[m.Name] = true
 		sig := signature(m.Match)
 		if o, ok := routes[sig]; ok {
-			f.add(codes.Duplicate, at, "mapping "+m.Name+" matches just what "+o+" does")
+			f.add(resultcode.Duplicate, at, "mapping "+m.Name+" matches just what "+o+" does")
 		}
 		routes[sig] = m.Name
 		w := routing.Way{Match: m.Match}
@@ -46,16 +46,16 @@
 
 // Compile builds the program of a configuration that an adapter put together, and names what stands twice or leads
 // nowhere.
-func (c *Config) Compile() []*codes.Fault {
+func (c *Config) Compile() []*resultcode.Fault {
 	var f faults
 	for _, m := range c.Mappings {
 		for _, t := range m.To {
 			if c.Services[t] == nil {
-				f.add(codes.NoService, "mapping "+m.Name, "unknown service "+t)
+				f.add(resultcode.UnknownService, "mapping "+m.Name, "unknown service "+t)
 			}
 		}
 		if len(m.To) == 0 || m.Promise == nil {
-			f.add(codes.BadRule, "mapping "+m.Name, "it leads to no service, or has no promise")
+			f.add(resultcode.InvalidRule, "mapping "+m.Name, "it leads to no service, or has no promise")
 		}
 	}
 	if len(f.list) == 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,8 +4,8 @@
 import (
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/placement"
 )
@@ -93,12 +93,12 @@
 
 // faults are collected and looked at once.
 type faults struct {
-	list []*codes.Fault
+	list []*resultcode.Fault
 }
 
-func (f *faults) add(c codes.Code, place, text string) {
+func (f *faults) add(c resultcode.Code, place, text string) {
 	if len(f.list) < 20 {
-		f.list = append(f.list, &codes.Fault{Code: c, Place: place, Text: text, NotRun: true})
+		f.list = append(f.list, &resultcode.Fault{Code: c, Place: place, Text: text, NotRun: true})
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 )
 
 const good = `{"services": [
@@ -76,33 +76,33 @@
 	}
 	for _, x := range []struct {
 		name, text string
-		code       codes.Code
+		code       resultcode.Code
 		place      string
 	}{
-		{"no JSON", `{"services": [`, codes.BadConfig, "line 1 column 15"},
-		{"no object", `[]`, codes.BadConfig, "$"},
-		{"unknown field", swap(`"cap": 4`, `"cap": 4, "kap": 1`), codes.BadConfig, "$.services[0].kap"},
-		{"field twice", swap(`"cap": 4`, `"cap": 4, "cap": 5`), codes.Duplicate, "$.services[0].cap"},
-		{"cap zero", swap(`"cap": 4`, `"cap": 0`), codes.BadCap, "$.services[0].cap"},
-		{"cap missing", swap(`, "cap": 4`, ``), codes.BadCap, "$.services[0].cap"},
-		{"floor above", swap(`"cap": 4`, `"cap": 4, "floor": 5`), codes.BadCap, "$.services[0].floor"},
-		{"pool twice", swap(`"side"`, `"main"`), codes.Duplicate, "$.services[1].pool"},
-		{"unknown policy", swap(`"cap": 4`, `"cap": 4, "allow": "all"`), codes.BadConfig, "$.services[0].allow"},
-		{"late promise", swap(`"first_ms": 100`, `"first_ms": 9000`), codes.BadConfig, "$.promises[0].first_ms"},
-		{"worth below 0", swap(`"first_ms": 100`, `"first_ms": 100, "worth": -1`), codes.BadConfig, "$.promises[0].worth"},
-		{"worth no number", swap(`"first_ms": 100`, `"first_ms": 100, "worth": "much"`), codes.BadConfig, "$.promises[0].worth"},
-		{"no layout", `{"services":[],"promises":[]}`, codes.BadConfig, "$.layout"},
-		{"unknown service", swap("to big, small step", "to big, tiny step"), codes.NoService, "layout line 3 column 10"},
-		{"unknown promise", swap("promise q repeat }\",\n \"mapping c", "promise z repeat }\",\n \"mapping c"), codes.BadRule, "layout line 4 column 46"},
-		{"step not open", swap("to big, small step small", "to big step small"), codes.StepNotOpen, "layout line 1 column 9"},
-		{"no smaller", swap(`, "smaller": true`, ``), codes.StepNotOpen, "layout line 1 column 9"},
-		{"not said once", swap("promise p once", "promise p"), codes.BadRule, "layout line 1 column 9"},
-		{"same name", swap("mapping b", "mapping a"), codes.Duplicate, "layout line 4 column 9"},
-		{"same match", swap(`under = \"/b\"`, `path = \"/a\"`), codes.Duplicate, "layout line 5 column 9"},
-		{"bad mark", swap("mapping b {", "mapping b ;"), codes.BadRule, "layout line 4 column 11"},
-		{"open text", swap(`\"/b\" to`, `\"/b to`), codes.BadRule, "layout line 4 column 26"},
-		{"no such clause", swap("mapping b { when", "mapping b { whence"), codes.BadRule, "layout line 4 column 13"},
-		{"too large", good + strings.Repeat(" ", MaxConfig), codes.ConfigLarge, ""},
+		{"no JSON", `{"services": [`, resultcode.InvalidConfig, "line 1 column 15"},
+		{"no object", `[]`, resultcode.InvalidConfig, "$"},
+		{"unknown field", swap(`"cap": 4`, `"cap": 4, "kap": 1`), resultcode.InvalidConfig, "$.services[0].kap"},
+		{"field twice", swap(`"cap": 4`, `"cap": 4, "cap": 5`), resultcode.Duplicate, "$.services[0].cap"},
+		{"cap zero", swap(`"cap": 4`, `"cap": 0`), resultcode.InvalidCap, "$.services[0].cap"},
+		{"cap missing", swap(`, "cap": 4`, ``), resultcode.InvalidCap, "$.services[0].cap"},
+		{"floor above", swap(`"cap": 4`, `"cap": 4, "floor": 5`), resultcode.InvalidCap, "$.services[0].floor"},
+		{"pool twice", swap(`"side"`, `"main"`), resultcode.Duplicate, "$.services[1].pool"},
+		{"unknown policy", swap(`"cap": 4`, `"cap": 4, "allow": "all"`), resultcode.InvalidConfig, "$.services[0].allow"},
+		{"late promise", swap(`"first_ms": 100`, `"first_ms": 9000`), resultcode.InvalidConfig, "$.promises[0].first_ms"},
+		{"worth below 0", swap(`"first_ms": 100`, `"first_ms": 100, "worth": -1`), resultcode.InvalidConfig, "$.promises[0].worth"},
+		{"worth no number", swap(`"first_ms": 100`, `"first_ms": 100, "worth": "much"`), resultcode.InvalidConfig, "$.promises[0].worth"},
+		{"no layout", `{"services":[],"promises":[]}`, resultcode.InvalidConfig, "$.layout"},
+		{"unknown service", swap("to big, small step", "to big, tiny step"), resultcode.UnknownService, "layout line 3 column 10"},
+		{"unknown promise", swap("promise q repeat }\",\n \"mapping c", "promise z repeat }\",\n \"mapping c"), resultcode.InvalidRule, "layout line 4 column 46"},
+		{"step not open", swap("to big, small step small", "to big step small"), resultcode.StepNotAllowed, "layout line 1 column 9"},
+		{"no smaller", swap(`, "smaller": true`, ``), resultcode.StepNotAllowed, "layout line 1 column 9"},
+		{"not said once", swap("promise p once", "promise p"), resultcode.InvalidRule, "layout line 1 column 9"},
+		{"same name", swap("mapping b", "mapping a"), resultcode.Duplicate, "layout line 4 column 9"},
+		{"same match", swap(`under = \"/b\"`, `path = \"/a\"`), resultcode.Duplicate, "layout line 5 column 9"},
+		{"bad mark", swap("mapping b {", "mapping b ;"), resultcode.InvalidRule, "layout line 4 column 11"},
+		{"open text", swap(`\"/b\" to`, `\"/b to`), resultcode.InvalidRule, "layout line 4 column 26"},
+		{"no such clause", swap("mapping b { when", "mapping b { whence"), resultcode.InvalidRule, "layout line 4 column 13"},
+		{"too large", good + strings.Repeat(" ", MaxConfig), resultcode.ConfigTooLarge, ""},
 	} {
 		c, fs := Read([]byte(x.text))
 		if c != nil || len(fs) == 0 {
--- a/internal/config/lex.go
+++ b/internal/config/lex.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // The layout's words: names, quoted texts, and the marks { } , =
@@ -42,7 +42,7 @@
 				n++
 			}
 			if i+n >= len(s) || s[i+n] != '"' {
-				f.add(codes.BadRule, t.at(), "a text that never ends")
+				f.add(resultcode.InvalidRule, t.at(), "a text that never ends")
 				return append(l, token{line: line, col: col})
 			}
 			t.kind, t.text = 's', s[i+1:i+n]
@@ -55,7 +55,7 @@
 			t.kind, t.text = 'n', s[i:i+n]
 			l = append(l, t)
 		default:
-			f.add(codes.BadRule, t.at(), fmt.Sprintf("%q has no meaning here", c))
+			f.add(resultcode.InvalidRule, t.at(), fmt.Sprintf("%q has no meaning here", c))
 		}
 		i += n
 		col += n
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -1,6 +1,6 @@
 package config
 
-import "seamshunt/internal/codes"
+import "seamshunt/internal/resultcode"
 
 // parser reads the layout's mappings (docs/configuration.md has the grammar).
 type parser struct {
@@ -19,7 +19,7 @@
 		}
 	}
 	if len(c.Mappings) == 0 && len(f.list) == 0 {
-		f.add(codes.BadRule, "layout", "no mapping at all")
+		f.add(resultcode.InvalidRule, "layout", "no mapping at all")
 	}
 }
 
@@ -34,7 +34,7 @@
 }
 
 func (p *parser) bad(t token, text string) bool {
-	p.f.add(codes.BadRule, t.at(), text)
+	p.f.add(resultcode.InvalidRule, t.at(), text)
 	return false
 }
 
--- a/internal/config/parse_check.go
+++ b/internal/config/parse_check.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // check looks at a mapping as a whole.
@@ -30,18 +30,18 @@
 		ok = ok || s == m.Step
 	}
 	if !ok {
-		p.f.add(codes.StepNotOpen, t.at(), fmt.Sprintf("mapping %s steps to %s, which it may not reach", m.Name, m.Step))
+		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to %s, which it may not reach", m.Name, m.Step))
 	}
 	if len(m.Split) < 2 && len(m.To) > 0 && m.To[0] == m.Step {
-		p.f.add(codes.StepNotOpen, t.at(), fmt.Sprintf("mapping %s steps to its own first service", m.Name))
+		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to its own first service", m.Name))
 	}
 	for _, s := range m.Split {
 		if len(m.Split) > 1 && s.Service == m.Step && s.Share > 0 {
-			p.f.add(codes.StepNotOpen, t.at(), fmt.Sprintf("mapping %s steps to %s, which shares its requests", m.Name, m.Step))
+			p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to %s, which shares its requests", m.Name, m.Step))
 		}
 	}
 	if m.Promise != nil && !m.Promise.Smaller {
-		p.f.add(codes.StepNotOpen, t.at(), fmt.Sprintf("promise %s lets no smaller model stand in", m.Promise.Name))
+		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("promise %s lets no smaller model stand in", m.Promise.Name))
 	}
 }
 
--- a/internal/config/parse_clause.go
+++ b/internal/config/parse_clause.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 )
 
 // clause reads one; said remembers where those stand that may be said only once.
@@ -150,12 +150,12 @@
 			return false
 		}
 		if p.c.Services[s.text] == nil {
-			p.f.add(codes.NoService, s.at(), "no service "+s.text)
+			p.f.add(resultcode.UnknownService, s.at(), "no service "+s.text)
 		}
 		if t := p.peek(); t.kind == 'n' && t.text[0] >= '0' && t.text[0] <= '9' {
 			for _, x := range m.Split {
 				if x.Service == s.text {
-					p.f.add(codes.Duplicate, s.at(), "service "+s.text+" has a share already")
+					p.f.add(resultcode.Duplicate, s.at(), "service "+s.text+" has a share already")
 				}
 			}
 			m.Split = append(m.Split, Target{s.text, p.count(0, 1000000)})
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -10,19 +10,19 @@
 
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // Read takes an operator's bytes to a compiled configuration, or to all its faults.
-func Read(b []byte) (*Config, []*codes.Fault) {
+func Read(b []byte) (*Config, []*resultcode.Fault) {
 	var f faults
 	if len(b) > MaxConfig {
-		f.add(codes.ConfigLarge, "", fmt.Sprintf("%d bytes; the most is %d", len(b), MaxConfig))
+		f.add(resultcode.ConfigTooLarge, "", fmt.Sprintf("%d bytes; the most is %d", len(b), MaxConfig))
 		return nil, f.list
 	}
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
-		f.add(codes.BadConfig, place(b), err.Error())
+		f.add(resultcode.InvalidConfig, place(b), err.Error())
 		return nil, f.list
 	}
 	c := &Config{Services: map[string]*Service{}, Promises: map[string]*Promise{}}
@@ -40,7 +40,7 @@
 	}
 	text, ok := layout(v.Get("layout"))
 	if !ok {
-		f.add(codes.BadConfig, "$.layout", "a text or a list of lines is wanted")
+		f.add(resultcode.InvalidConfig, "$.layout", "a text or a list of lines is wanted")
 		return nil, f.list
 	}
 	c.parse(text, &f)
@@ -92,17 +92,17 @@
 func object(v *fastjson.Value, at string, f *faults, names ...string) *fastjson.Object {
 	o, err := v.Object()
 	if err != nil {
-		f.add(codes.BadConfig, at, "an object is wanted")
+		f.add(resultcode.InvalidConfig, at, "an object is wanted")
 		return nil
 	}
 	seen := map[string]bool{}
 	o.Visit(func(k []byte, _ *fastjson.Value) {
 		n := string(k)
 		if !slices.Contains(names, n) {
-			f.add(codes.BadConfig, at+"."+n, "unknown field")
+			f.add(resultcode.InvalidConfig, at+"."+n, "unknown field")
 		}
 		if seen[n] {
-			f.add(codes.Duplicate, at+"."+n, "field given twice")
+			f.add(resultcode.Duplicate, at+"."+n, "field given twice")
 		}
 		seen[n] = true
 	})
@@ -112,12 +112,12 @@
 func array(v *fastjson.Value, at, name string, f *faults) []*fastjson.Value {
 	x := v.Get(name)
 	if x == nil {
-		f.add(codes.BadConfig, at+"."+name, "missing")
+		f.add(resultcode.InvalidConfig, at+"."+name, "missing")
 		return nil
 	}
 	l, err := x.Array()
 	if err != nil {
-		f.add(codes.BadConfig, at+"."+name, "a list is wanted")
+		f.add(resultcode.InvalidConfig, at+"."+name, "a list is wanted")
 	}
 	return l
 }
@@ -126,19 +126,19 @@
 	x := v.Get(name)
 	if x == nil {
 		if def == "" {
-			f.add(codes.BadConfig, at+"."+name, "missing")
+			f.add(resultcode.InvalidConfig, at+"."+name, "missing")
 		}
 		return def
 	}
 	s, err := x.StringBytes()
 	if err != nil || len(s) == 0 || len(s) > 200 {
-		f.add(codes.BadConfig, at+"."+name, "a text of 1 to 200 bytes is wanted")
+		f.add(resultcode.InvalidConfig, at+"."+name, "a text of 1 to 200 bytes is wanted")
 		return def
 	}
 	return string(s)
 }
 
-func number(v *fastjson.Value, at, name string, def, least, most int, c codes.Code, f *faults) int {
+func number(v *fastjson.Value, at, name string, def, least, most int, c resultcode.Code, f *faults) int {
 	x := v.Get(name)
 	if x == nil {
 		if def < least {
@@ -162,7 +162,7 @@
 	}
 	n, err := x.Float64()
 	if err != nil || !(n >= 0 && n <= most) {
-		f.add(codes.BadConfig, at+"."+name, fmt.Sprintf("a number from 0 to %g is wanted", most))
+		f.add(resultcode.InvalidConfig, at+"."+name, fmt.Sprintf("a number from 0 to %g is wanted", most))
 		return 0
 	}
 	return n
@@ -175,7 +175,7 @@
 	}
 	b, err := x.Bool()
 	if err != nil {
-		f.add(codes.BadConfig, at+"."+name, "true or false is wanted")
+		f.add(resultcode.InvalidConfig, at+"."+name, "true or false is wanted")
 	}
 	return b
 }
--- a/internal/config/words_test.go
+++ b/internal/config/words_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -110,38 +110,38 @@
 	}
 	for _, x := range []struct {
 		name, text string
-		code       codes.Code
+		code       resultcode.Code
 		place      string
 	}{
-		{"version 0", swap(`"version": 7`, `"version": 0`), codes.BadConfig, "$.version"},
-		{"version no number", swap(`"version": 7`, `"version": "7"`), codes.BadConfig, "$.version"},
-		{"limit 0", swap(`"head_bytes": 4096`, `"head_bytes": 0`), codes.BadConfig, "$.limits.head_bytes"},
-		{"unknown limit", swap(`"idle_ms"`, `"idle"`), codes.BadConfig, "$.limits.idle"},
-		{"limits a list", swap(`{"head_bytes": 4096, "body_bytes": 65536, "head_ms": 3000, "idle_ms": 15000}`, `[]`), codes.BadConfig, "$.limits"},
-		{"cap and slots", swap(`"slots": true, "place"`, `"slots": true, "cap": 4, "place"`), codes.BadCap, "$.services[0].cap"},
-		{"neither", swap(`"slots": true, "place"`, `"slots": false, "place"`), codes.BadCap, "$.services[0].cap"},
-		{"share 0", swap(`"share": 80`, `"share": 0`), codes.BadConfig, "$.services[0].share"},
-		{"share 101", swap(`"share": 80`, `"share": 101`), codes.BadConfig, "$.services[0].share"},
-		{"reads without memory", swap(`"cap": 8`, `"cap": 8, "reads": 5`), codes.BadConfig, "$.services[1].reads"},
-		{"rate below 0", swap(`"warm_rate": 2.5`, `"warm_rate": -1`), codes.BadConfig, "$.services[0].warm_rate"},
-		{"conns no number", swap(`"conns": 640`, `"conns": true`), codes.BadConfig, "$.services[0].conns"},
-		{"lax no flag", swap(`"lax": true`, `"lax": 1`), codes.BadConfig, "$.services[0].lax"},
-		{"shares sum to 0", swap(`big 90, small 10`, `big 0, small 0`), codes.BadRule, "layout line 1 column 60"},
-		{"one share missing", swap(`small 10`, `small`), codes.BadRule, "layout line 1 column 60"},
-		{"a share twice", swap(`small 10`, `big 10`), codes.Duplicate, "layout line 1 column 71"},
-		{"share no number", swap(`big 90`, `big 9x`), codes.BadRule, "layout line 1 column 67"},
-		{"step that shares", swap(`step spare`, `step small`), codes.StepNotOpen, "layout line 1 column 9"},
-		{"tries 0", swap(`tries 2`, `tries 0`), codes.BadRule, "layout line 2 column 25"},
-		{"tries 10", swap(`tries 2`, `tries 10`), codes.BadRule, "layout line 2 column 25"},
-		{"tries twice", swap(`tries 2`, `tries 2 tries 3`), codes.BadRule, "layout line 2 column 27"},
-		{"rank 10", swap(`rank 1`, `rank 10`), codes.BadRule, "layout line 2 column 32"},
-		{"resume without stream", swap(`stream resume pause 400`, `resume`), codes.BadRule, "layout line 2 column 34"},
-		{"pause without stream", swap(`stream resume pause 400`, `pause 400`), codes.BadRule, "layout line 2 column 34"},
-		{"resume of once", swap(`promise p repeat`, `promise p once`), codes.BadRule, "layout line 2 column 39"},
-		{"pause without number", swap(`pause 400 }`, `pause }`), codes.BadRule, "layout line 2 column 54"},
-		{"host with a port", swap(`a.example\" and under = \"/\"`, `a.example:80\" and under = \"/\"`), codes.BadRule, "layout line 3 column 28"},
-		{"host empty", swap(`\"a.example\"`, `\"\"`), codes.BadRule, "layout line 3 column 28"},
-		{"same host and prefix", swap(`under = \"/\"`, `under = \"/chat\"`), codes.Duplicate, "layout line 3 column 9"},
+		{"version 0", swap(`"version": 7`, `"version": 0`), resultcode.InvalidConfig, "$.version"},
+		{"version no number", swap(`"version": 7`, `"version": "7"`), resultcode.InvalidConfig, "$.version"},
+		{"limit 0", swap(`"head_bytes": 4096`, `"head_bytes": 0`), resultcode.InvalidConfig, "$.limits.head_bytes"},
+		{"unknown limit", swap(`"idle_ms"`, `"idle"`), resultcode.InvalidConfig, "$.limits.idle"},
+		{"limits a list", swap(`{"head_bytes": 4096, "body_bytes": 65536, "head_ms": 3000, "idle_ms": 15000}`, `[]`), resultcode.InvalidConfig, "$.limits"},
+		{"cap and slots", swap(`"slots": true, "place"`, `"slots": true, "cap": 4, "place"`), resultcode.InvalidCap, "$.services[0].cap"},
+		{"neither", swap(`"slots": true, "place"`, `"slots": false, "place"`), resultcode.InvalidCap, "$.services[0].cap"},
+		{"share 0", swap(`"share": 80`, `"share": 0`), resultcode.InvalidConfig, "$.services[0].share"},
+		{"share 101", swap(`"share": 80`, `"share": 101`), resultcode.InvalidConfig, "$.services[0].share"},
+		{"reads without memory", swap(`"cap": 8`, `"cap": 8, "reads": 5`), resultcode.InvalidConfig, "$.services[1].reads"},
+		{"rate below 0", swap(`"warm_rate": 2.5`, `"warm_rate": -1`), resultcode.InvalidConfig, "$.services[0].warm_rate"},
+		{"conns no number", swap(`"conns": 640`, `"conns": true`), resultcode.InvalidConfig, "$.services[0].conns"},
+		{"lax no flag", swap(`"lax": true`, `"lax": 1`), resultcode.InvalidConfig, "$.services[0].lax"},
+		{"shares sum to 0", swap(`big 90, small 10`, `big 0, small 0`), resultcode.InvalidRule, "layout line 1 column 60"},
+		{"one share missing", swap(`small 10`, `small`), resultcode.InvalidRule, "layout line 1 column 60"},
+		{"a share twice", swap(`small 10`, `big 10`), resultcode.Duplicate, "layout line 1 column 71"},
+		{"share no number", swap(`big 90`, `big 9x`), resultcode.InvalidRule, "layout line 1 column 67"},
+		{"step that shares", swap(`step spare`, `step small`), resultcode.StepNotAllowed, "layout line 1 column 9"},
+		{"tries 0", swap(`tries 2`, `tries 0`), resultcode.InvalidRule, "layout line 2 column 25"},
+		{"tries 10", swap(`tries 2`, `tries 10`), resultcode.InvalidRule, "layout line 2 column 25"},
+		{"tries twice", swap(`tries 2`, `tries 2 tries 3`), resultcode.InvalidRule, "layout line 2 column 27"},
+		{"rank 10", swap(`rank 1`, `rank 10`), resultcode.InvalidRule, "layout line 2 column 32"},
+		{"resume without stream", swap(`stream resume pause 400`, `resume`), resultcode.InvalidRule, "layout line 2 column 34"},
+		{"pause without stream", swap(`stream resume pause 400`, `pause 400`), resultcode.InvalidRule, "layout line 2 column 34"},
+		{"resume of once", swap(`promise p repeat`, `promise p once`), resultcode.InvalidRule, "layout line 2 column 39"},
+		{"pause without number", swap(`pause 400 }`, `pause }`), resultcode.InvalidRule, "layout line 2 column 54"},
+		{"host with a port", swap(`a.example\" and under = \"/\"`, `a.example:80\" and under = \"/\"`), resultcode.InvalidRule, "layout line 3 column 28"},
+		{"host empty", swap(`\"a.example\"`, `\"\"`), resultcode.InvalidRule, "layout line 3 column 28"},
+		{"same host and prefix", swap(`under = \"/\"`, `under = \"/chat\"`), resultcode.Duplicate, "layout line 3 column 9"},
 	} {
 		c, fs := Read([]byte(x.text))
 		if c != nil || len(fs) == 0 {
--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -27,16 +27,16 @@
 const Gap = 1500 * time.Millisecond
 
 // Mend sends a key's accepted value to another member.
-type Mend func(to units.Node, key string) message.Effects
+type Mend func(to units.NodeID, key string) message.Effects
 
 // Syncer is one member's state machine of the comparison. It isn't safe for concurrent use.
 type Syncer struct {
-	self    units.Node
+	self    units.NodeID
 	next    units.Time
-	turn    int          // whom of the members to compare with next
-	others  []units.Node // the other members at the last tick; none while this node is no member itself
-	member  bool         // was in the quorum at the last tick
-	healthy bool         // could take part at the last tick
+	turn    int            // whom of the members to compare with next
+	others  []units.NodeID // the other members at the last tick; none while this node is no member itself
+	member  bool           // was in the quorum at the last tick
+	healthy bool           // could take part at the last tick
 	catchUp *catchUp
 	Mended  int // copies of others that were older than the ones here
 	Ignored int // messages of who is no member
@@ -44,7 +44,7 @@
 
 // New gives one that begins after a random part of the gap, with a random member. It was just started, so it catches up
 // first.
-func New(self units.Node, now units.Time, rng *rand.Rand) *Syncer {
+func New(self units.NodeID, now units.Time, rng *rand.Rand) *Syncer {
 	s := &Syncer{self: self, next: now.Add(time.Duration(rng.Int64N(int64(Gap)))), turn: rng.IntN(1 << 16), healthy: true}
 	return s
 }
@@ -60,7 +60,7 @@
 
 // Tick compares with one other member. Who is not in the quorum holds no copy: it would be told of every key again and
 // again.
-func (s *Syncer) Tick(now units.Time, members []units.Node, states map[string]*register.State) (out message.Effects) {
+func (s *Syncer) Tick(now units.Time, members []units.NodeID, states map[string]*register.State) (out message.Effects) {
 	if !slices.Contains(members, s.self) {
 		s.member, s.others = false, nil
 		return out
@@ -69,7 +69,7 @@
 		s.member = true
 		s.CatchUp()
 	}
-	s.others = slices.DeleteFunc(slices.Clone(members), func(n units.Node) bool { return n == s.self })
+	s.others = slices.DeleteFunc(slices.Clone(members), func(n units.NodeID) bool { return n == s.self })
 	if len(s.others) == 0 || !s.healthy {
 		return out
 	}
@@ -80,7 +80,7 @@
 		return out
 	}
 	head := rootHead{Sum: sums(states).root()}
-	var to units.Node
+	var to units.NodeID
 	if s.catchUp != nil {
 		var wait time.Duration
 		to, wait = s.catchUp.ask(s.others, &s.turn)
--- a/internal/control/antientropy/antientropy_test.go
+++ b/internal/control/antientropy/antientropy_test.go
@@ -11,8 +11,8 @@
 
 // Voters compare their copies; one that has no vote asks nobody.
 func TestOnlyVotersCompare(t *testing.T) {
-	voters := []units.Node{1, 2, 3}
-	count := func(self units.Node) (n int) {
+	voters := []units.NodeID{1, 2, 3}
+	count := func(self units.NodeID) (n int) {
 		i := New(self, 0, rand.New(rand.NewPCG(1, 1)))
 		for s := range 60 {
 			n += len(i.Tick(units.Time(s)*units.Time(time.Second), voters, map[string]*register.State{}).Messages)
--- a/internal/control/antientropy/catchup.go
+++ b/internal/control/antientropy/catchup.go
@@ -15,8 +15,8 @@
 
 // A catchUp is a round over all other members, begun anew whenever one holds something newer.
 type catchUp struct {
-	clean  map[units.Node]bool // holds nothing newer than what is here
-	silent map[units.Node]int  // questions since the last answer
+	clean  map[units.NodeID]bool // holds nothing newer than what is here
+	silent map[units.NodeID]int  // questions since the last answer
 	pause  time.Duration
 	asked  int  // questions since the last good answer, in this round
 	wait   bool // newer copies are on their way: the next question waits for them
@@ -24,12 +24,12 @@
 
 // CatchUp begins to compare with every other member, at once: this node may have missed writes.
 func (s *Syncer) CatchUp() {
-	s.catchUp = &catchUp{clean: map[units.Node]bool{}, silent: map[units.Node]int{}, pause: shortPause}
+	s.catchUp = &catchUp{clean: map[units.NodeID]bool{}, silent: map[units.NodeID]int{}, pause: shortPause}
 	s.next = 0
 }
 
 // current takes that another member holds nothing newer.
-func (s *Syncer) current(from units.Node) {
+func (s *Syncer) current(from units.NodeID) {
 	c := s.catchUp
 	if c == nil {
 		return
@@ -41,7 +41,7 @@
 }
 
 // behind takes that another member holds something newer, which is on its way.
-func (s *Syncer) behind(from units.Node) {
+func (s *Syncer) behind(from units.NodeID) {
 	if s.catchUp == nil {
 		s.CatchUp()
 	}
@@ -60,7 +60,7 @@
 }
 
 // ask picks the member to ask next, and how long to wait for its answer.
-func (c *catchUp) ask(others []units.Node, turn *int) (to units.Node, wait time.Duration) {
+func (c *catchUp) ask(others []units.NodeID, turn *int) (to units.NodeID, wait time.Duration) {
 	if c.asked++; c.asked > len(others) {
 		c.asked, c.pause = 1, min(2*c.pause, longPause)
 	}
@@ -77,7 +77,7 @@
 
 // done says whether a full round found nothing newer. Members that stay silent are passed over once a majority, with
 // this node, showed nothing newer: it meets every majority that a value may stand on.
-func (c *catchUp) done(others []units.Node) bool {
+func (c *catchUp) done(others []units.NodeID) bool {
 	clean, silent := 0, 0
 	for _, n := range others {
 		switch {
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -41,7 +41,7 @@
 		if !held(s) {
 			continue
 		}
-		d.Sum[part(key)] += units.Mix(key, units.Hex(s.Accepted.N), s.Accepted.By.String(), units.Hex(s.Seq))
+		d.Sum[part(key)] += units.Mix(key, units.Hex(s.Accepted.Number), s.Accepted.Node.String(), units.Hex(s.Seq))
 	}
 	return d
 }
@@ -69,7 +69,7 @@
 	var l [][]byte
 	for _, key := range message.Keys(states) {
 		if s := states[key]; held(s) && h.Mask>>part(key)&1 == 1 {
-			l = append(l, message.Pack(keyHead{s.Accepted.N, uint64(s.Accepted.By), s.Seq}, []byte(key)))
+			l = append(l, message.Pack(keyHead{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
 		}
 	}
 	return message.Pack(h, message.PackList(l))
@@ -99,7 +99,7 @@
 
 // order is above zero where the copy here is newer, below where the other is.
 func order(s *register.State, x keyHead) int {
-	e := units.Epoch{N: x.N, By: units.Node(x.By)}
+	e := units.Epoch{Number: x.N, Node: units.NodeID(x.By)}
 	switch {
 	case e.Less(s.Accepted) || e == s.Accepted && s.Seq > x.Seq:
 		return 1
--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -14,26 +14,26 @@
 // A group of members with a net that loses nothing but what is sent to silent members.
 type group struct {
 	now     units.Time
-	members []units.Node
-	syncers map[units.Node]*Syncer
-	copies  map[units.Node]map[string]*register.State
-	silent  map[units.Node]bool
-	broken  map[units.Node]bool // takes no copy
+	members []units.NodeID
+	syncers map[units.NodeID]*Syncer
+	copies  map[units.NodeID]map[string]*register.State
+	silent  map[units.NodeID]bool
+	broken  map[units.NodeID]bool // takes no copy
 	sent    []message.Message
 	mends   int
 }
 
 func newGroup(n int) *group {
-	g := &group{syncers: map[units.Node]*Syncer{}, copies: map[units.Node]map[string]*register.State{}, silent: map[units.Node]bool{}, broken: map[units.Node]bool{}}
+	g := &group{syncers: map[units.NodeID]*Syncer{}, copies: map[units.NodeID]map[string]*register.State{}, silent: map[units.NodeID]bool{}, broken: map[units.NodeID]bool{}}
 	for i := range n {
-		id := units.Node(i + 1)
+		id := units.NodeID(i + 1)
 		g.members = append(g.members, id)
 		g.start(id)
 	}
 	return g
 }
 
-func (g *group) start(id units.Node) {
+func (g *group) start(id units.NodeID) {
 	g.syncers[id] = New(id, g.now, rand.New(rand.NewPCG(uint64(id), 1)))
 	if g.copies[id] == nil {
 		g.copies[id] = map[string]*register.State{}
@@ -41,9 +41,9 @@
 }
 
 // write has some members hold a newer value of a key.
-func (g *group) write(key string, n uint64, at ...units.Node) {
+func (g *group) write(key string, n uint64, at ...units.NodeID) {
 	for _, id := range at {
-		g.copies[id][key] = &register.State{Accepted: units.Epoch{N: n, By: 1}, Seq: 1, Version: units.Num(n), Body: []byte(key)}
+		g.copies[id][key] = &register.State{Accepted: units.Epoch{Number: n, Node: 1}, Seq: 1, Version: units.Version(n), Body: []byte(key)}
 	}
 }
 
@@ -58,14 +58,14 @@
 	}
 }
 
-func (g *group) deliver(from units.Node, out message.Effects) {
+func (g *group) deliver(from units.NodeID, out message.Effects) {
 	for _, n := range out.Messages {
 		n.From = from
 		g.sent = append(g.sent, n)
 		if g.silent[n.To] {
 			continue
 		}
-		mend := func(to units.Node, key string) message.Effects {
+		mend := func(to units.NodeID, key string) message.Effects {
 			g.mends++
 			if !g.broken[to] {
 				copied := *g.copies[n.To][key]
@@ -78,7 +78,7 @@
 }
 
 // alike says whether a member holds what all of the others hold.
-func (g *group) alike(id units.Node) bool {
+func (g *group) alike(id units.NodeID) bool {
 	for _, other := range g.members {
 		if sums(g.copies[other]) != sums(g.copies[id]) {
 			return false
@@ -104,13 +104,13 @@
 		g.sent = nil
 		const span = 600 * time.Second
 		g.run(span)
-		asked := map[units.Node]map[units.Node]int{}
+		asked := map[units.NodeID]map[units.NodeID]int{}
 		for _, x := range g.sent {
 			if x.Kind != Root || x.From == x.To {
 				t.Fatalf("%d members: at rest %d sent kind %d to %d", n, x.From, x.Kind, x.To)
 			}
 			if asked[x.From] == nil {
-				asked[x.From] = map[units.Node]int{}
+				asked[x.From] = map[units.NodeID]int{}
 			}
 			asked[x.From][x.To]++
 		}
@@ -133,12 +133,12 @@
 // A member that was just started, is new in the quorum or was unhealthy holds all within one round of short pauses,
 // though some of the others lack the values too or don't answer, and rests afterwards.
 func TestCatchUpRound(t *testing.T) {
-	reasons := map[string]func(g *group, id units.Node){
-		"just started": func(g *group, id units.Node) { g.start(id) },
-		"new in the quorum": func(g *group, id units.Node) {
+	reasons := map[string]func(g *group, id units.NodeID){
+		"just started": func(g *group, id units.NodeID) { g.start(id) },
+		"new in the quorum": func(g *group, id units.NodeID) {
 			g.syncers[id].Tick(g.now, g.members[1:], nil)
 		},
-		"unhealthy before": func(g *group, id units.Node) {
+		"unhealthy before": func(g *group, id units.NodeID) {
 			g.syncers[id].SetHealthy(false)
 			g.syncers[id].SetHealthy(true)
 		},
@@ -211,7 +211,7 @@
 	g := newGroup(3)
 	g.run(10 * time.Second)
 	g.write("config", 5, 1)
-	mend := func(units.Node, string) message.Effects { t.Fatal("mended"); return message.Effects{} }
+	mend := func(units.NodeID, string) message.Effects { t.Fatal("mended"); return message.Effects{} }
 	for k := message.Kind(Digests); k <= Verdict; k++ {
 		if out := g.syncers[1].Step(message.Message{From: 99, Kind: k, Body: message.Pack(digests{})}, g.copies[1], mend); len(out.Messages) > 0 {
 			t.Errorf("a stranger's kind %d is answered", k)
--- a/internal/control/controller/adapter_calls_test.go
+++ b/internal/control/controller/adapter_calls_test.go
@@ -12,30 +12,30 @@
 
 	"seamshunt/internal/adapter"
 	"seamshunt/internal/boot"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 )
 
 // toyBook is an outside world whose configurations are {"v": VERSION, "x": TEXT}; a change gives a version and a text to
 // put behind the old one.
 func toyBook() *adapter.Adapter {
-	read := func(data []byte) (uint64, string, []*codes.Fault) {
+	read := func(data []byte) (uint64, string, []*resultcode.Fault) {
 		v, err := fastjson.ParseBytes(data)
 		if err != nil || v.GetUint64("v") == 0 {
-			return 0, "", []*codes.Fault{{Code: codes.BadConfig, Text: "no version"}}
+			return 0, "", []*resultcode.Fault{{Code: resultcode.InvalidConfig, Text: "no version"}}
 		}
 		return v.GetUint64("v"), string(v.GetStringBytes("x")), nil
 	}
 	return &adapter.Adapter{
-		Config: func(data []byte) (*config.Config, []*codes.Fault) {
+		Config: func(data []byte) (*config.Config, []*resultcode.Fault) {
 			v, _, fs := read(data)
 			if len(fs) > 0 {
 				return nil, fs
 			}
 			return &config.Config{Version: v, Services: map[string]*config.Service{"s": {Name: "s", Warm: 3 * time.Second}}}, nil
 		},
-		Change: func(old, change []byte) ([]byte, []*codes.Fault) {
+		Change: func(old, change []byte) ([]byte, []*resultcode.Fault) {
 			_, was, _ := read(old)
 			v, x, fs := read(change)
 			return fmt.Appendf(nil, `{"v":%d,"x":%q}`, v, was+x), fs
@@ -90,20 +90,20 @@
 }
 
 // until a call gets through: the owner may just have moved.
-func sure(t *testing.T, f func() (codes.Code, []*codes.Fault)) codes.Code {
+func sure(t *testing.T, f func() (resultcode.Code, []*resultcode.Fault)) resultcode.Code {
 	t.Helper()
-	var code codes.Code
+	var code resultcode.Code
 	testutil.Until(t, "a clear answer", func() bool {
 		code, _ = f()
-		return code != codes.Unsure && code != codes.NoMajority
+		return code != resultcode.CommitUnknown && code != resultcode.NoMajority
 	})
 	return code
 }
 
 // sureRead reads until a call gets through, as operators do after a 5xx.
-func sureRead(t *testing.T, c adapter.Control) (data []byte, version uint64, code codes.Code) {
+func sureRead(t *testing.T, c adapter.Control) (data []byte, version uint64, code resultcode.Code) {
 	t.Helper()
-	code = sure(t, func() (code codes.Code, _ []*codes.Fault) { data, version, code = c.Read(); return code, nil })
+	code = sure(t, func() (code resultcode.Code, _ []*resultcode.Fault) { data, version, code = c.Read(); return code, nil })
 	return data, version, code
 }
 
@@ -113,7 +113,7 @@
 	t.Parallel()
 	cs := grownCore(t, 4, toyBook())
 	at := func(i int) adapter.Control { return cs[i%4].Control() }
-	if _, _, code := sureRead(t, at(0)); code != codes.NotFound {
+	if _, _, code := sureRead(t, at(0)); code != resultcode.NotFound {
 		t.Errorf("read before anything was set: %d", code)
 	}
 	doc := func(v int, x string) []byte { return fmt.Appendf(nil, `{"v":%d,"x":%q}`, v, x) }
@@ -121,55 +121,55 @@
 		builds uint64
 		data   []byte
 		change bool
-		want   codes.Code
+		want   resultcode.Code
 	}{
-		{0, []byte(`{`), false, codes.BadConfig},
-		{0, doc(5, "a"), false, codes.OK},
-		{0, doc(5, "a"), false, codes.OK},
-		{5, doc(5, "a"), false, codes.OK},
-		{0, doc(6, "b"), false, codes.Conflict},
-		{5, doc(5, "b"), false, codes.BadConfig},
-		{5, doc(3, "b"), false, codes.BadConfig},
-		{9, doc(12, "b"), false, codes.Conflict},
-		{5, doc(8, "b"), false, codes.OK},
-		{5, doc(8, "b"), false, codes.OK},
-		{0, doc(5, "a"), false, codes.OK}, // taken once, and known still
-		{5, doc(9, "c"), true, codes.Conflict},
-		{8, doc(8, "c"), true, codes.BadConfig},
-		{8, []byte(`{}`), true, codes.BadConfig},
-		{8, doc(11, "c"), true, codes.OK},
-		{8, doc(11, "c"), true, codes.OK},
-		{11, doc(14, "d"), true, codes.OK},
-		{8, doc(11, "c"), true, codes.OK},
+		{0, []byte(`{`), false, resultcode.InvalidConfig},
+		{0, doc(5, "a"), false, resultcode.OK},
+		{0, doc(5, "a"), false, resultcode.OK},
+		{5, doc(5, "a"), false, resultcode.OK},
+		{0, doc(6, "b"), false, resultcode.VersionConflict},
+		{5, doc(5, "b"), false, resultcode.InvalidConfig},
+		{5, doc(3, "b"), false, resultcode.InvalidConfig},
+		{9, doc(12, "b"), false, resultcode.VersionConflict},
+		{5, doc(8, "b"), false, resultcode.OK},
+		{5, doc(8, "b"), false, resultcode.OK},
+		{0, doc(5, "a"), false, resultcode.OK}, // taken once, and known still
+		{5, doc(9, "c"), true, resultcode.VersionConflict},
+		{8, doc(8, "c"), true, resultcode.InvalidConfig},
+		{8, []byte(`{}`), true, resultcode.InvalidConfig},
+		{8, doc(11, "c"), true, resultcode.OK},
+		{8, doc(11, "c"), true, resultcode.OK},
+		{11, doc(14, "d"), true, resultcode.OK},
+		{8, doc(11, "c"), true, resultcode.OK},
 	} {
 		for k := range 2 {
 			do := at(i + k).Put
 			if x.change {
 				do = at(i + k).Change
 			}
-			if code := sure(t, func() (codes.Code, []*codes.Fault) { return do(x.builds, x.data) }); code != x.want {
+			if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return do(x.builds, x.data) }); code != x.want {
 				t.Errorf("call %d at node %d, on %d %s: %d, want %d", i, (i+k)%4, x.builds, x.data, code, x.want)
 			}
 		}
 	}
 	for i := range 4 {
-		if data, v, code := sureRead(t, at(i)); code != codes.OK || v != 14 || string(data) != `{"v":14,"x":"bcd"}` {
+		if data, v, code := sureRead(t, at(i)); code != resultcode.OK || v != 14 || string(data) != `{"v":14,"x":"bcd"}` {
 			t.Errorf("read at %d: %d %d %s", i, code, v, data)
 		}
 	}
 	// What was taken is known still a hundred changes later, and what lost its race is refused still.
 	for v := 15; v < 115; v++ {
-		if code := sure(t, func() (codes.Code, []*codes.Fault) { return at(v).Change(uint64(v-1), doc(v, "")) }); code != codes.OK {
+		if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return at(v).Change(uint64(v-1), doc(v, "")) }); code != resultcode.OK {
 			t.Fatalf("change to %d: %d", v, code)
 		}
 	}
 	for i, x := range []struct {
 		builds uint64
 		data   []byte
-		want   codes.Code
-	}{{0, doc(5, "a"), codes.OK}, {5, doc(8, "b"), codes.OK}, {0, doc(6, "b"), codes.Conflict}, {5, doc(8, "c"), codes.Conflict}} {
+		want   resultcode.Code
+	}{{0, doc(5, "a"), resultcode.OK}, {5, doc(8, "b"), resultcode.OK}, {0, doc(6, "b"), resultcode.VersionConflict}, {5, doc(8, "c"), resultcode.VersionConflict}} {
 		for k := range 4 {
-			if code := sure(t, func() (codes.Code, []*codes.Fault) { return at(k).Put(x.builds, x.data) }); code != x.want {
+			if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return at(k).Put(x.builds, x.data) }); code != x.want {
 				t.Errorf("long ago %d, at node %d: %d, want %d", i, k, code, x.want)
 			}
 		}
@@ -188,19 +188,19 @@
 	last := uint64(0)
 	for round := range 25 {
 		var wg sync.WaitGroup
-		outcomes, data := make([]codes.Code, 3), make([][]byte, 3)
+		outcomes, data := make([]resultcode.Code, 3), make([][]byte, 3)
 		for i := range 3 {
 			data[i] = fmt.Appendf(nil, `{"v":%d,"x":"%d"}`, last+1+uint64(i), i)
 			wg.Go(func() {
-				outcomes[i] = sure(t, func() (codes.Code, []*codes.Fault) { return cs[(i+round)%3].Control().Put(last, data[i]) })
+				outcomes[i] = sure(t, func() (resultcode.Code, []*resultcode.Fault) { return cs[(i+round)%3].Control().Put(last, data[i]) })
 			})
 		}
 		wg.Wait()
 		won := -1
 		for i, c := range outcomes {
-			if c == codes.OK && won < 0 {
+			if c == resultcode.OK && won < 0 {
 				won = i
-			} else if c != codes.Conflict {
+			} else if c != resultcode.VersionConflict {
 				t.Fatalf("round %d: %v", round, outcomes)
 			}
 		}
@@ -208,7 +208,7 @@
 			t.Fatalf("round %d: nobody won: %v", round, outcomes)
 		}
 		got, v, code := sureRead(t, cs[round%3].Control())
-		if code != codes.OK || !bytes.Equal(got, data[won]) {
+		if code != resultcode.OK || !bytes.Equal(got, data[won]) {
 			t.Fatalf("round %d: %d won, read back %d %s", round, won, code, got)
 		}
 		last = v
@@ -220,12 +220,12 @@
 	t.Parallel()
 	cs := grownCore(t, 3, toyBook())
 	for i, out := range []bool{true, true, false, false, true, false} {
-		code := sure(t, func() (codes.Code, []*codes.Fault) { return cs[i%3].Control().Zone(nil, "z9", out), nil })
-		if _, b := call(t, cs[(i+1)%3], "GET", "/v1/zones/z9", ""); code != codes.OK || string(b) != fmt.Sprintf(`{"evacuated":%v}`, out) {
+		code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return cs[i%3].Control().Zone(nil, "z9", out), nil })
+		if _, b := call(t, cs[(i+1)%3], "GET", "/v1/zones/z9", ""); code != resultcode.OK || string(b) != fmt.Sprintf(`{"evacuated":%v}`, out) {
 			t.Errorf("set to %v: %d, read back %s", out, code, b)
 		}
 	}
-	if code := cs[0].Control().Zone(nil, "z1", true); code != codes.BadZone {
+	if code := cs[0].Control().Zone(nil, "z1", true); code != resultcode.UnknownZone {
 		t.Errorf("a zone that the boot file doesn't name: %d", code)
 	}
 }
--- a/internal/control/controller/caller.go
+++ b/internal/control/controller/caller.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/socket"
 	"seamshunt/internal/units"
 )
@@ -70,6 +70,6 @@
 	}
 	c.abandonedOrders.Add(1)
 	c.Log.WithField("method", string(ctx.Method())).WithField("path", string(ctx.Path())).Warn("an order was not begun: its caller has left")
-	c.fail(ctx, &codes.Fault{Code: codes.CallerLeft, Text: texts[codes.CallerLeft]})
+	c.fail(ctx, &resultcode.Fault{Code: resultcode.OperatorDisconnected, Text: texts[resultcode.OperatorDisconnected]})
 	return true
 }
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -91,7 +91,7 @@
 		c.Log.Warn("a blank disk: this node has no vote yet")
 	}
 	c.tag.Store(uint64(node.RandomID()) >> 2)
-	c.lease = lease.New(self, "platform", func() []units.Node { return c.voters().Members }, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 1)))
+	c.lease = lease.New(self, "platform", func() []units.NodeID { return c.voters().Members }, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 1)))
 	c.syncer = antientropy.New(self, c.Tasks.Now(), mrand.New(mrand.NewPCG(uint64(node.RandomID()), 2)))
 	c.PersistEffects = c.later
 	c.MessageHandlers[message.KindAntiEntropy] = func(_ units.Time, n message.Message) {
@@ -108,7 +108,7 @@
 		c.syncer.CatchUp()
 		c.replicaMu.Unlock()
 	}
-	c.OnPeersEnded = func(now units.Time, l []units.Node) {
+	c.OnPeersEnded = func(now units.Time, l []units.NodeID) {
 		c.leaseMu.Lock()
 		for _, n := range l {
 			c.lease.HolderStopped(now, n)
@@ -127,7 +127,7 @@
 		c.leaseMu.Unlock()
 		c.Deliver(out)
 	}
-	c.Feed.Stored = func() map[string]units.Num {
+	c.Feed.Stored = func() map[string]units.Version {
 		c.replicaMu.Lock()
 		defer c.replicaMu.Unlock()
 		return c.replica.KnownVersions()
@@ -194,7 +194,7 @@
 	if len(news) == 0 {
 		return
 	}
-	var to []units.Node
+	var to []units.NodeID
 	for _, m := range c.Members() {
 		if m.State <= membership.Suspect && m.Node != c.Self {
 			to = append(to, m.Node)
--- a/internal/control/controller/cut_off_test.go
+++ b/internal/control/controller/cut_off_test.go
@@ -11,8 +11,8 @@
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/cluster/transport"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 	"seamshunt/internal/units"
 )
@@ -30,11 +30,11 @@
 		c.disk.file.Close()
 	})
 	c.Transport = &transport.Transport{Self: c.Self}
-	set := register.QuorumSet{Version: 1, Members: []units.Node{c.Self, 2, 3}}
+	set := register.QuorumSet{Version: 1, Members: []units.NodeID{c.Self, 2, 3}}
 	if err := c.replica.Load([]message.Record{{Kind: register.RecordQuorum, Data: set.Pack()}}); err != nil {
 		t.Fatal(err)
 	}
-	c.replica.SetEligible([]units.Node{2})
+	c.replica.SetEligible([]units.NodeID{2})
 	c.replica.Tick(c.Tasks.Now()) // it begins to ask the others whether they answer
 	c.Feed.Take(configpush.Item{Key: keyConfig, Num: 3, Data: []byte(`{"v":5,"x":"a"}`)})
 	return c
@@ -42,7 +42,7 @@
 
 type controlCall struct {
 	name string
-	do   func(adapter.Control) codes.Code
+	do   func(adapter.Control) resultcode.Code
 }
 
 // cutOffCalls are calls of every kind, on what the controller has heard of, on older and on newer versions.
@@ -50,19 +50,19 @@
 	for _, builds := range []uint64{0, 3, 5, 9} {
 		doc := fmt.Appendf(nil, `{"v":%d,"x":"b"}`, builds+2)
 		l = append(l,
-			controlCall{fmt.Sprint("PUT on ", builds), func(c adapter.Control) codes.Code { code, _ := c.Put(builds, doc); return code }},
-			controlCall{fmt.Sprint("PATCH on ", builds), func(c adapter.Control) codes.Code { code, _ := c.Change(builds, doc); return code }})
+			controlCall{fmt.Sprint("PUT on ", builds), func(c adapter.Control) resultcode.Code { code, _ := c.Put(builds, doc); return code }},
+			controlCall{fmt.Sprint("PATCH on ", builds), func(c adapter.Control) resultcode.Code { code, _ := c.Change(builds, doc); return code }})
 	}
-	return append(l, controlCall{"PUT of what it has heard of", func(c adapter.Control) codes.Code { code, _ := c.Put(5, []byte(`{"v":5,"x":"a"}`)); return code }},
-		controlCall{"GET", func(c adapter.Control) codes.Code { _, _, code := c.Read(); return code }},
-		controlCall{"evacuation", func(c adapter.Control) codes.Code { return c.Zone(nil, "z0", true) }},
-		controlCall{"withdrawal", func(c adapter.Control) codes.Code { return c.Zone(nil, "z0", false) }})
+	return append(l, controlCall{"PUT of what it has heard of", func(c adapter.Control) resultcode.Code { code, _ := c.Put(5, []byte(`{"v":5,"x":"a"}`)); return code }},
+		controlCall{"GET", func(c adapter.Control) resultcode.Code { _, _, code := c.Read(); return code }},
+		controlCall{"evacuation", func(c adapter.Control) resultcode.Code { return c.Zone(nil, "z0", true) }},
+		controlCall{"withdrawal", func(c adapter.Control) resultcode.Code { return c.Zone(nil, "z0", false) }})
 }
 
 // Every call on a controller that is cut off gets a 5xx within AnswerTimeout of virtual time, however many requests the call
 // would make; once the controller knows that no majority answers, at once. Nothing is confirmed and nothing refused.
 func TestCutOffControllerAnswersInTime(t *testing.T) {
-	unknown := controlCall{"evacuation of a zone whose members it has not heard of", func(c adapter.Control) codes.Code { return c.Zone(nil, "z7", true) }}
+	unknown := controlCall{"evacuation of a zone whose members it has not heard of", func(c adapter.Control) resultcode.Code { return c.Zone(nil, "z7", true) }}
 	for _, call := range append(cutOffCalls(), unknown) {
 		t.Run(call.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -71,7 +71,7 @@
 					began := time.Now()
 					code := call.do(c.Control())
 					took := time.Since(began)
-					if code != codes.Unsure && code != codes.NoMajority {
+					if code != resultcode.CommitUnknown && code != resultcode.NoMajority {
 						t.Errorf("call %d: %d", i, code)
 					}
 					if most := register.AnswerTimeout; took > most || i > 2 && took > 0 {
@@ -88,7 +88,9 @@
 func TestCutOffOwnerConfirmsNothing(t *testing.T) {
 	t.Parallel()
 	cs := grownCore(t, 3, toyBook())
-	if code := sure(t, func() (codes.Code, []*codes.Fault) { return cs[0].Control().Put(0, []byte(`{"v":5,"x":"a"}`)) }); code != codes.OK {
+	if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) {
+		return cs[0].Control().Put(0, []byte(`{"v":5,"x":"a"}`))
+	}); code != resultcode.OK {
 		t.Fatalf("the first: %d", code)
 	}
 	testutil.Until(t, "all have heard of it", func() bool { num, _ := cs[0].heardOf(keyConfig); return num == 1 })
@@ -99,7 +101,7 @@
 	answers := 0
 	for range 4 {
 		for _, call := range cutOffCalls() {
-			if code := call.do(cs[0].Control()); code != codes.Unsure && code != codes.NoMajority {
+			if code := call.do(cs[0].Control()); code != resultcode.CommitUnknown && code != resultcode.NoMajority {
 				t.Errorf("%s: %d", call.name, code)
 			}
 			answers++
@@ -129,11 +131,11 @@
 	}
 	// A change that was left open may have come into force since; no other document may.
 	_, version, code := sureRead(t, cs[0].Control())
-	if code != codes.OK || version != 5 && version != 7 {
+	if code != resultcode.OK || version != 5 && version != 7 {
 		t.Errorf("back in touch: %d, version %d", code, version)
 	}
 	next := fmt.Appendf(nil, `{"v":%d}`, version+1)
-	if code := sure(t, func() (codes.Code, []*codes.Fault) { return cs[4].Control().Put(version, next) }); code != codes.OK {
+	if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return cs[4].Control().Put(version, next) }); code != resultcode.OK {
 		t.Errorf("a change after the cut: %d", code)
 	}
 }
--- a/internal/control/controller/evacuation.go
+++ b/internal/control/controller/evacuation.go
@@ -9,9 +9,9 @@
 	"github.com/apex/log"
 
 	"seamshunt/internal/cluster/configpush"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -22,7 +22,7 @@
 // was acknowledged since has a newer one. Every acknowledgement is a write with a number of its own, also where the zone is as
 // wished already, so that an order which was given up before and is still on its way inside meets a newer number as well.
 // An order that comes too late for this is left open, never refused; its caller sends it again, as a new call.
-func (c *Controller) evacuate(caller net.Conn, zone string, out bool) codes.Code {
+func (c *Controller) evacuate(caller net.Conn, zone string, out bool) resultcode.Code {
 	began := c.Tasks.Now()
 	o := &zoneOrder{key: node.ZonePrefix + zone, wanted: fmt.Appendf(nil, `{"evacuated":%v}`, out)}
 	code := c.setZone(caller, zone, o)
@@ -36,40 +36,40 @@
 type zoneOrder struct {
 	key       string
 	wanted    []byte
-	num       units.Num
+	num       units.Version
 	state     []byte
 	mayChange bool // the caller can have known of that state
 }
 
 // setZone carries an order out.
-func (c *Controller) setZone(caller net.Conn, zone string, o *zoneOrder) codes.Code {
+func (c *Controller) setZone(caller net.Conn, zone string, o *zoneOrder) resultcode.Code {
 	ctx, done := answerTime(register.AnswerTimeout)
 	defer done()
-	if code := c.checkZoneExists(ctx, zone); code != codes.OK {
+	if code := c.checkZoneExists(ctx, zone); code != resultcode.OK {
 		return code
 	}
-	if code := c.zoneState(ctx, o, c.sentAfter(caller)); code != codes.OK {
+	if code := c.zoneState(ctx, o, c.sentAfter(caller)); code != resultcode.OK {
 		return code
 	}
 	return c.writeZone(ctx, o)
 }
 
 // writeZone writes an order on the state that it names or, where another came first, on the newest if that is as wished.
-func (c *Controller) writeZone(ctx context.Context, o *zoneOrder) codes.Code {
+func (c *Controller) writeZone(ctx context.Context, o *zoneOrder) resultcode.Code {
 	for {
 		if !o.mayChange && !bytes.Equal(o.state, o.wanted) {
-			return codes.Unsure
+			return resultcode.CommitUnknown
 		}
 		r := c.record(ctx, register.Request{Key: o.key, ExpectedVersion: o.num, Data: o.wanted})
 		switch r.Code {
-		case codes.OK:
+		case resultcode.OK:
 			c.learn(configpush.Item{Key: o.key, Num: r.Version, Data: o.wanted})
-			return codes.OK
-		case codes.Conflict:
+			return resultcode.OK
+		case resultcode.VersionConflict:
 		default:
 			return r.Code
 		}
-		if code := c.newestZoneState(ctx, o); code != codes.OK {
+		if code := c.newestZoneState(ctx, o); code != resultcode.OK {
 			return code
 		}
 		o.mayChange = false
@@ -85,10 +85,10 @@
 }
 
 // zoneState finds the state that an order is to be written on, given a time before which it was not sent.
-func (c *Controller) zoneState(ctx context.Context, o *zoneOrder, sentAfter units.Time) codes.Code {
+func (c *Controller) zoneState(ctx context.Context, o *zoneOrder, sentAfter units.Time) resultcode.Code {
 	if item, ok := c.heard(o.key); ok {
 		o.num, o.state, o.mayChange = item.Num, item.Data, item.Heard <= sentAfter
-		return codes.OK
+		return resultcode.OK
 	}
 	code := c.newestZoneState(ctx, o)
 	o.mayChange = o.num == 0
@@ -96,14 +96,14 @@
 }
 
 // newestZoneState reads the state that a majority confirms.
-func (c *Controller) newestZoneState(ctx context.Context, o *zoneOrder) codes.Code {
+func (c *Controller) newestZoneState(ctx context.Context, o *zoneOrder) resultcode.Code {
 	r := c.Submit(ctx, register.Request{Key: o.key})
 	o.num, o.state = r.Version, r.Data
 	return r.Code
 }
 
 // heardOf is a key's value as this node last had news of it: it was chosen, but a newer one may stand.
-func (c *Controller) heardOf(key string) (units.Num, []byte) {
+func (c *Controller) heardOf(key string) (units.Version, []byte) {
 	item, _ := c.heard(key)
 	return item.Num, item.Data
 }
--- a/internal/control/controller/held_order_test.go
+++ b/internal/control/controller/held_order_test.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"testing"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -56,12 +56,12 @@
 		held, _ := stateOf(t, cs[0])
 		opposite := register.Request{Key: node.ZonePrefix + lateZone, ExpectedVersion: held, Data: []byte(stateText(!out))}
 		setZone(t, cs[1+round%2], out)
-		code := sure(t, func() (codes.Code, []*codes.Fault) {
+		code := sure(t, func() (resultcode.Code, []*resultcode.Fault) {
 			ctx, release := answerTime(register.AnswerTimeout)
 			defer release()
 			return cs[2-round%2].record(ctx, opposite).Code, nil
 		})
-		if _, state := stateOf(t, cs[0]); code != codes.Conflict || state != stateText(out) {
+		if _, state := stateOf(t, cs[0]); code != resultcode.VersionConflict || state != stateText(out) {
 			t.Errorf("round %d: the held order got %d, the zone is %s", round, code, state)
 		}
 	}
--- a/internal/control/controller/late_order_test.go
+++ b/internal/control/controller/late_order_test.go
@@ -12,9 +12,9 @@
 
 	"seamshunt/internal/adapter"
 	"seamshunt/internal/cluster/transport"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 	"seamshunt/internal/units"
 )
@@ -34,7 +34,7 @@
 			if ctx.IsGet() {
 				return
 			}
-			if control.Zone(ctx.Conn(), lateZone, ctx.IsPost()) != codes.OK {
+			if control.Zone(ctx.Conn(), lateZone, ctx.IsPost()) != resultcode.OK {
 				ctx.SetStatusCode(503)
 			}
 		}
@@ -48,14 +48,14 @@
 // setZone has a controller set the zone, as callers do until an answer is clear.
 func setZone(t *testing.T, c *Controller, out bool) {
 	t.Helper()
-	if code := sure(t, func() (codes.Code, []*codes.Fault) { return c.Control().Zone(nil, lateZone, out), nil }); code != codes.OK {
+	if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Zone(nil, lateZone, out), nil }); code != resultcode.OK {
 		t.Fatalf("set to %v: %d", out, code)
 	}
 }
 
 // turnTwice has a state acknowledged, its opposite, and the state again at one node, and waits until another has heard of it. It
 // gives the last number.
-func turnTwice(t *testing.T, at, hears *Controller, out bool) units.Num {
+func turnTwice(t *testing.T, at, hears *Controller, out bool) units.Version {
 	t.Helper()
 	for _, out := range []bool{out, !out, out} {
 		setZone(t, at, out)
@@ -69,9 +69,9 @@
 }
 
 // stateOf is the zone's state as a majority confirms it.
-func stateOf(t *testing.T, c *Controller) (num units.Num, state string) {
+func stateOf(t *testing.T, c *Controller) (num units.Version, state string) {
 	t.Helper()
-	sure(t, func() (codes.Code, []*codes.Fault) {
+	sure(t, func() (resultcode.Code, []*resultcode.Fault) {
 		ctx, release := answerTime(register.AnswerTimeout)
 		defer release()
 		r := c.Submit(ctx, register.Request{Key: node.ZonePrefix + lateZone})
@@ -82,7 +82,7 @@
 }
 
 // expectState checks that a state stands under a number.
-func expectState(t *testing.T, c *Controller, num units.Num, out bool) {
+func expectState(t *testing.T, c *Controller, num units.Version, out bool) {
 	t.Helper()
 	if n, state := stateOf(t, c); n != num || state != stateText(out) {
 		t.Errorf("number %d, %s; want %d, %s", n, state, num, stateText(out))
@@ -184,7 +184,7 @@
 		}
 	}
 	expectState(t, cs[1], newest, true)
-	if _, _, code := sureRead(t, cs[0].Control()); code != codes.NotFound {
+	if _, _, code := sureRead(t, cs[0].Control()); code != resultcode.NotFound {
 		t.Errorf("a configuration stands: %d", code)
 	}
 }
--- a/internal/control/controller/linear_test.go
+++ b/internal/control/controller/linear_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/rig/linearizability"
 )
 
@@ -40,7 +40,7 @@
 	for range 200 {
 		from := d.now()
 		data, version, code := d.at().Control().Read()
-		if code == codes.OK || code == codes.NotFound {
+		if code == resultcode.OK || code == resultcode.NotFound {
 			d.keep(linearizability.Call{From: from, To: d.now(), Position: version, Data: string(data), Outcome: linearizability.Done})
 			return version
 		}
@@ -59,10 +59,10 @@
 	taken, refused := false, false
 	for range 30 {
 		code, _ := d.at().Control().Put(builds, []byte(c.Data))
-		taken, refused = taken || code == codes.OK, refused || code == codes.Conflict
-		if isClear := code == codes.OK || code == codes.Conflict; isClear && d.rng.Float64() >= d.lost {
+		taken, refused = taken || code == resultcode.OK, refused || code == resultcode.VersionConflict
+		if isClear := code == resultcode.OK || code == resultcode.VersionConflict; isClear && d.rng.Float64() >= d.lost {
 			c.To, c.Outcome = d.now(), linearizability.Refused
-			if code == codes.OK {
+			if code == resultcode.OK {
 				c.Outcome = linearizability.Done
 			}
 			break
@@ -109,15 +109,15 @@
 func TestLateEvacuationUndoesNothing(t *testing.T) {
 	t.Parallel()
 	cores := grownCore(t, 3, toyBook())
-	set := func(c *Controller, out bool) codes.Code {
-		return sure(t, func() (codes.Code, []*codes.Fault) { return c.Control().Zone(nil, "z9", out), nil })
+	set := func(c *Controller, out bool) resultcode.Code {
+		return sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Zone(nil, "z9", out), nil })
 	}
-	if a, b := set(cores[0], true), set(cores[1], false); a != codes.OK || b != codes.OK {
+	if a, b := set(cores[0], true), set(cores[1], false); a != resultcode.OK || b != resultcode.OK {
 		t.Fatalf("set and withdrawn: %d, %d", a, b)
 	}
 	for _, c := range cores {
 		before, _ := c.heardOf("zone/z9")
-		if code := set(c, false); code != codes.OK {
+		if code := set(c, false); code != resultcode.OK {
 			t.Errorf("withdrawn again: %d", code)
 		}
 		if num, state := c.heardOf("zone/z9"); num <= before || string(state) != `{"evacuated":false}` {
@@ -127,9 +127,9 @@
 	// A call that a node was held up with since before the withdrawal, when the zone was set or was not yet.
 	on, off := []byte(`{"evacuated":true}`), []byte(`{"evacuated":false}`)
 	for _, state := range [][]byte{on, off} {
-		code := sure(t, func() (codes.Code, []*codes.Fault) {
+		code := sure(t, func() (resultcode.Code, []*resultcode.Fault) {
 			code := cores[2].writeZone(context.Background(), &zoneOrder{key: "zone/z9", wanted: on, num: 1, state: state, mayChange: true})
-			if code == codes.Unsure { // the clear answer that is wanted here
+			if code == resultcode.CommitUnknown { // the clear answer that is wanted here
 				return 0, nil
 			}
 			return code, nil
--- a/internal/control/controller/metrics.go
+++ b/internal/control/controller/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -68,14 +68,14 @@
 // zoneOrders counts operators' orders for zones by their result.
 type zoneOrders struct {
 	mu     sync.Mutex
-	byCode map[codes.Code]uint64
+	byCode map[resultcode.Code]uint64
 }
 
-func (z *zoneOrders) count(code codes.Code) {
+func (z *zoneOrders) count(code resultcode.Code) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.byCode == nil {
-		z.byCode = map[codes.Code]uint64{}
+		z.byCode = map[resultcode.Code]uint64{}
 	}
 	z.byCode[code]++
 }
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -14,7 +14,7 @@
 // openedDisk is what a start found on the disk.
 type openedDisk struct {
 	log    *wal.Log
-	self   units.Node
+	self   units.NodeID
 	blank  bool  // self is new: it has no vote
 	damage error // why what was there is not trusted; it is set aside
 	heir   bool  // a damaged file was set aside here, at this start or before: a fleet stood, and this disk founds none
@@ -36,7 +36,7 @@
 	for _, r := range o.log.Live() {
 		var h idHead
 		if r.Kind == recSelf && (message.Unpack(r.Data, &h, new([]byte)) == nil || message.Unpack(r.Data, &h) == nil) {
-			o.self = units.Node(h.ID)
+			o.self = units.NodeID(h.ID)
 			return o, nil
 		}
 	}
@@ -60,7 +60,7 @@
 
 // self is the record of a disk's identity. One that was blank at the system's very first start bears the seeds of that
 // start, so that a process which is killed before the founding still takes part in it (design 13).
-func self(id units.Node, seeds []string) message.Record {
+func self(id units.NodeID, seeds []string) message.Record {
 	l := make([][]byte, len(seeds))
 	for i, s := range seeds {
 		l[i] = []byte(s)
--- a/internal/control/controller/outcome_test.go
+++ b/internal/control/controller/outcome_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 	"seamshunt/internal/units"
 )
@@ -16,7 +16,7 @@
 	versions := []uint64{0, 5, 6, 9, 10, 11, 40}
 	for now, ver := range versions {
 		for at, builds := range versions[:now+1] {
-			if got := lowestNumber(units.Num(now), ver, builds); got > units.Num(at) {
+			if got := lowestNumber(units.Version(now), ver, builds); got > units.Version(at) {
 				t.Errorf("version %d stands under number %d, seen from %d: bound %d", builds, at, now, got)
 			}
 		}
@@ -34,13 +34,13 @@
 	t.Parallel()
 	c := grownCore(t, 1, toyBook())[0]
 	doc := func(v int) []byte { return fmt.Appendf(nil, `{"v":%d,"x":"a"}`, v) }
-	put := func(builds uint64, v int) codes.Code {
-		return sure(t, func() (codes.Code, []*codes.Fault) { return c.Control().Put(builds, doc(v)) })
+	put := func(builds uint64, v int) resultcode.Code {
+		return sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Put(builds, doc(v)) })
 	}
-	if a, b := put(0, 1), put(1, 1); a != codes.OK || b != codes.OK {
+	if a, b := put(0, 1), put(1, 1); a != resultcode.OK || b != resultcode.OK {
 		t.Fatalf("taken %d, again %d", a, b)
 	}
-	if code := c.unchanged(context.Background(), 7); code != codes.Conflict {
+	if code := c.unchanged(context.Background(), 7); code != resultcode.VersionConflict {
 		t.Errorf("under another number: %d", code)
 	}
 	var once sync.Once
@@ -62,7 +62,7 @@
 			return false
 		}
 	})
-	if code, _ := c.Control().Put(1, doc(1)); code == codes.OK {
+	if code, _ := c.Control().Put(1, doc(1)); code == resultcode.OK {
 		t.Error("acknowledged without a majority")
 	}
 }
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -11,17 +11,17 @@
 
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/transport"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // plan waits for an operator's confirmation on the node that made it; its id names that node.
 type plan struct {
 	key  string
-	num  units.Num
+	num  units.Version
 	data []byte
 	made units.Time
 }
@@ -45,14 +45,14 @@
 		}
 		p.key = "zone/" + zone
 	} else {
-		var fs []*codes.Fault
+		var fs []*resultcode.Fault
 		if next, fs = c.compile(body); len(fs) > 0 {
 			c.fail(ctx, fs...)
 			return
 		}
 	}
 	r := c.Submit(within, register.Request{Key: p.key})
-	if r.Code != codes.OK {
+	if r.Code != resultcode.OK {
 		c.result(ctx, r)
 		return
 	}
@@ -83,7 +83,7 @@
 func (c *Controller) showPlan(ctx *fasthttp.RequestCtx, id string, p *plan, d config.Plan) {
 	var a fastjson.Arena
 	o := a.NewObject()
-	o.Set("code", a.NewNumberInt(int(codes.OK)))
+	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
 	o.Set("plan", a.NewString(id))
 	o.Set("key", a.NewString(p.key))
 	o.Set("number", a.NewNumberInt(int(p.num)))
@@ -181,7 +181,7 @@
 func (c *Controller) confirm(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil || len(v.GetStringBytes("plan")) == 0 {
-		c.fail(ctx, &codes.Fault{Code: codes.BadCall, Place: "$.plan", Text: "the plan's id is wanted"})
+		c.fail(ctx, &resultcode.Fault{Code: resultcode.InvalidOperation, Place: "$.plan", Text: "the plan's id is wanted"})
 		return
 	}
 	id := string(v.GetStringBytes("plan"))
@@ -200,17 +200,17 @@
 		}
 	}
 	if named && node != c.Self.String() {
-		c.fail(ctx, &codes.Fault{Code: codes.Unsure, Text: "the node that made the plan is not in touch: send it again, or plan again if that node is gone"})
+		c.fail(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: "the node that made the plan is not in touch: send it again, or plan again if that node is gone"})
 		return
 	}
-	c.fail(ctx, &codes.Fault{Code: codes.NoPlan, Text: "no such plan here, or it is too old; plan again"})
+	c.fail(ctx, &resultcode.Fault{Code: resultcode.PlanNotFound, Text: "no such plan here, or it is too old; plan again"})
 }
 
 // passOn gives an operator's call to the controller it belongs to, once.
 func (c *Controller) passOn(ctx *fasthttp.RequestCtx, web string) {
 	code, b, _, err := transport.HTTP("POST", web, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, passOnTimeout)
 	if err != nil {
-		c.fail(ctx, &codes.Fault{Code: codes.Unsure, Text: texts[codes.Unsure]})
+		c.fail(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: texts[resultcode.CommitUnknown]})
 		return
 	}
 	ctx.SetStatusCode(code)
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -10,9 +10,9 @@
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/cluster/transport"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 )
 
 // statusTimeout is how long a router's status is waited for.
@@ -88,7 +88,7 @@
 	m, asked, answered := c.seen(within)
 	var a fastjson.Arena
 	o, l := a.NewObject(), a.NewObject()
-	o.Set("code", a.NewNumberInt(int(codes.OK)))
+	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
 	o.Set("routers", a.NewNumberInt(asked))
 	o.Set("routers_answered", a.NewNumberInt(answered))
 	for _, k := range message.Keys(m) {
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -33,7 +33,7 @@
 		x := a.NewObject()
 		x.Set("owner", a.NewString(c.replica.Owner(k).String()))
 		x.Set("number_here", a.NewNumberInt(int(s.Version)))
-		x.Set("epoch", a.NewNumberInt(int(s.Promised.N)))
+		x.Set("epoch", a.NewNumberInt(int(s.Promised.Number)))
 		keys.Set(k, x)
 	}
 	c.replicaMu.Unlock()
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -9,10 +9,10 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/cluster/membership"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/changelog"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 )
 
 // answerTime gives the time that one operator's call has, from now until its answer: register.AnswerTimeout through an
@@ -26,7 +26,7 @@
 // knows that it does not reach a majority answers so at once, and sends nothing.
 func (c *Controller) Submit(ctx context.Context, a register.Request) register.Result {
 	if a.Write && !a.Lookup && c.noRoom() {
-		return register.Result{Code: codes.DiskFull}
+		return register.Result{Code: resultcode.DiskFull}
 	}
 	if a.Write && a.RequestID == "" {
 		a.RequestID = node.RandomID().String() // so that it may be sent on when its key changes owners
@@ -37,7 +37,7 @@
 	c.replicaMu.Lock()
 	if !c.replica.ReachesMajority(now) {
 		c.replicaMu.Unlock()
-		return register.Result{Code: codes.NoMajority}
+		return register.Result{Code: resultcode.NoMajority}
 	}
 	c.waits[a.Tag] = ch
 	out := c.replica.Submit(now, a)
@@ -100,7 +100,7 @@
 func (c *Controller) record(ctx context.Context, a register.Request) register.Result {
 	a.Write = true
 	r := c.Submit(ctx, a)
-	if r.Code == codes.OK {
+	if r.Code == resultcode.OK {
 		sum := sha256.Sum256(a.Data)
 		c.note(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: a.Key, Number: uint64(r.Version), Plan: a.RequestID, SHA256: hex.EncodeToString(sum[:])})
 	}
--- a/internal/control/controller/web.go
+++ b/internal/control/controller/web.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -49,12 +49,12 @@
 	case c.door != nil && !strings.HasPrefix(path, "/v1/"):
 		c.door(ctx)
 	default:
-		c.fail(ctx, &codes.Fault{Code: codes.NotFound, Text: m + " " + path + " means nothing here"})
+		c.fail(ctx, &resultcode.Fault{Code: resultcode.NotFound, Text: m + " " + path + " means nothing here"})
 	}
 }
 
 // fail answers with all faults found; the first one's code gives the status.
-func (c *Controller) fail(ctx *fasthttp.RequestCtx, fs ...*codes.Fault) {
+func (c *Controller) fail(ctx *fasthttp.RequestCtx, fs ...*resultcode.Fault) {
 	var a fastjson.Arena
 	l := a.NewArray()
 	for i, f := range fs {
@@ -74,19 +74,19 @@
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-var texts = map[codes.Code]string{
-	codes.Conflict:   "another change came first: read, and plan again",
-	codes.Unsure:     "the outcome is not known: send the same plan again to learn it",
-	codes.Forgotten:  "so many changes came since that the outcome is no longer kept: read what is in force",
-	codes.NoMajority: "no majority of the disks answers; nothing was written by this call",
-	codes.DiskFull:   "the disks are full; nothing was written by this call",
-	codes.CallerLeft: "the caller had closed its connection before the order was begun; nothing was done",
+var texts = map[resultcode.Code]string{
+	resultcode.VersionConflict:      "another change came first: read, and plan again",
+	resultcode.CommitUnknown:        "the outcome is not known: send the same plan again to learn it",
+	resultcode.OutcomeExpired:       "so many changes came since that the outcome is no longer kept: read what is in force",
+	resultcode.NoMajority:           "no majority of the disks answers; nothing was written by this call",
+	resultcode.DiskFull:             "the disks are full; nothing was written by this call",
+	resultcode.OperatorDisconnected: "the caller had closed its connection before the order was begun; nothing was done",
 }
 
 func (c *Controller) result(ctx *fasthttp.RequestCtx, r register.Result) {
-	if r.Code != codes.OK {
-		f := &codes.Fault{Code: r.Code, Text: texts[r.Code]}
-		if r.Code == codes.Conflict {
+	if r.Code != resultcode.OK {
+		f := &resultcode.Fault{Code: r.Code, Text: texts[r.Code]}
+		if r.Code == resultcode.VersionConflict {
 			f.Place = fmt.Sprintf("number %d", r.Version)
 		}
 		c.fail(ctx, f)
@@ -105,12 +105,12 @@
 	within, done := answerTime(register.RequestTimeout)
 	defer done()
 	r := c.Submit(within, register.Request{Key: key})
-	if r.Code != codes.OK {
+	if r.Code != resultcode.OK {
 		c.result(ctx, r)
 		return
 	}
 	if r.Version == 0 {
-		c.fail(ctx, &codes.Fault{Code: codes.NotFound, Text: "nothing was ever set here"})
+		c.fail(ctx, &resultcode.Fault{Code: resultcode.NotFound, Text: "nothing was ever set here"})
 		return
 	}
 	ctx.Response.Header.Set("Number", strconv.FormatUint(uint64(r.Version), 10))
@@ -130,14 +130,14 @@
 }
 
 // expect reads the number that a change builds on.
-func (c *Controller) expect(ctx *fasthttp.RequestCtx) (units.Num, bool) {
+func (c *Controller) expect(ctx *fasthttp.RequestCtx) (units.Version, bool) {
 	s := string(ctx.QueryArgs().Peek("number"))
 	n, err := strconv.ParseUint(s, 10, 62)
 	if err != nil {
-		c.fail(ctx, &codes.Fault{Code: codes.BadCall, Place: "?number=", Text: "the number that the change builds on is wanted; 0 for the first"})
+		c.fail(ctx, &resultcode.Fault{Code: resultcode.InvalidOperation, Place: "?number=", Text: "the number that the change builds on is wanted; 0 for the first"})
 		return 0, false
 	}
-	return units.Num(n), true
+	return units.Version(n), true
 }
 
 // apply is the direct way for machines, under the same check as a plan.
@@ -172,21 +172,21 @@
 	c.change(within, ctx, register.Request{Key: "zone/" + zone, ExpectedVersion: num, RequestID: operatorsID(ctx, body), Data: body})
 }
 
-func (c *Controller) checkZone(ctx context.Context, zone string, body []byte) *codes.Fault {
+func (c *Controller) checkZone(ctx context.Context, zone string, body []byte) *resultcode.Fault {
 	switch code := c.checkZoneExists(ctx, zone); code {
-	case codes.OK:
-	case codes.BadZone:
-		return &codes.Fault{Code: code, Text: "no member is in zone " + zone}
+	case resultcode.OK:
+	case resultcode.UnknownZone:
+		return &resultcode.Fault{Code: code, Text: "no member is in zone " + zone}
 	default:
-		return &codes.Fault{Code: code, Text: texts[code]}
+		return &resultcode.Fault{Code: code, Text: texts[code]}
 	}
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return &codes.Fault{Code: codes.BadCall, Place: place(err), Text: `{"evacuated": true} or false is wanted`}
+		return &resultcode.Fault{Code: resultcode.InvalidOperation, Place: place(err), Text: `{"evacuated": true} or false is wanted`}
 	}
 	x := v.Get("evacuated")
 	if x == nil || x.Type() != fastjson.TypeTrue && x.Type() != fastjson.TypeFalse {
-		return &codes.Fault{Code: codes.BadCall, Place: "$.evacuated", Text: "true or false is wanted"}
+		return &resultcode.Fault{Code: resultcode.InvalidOperation, Place: "$.evacuated", Text: "true or false is wanted"}
 	}
 	return nil
 }
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -33,39 +33,39 @@
 }
 
 type grant struct {
-	to    units.Node
+	to    units.NodeID
 	until units.Time
 }
 
 // Lease is the step machine for one duty.
 type Lease struct {
-	self      units.Node
+	self      units.NodeID
 	Duty      string
-	Voters    func() []units.Node
+	Voters    func() []units.NodeID
 	born      units.Time // since when this node may have voted for somebody it doesn't remember
 	voter     bool       // it was one of the voters when last asked
 	grant     grant
 	round     uint64
 	sent      units.Time
-	got       map[units.Node]bool
+	got       map[units.NodeID]bool
 	until     units.Time // till then the duty is ours
 	next      units.Time
 	rng       *rand.Rand
-	RoundsWon int                       // rounds won, for status
-	lent      map[units.Node]units.Time // till when each voter leaves its share of the duty's work to us
-	seat      units.Time                // till when this node's own share is surely nobody else's; zero: without end
+	RoundsWon int                         // rounds won, for status
+	lent      map[units.NodeID]units.Time // till when each voter leaves its share of the duty's work to us
+	seat      units.Time                  // till when this node's own share is surely nobody else's; zero: without end
 }
 
 // New gives a node that has voted for nobody; it abstains for a term, since it may have voted before it started.
-func New(self units.Node, duty string, voters func() []units.Node, now units.Time, rng *rand.Rand) *Lease {
-	return &Lease{self: self, Duty: duty, Voters: voters, voter: slices.Contains(voters(), self), born: now, rng: rng, next: now.Add(Term), lent: map[units.Node]units.Time{}}
+func New(self units.NodeID, duty string, voters func() []units.NodeID, now units.Time, rng *rand.Rand) *Lease {
+	return &Lease{self: self, Duty: duty, Voters: voters, voter: slices.Contains(voters(), self), born: now, rng: rng, next: now.Add(Term), lent: map[units.NodeID]units.Time{}}
 }
 
 // Holds says whether the duty is ours now.
 func (b *Lease) Holds(now units.Time) bool { return now < b.until }
 
 // Holder names whom this node has voted for.
-func (b *Lease) Holder(now units.Time) units.Node {
+func (b *Lease) Holder(now units.Time) units.NodeID {
 	if now < b.grant.until {
 		return b.grant.to
 	}
@@ -108,7 +108,7 @@
 	}
 	b.next = now.Add(renew)
 	b.round++
-	b.sent, b.got = now, map[units.Node]bool{}
+	b.sent, b.got = now, map[units.NodeID]bool{}
 	for _, n := range b.Voters() {
 		out.Send(n, VoteRequest, message.Pack(head{Round: b.round}, []byte(b.Duty)))
 	}
@@ -167,7 +167,7 @@
 func (b *Lease) SetSeatExpiry(until units.Time) { b.seat = until }
 
 // HolderStopped frees the vote for a holder whose process is known to have ended.
-func (b *Lease) HolderStopped(now units.Time, n units.Node) {
+func (b *Lease) HolderStopped(now units.Time, n units.NodeID) {
 	if b.grant.to == n {
 		b.grant.until = min(b.grant.until, now)
 	}
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -12,21 +12,21 @@
 // Four voters, cut and joined again at random, notes late or lost: the shares of all never add up to more than one,
 // with all together the holder has the whole, and every voter that is cut off from the rest comes to its own part.
 func TestSharesNeverExceedTheWhole(t *testing.T) {
-	ids := []units.Node{1, 2, 3, 4}
+	ids := []units.NodeID{1, 2, 3, 4}
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m := map[units.Node]*Lease{}
+		m := map[units.NodeID]*Lease{}
 		for _, n := range ids {
-			m[n] = New(n, "d", func() []units.Node { return ids }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
+			m[n] = New(n, "d", func() []units.NodeID { return ids }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
 		}
-		side := map[units.Node]int{}
+		side := map[units.NodeID]int{}
 		type late struct {
 			at units.Time
 			n  message.Message
 		}
 		var way []late
 		now := units.Time(0)
-		send := func(from units.Node, o message.Effects) {
+		send := func(from units.NodeID, o message.Effects) {
 			for _, n := range o.Messages {
 				if n.From = from; side[from] == side[n.To] && rng.IntN(50) > 0 {
 					way = append(way, late{now.Add(time.Duration(rng.Int64N(int64(20 * time.Millisecond)))), n})
@@ -79,23 +79,23 @@
 // A holder's voters are replaced while its term stands: nobody else holds the lease before that term is over.
 func TestNewVoterAbstains(t *testing.T) {
 	for seed := range uint64(50) {
-		voters := []units.Node{1, 2, 3}
-		nodes := map[units.Node]*Lease{}
-		for n := units.Node(1); n <= 4; n++ {
-			nodes[n] = New(n, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
+		voters := []units.NodeID{1, 2, 3}
+		nodes := map[units.NodeID]*Lease{}
+		for n := units.NodeID(1); n <= 4; n++ {
+			nodes[n] = New(n, "d", func() []units.NodeID { return voters }, 0, rand.New(rand.NewPCG(seed, uint64(n))))
 		}
 		now := units.Time(0)
-		silent := units.Node(0)
-		var deliver func(from units.Node, out message.Effects)
-		deliver = func(from units.Node, out message.Effects) {
+		silent := units.NodeID(0)
+		var deliver func(from units.NodeID, out message.Effects)
+		deliver = func(from units.NodeID, out message.Effects) {
 			for _, m := range out.Messages {
 				if m.From = from; m.To != silent && from != silent {
 					deliver(m.To, nodes[m.To].Step(now, m))
 				}
 			}
 		}
-		holders := func() (l []units.Node) {
-			for n := units.Node(1); n <= 4; n++ {
+		holders := func() (l []units.NodeID) {
+			for n := units.NodeID(1); n <= 4; n++ {
 				if nodes[n].Holds(now) {
 					l = append(l, n)
 				}
@@ -105,14 +105,14 @@
 		silent = 1 // so that only two of the three vote for the holder
 		for len(holders()) == 0 {
 			now = now.Add(10 * time.Millisecond)
-			for n := units.Node(1); n <= 4; n++ {
+			for n := units.NodeID(1); n <= 4; n++ {
 				deliver(n, nodes[n].Tick(now, n == 3))
 			}
 		}
-		voters, silent = []units.Node{1, 2, 4}, 3
+		voters, silent = []units.NodeID{1, 2, 4}, 3
 		second := false
 		for end := now.Add(4 * Term); now < end; now = now.Add(10 * time.Millisecond) {
-			for n := units.Node(1); n <= 4; n++ {
+			for n := units.NodeID(1); n <= 4; n++ {
 				deliver(n, nodes[n].Tick(now, n == 1 || n == 4))
 			}
 			l := holders()
@@ -129,8 +129,8 @@
 
 // A voter that can't be sure of its seat any more has no share, whatever its own view of the voters says.
 func TestSharePassesWithTheSeat(t *testing.T) {
-	voters := []units.Node{1, 2, 3}
-	l := New(1, "d", func() []units.Node { return voters }, 0, rand.New(rand.NewPCG(1, 1)))
+	voters := []units.NodeID{1, 2, 3}
+	l := New(1, "d", func() []units.NodeID { return voters }, 0, rand.New(rand.NewPCG(1, 1)))
 	now := units.Time(2 * Term)
 	if got := l.Share(now); got != 1.0/3 {
 		t.Fatalf("a seat without end has a share of %.2f", got)
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -55,7 +55,7 @@
 }
 
 // barred says whether a message under an older set of voters must not be served (design 2).
-func (b *Replica) barred(key string, ver units.Num) bool {
+func (b *Replica) barred(key string, ver units.Version) bool {
 	if ver < b.quorum.Version {
 		return true
 	}
@@ -63,10 +63,12 @@
 }
 
 // QuorumVersion returns the version of the newest set of voters that this node knows of, adopted or only accepted.
-func (b *Replica) QuorumVersion() units.Num { return max(b.quorum.Version, b.state(KeyQuorum).Version) }
+func (b *Replica) QuorumVersion() units.Version {
+	return max(b.quorum.Version, b.state(KeyQuorum).Version)
+}
 
 // voter serves Prepare, Accept and Confirm; every reply goes through the disk's queue, in order.
-func (b *Replica) voter(n message.Message, h head, key string, ver units.Num, body []byte, out *message.Effects) {
+func (b *Replica) voter(n message.Message, h head, key string, ver units.Version, body []byte, out *message.Effects) {
 	r := h
 	r.Ok = 0
 	if b.barred(key, ver) {
@@ -81,7 +83,7 @@
 		return
 	}
 	if n.Kind == Accept {
-		if err := checkBody(key, units.Num(h.Num), body); err != nil {
+		if err := checkBody(key, units.Version(h.Num), body); err != nil {
 			out.Fail(err)
 			return
 		}
@@ -89,7 +91,7 @@
 	s := b.state(key)
 	e := h.epoch()
 	if e.Less(s.Promised) {
-		r.HN, r.HBy = s.Promised.N, uint64(s.Promised.By)
+		r.HN, r.HBy = s.Promised.Number, uint64(s.Promised.Node)
 		out.SendAfterSync(n.From, n.Kind+1, b.pack(r, key, nil))
 		return
 	}
@@ -100,10 +102,10 @@
 			s.Promised = e
 			out.Writes = append(out.Writes, b.savePromise(key, s))
 		}
-		r.HN, r.HBy, r.Seq, r.Num = s.Accepted.N, uint64(s.Accepted.By), s.Seq, uint64(s.Version)
+		r.HN, r.HBy, r.Seq, r.Num = s.Accepted.Number, uint64(s.Accepted.Node), s.Seq, uint64(s.Version)
 		out.SendAfterSync(n.From, Promise, b.pack(r, key, s.Body))
 	case Accept:
-		x := State{Promised: e, Accepted: e, Seq: h.Seq, Version: units.Num(h.Num), Body: body}
+		x := State{Promised: e, Accepted: e, Seq: h.Seq, Version: units.Version(h.Num), Body: body}
 		if x.newer(s) {
 			*s = x
 			out.Writes = append(out.Writes, b.saveAccept(key, s))
@@ -125,8 +127,8 @@
 }
 
 // StoredVersions gives this disk's accepted numbers, for a starting router's vouching (design 4).
-func (b *Replica) StoredVersions() map[string]units.Num {
-	m := map[string]units.Num{}
+func (b *Replica) StoredVersions() map[string]units.Version {
+	m := map[string]units.Version{}
 	for k, s := range b.states {
 		if s.Version > 0 {
 			m[k] = s.Version
@@ -137,7 +139,7 @@
 
 // KnownVersions gives what a vouching disk answers with: its stored numbers and, for the quorum's key, the newest quorum set
 // that this node knows of, which may have come with a message before its value was accepted here.
-func (b *Replica) KnownVersions() map[string]units.Num {
+func (b *Replica) KnownVersions() map[string]units.Version {
 	numbers := b.StoredVersions()
 	if v := b.QuorumVersion(); v > 0 {
 		numbers[KeyQuorum] = v
@@ -147,12 +149,12 @@
 
 // Resend sends a key's accepted value to another voter as its owner's Accept once more: a voter that has since promised a
 // higher epoch refuses it, as it would a late one.
-func (b *Replica) Resend(to units.Node, key string) (out message.Effects) {
+func (b *Replica) Resend(to units.NodeID, key string) (out message.Effects) {
 	s := b.states[key]
 	if s == nil || s.Accepted == (units.Epoch{}) {
 		return out
 	}
-	h := head{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Version)}
+	h := head{N: s.Accepted.Number, By: uint64(s.Accepted.Node), Seq: s.Seq, Num: uint64(s.Version)}
 	out.SendAfterSync(to, Accept, b.pack(h, key, s.Body))
 	return out
 }
--- a/internal/control/register/change.go
+++ b/internal/control/register/change.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -14,10 +14,10 @@
 
 // transfer watches that every key has been read back under a joint set.
 type transfer struct {
-	version  units.Num
-	listed   map[units.Node]bool // replicas that have listed their keys
-	readTags map[string]uint64   // by key, the tag of its read
-	done     map[uint64]bool     // by tag
+	version  units.Version
+	listed   map[units.NodeID]bool // replicas that have listed their keys
+	readTags map[string]uint64     // by key, the tag of its read
+	done     map[uint64]bool       // by tag
 	listedAt units.Time
 	readAt   units.Time
 }
@@ -27,7 +27,7 @@
 
 // ChangeMembers names the members that the set is to have; nil leaves it as it is. Only the owner of the quorum key acts
 // on it, and only while no other change is under way.
-func (b *Replica) ChangeMembers(members []units.Node) {
+func (b *Replica) ChangeMembers(members []units.NodeID) {
 	b.wanted = slices.Clone(members)
 	slices.Sort(b.wanted)
 }
@@ -66,7 +66,7 @@
 	t := b.transfer
 	if t == nil || t.version != b.quorum.Version {
 		before := now.Add(-resend)
-		t = &transfer{version: b.quorum.Version, listed: map[units.Node]bool{}, readTags: map[string]uint64{}, done: map[uint64]bool{}, listedAt: before, readAt: before}
+		t = &transfer{version: b.quorum.Version, listed: map[units.NodeID]bool{}, readTags: map[string]uint64{}, done: map[uint64]bool{}, listedAt: before, readAt: before}
 		b.transfer = t
 	}
 	if !b.quorum.HasMajority(t.listed) {
@@ -114,7 +114,7 @@
 }
 
 // keysListed takes a replica's list of keys, if it was made under the joint set.
-func (b *Replica) keysListed(now units.Time, n message.Message, version units.Num, body []byte, out *message.Effects) {
+func (b *Replica) keysListed(now units.Time, n message.Message, version units.Version, body []byte, out *message.Effects) {
 	t := b.transfer
 	if t == nil || version != t.version || version != b.quorum.Version {
 		return
@@ -135,7 +135,7 @@
 }
 
 // replied takes an owner's answer. A transfer's read counts only if it was served under the joint set.
-func (b *Replica) replied(now units.Time, version units.Num, r Result, out *message.Effects) {
+func (b *Replica) replied(now units.Time, version units.Version, r Result, out *message.Effects) {
 	if r.Tag&transferTag != 0 && version != b.quorum.Version {
 		return
 	}
@@ -148,7 +148,7 @@
 		b.Results = append(b.Results, r)
 		return
 	}
-	if t := b.transfer; t != nil && r.Code == codes.OK && t.awaits(r.Tag) {
+	if t := b.transfer; t != nil && r.Code == resultcode.OK && t.awaits(r.Tag) {
 		t.done[r.Tag] = true
 		b.changeTick(now, out)
 	}
--- a/internal/control/register/cluster_test.go
+++ b/internal/control/register/cluster_test.go
@@ -5,28 +5,28 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // cluster is three voters whose messages arrive at once and in order.
 type cluster struct {
-	replicas map[units.Node]*Replica
+	replicas map[units.NodeID]*Replica
 	now      units.Time
 	tag      uint64
 	errs     []error
 }
 
 func newCluster() *cluster {
-	c := &cluster{replicas: map[units.Node]*Replica{}, now: units.Time(time.Second)}
-	for n := units.Node(1); n <= 3; n++ {
+	c := &cluster{replicas: map[units.NodeID]*Replica{}, now: units.Time(time.Second)}
+	for n := units.NodeID(1); n <= 3; n++ {
 		c.replicas[n] = New(n, n+100)
-		c.replicas[n].adopt(QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}, &message.Effects{})
+		c.replicas[n].adopt(QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}, &message.Effects{})
 	}
 	return c
 }
 
-func (c *cluster) deliver(from units.Node, out message.Effects) {
+func (c *cluster) deliver(from units.NodeID, out message.Effects) {
 	c.errs = append(c.errs, out.Errs...)
 	for _, n := range append(out.Messages, out.AfterSync...) {
 		if n.From = from; c.replicas[n.To] != nil {
@@ -36,12 +36,12 @@
 }
 
 // believe has one replica take another, or itself, for the owner of every key.
-func (c *cluster) believe(by, owner units.Node) {
-	c.replicas[by].SetEligible([]units.Node{owner})
+func (c *cluster) believe(by, owner units.NodeID) {
+	c.replicas[by].SetEligible([]units.NodeID{owner})
 }
 
 // ask makes a write or a lookup by way of one replica and gives its result; the zero one if none comes.
-func (c *cluster) ask(at units.Node, a Request) Result {
+func (c *cluster) ask(at units.NodeID, a Request) Result {
 	c.tag++
 	a.Tag, a.Key, a.Write = c.tag, "config", true
 	c.deliver(at, c.replicas[at].Submit(c.now, a))
@@ -59,7 +59,7 @@
 }
 
 // want asks and compares.
-func (c *cluster) want(t *testing.T, what string, at units.Node, a Request, code codes.Code, num units.Num) {
+func (c *cluster) want(t *testing.T, what string, at units.NodeID, a Request, code resultcode.Code, num units.Version) {
 	t.Helper()
 	if r := c.ask(at, a); r.Code != code || r.Version != num {
 		t.Errorf("%s: %d, number %d; want %d, number %d", what, r.Code, r.Version, code, num)
--- a/internal/control/register/coreview.go
+++ b/internal/control/register/coreview.go
@@ -9,19 +9,19 @@
 
 // ControllerView is what membership shows of the controllers, for owners, founders and the planner.
 type ControllerView struct {
-	Eligible      []units.Node        // may own keys: a suspect may not, since a change of owner costs a round and waiting costs seconds
-	Draining      []units.Node        // could own keys but for being about to end
-	Uninitialized []units.Node        // alive and without a vote
-	FleetExists   bool                // somebody has heard of a fleet that stands
-	Controllers   []membership.Member // the live controllers
-	Replaced      map[units.Node]bool // controllers at whose address another one lives now: their disks were lost
-	departed      map[units.Node]bool // controllers that have said goodbye
-	diskless      bool                // no controller has a disk that counts: then each one counts (design 13)
+	Eligible      []units.NodeID        // may own keys: a suspect may not, since a change of owner costs a round and waiting costs seconds
+	Draining      []units.NodeID        // could own keys but for being about to end
+	Uninitialized []units.NodeID        // alive and without a vote
+	FleetExists   bool                  // somebody has heard of a fleet that stands
+	Controllers   []membership.Member   // the live controllers
+	Replaced      map[units.NodeID]bool // controllers at whose address another one lives now: their disks were lost
+	departed      map[units.NodeID]bool // controllers that have said goodbye
+	diskless      bool                  // no controller has a disk that counts: then each one counts (design 13)
 }
 
 // NewControllerView reads membership.
 func NewControllerView(all []membership.Member) (l ControllerView) {
-	l.Replaced, l.departed, l.diskless = replaced(all), map[units.Node]bool{}, true
+	l.Replaced, l.departed, l.diskless = replaced(all), map[units.NodeID]bool{}, true
 	for _, m := range all {
 		live := m.State <= membership.Suspect && !l.Replaced[m.Node]
 		if m.Role != membership.Controller {
@@ -53,14 +53,14 @@
 
 // replaced finds the controllers whose address a later one has: one address bears one process, and the later one began
 // with the higher incarnation.
-func replaced(all []membership.Member) map[units.Node]bool {
+func replaced(all []membership.Member) map[units.NodeID]bool {
 	at := map[string]membership.Member{}
 	for _, m := range all {
 		if o, ok := at[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || o.Inc < m.Inc) {
 			at[m.Addr] = m
 		}
 	}
-	lost := map[units.Node]bool{}
+	lost := map[units.NodeID]bool{}
 	for _, m := range all {
 		n, ok := at[m.Addr]
 		if ok && m.Role == membership.Controller && n.Node != m.Node && (m.State > membership.Suspect || m.Inc < n.Inc) {
@@ -83,7 +83,7 @@
 }
 
 // zone is where a controller is, as far as is known.
-func (l ControllerView) zone(n units.Node) string {
+func (l ControllerView) zone(n units.NodeID) string {
 	for _, m := range l.Controllers {
 		if m.Node == n {
 			return m.Zone
@@ -93,7 +93,7 @@
 }
 
 // leaving says whether a controller has said that it will end, or has ended.
-func (l ControllerView) leaving(n units.Node) bool {
+func (l ControllerView) leaving(n units.NodeID) bool {
 	if l.departed[n] {
 		return true
 	}
--- a/internal/control/register/dropped_test.go
+++ b/internal/control/register/dropped_test.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // An owner that may no longer own a key answers the write that is under way, too: its caller must not wait in silence.
 func TestDroppedOwnerAnswersTheWriteUnderWay(t *testing.T) {
 	b := New(1, 7)
-	b.quorum = QuorumSet{Version: 1, Members: []units.Node{1}}
-	b.SetEligible([]units.Node{1})
+	b.quorum = QuorumSet{Version: 1, Members: []units.NodeID{1}}
+	b.SetEligible([]units.NodeID{1})
 	now := units.Time(time.Second)
 	deliver := func(out message.Effects) { // to itself, but for the accept that is held back
 		for queue := append(out.Messages, out.AfterSync...); len(queue) > 0; queue = queue[1:] {
@@ -30,7 +30,7 @@
 	}
 	b.SetEligible(nil)
 	deliver(b.Tick(now.Add(time.Second)))
-	if len(b.Results) != 1 || b.Results[0].Code != codes.Unsure {
+	if len(b.Results) != 1 || b.Results[0].Code != resultcode.CommitUnknown {
 		t.Errorf("results: %+v", b.Results)
 	}
 }
--- a/internal/control/register/found.go
+++ b/internal/control/register/found.go
@@ -13,7 +13,7 @@
 type founding struct {
 	set  QuorumSet
 	lead bool // it is this node that asks for the votes
-	got  map[units.Node]bool
+	got  map[units.NodeID]bool
 	sent units.Time
 }
 
@@ -34,14 +34,14 @@
 		return
 	}
 	if !slices.Equal(ids, f.set.Members) {
-		f.set, f.got = foundingSet(ids), map[units.Node]bool{}
+		f.set, f.got = foundingSet(ids), map[units.NodeID]bool{}
 	}
 	f.lead = ids[0] == b.self
 }
 
 // BootstrapFromSeeds sets the first set that this node would found, none if ids is empty, and whether this node collects the
 // votes. A disk that has voted keeps to its vote, whatever ids says (design 13).
-func (b *Replica) BootstrapFromSeeds(ids []units.Node, lead bool) {
+func (b *Replica) BootstrapFromSeeds(ids []units.NodeID, lead bool) {
 	if b.quorum.Version > 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 		set = foundingSet(ids)
 	}
 	if f.lead = lead; !slices.Equal(set.Members, f.set.Members) {
-		f.set, f.got = set, map[units.Node]bool{}
+		f.set, f.got = set, map[units.NodeID]bool{}
 	}
 }
 
--- a/internal/control/register/messages.go
+++ b/internal/control/register/messages.go
@@ -2,7 +2,7 @@
 
 import (
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -45,15 +45,15 @@
 	opLookup
 )
 
-func (h head) epoch() units.Epoch  { return units.Epoch{N: h.N, By: units.Node(h.By)} }
-func (h head) higher() units.Epoch { return units.Epoch{N: h.HN, By: units.Node(h.HBy)} }
+func (h head) epoch() units.Epoch  { return units.Epoch{Number: h.N, Node: units.NodeID(h.By)} }
+func (h head) higher() units.Epoch { return units.Epoch{Number: h.HN, Node: units.NodeID(h.HBy)} }
 
 // State is an acceptor's state of one key.
 type State struct {
 	Promised units.Epoch
 	Accepted units.Epoch
 	Seq      uint64
-	Version  units.Num
+	Version  units.Version
 	Body     []byte // as laid out by packBody; empty before the first write
 }
 
@@ -72,11 +72,11 @@
 type slotHead struct{ N, By, Seq, Num uint64 }
 
 func (b *Replica) savePromise(key string, s *State) message.Record {
-	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(slotHead{N: s.Promised.N, By: uint64(s.Promised.By)})}
+	return message.Record{Kind: RecordPromise, Key: key, Data: message.Pack(slotHead{N: s.Promised.Number, By: uint64(s.Promised.Node)})}
 }
 
 func (b *Replica) saveAccept(key string, s *State) message.Record {
-	h := slotHead{N: s.Accepted.N, By: uint64(s.Accepted.By), Seq: s.Seq, Num: uint64(s.Version)}
+	h := slotHead{N: s.Accepted.Number, By: uint64(s.Accepted.Node), Seq: s.Seq, Num: uint64(s.Version)}
 	return message.Record{Kind: RecordAccept, Key: key, Data: message.Pack(h, s.Body)}
 }
 
@@ -88,13 +88,13 @@
 		switch r.Kind {
 		case RecordPromise:
 			err = message.Unpack(r.Data, &h)
-			b.state(r.Key).Promised = maxEpoch(b.state(r.Key).Promised, units.Epoch{N: h.N, By: units.Node(h.By)})
+			b.state(r.Key).Promised = maxEpoch(b.state(r.Key).Promised, units.Epoch{Number: h.N, Node: units.NodeID(h.By)})
 		case RecordAccept:
 			s := b.state(r.Key)
 			if err = message.Unpack(r.Data, &h, &s.Body); err == nil {
-				err = checkBody(r.Key, units.Num(h.Num), s.Body)
+				err = checkBody(r.Key, units.Version(h.Num), s.Body)
 			}
-			s.Accepted, s.Seq, s.Version = units.Epoch{N: h.N, By: units.Node(h.By)}, h.Seq, units.Num(h.Num)
+			s.Accepted, s.Seq, s.Version = units.Epoch{Number: h.N, Node: units.NodeID(h.By)}, h.Seq, units.Version(h.Num)
 			s.Promised = maxEpoch(s.Promised, s.Accepted)
 		case RecordQuorum:
 			b.quorum, err = UnpackQuorumSet(r.Data)
@@ -118,23 +118,23 @@
 // Request is a read or a conditional write of one key, by an operator or a duty.
 type Request struct {
 	Tag             uint64
-	From            units.Node
+	From            units.NodeID
 	Key             string
 	Write           bool
-	Lookup          bool      // with Write: only asks for its outcome; it would have built on the number Expect or a later one
-	ExpectedVersion units.Num // the number it builds on; AnyNumber for whatever stands
+	Lookup          bool          // with Write: only asks for its outcome; it would have built on the number Expect or a later one
+	ExpectedVersion units.Version // the number it builds on; AnyNumber for whatever stands
 	RequestID       string
 	Data            []byte
 	sure            bool // the owner has confirmed its epoch since this came
 }
 
 // AnyVersion as Request.Expect makes a write that doesn't depend on the current number.
-const AnyVersion = ^units.Num(0)
+const AnyVersion = ^units.Version(0)
 
 // Result answers the Request of the same Tag.
 type Result struct {
 	Tag     uint64
-	Code    codes.Code
-	Version units.Num
+	Code    resultcode.Code
+	Version units.Version
 	Data    []byte
 }
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -77,7 +77,7 @@
 		return
 	}
 	for _, members := range r.relevant() {
-		if !majorityOf(members, func(id units.Node) bool { return id != n.id && !r.node(id).lost }) {
+		if !majorityOf(members, func(id units.NodeID) bool { return id != n.id && !r.node(id).lost }) {
 			return
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // relevant gives the sets in force or proposed since.
-func (r *randomRun) relevant() [][]units.Node {
-	var sets [][]units.Node
+func (r *randomRun) relevant() [][]units.NodeID {
+	var sets [][]units.NodeID
 	for _, p := range r.proposed {
 		if p.version+2 >= r.checker.current {
 			sets = append(sets, p.members)
@@ -110,7 +110,7 @@
 
 // agree has all believe in the same one or two nodes, which may be down.
 func (r *randomRun) agree() {
-	eligible := []units.Node{r.any().id, r.any().id}
+	eligible := []units.NodeID{r.any().id, r.any().id}
 	for _, n := range r.live() {
 		r.believe(n, eligible...)
 	}
@@ -127,7 +127,7 @@
 // disagree has one node believe in owners of its own.
 func (r *randomRun) disagree() {
 	n := r.any()
-	eligible := []units.Node{n.id}
+	eligible := []units.NodeID{n.id}
 	if r.pick(2) == 0 {
 		eligible = append(eligible, r.any().id)
 	}
@@ -163,7 +163,7 @@
 		return
 	}
 	members := r.nextMembers(n.replica.quorum.Members)
-	if len(members) < 2 || !majorityOf(members, func(id units.Node) bool { return !r.node(id).lost }) {
+	if len(members) < 2 || !majorityOf(members, func(id units.NodeID) bool { return !r.node(id).lost }) {
 		return
 	}
 	r.proposed = append(r.proposed, proposal{members, r.checker.current})
@@ -174,7 +174,7 @@
 }
 
 // nextMembers draws a set with one member more, one fewer or one replaced; a lost one goes first.
-func (r *randomRun) nextMembers(members []units.Node) []units.Node {
+func (r *randomRun) nextMembers(members []units.NodeID) []units.NodeID {
 	members = slices.Clone(members)
 	kind := r.pick(3)
 	if added := r.any(); kind != 1 && !slices.Contains(members, added.id) && !added.lost {
@@ -183,7 +183,7 @@
 	if kind == 0 {
 		return members
 	}
-	dropped := slices.IndexFunc(members, func(id units.Node) bool { return r.node(id).lost })
+	dropped := slices.IndexFunc(members, func(id units.NodeID) bool { return r.node(id).lost })
 	if dropped < 0 {
 		dropped = r.pick(len(members))
 	}
--- a/internal/control/register/model_checker_test.go
+++ b/internal/control/register/model_checker_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -17,7 +17,7 @@
 
 // voter names one acceptor's state of one key.
 type voter struct {
-	node units.Node
+	node units.NodeID
 	key  string
 }
 
@@ -25,22 +25,22 @@
 type modelChecker struct {
 	cluster   *modelCluster
 	violation string
-	epochs    map[epochUse]units.Node         // the run that prepared it
-	promised  map[voter]units.Epoch           // the highest epoch that an acceptor's replies have promised
-	served    map[units.Node]units.Num        // the newest set under which an acceptor's replies have voted on a key
-	sets      map[units.Num]QuorumSet         // every set that a node has taken over
-	current   units.Num                       // the newest of them
-	decided   units.Num                       // the newest set under which a key was decided
-	values    map[string]map[units.Num]string // chosen values of each key
-	highest   map[string]units.Num            // the highest chosen number of each key
+	epochs    map[epochUse]units.NodeID           // the run that prepared it
+	promised  map[voter]units.Epoch               // the highest epoch that an acceptor's replies have promised
+	served    map[units.NodeID]units.Version      // the newest set under which an acceptor's replies have voted on a key
+	sets      map[units.Version]QuorumSet         // every set that a node has taken over
+	current   units.Version                       // the newest of them
+	decided   units.Version                       // the newest set under which a key was decided
+	values    map[string]map[units.Version]string // chosen values of each key
+	highest   map[string]units.Version            // the highest chosen number of each key
 	clients   *modelClients
 }
 
 func newModelChecker(c *modelCluster, first QuorumSet) *modelChecker {
 	return &modelChecker{
-		cluster: c, epochs: map[epochUse]units.Node{}, promised: map[voter]units.Epoch{}, served: map[units.Node]units.Num{},
-		sets: map[units.Num]QuorumSet{first.Version: first}, current: first.Version, decided: first.Version,
-		values: map[string]map[units.Num]string{}, highest: map[string]units.Num{}, clients: newModelClients(c),
+		cluster: c, epochs: map[epochUse]units.NodeID{}, promised: map[voter]units.Epoch{}, served: map[units.NodeID]units.Version{},
+		sets: map[units.Version]QuorumSet{first.Version: first}, current: first.Version, decided: first.Version,
+		values: map[string]map[units.Version]string{}, highest: map[string]units.Version{}, clients: newModelClients(c),
 	}
 }
 
@@ -52,12 +52,12 @@
 }
 
 // decides says whether the nodes that hold something decide in a set; a joint set needs both of its halves.
-func decides(set QuorumSet, holds func(units.Node) bool) bool {
+func decides(set QuorumSet, holds func(units.NodeID) bool) bool {
 	next := incoming(set)
 	return majorityOf(set.Members, holds) && (len(next) == 0 || majorityOf(next, holds))
 }
 
-func majorityOf(members []units.Node, holds func(units.Node) bool) bool {
+func majorityOf(members []units.NodeID, holds func(units.NodeID) bool) bool {
 	count := 0
 	for _, n := range members {
 		if holds(n) {
@@ -68,7 +68,7 @@
 }
 
 // sent checks a message at the moment that it leaves a node.
-func (k *modelChecker) sent(n *modelNode, m message.Message, request units.Num) {
+func (k *modelChecker) sent(n *modelNode, m message.Message, request units.Version) {
 	switch m.Kind {
 	case Prepare, Promise, Accepted, Confirmed, Reply:
 	default:
@@ -87,7 +87,7 @@
 		}
 	case Reply:
 		k.clients.replied(n, d, k.decided)
-		if clientOperation := k.clients.operations[d.head.Tag]; clientOperation != nil && !clientOperation.write && codes.Code(d.head.Code) == codes.OK {
+		if clientOperation := k.clients.operations[d.head.Tag]; clientOperation != nil && !clientOperation.write && resultcode.Code(d.head.Code) == resultcode.OK {
 			k.decidedUnder(n.replica.quorum.Version)
 		}
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	d := decode(m)
-	promised := func(id units.Node) bool {
+	promised := func(id units.NodeID) bool {
 		return k.everDurable(id, d.key, func(s State) bool { return !s.Promised.Less(d.head.epoch()) })
 	}
 	if !decides(d.set, promised) {
@@ -109,7 +109,7 @@
 }
 
 // everDurable says whether a node's durable state of a key, or that of its lost disk, is as asked for.
-func (k *modelChecker) everDurable(id units.Node, key string, is func(State) bool) bool {
+func (k *modelChecker) everDurable(id units.NodeID, key string, is func(State) bool) bool {
 	n := k.cluster.node(id)
 	if n == nil {
 		return false
@@ -121,7 +121,7 @@
 }
 
 // voted checks an acceptor's positive reply: what it says is durable, and no reply that left earlier forbids it.
-func (k *modelChecker) voted(n *modelNode, kind message.Kind, d decoded, request units.Num) {
+func (k *modelChecker) voted(n *modelNode, kind message.Kind, d decoded, request units.Version) {
 	epoch := d.head.epoch()
 	v, s := voter{n.id, d.key}, n.disk.states[d.key]
 	if epoch.Less(k.promised[v]) {
@@ -166,15 +166,15 @@
 	n.replica.Chosen, n.replica.Results = nil, nil
 }
 
-func (k *modelChecker) decidedUnder(version units.Num) { k.decided = max(k.decided, version) }
+func (k *modelChecker) decidedUnder(version units.Version) { k.decided = max(k.decided, version) }
 
 // chosen checks a value that a majority is said to have accepted.
-func (k *modelChecker) chosen(key string, num units.Num, data string) {
+func (k *modelChecker) chosen(key string, num units.Version, data string) {
 	if num == 0 {
 		return
 	}
 	if k.values[key] == nil {
-		k.values[key] = map[units.Num]string{}
+		k.values[key] = map[units.Version]string{}
 	}
 	if old, ok := k.values[key][num]; ok && old != data {
 		k.fail("number %d of %q is both %q and %q", num, key, old, data)
@@ -210,7 +210,7 @@
 	if !known {
 		k.fail("set %d was decided without set %d", set.Version, set.Version-1)
 	}
-	holds := func(id units.Node) bool { // or did so until its disk was lost
+	holds := func(id units.NodeID) bool { // or did so until its disk was lost
 		return k.everDurable(id, KeyQuorum, func(s State) bool { return s.Version >= set.Version })
 	}
 	if !decides(previous, holds) || !decides(set, holds) {
@@ -225,7 +225,7 @@
 func (k *modelChecker) durableChanged() {
 	set := k.sets[k.current]
 	for key, num := range k.highest {
-		lacks := func(id units.Node) bool {
+		lacks := func(id units.NodeID) bool {
 			n := k.cluster.node(id)
 			return n != nil && !n.lost && n.disk.states[key].Version < num
 		}
--- a/internal/control/register/model_clients_test.go
+++ b/internal/control/register/model_clients_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -13,8 +13,8 @@
 	key       string
 	write     bool
 	requestID string
-	floor     units.Num // the highest number that had been acknowledged when the call began
-	decided   units.Num // the newest set under which a key had been decided by then
+	floor     units.Version // the highest number that had been acknowledged when the call began
+	decided   units.Version // the newest set under which a key had been decided by then
 }
 
 // modelClients makes calls and checks their answers against the order in which calls began and ended.
@@ -24,7 +24,7 @@
 	requests   map[string]Request          // the first call of each request id
 	first      map[string]*clientOperation // the same
 	refused    map[string]bool             // request ids that were answered with a conflict
-	acked      map[string]units.Num        // the highest acknowledged number of each key
+	acked      map[string]units.Version    // the highest acknowledged number of each key
 	tag        uint64
 	writes     map[string]int
 	reads      int // that were answered
@@ -33,7 +33,7 @@
 func newModelClients(c *modelCluster) *modelClients {
 	return &modelClients{
 		cluster: c, operations: map[uint64]*clientOperation{}, requests: map[string]Request{}, first: map[string]*clientOperation{},
-		refused: map[string]bool{}, acked: map[string]units.Num{}, writes: map[string]int{},
+		refused: map[string]bool{}, acked: map[string]units.Version{}, writes: map[string]int{},
 	}
 }
 
@@ -43,7 +43,7 @@
 }
 
 // write begins a write of a fresh value that names itself; its request id is the same.
-func (l *modelClients) write(n *modelNode, key string, expect units.Num) string {
+func (l *modelClients) write(n *modelNode, key string, expect units.Version) string {
 	l.writes[key]++
 	id := fmt.Sprintf("%s-%d", key, l.writes[key])
 	request := Request{Key: key, Write: true, ExpectedVersion: expect, RequestID: id, Data: []byte(id)}
@@ -76,9 +76,9 @@
 }
 
 // replied checks the set under which an owner acknowledges.
-func (l *modelClients) replied(owner *modelNode, d decoded, decided units.Num) {
+func (l *modelClients) replied(owner *modelNode, d decoded, decided units.Version) {
 	o := l.operations[d.head.Tag]
-	if o == nil || codes.Code(d.head.Code) != codes.OK {
+	if o == nil || resultcode.Code(d.head.Code) != resultcode.OK {
 		return
 	}
 	if version := owner.replica.quorum.Version; version < o.decided {
@@ -96,20 +96,20 @@
 	detail := fmt.Sprintf("tag %d code %v num %d data %q", r.Tag, r.Code, int64(r.Version), r.Data)
 	l.cluster.record(modelEvent{action: "answer", node: n.id, detail: detail})
 	switch {
-	case r.Code == codes.Conflict && o.write:
+	case r.Code == resultcode.VersionConflict && o.write:
 		l.refused[o.requestID] = true
 		for num, data := range checker.values[o.key] {
 			if data == o.requestID {
 				checker.fail("the write %q was chosen as %d and is refused", data, num)
 			}
 		}
-	case r.Code == codes.OK && o.write:
+	case r.Code == resultcode.OK && o.write:
 		if r.Version <= o.floor {
 			checker.fail("the write %q got number %d though %d was acknowledged before it began", o.requestID, r.Version, o.floor)
 		}
 		checker.chosen(o.key, r.Version, o.requestID)
 		l.acked[o.key] = max(l.acked[o.key], r.Version)
-	case r.Code == codes.OK:
+	case r.Code == resultcode.OK:
 		if r.Version < o.floor {
 			checker.fail("a read of %q got number %d though %d was acknowledged before it began", o.key, r.Version, o.floor)
 		}
--- a/internal/control/register/model_cluster_test.go
+++ b/internal/control/register/model_cluster_test.go
@@ -10,21 +10,21 @@
 
 // modelNode is one replica with its disk. The replica is nil while the process is down.
 type modelNode struct {
-	id       units.Node
+	id       units.NodeID
 	replica  *Replica
-	run      units.Node
+	run      units.NodeID
 	queue    []diskBatch
 	disk     modelDisk
-	wanted   []units.Node // the members that the process was last asked to change to
-	lostDisk modelDisk    // what a lost disk held
-	lost     bool         // the disk is gone for good: no process ever votes under this id again
+	wanted   []units.NodeID // the members that the process was last asked to change to
+	lostDisk modelDisk      // what a lost disk held
+	lost     bool           // the disk is gone for good: no process ever votes under this id again
 }
 
 // diskBatch is what one step gave to the disk: its messages leave once its writes are synced.
 type diskBatch struct {
 	writes   []message.Record
 	messages []message.Message
-	request  units.Num // version of the set under which the answered request was sent
+	request  units.Version // version of the set under which the answered request was sent
 }
 
 // modelCluster is a network of replicas that delivers, loses and doubles messages as it is told.
@@ -32,7 +32,7 @@
 	now     units.Time
 	nodes   []*modelNode
 	bag     []message.Message
-	runs    units.Node // the last run id given out
+	runs    units.NodeID // the last run id given out
 	checker *modelChecker
 	events  []modelEvent
 }
@@ -42,15 +42,15 @@
 
 // newModelCluster starts replicas 1 to members as the first set, and spares beside them.
 func newModelCluster(members, spares int) *modelCluster {
-	var founders []units.Node
+	var founders []units.NodeID
 	for id := range members {
-		founders = append(founders, units.Node(id+1))
+		founders = append(founders, units.NodeID(id+1))
 	}
 	first := firstQuorumSet(founders)
 	c := &modelCluster{now: units.Time(time.Second), runs: 1000, events: make([]modelEvent, 0, usualEvents)}
 	c.checker = newModelChecker(c, first)
 	for id := range members + spares {
-		n := &modelNode{id: units.Node(id + 1), disk: newModelDisk()}
+		n := &modelNode{id: units.NodeID(id + 1), disk: newModelDisk()}
 		if id < members {
 			n.disk.write(message.Record{Kind: RecordQuorum, Data: first.Pack()})
 		}
@@ -60,7 +60,7 @@
 	return c
 }
 
-func (c *modelCluster) node(id units.Node) *modelNode {
+func (c *modelCluster) node(id units.NodeID) *modelNode {
 	if id == 0 || int(id) > len(c.nodes) {
 		return nil
 	}
@@ -114,7 +114,7 @@
 }
 
 // perform runs one step of a replica and takes what it gives out.
-func (c *modelCluster) perform(n *modelNode, request units.Num, step func(*Replica) message.Effects) {
+func (c *modelCluster) perform(n *modelNode, request units.Version, step func(*Replica) message.Effects) {
 	if n.replica == nil {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // leave puts a message on the network.
-func (c *modelCluster) leave(n *modelNode, m message.Message, request units.Num) {
+func (c *modelCluster) leave(n *modelNode, m message.Message, request units.Version) {
 	m.From = n.id
 	c.checker.sent(n, m, request)
 	// Calls between replicas change nothing that is checked here, and would multiply the orders.
@@ -207,7 +207,7 @@
 }
 
 // believe tells a node who may own keys.
-func (c *modelCluster) believe(n *modelNode, eligible ...units.Node) {
+func (c *modelCluster) believe(n *modelNode, eligible ...units.NodeID) {
 	if n.replica == nil {
 		return
 	}
@@ -216,7 +216,7 @@
 }
 
 // changeMembers asks a node for another quorum set.
-func (c *modelCluster) changeMembers(n *modelNode, members []units.Node) {
+func (c *modelCluster) changeMembers(n *modelNode, members []units.NodeID) {
 	if n.replica == nil {
 		return
 	}
--- a/internal/control/register/model_disk_test.go
+++ b/internal/control/register/model_disk_test.go
@@ -25,12 +25,12 @@
 		switch r.Kind {
 		case RecordPromise:
 			h, _ := decodeRecord(r)
-			s.Promised = units.Epoch{N: h.N, By: units.Node(h.By)}
+			s.Promised = units.Epoch{Number: h.N, Node: units.NodeID(h.By)}
 		case RecordAccept:
 			h, body := decodeRecord(r)
-			s.Accepted = units.Epoch{N: h.N, By: units.Node(h.By)}
+			s.Accepted = units.Epoch{Number: h.N, Node: units.NodeID(h.By)}
 			s.Promised = maxEpoch(s.Promised, s.Accepted)
-			s.Seq, s.Version, s.Body = h.Seq, units.Num(h.Num), body
+			s.Seq, s.Version, s.Body = h.Seq, units.Version(h.Num), body
 		case RecordQuorum:
 			d.quorum, _ = UnpackQuorumSet(r.Data)
 			continue
@@ -92,7 +92,7 @@
 }
 
 // requestVersion gives the version of the set under which an acceptor is asked, zero for other messages.
-func requestVersion(m message.Message) units.Num {
+func requestVersion(m message.Message) units.Version {
 	if m.Kind != Prepare && m.Kind != Accept && m.Kind != Confirm {
 		return 0
 	}
@@ -102,9 +102,9 @@
 // modelEvent is one line of a trace.
 type modelEvent struct {
 	action  string
-	node    units.Node
+	node    units.NodeID
 	message message.Message
-	nodes   []units.Node
+	nodes   []units.NodeID
 	detail  string
 }
 
--- a/internal/control/register/model_exhaustive_test.go
+++ b/internal/control/register/model_exhaustive_test.go
@@ -14,7 +14,7 @@
 	modelOrders = flag.Int("model.orders", 3, "choices of a schedule of which all combinations are tried")
 )
 
-var nextSet = []units.Node{1, 2, 3, 4}
+var nextSet = []units.NodeID{1, 2, 3, 4}
 
 // Two nodes believe to own one key; both write, are asked again for the same writes, and are read from.
 var twoWriters = scenario{name: "two writers", members: 3, calm: 1, steps: []func(*modelCluster){
--- a/internal/control/register/model_fingerprint_test.go
+++ b/internal/control/register/model_fingerprint_test.go
@@ -24,7 +24,7 @@
 	}
 	for key, o := range r.owned {
 		entry := *o
-		entry.got = map[units.Node]bool{}
+		entry.got = map[units.NodeID]bool{}
 		for n, got := range o.got {
 			if r.quorum.Has(n) { // who is not of the set is never counted
 				entry.got[n] = got
--- a/internal/control/register/model_input_test.go
+++ b/internal/control/register/model_input_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -76,7 +76,7 @@
 				c.deliverOldest(phaseBudget)
 				n := c.node(1)
 				for key, o := range n.replica.owned {
-					h := head{N: o.epoch.N, By: uint64(o.epoch.By), Seq: 77, Num: 77, Tag: o.tag, HN: o.epoch.N - 1, HBy: 5, Ok: ok}
+					h := head{N: o.epoch.Number, By: uint64(o.epoch.Node), Seq: 77, Num: 77, Tag: o.tag, HN: o.epoch.Number - 1, HBy: 5, Ok: ok}
 					if kind == Accepted {
 						h.Seq = o.next.Seq
 					}
@@ -142,7 +142,7 @@
 	r := c.node(2).replica
 	r.Submit(c.now, Request{Tag: tag, Key: "b"})
 	reply := func(key string) message.Message {
-		h := head{Tag: tag, Code: uint16(codes.OK), Num: 3}
+		h := head{Tag: tag, Code: uint16(resultcode.OK), Num: 3}
 		return message.Message{From: 1, To: 2, Kind: Reply, Body: message.Pack(h, r.quorum.Pack(), []byte(key), []byte(key))}
 	}
 	if r.Step(c.now, reply("a")); len(r.Results) != 0 {
@@ -171,11 +171,11 @@
 
 // A set that no replica writes is not taken over.
 func TestModelImpossibleSets(t *testing.T) {
-	current := firstQuorumSet([]units.Node{1, 2, 3})
+	current := firstQuorumSet([]units.NodeID{1, 2, 3})
 	empty, doubled, zero := current, current, current
 	empty.Version, empty.Members = 50, nil
-	doubled.Version, doubled.Members = 50, []units.Node{4, 4, 4}
-	zero.Version, zero.Members = 50, []units.Node{0, 2, 3}
+	doubled.Version, doubled.Members = 50, []units.NodeID{4, 4, 4}
+	zero.Version, zero.Members = 50, []units.NodeID{0, 2, 3}
 	for name, set := range map[string]QuorumSet{"empty": empty, "doubled": doubled, "zero": zero} {
 		n := busyCluster().node(1)
 		m := message.Message{From: 2, To: 1, Kind: Reply, Body: message.Pack(head{}, set.Pack(), []byte(""), nil)}
--- a/internal/control/register/model_random_test.go
+++ b/internal/control/register/model_random_test.go
@@ -29,8 +29,8 @@
 
 // proposal is a set that somebody was asked to change to, and the version in force at that time.
 type proposal struct {
-	members []units.Node
-	version units.Num
+	members []units.NodeID
+	version units.Version
 }
 
 // action is something that a random run may do; weight says how often.
--- a/internal/control/register/model_schedule_test.go
+++ b/internal/control/register/model_schedule_test.go
@@ -101,7 +101,7 @@
 // heal restarts every node that still has its disk, lets all agree on the owners, and reads each key.
 func (c *modelCluster) heal() {
 	c.record(modelEvent{action: "heal"})
-	var alive []units.Node
+	var alive []units.NodeID
 	for _, n := range c.nodes {
 		c.start(n)
 		if n.replica != nil {
@@ -148,7 +148,7 @@
 
 // The steps of scenarios.
 
-func believeAll(owners ...units.Node) func(*modelCluster) {
+func believeAll(owners ...units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) {
 		for _, n := range c.live() {
 			c.believe(n, owners...)
@@ -156,39 +156,39 @@
 	}
 }
 
-func believeAt(node, owner units.Node) func(*modelCluster) {
+func believeAt(node, owner units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.believe(c.node(node), owner) }
 }
 
 // writeAt builds on the newest number that any client knows of: nobody builds on one that doesn't stand yet.
-func writeAt(node units.Node) func(*modelCluster) {
+func writeAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) {
 		clients := c.checker.clients
 		clients.write(c.node(node), "a", clients.acked["a"])
 	}
 }
 
-func rewriteAt(node units.Node, id string) func(*modelCluster) {
+func rewriteAt(node units.NodeID, id string) func(*modelCluster) {
 	return func(c *modelCluster) { c.checker.clients.rewrite(c.node(node), id) }
 }
 
-func readAt(node units.Node) func(*modelCluster) {
+func readAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.checker.clients.read(c.node(node), "a") }
 }
 
-func changeAt(node units.Node, members ...units.Node) func(*modelCluster) {
+func changeAt(node units.NodeID, members ...units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.changeMembers(c.node(node), members) }
 }
 
-func loseDisk(node units.Node) func(*modelCluster) {
+func loseDisk(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.lose(c.node(node)) }
 }
 
-func crashAt(node units.Node) func(*modelCluster) {
+func crashAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.crash(c.node(node), 0) }
 }
 
-func startAt(node units.Node) func(*modelCluster) {
+func startAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) { c.start(c.node(node)) }
 }
 
--- a/internal/control/register/outcomes.go
+++ b/internal/control/register/outcomes.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -34,18 +34,18 @@
 type Outcomes []Fingerprint
 
 // oldest is the lowest number whose request the table names; newest is the value's own number.
-func (t Outcomes) oldest(newest units.Num) units.Num {
-	return newest - units.Num(len(t)) + 1
+func (t Outcomes) oldest(newest units.Version) units.Version {
+	return newest - units.Version(len(t)) + 1
 }
 
 // find gives the number that a request got.
-func (t Outcomes) find(f Fingerprint, newest units.Num) (units.Num, bool) {
+func (t Outcomes) find(f Fingerprint, newest units.Version) (units.Version, bool) {
 	if f == 0 {
 		return 0, false
 	}
 	for i, x := range t {
 		if x == f {
-			return t.oldest(newest) + units.Num(i), true
+			return t.oldest(newest) + units.Version(i), true
 		}
 	}
 	return 0, false
@@ -59,11 +59,11 @@
 
 // absent answers a request that the table does not name and that can't be written any more. It can't have got a number
 // below earliest. Conflict is certain while the table reaches back that far; else its outcome may have been cut.
-func (t Outcomes) absent(earliest, newest units.Num) codes.Code {
+func (t Outcomes) absent(earliest, newest units.Version) resultcode.Code {
 	if earliest < t.oldest(newest) {
-		return codes.Forgotten
+		return resultcode.OutcomeExpired
 	}
-	return codes.Conflict
+	return resultcode.VersionConflict
 }
 
 func (t Outcomes) pack() []byte {
@@ -107,7 +107,7 @@
 }
 
 // unpackBody takes apart the body that is stored under a number. Number 0 has none; any other has one.
-func unpackBody(num units.Num, body []byte) (Outcomes, []byte, error) {
+func unpackBody(num units.Version, body []byte) (Outcomes, []byte, error) {
 	if num == 0 && len(body) == 0 {
 		return nil, nil, nil
 	}
@@ -116,14 +116,14 @@
 		return nil, nil, err
 	}
 	outcomes, err := unpackOutcomes(packed)
-	if err == nil && units.Num(len(outcomes)) > num {
+	if err == nil && units.Version(len(outcomes)) > num {
 		err = fmt.Errorf("register: %d outcomes under number %d", len(outcomes), num)
 	}
 	return outcomes, data, err
 }
 
 // checkBody says what is wrong with a body that came over the wire or from the disk.
-func checkBody(key string, num units.Num, body []byte) error {
+func checkBody(key string, num units.Version, body []byte) error {
 	_, data, err := unpackBody(num, body)
 	if err == nil && key == KeyQuorum && num > 0 {
 		_, err = UnpackQuorumSet(data)
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -16,27 +16,27 @@
 	id := func(n int) string { return fmt.Sprint("request ", n) }
 	const more = 10
 	for n := range MaxOutcomes + more {
-		at := units.Node(n/100%3 + 1) // the owner moves every hundred changes
+		at := units.NodeID(n/100%3 + 1) // the owner moves every hundred changes
 		for by := range c.replicas {
 			c.believe(by, at)
 		}
-		if r := c.ask(at, Request{ExpectedVersion: units.Num(n), RequestID: id(n)}); r.Code != codes.OK || r.Version != units.Num(n)+1 {
+		if r := c.ask(at, Request{ExpectedVersion: units.Version(n), RequestID: id(n)}); r.Code != resultcode.OK || r.Version != units.Version(n)+1 {
 			t.Fatalf("change %d: %+v", n, r)
 		}
 	}
 	const last = MaxOutcomes + more
 	for _, lookup := range []bool{false, true} {
 		for n := range last {
-			r := c.ask(units.Node(n%3+1), Request{Lookup: lookup, ExpectedVersion: units.Num(n), RequestID: id(n)})
-			if n < more && r.Code != codes.Forgotten || n >= more && (r.Code != codes.OK || r.Version != units.Num(n)+1) {
+			r := c.ask(units.NodeID(n%3+1), Request{Lookup: lookup, ExpectedVersion: units.Version(n), RequestID: id(n)})
+			if n < more && r.Code != resultcode.OutcomeExpired || n >= more && (r.Code != resultcode.OK || r.Version != units.Version(n)+1) {
 				t.Fatalf("change %d again, lookup %v: %+v", n, lookup, r)
 			}
 		}
-		c.want(t, "a loser", 2, Request{Lookup: lookup, ExpectedVersion: last - 1, RequestID: "x"}, codes.Conflict, last)
-		c.want(t, "the oldest loser that is known", 2, Request{Lookup: lookup, ExpectedVersion: more, RequestID: "x"}, codes.Conflict, last)
-		c.want(t, "one that may have been taken", 2, Request{Lookup: lookup, ExpectedVersion: more - 1, RequestID: "x"}, codes.Forgotten, last)
+		c.want(t, "a loser", 2, Request{Lookup: lookup, ExpectedVersion: last - 1, RequestID: "x"}, resultcode.VersionConflict, last)
+		c.want(t, "the oldest loser that is known", 2, Request{Lookup: lookup, ExpectedVersion: more, RequestID: "x"}, resultcode.VersionConflict, last)
+		c.want(t, "one that may have been taken", 2, Request{Lookup: lookup, ExpectedVersion: more - 1, RequestID: "x"}, resultcode.OutcomeExpired, last)
 	}
-	c.want(t, "the next", 3, Request{ExpectedVersion: last, RequestID: "y"}, codes.OK, last+1)
+	c.want(t, "the next", 3, Request{ExpectedVersion: last, RequestID: "y"}, resultcode.OK, last+1)
 	if body := c.replicas[1].states["config"].Body; len(body) > MaxOutcomes*fingerprintSize+64 {
 		t.Errorf("the body has grown to %d bytes", len(body))
 	}
@@ -48,10 +48,10 @@
 	for by := range c.replicas {
 		c.believe(by, 1)
 	}
-	c.want(t, "the first", 1, Request{ExpectedVersion: 0}, codes.OK, 1)
-	c.want(t, "with an id", 2, Request{ExpectedVersion: 1, RequestID: "a"}, codes.OK, 2)
-	c.want(t, "another without", 1, Request{ExpectedVersion: 0}, codes.Conflict, 2)
-	c.want(t, "known", 3, Request{ExpectedVersion: 1, RequestID: "a"}, codes.OK, 2)
+	c.want(t, "the first", 1, Request{ExpectedVersion: 0}, resultcode.OK, 1)
+	c.want(t, "with an id", 2, Request{ExpectedVersion: 1, RequestID: "a"}, resultcode.OK, 2)
+	c.want(t, "another without", 1, Request{ExpectedVersion: 0}, resultcode.VersionConflict, 2)
+	c.want(t, "known", 3, Request{ExpectedVersion: 1, RequestID: "a"}, resultcode.OK, 2)
 }
 
 // malformed bodies, by what is wrong with them; all are sent under number 2.
@@ -77,19 +77,19 @@
 		for by := range c.replicas {
 			c.believe(by, 1)
 		}
-		c.want(t, "the first", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, codes.OK, 1)
+		c.want(t, "the first", 1, Request{ExpectedVersion: 0, RequestID: "a", Data: []byte("one")}, resultcode.OK, 1)
 		before := *c.replicas[2].states["config"]
 		note := func(k message.Kind, h head) message.Message {
-			h.N, h.By = before.Promised.N+5, 109
+			h.N, h.By = before.Promised.Number+5, 109
 			return message.Message{From: 3, To: 2, Kind: k, Body: c.replicas[3].pack(h, "config", body)}
 		}
 		out := c.replicas[2].Step(c.now, note(Accept, head{Seq: 1, Num: 2}))
 		if s := c.replicas[2].states["config"]; len(out.Errs) != 1 || len(out.Writes)+len(out.AfterSync) != 0 || fmt.Sprint(*s) != fmt.Sprint(before) {
 			t.Errorf("%s: a voter takes it: %v, %v", name, out, *s)
 		}
-		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{N: before.Promised.N + 5, By: 109}, got: map[units.Node]bool{}}
+		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{Number: before.Promised.Number + 5, Node: 109}, got: map[units.NodeID]bool{}}
 		c.replicas[2].owned["config"] = o
-		out = c.replicas[2].Step(c.now, note(Promise, head{Ok: 1, HN: before.Promised.N + 4, Seq: 1, Num: 2}))
+		out = c.replicas[2].Step(c.now, note(Promise, head{Ok: 1, HN: before.Promised.Number + 4, Seq: 1, Num: 2}))
 		if len(out.Errs) != 1 || len(o.got) != 0 || o.best.Version != 0 {
 			t.Errorf("%s: an owner counts it: %v, %+v", name, out, o)
 		}
@@ -116,7 +116,7 @@
 			best := &c.replicas[1].owned["config"].best
 			for b.Loop() {
 				best.Version, best.Body = number, packBody(outcomes, data)
-				if r := c.ask(1, Request{ExpectedVersion: number, RequestID: "next", Data: data}); r.Code != codes.OK {
+				if r := c.ask(1, Request{ExpectedVersion: number, RequestID: "next", Data: data}); r.Code != resultcode.OK {
 					b.Fatal(r)
 				}
 			}
@@ -133,7 +133,7 @@
 		c.believe(by, 1)
 	}
 	for n := range 20 {
-		c.want(t, "a change", 1, Request{ExpectedVersion: units.Num(n), RequestID: fmt.Sprint(n)}, codes.OK, units.Num(n)+1)
+		c.want(t, "a change", 1, Request{ExpectedVersion: units.Version(n), RequestID: fmt.Sprint(n)}, resultcode.OK, units.Version(n)+1)
 	}
 	c.replicas[3].states["config"] = &State{}
 	c.deliver(1, c.replicas[1].Resend(3, "config"))
@@ -143,5 +143,5 @@
 	delete(c.replicas, 2) // 3 is needed for a majority, and owns the key
 	c.believe(1, 3)
 	c.believe(3, 3)
-	c.want(t, "the first again", 1, Request{ExpectedVersion: 0, RequestID: "0"}, codes.OK, 1)
+	c.want(t, "the first again", 1, Request{ExpectedVersion: 0, RequestID: "0"}, resultcode.OK, 1)
 }
--- a/internal/control/register/owner.go
+++ b/internal/control/register/owner.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -23,7 +23,7 @@
 	key   string
 	phase phase
 	epoch units.Epoch
-	got   map[units.Node]bool
+	got   map[units.NodeID]bool
 	best  State    // newest accepted value found while preparing, then the value in force
 	next  State    // the value being written
 	by    *Request // the wish that next belongs to; nil for an adopted one
@@ -45,12 +45,12 @@
 	case none:
 		if o.by != nil {
 			// The write may or may not stand; a resend of the plan finds out.
-			b.reply(*o.by, codes.Unsure, 0, nil, out)
+			b.reply(*o.by, resultcode.CommitUnknown, 0, nil, out)
 			o.by = nil
 		}
-		b.highestEpoch = max(b.highestEpoch, b.state(o.key).Promised.N) + 1
-		o.epoch = units.Epoch{N: b.highestEpoch, By: b.run}
-		o.phase, o.got, o.best = preparing, map[units.Node]bool{}, State{}
+		b.highestEpoch = max(b.highestEpoch, b.state(o.key).Promised.Number) + 1
+		o.epoch = units.Epoch{Number: b.highestEpoch, Node: b.run}
+		o.phase, o.got, o.best = preparing, map[units.NodeID]bool{}, State{}
 		b.spread(o, Prepare, head{}, nil, out)
 	case preparing:
 		b.spread(o, Prepare, head{}, nil, out)
@@ -64,7 +64,7 @@
 }
 
 func (b *Replica) spread(o *ownership, k message.Kind, h head, body []byte, out *message.Effects) {
-	h.N, h.By = o.epoch.N, uint64(o.epoch.By)
+	h.N, h.By = o.epoch.Number, uint64(o.epoch.Node)
 	for _, n := range b.targets(o) {
 		if !o.got[n] {
 			out.Send(n, k, b.pack(h, o.key, body))
@@ -73,7 +73,7 @@
 }
 
 // targets are the replicas of the set; while another is being written, those of both.
-func (b *Replica) targets(o *ownership) []units.Node {
+func (b *Replica) targets(o *ownership) []units.NodeID {
 	l := b.quorum.All()
 	if next, ok := b.pendingQuorum(o); ok {
 		for _, n := range next.All() {
@@ -130,11 +130,11 @@
 		if o.phase != preparing {
 			return
 		}
-		if err := checkBody(o.key, units.Num(h.Num), body); err != nil {
+		if err := checkBody(o.key, units.Version(h.Num), body); err != nil {
 			out.Fail(err) // not a promise that can be counted: what it bears would be lost
 			return
 		}
-		x := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Num(h.Num), Body: body}
+		x := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Version(h.Num), Body: body}
 		if x.newer(&o.best) {
 			o.best = x
 		}
@@ -169,14 +169,14 @@
 		o.phase = holding
 		if a := o.asks[0]; !a.Write {
 			o.asks = o.asks[1:]
-			b.reply(a, codes.OK, o.best.Version, Data(o.best.Body), out)
+			b.reply(a, resultcode.OK, o.best.Version, Data(o.best.Body), out)
 		} // a write that only asked whether the key is still ours goes on
 		b.push(now, o, out)
 	}
 }
 
 func (b *Replica) write(now units.Time, o *ownership, s State, by *Request, out *message.Effects) {
-	o.phase, o.next, o.by, o.got = writing, s, by, map[units.Node]bool{}
+	o.phase, o.next, o.by, o.got = writing, s, by, map[units.NodeID]bool{}
 	b.push(now, o, out)
 }
 
@@ -195,7 +195,7 @@
 		b.Chosen = append(b.Chosen, ChosenValue{Key: o.key, Version: o.best.Version, Data: Data(o.best.Body)})
 	}
 	if a != nil {
-		b.reply(*a, codes.OK, o.best.Version, nil, out)
+		b.reply(*a, resultcode.OK, o.best.Version, nil, out)
 	}
 	if o.phase == holding {
 		b.serve(now, o, out)
--- a/internal/control/register/planner.go
+++ b/internal/control/register/planner.go
@@ -33,16 +33,16 @@
 	FixedSize    int           // 0: the size follows the disks that count
 	MinSize      int           // a set that follows the disks never gets smaller than this; 2f+1 bears the loss of f
 	ReplaceAfter time.Duration // how long a member may be away before another takes its place
-	awaySince    map[units.Node]units.Time
-	seenSince    map[units.Node]units.Time // others that may come in
-	version      units.Num
+	awaySince    map[units.NodeID]units.Time
+	seenSince    map[units.NodeID]units.Time // others that may come in
+	version      units.Version
 	wholeSince   units.Time // since when every member of that version was there
 	changeable   units.Time // when the set could last have gone on without one of its members
 }
 
 // candidate is a replica that may be in the next set.
 type candidate struct {
-	node   units.Node
+	node   units.NodeID
 	zone   string
 	member bool
 	known  bool // a member, or seen for long enough that the set may grow by it
@@ -51,7 +51,7 @@
 
 // NextMembers gives the members that the set is to have next; nil when it is to stay as it is. It must be called regularly,
 // since it measures how long members are away.
-func (p *Planner) NextMembers(now units.Time, q QuorumSet, view ControllerView) []units.Node {
+func (p *Planner) NextMembers(now units.Time, q QuorumSet, view ControllerView) []units.NodeID {
 	if p.canReplace(q, view) {
 		p.changeable = now
 	}
@@ -76,9 +76,9 @@
 // watch notes who is away, and since when.
 func (p *Planner) watch(now units.Time, q QuorumSet, view ControllerView) {
 	if p.awaySince == nil {
-		p.awaySince = map[units.Node]units.Time{}
+		p.awaySince = map[units.NodeID]units.Time{}
 	}
-	seen := map[units.Node]units.Time{}
+	seen := map[units.NodeID]units.Time{}
 	for _, m := range view.others(q) {
 		since, known := p.seenSince[m.Node]
 		if !known {
@@ -104,8 +104,8 @@
 
 // split parts the members into those that count as there and those that are gone: lost with their disks, leaving, or away
 // for long. The gone ones that may come back stand first.
-func (p *Planner) split(now units.Time, q QuorumSet, view ControllerView) (present, gone []units.Node) {
-	var lost []units.Node
+func (p *Planner) split(now units.Time, q QuorumSet, view ControllerView) (present, gone []units.NodeID) {
+	var lost []units.NodeID
 	for _, n := range q.Members {
 		since, away := p.awaySince[n]
 		switch {
@@ -121,7 +121,7 @@
 }
 
 // candidates are the members that are there and all others whose disks count and can be used.
-func (p *Planner) candidates(now units.Time, present []units.Node, q QuorumSet, view ControllerView) []candidate {
+func (p *Planner) candidates(now units.Time, present []units.NodeID, q QuorumSet, view ControllerView) []candidate {
 	var l []candidate
 	for _, n := range present {
 		l = append(l, candidate{node: n, zone: view.zone(n), member: true, known: true})
@@ -154,7 +154,7 @@
 }
 
 // size is how many members the next set is to have.
-func (p *Planner) size(now units.Time, q QuorumSet, candidates []candidate, gone []units.Node, view ControllerView) int {
+func (p *Planner) size(now units.Time, q QuorumSet, candidates []candidate, gone []units.NodeID, view ControllerView) int {
 	if p.FixedSize > 0 {
 		return p.FixedSize
 	}
@@ -188,8 +188,8 @@
 
 // choose takes the best candidates. Where they are too few, members that are gone keep their seats: a smaller set would
 // bear fewer losses.
-func choose(candidates []candidate, gone []units.Node, size int) []units.Node {
-	var wanted []units.Node
+func choose(candidates []candidate, gone []units.NodeID, size int) []units.NodeID {
+	var wanted []units.NodeID
 	for _, c := range candidates[:min(size, len(candidates))] {
 		wanted = append(wanted, c.node)
 	}
@@ -199,18 +199,18 @@
 }
 
 // answering gives the members that can still decide: those that are there, and those that are about to leave.
-func answering(members, present []units.Node, view ControllerView) []units.Node {
-	return slices.DeleteFunc(slices.Clone(members), func(n units.Node) bool {
+func answering(members, present []units.NodeID, view ControllerView) []units.NodeID {
+	return slices.DeleteFunc(slices.Clone(members), func(n units.NodeID) bool {
 		return !slices.Contains(present, n) && (view.departed[n] || !view.leaving(n))
 	})
 }
 
 // reachable gives the set that is furthest on the way to the wanted one and of which a majority is among the members that
 // answer now: then a step never waits for those that it brings in.
-func reachable(members, wanted, answering []units.Node) []units.Node {
+func reachable(members, wanted, answering []units.NodeID) []units.NodeID {
 	comers := without(wanted, members)
 	leavers := without(members, wanted)
-	slices.SortStableFunc(leavers, func(a, b units.Node) int { // those that are gone leave first
+	slices.SortStableFunc(leavers, func(a, b units.NodeID) int { // those that are gone leave first
 		return cmp.Compare(boolInt(slices.Contains(answering, a)), boolInt(slices.Contains(answering, b)))
 	})
 	if len(members) <= smallSet && len(answering) == len(members) {
@@ -231,14 +231,14 @@
 	return members
 }
 
-func sorted(l []units.Node) []units.Node {
+func sorted(l []units.NodeID) []units.NodeID {
 	slices.Sort(l)
 	return l
 }
 
 // without gives those of a that are not in b.
-func without(a, b []units.Node) []units.Node {
-	return slices.DeleteFunc(slices.Clone(a), func(n units.Node) bool { return slices.Contains(b, n) })
+func without(a, b []units.NodeID) []units.NodeID {
+	return slices.DeleteFunc(slices.Clone(a), func(n units.NodeID) bool { return slices.Contains(b, n) })
 }
 
 func boolInt(b bool) int {
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -12,7 +12,7 @@
 func seatView(n int) ControllerView {
 	var all []membership.Member
 	for id := 1; id <= n; id++ {
-		all = append(all, membership.Member{Node: units.Node(id), Inc: 1, Role: membership.Controller, Addr: units.Node(id).String(), Flags: membership.Counts})
+		all = append(all, membership.Member{Node: units.NodeID(id), Inc: 1, Role: membership.Controller, Addr: units.NodeID(id).String(), Flags: membership.Counts})
 	}
 	return NewControllerView(all)
 }
@@ -21,9 +21,9 @@
 // they give it away otherwise.
 func TestSeatUntil(t *testing.T) {
 	now := units.Time(time.Minute)
-	three := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
-	five := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3, 4, 5}}
-	joint := QuorumSet{Version: 2, Members: three.Members, Incoming: []units.Node{1, 2, 4}}
+	three := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
+	five := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3, 4, 5}}
+	joint := QuorumSet{Version: 2, Members: three.Members, Incoming: []units.NodeID{1, 2, 4}}
 	for _, c := range []struct {
 		name  string
 		set   QuorumSet
@@ -47,7 +47,7 @@
 
 // What a member could see before it was cut off decides for as long as the cut lasts, though it sees nobody any more.
 func TestSeatOfOneThatIsCutOff(t *testing.T) {
-	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
+	set := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
 	p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 	cut := units.Time(time.Minute)
 	p.NextMembers(cut, set, seatView(4))
--- a/internal/control/register/planner_test.go
+++ b/internal/control/register/planner_test.go
@@ -11,7 +11,7 @@
 	"seamshunt/internal/units"
 )
 
-func core(n units.Node, addr string, flags uint16) membership.Member {
+func core(n units.NodeID, addr string, flags uint16) membership.Member {
 	return membership.Member{Node: n, Inc: uint64(n), Role: membership.Controller, Addr: addr, Flags: flags}
 }
 
@@ -23,21 +23,21 @@
 		at    string
 		all   []membership.Member
 		after time.Duration
-		ids   []units.Node
+		ids   []units.NodeID
 		lead  bool
 	}{
-		"all are there":              {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", both)}, 0, []units.Node{1, 2, 3}, true},
-		"another's view":             {"d", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", both)}, 0, []units.Node{1, 2, 3}, false},
+		"all are there":              {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, true},
+		"another's view":             {"d", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, false},
 		"one is missing":             {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(4, "d", both)}, 9 * time.Second, nil, false},
 		"one is of a later start":    {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", membership.Counts)}, 9 * time.Second, nil, false},
-		"one doesn't count":          {"b", []membership.Member{core(1, "a", 0), core(2, "b", both), core(3, "c", both)}, 0, []units.Node{2, 3}, true},
+		"one doesn't count":          {"b", []membership.Member{core(1, "a", 0), core(2, "b", both), core(3, "c", both)}, 0, []units.NodeID{2, 3}, true},
 		"a fleet stands":             {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", membership.Counts|membership.Voter)}, 0, nil, false},
 		"a lost one's place":         {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(5, "c", membership.Counts)}, 0, nil, false},
-		"none counts, at first":      {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.First), core(4, "d", both), core(5, "e", both)}, 0, []units.Node{4, 5}, false},
-		"none counts":                {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.First), core(4, "d", both), core(5, "e", membership.Counts)}, 2 * time.Second, []units.Node{4}, true},
-		"none counts, not the first": {"b", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", 0), core(4, "d", both)}, 2 * time.Second, []units.Node{4}, false},
-		"no disk at all, at first":   {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 2 * time.Second, []units.Node{1, 2, 3, 4}, false},
-		"no disk at all":             {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 4 * time.Second, []units.Node{1, 2, 3, 4}, true},
+		"none counts, at first":      {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.First), core(4, "d", both), core(5, "e", both)}, 0, []units.NodeID{4, 5}, false},
+		"none counts":                {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.First), core(4, "d", both), core(5, "e", membership.Counts)}, 2 * time.Second, []units.NodeID{4}, true},
+		"none counts, not the first": {"b", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", 0), core(4, "d", both)}, 2 * time.Second, []units.NodeID{4}, false},
+		"no disk at all, at first":   {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 2 * time.Second, []units.NodeID{1, 2, 3, 4}, false},
+		"no disk at all":             {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 4 * time.Second, []units.NodeID{1, 2, 3, 4}, true},
 	} {
 		s := SeedBootstrap{Addr: x.at, SeedAddrs: abc, Participates: true}
 		s.Proposal(units.Time(time.Second), NewControllerView(x.all))
@@ -58,7 +58,7 @@
 func TestPlannerWalks(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		next := units.Node(10)
+		next := units.NodeID(10)
 		zones := 1 + rng.IntN(4)
 		var live []membership.Member // at one place each
 		for i := range 3 + rng.IntN(6) {
@@ -185,42 +185,42 @@
 // Single situations of a set that follows the disks, where losses of one are borne, and what comes of them.
 func TestPlannerSteps(t *testing.T) {
 	const counts = membership.Counts
-	member := func(n units.Node, zone string, flags uint16, state membership.State) membership.Member {
+	member := func(n units.NodeID, zone string, flags uint16, state membership.State) membership.Member {
 		m := core(n, "a"+n.String(), flags)
 		m.Zone, m.State = zone, state
 		return m
 	}
-	alive := func(n units.Node, zone string) membership.Member { return member(n, zone, counts, membership.Alive) }
-	three := []units.Node{1, 2, 3}
+	alive := func(n units.NodeID, zone string) membership.Member { return member(n, zone, counts, membership.Alive) }
+	three := []units.NodeID{1, 2, 3}
 	abc := []membership.Member{alive(1, "x"), alive(2, "y"), alive(3, "z")}
 	with := func(l ...membership.Member) []membership.Member { return append(slices.Clone(abc), l...) }
 	for name, x := range map[string]struct {
-		members []units.Node
+		members []units.NodeID
 		all     []membership.Member
 		after   time.Duration
-		want    []units.Node
+		want    []units.NodeID
 	}{
 		"all are there":                         {three, abc, time.Minute, nil},
 		"a fourth stands by":                    {three, with(alive(4, "x")), time.Minute, nil},
-		"two more come":                         {three, with(alive(4, "x"), alive(5, "y")), 4 * time.Second, []units.Node{1, 2, 3, 4, 5}},
+		"two more come":                         {three, with(alive(4, "x"), alive(5, "y")), 4 * time.Second, []units.NodeID{1, 2, 3, 4, 5}},
 		"two more came lately":                  {three, with(alive(4, "x"), alive(5, "y")), time.Second, nil},
-		"one counts of the seeds":               {[]units.Node{1}, with(alive(4, "x")), time.Minute, []units.Node{1, 2, 3}},
-		"one leaves, another stands by":         {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive), alive(4, "z")}, 0, []units.Node{1, 2, 4}},
-		"one left, another stands by":           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Left), alive(4, "z")}, 0, []units.Node{1, 2, 4}},
+		"one counts of the seeds":               {[]units.NodeID{1}, with(alive(4, "x")), time.Minute, []units.NodeID{1, 2, 3}},
+		"one leaves, another stands by":         {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
+		"one left, another stands by":           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Left), alive(4, "z")}, 0, []units.NodeID{1, 2, 4}},
 		"one leaves, none stands by":            {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive)}, time.Minute, nil},
 		"one is away for a moment":              {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, time.Second, nil},
-		"one is away":                           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.Node{1, 2, 4}},
-		"a disk is lost":                        {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Inc: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.Node{1, 2, 9}},
-		"two disks of five are lost":            {[]units.Node{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.Node{1, 2, 3, 6, 7}},
-		"one of five is lost, none stands by":   {[]units.Node{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
-		"the same, for long":                    {[]units.Node{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
+		"one is away":                           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.NodeID{1, 2, 4}},
+		"a disk is lost":                        {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Inc: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
+		"two disks of five are lost":            {[]units.NodeID{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.NodeID{1, 2, 3, 6, 7}},
+		"one of five is lost, none stands by":   {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
+		"the same, for long":                    {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
 		"two of three are away":                 {three, []membership.Member{abc[0], member(2, "y", counts, membership.Dead), member(3, "z", counts, membership.Dead), alive(4, "y"), alive(5, "z")}, time.Minute, nil},
-		"two of three leave":                    {three, []membership.Member{abc[0], member(2, "y", counts|membership.Draining, 0), member(3, "z", counts|membership.Draining, 0), alive(4, "y"), alive(5, "z")}, 0, []units.Node{1, 2, 3, 4, 5}},
-		"zones are uneven":                      {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Minute, []units.Node{1, 3, 4}},
+		"two of three leave":                    {three, []membership.Member{abc[0], member(2, "y", counts|membership.Draining, 0), member(3, "z", counts|membership.Draining, 0), alive(4, "y"), alive(5, "z")}, 0, []units.NodeID{1, 2, 3, 4, 5}},
+		"zones are uneven":                      {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Minute, []units.NodeID{1, 3, 4}},
 		"zones are uneven, lately":              {three, []membership.Member{alive(1, "x"), alive(2, "x"), alive(3, "z"), alive(4, "y")}, time.Second, nil},
-		"an even set":                           {[]units.Node{1, 2, 3, 4}, with(alive(4, "x")), time.Minute, three},
-		"an even set of which one is gone":      {[]units.Node{1, 2, 3, 4}, with(member(4, "x", counts, membership.Left)), 0, three},
-		"nobody has a disk, a third is removed": {[]units.Node{1, 2, 3, 4, 5}, []membership.Member{member(1, "x", 0, 0), member(2, "y", 0, 0), member(3, "z", 0, 0), member(4, "x", 0, membership.Left), member(5, "y", 0, membership.Left)}, 0, three},
+		"an even set":                           {[]units.NodeID{1, 2, 3, 4}, with(alive(4, "x")), time.Minute, three},
+		"an even set of which one is gone":      {[]units.NodeID{1, 2, 3, 4}, with(member(4, "x", counts, membership.Left)), 0, three},
+		"nobody has a disk, a third is removed": {[]units.NodeID{1, 2, 3, 4, 5}, []membership.Member{member(1, "x", 0, 0), member(2, "y", 0, 0), member(3, "z", 0, 0), member(4, "x", 0, membership.Left), member(5, "y", 0, membership.Left)}, 0, three},
 	} {
 		p := &Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
 		q := QuorumSet{Version: 7, Members: x.members}
--- a/internal/control/register/quorumset.go
+++ b/internal/control/register/quorumset.go
@@ -12,10 +12,10 @@
 // QuorumSet names the replicas whose disks decide, and numbers each change of them. While Incoming is not empty the set
 // is joint: it is on its way from Members to Incoming, and every decision needs a majority of both.
 type QuorumSet struct {
-	Version  units.Num
+	Version  units.Version
 	SystemID uint64 // told apart by their founders; zero before the first set stands
-	Members  []units.Node
-	Incoming []units.Node
+	Members  []units.NodeID
+	Incoming []units.NodeID
 }
 
 // errBadQuorumSet is a set that no replica of this system ever wrote.
@@ -26,7 +26,7 @@
 type nodeItem struct{ Node uint64 }
 
 // foundingSet gives the first set of a system. Its random disk ids tell the system from any other.
-func foundingSet(members []units.Node) QuorumSet {
+func foundingSet(members []units.NodeID) QuorumSet {
 	names := make([]string, len(members))
 	for i, n := range members {
 		names[i] = n.String()
@@ -35,7 +35,7 @@
 }
 
 // joint gives the set in which both the present and the wanted members decide.
-func (q QuorumSet) joint(incoming []units.Node) QuorumSet {
+func (q QuorumSet) joint(incoming []units.NodeID) QuorumSet {
 	return QuorumSet{Version: q.Version + 1, SystemID: q.SystemID, Members: q.Members, Incoming: incoming}
 }
 
@@ -48,7 +48,7 @@
 func (q QuorumSet) Joint() bool { return len(q.Incoming) > 0 }
 
 // All lists every replica of the set, those that are coming in too.
-func (q QuorumSet) All() []units.Node {
+func (q QuorumSet) All() []units.NodeID {
 	all := slices.Clone(q.Members)
 	for _, n := range q.Incoming {
 		if !slices.Contains(all, n) {
@@ -59,16 +59,16 @@
 }
 
 // Has says whether n decides with others.
-func (q QuorumSet) Has(n units.Node) bool {
+func (q QuorumSet) Has(n units.NodeID) bool {
 	return slices.Contains(q.Members, n) || slices.Contains(q.Incoming, n)
 }
 
 // HasMajority says whether got can decide: it holds a majority of the members and, in a joint set, of the incoming ones.
-func (q QuorumSet) HasMajority(got map[units.Node]bool) bool {
+func (q QuorumSet) HasMajority(got map[units.NodeID]bool) bool {
 	return majority(q.Members, got) && (!q.Joint() || majority(q.Incoming, got))
 }
 
-func majority(members []units.Node, got map[units.Node]bool) bool {
+func majority(members []units.NodeID, got map[units.NodeID]bool) bool {
 	count := 0
 	for _, n := range members {
 		if got[n] {
@@ -91,7 +91,7 @@
 	if err := message.Unpack(b, &head, &members, &incoming); err != nil {
 		return QuorumSet{}, err
 	}
-	q := QuorumSet{Version: units.Num(head.Version), SystemID: head.System}
+	q := QuorumSet{Version: units.Version(head.Version), SystemID: head.System}
 	var err error
 	if q.Members, err = unpackNodes(members); err != nil {
 		return QuorumSet{}, err
@@ -105,7 +105,7 @@
 	return q, nil
 }
 
-func packNodes(nodes []units.Node) []byte {
+func packNodes(nodes []units.NodeID) []byte {
 	items := make([][]byte, len(nodes))
 	for i, n := range nodes {
 		items[i] = message.Pack(nodeItem{uint64(n)})
@@ -113,18 +113,18 @@
 	return message.PackList(items)
 }
 
-func unpackNodes(b []byte) ([]units.Node, error) {
+func unpackNodes(b []byte) ([]units.NodeID, error) {
 	items, err := message.UnpackList(b)
 	if err != nil {
 		return nil, err
 	}
-	var nodes []units.Node
+	var nodes []units.NodeID
 	for _, item := range items {
 		var x nodeItem
 		if err := message.Unpack(item, &x); err != nil {
 			return nil, err
 		}
-		n := units.Node(x.Node)
+		n := units.NodeID(x.Node)
 		if n == 0 || slices.Contains(nodes, n) {
 			return nil, fmt.Errorf("%w: member %v is none or twice in it", errBadQuorumSet, n)
 		}
--- a/internal/control/register/reachability.go
+++ b/internal/control/register/reachability.go
@@ -19,7 +19,7 @@
 type reach struct {
 	born  units.Time
 	sent  units.Time
-	heard map[units.Node]units.Time
+	heard map[units.NodeID]units.Time
 }
 
 // reachStep takes a call or an answer between voters; they bear nothing.
