--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // ChosenValue is a value that a majority has accepted, to be pushed to all nodes.
 type ChosenValue struct {
 	Key     string
-	Version units.Num
+	Version units.Version
 	Data    []byte
 }
 
@@ -25,28 +25,28 @@
 
 // Replica is the step machine of one node: acceptor, owner of keys, and forwarder of requests to other owners.
 type Replica struct {
-	self         units.Node
-	run          units.Node // a fresh name for each start, so that no epoch is ever used twice
+	self         units.NodeID
+	run          units.NodeID // a fresh name for each start, so that no epoch is ever used twice
 	quorum       QuorumSet
 	states       map[string]*State
 	owned        map[string]*ownership
 	requests     map[uint64]*pendingRequest
-	eligible     []units.Node // live controllers that may own keys, from membership
-	leaving      []units.Node // those that are about to end; they own keys where nobody else can
+	eligible     []units.NodeID // live controllers that may own keys, from membership
+	leaving      []units.NodeID // those that are about to end; they own keys where nobody else can
 	highestEpoch uint64
 	tag          uint64
 	vote         []byte
 	found        *founding
 	Chosen       []ChosenValue
 	Results      []Result
-	wanted       []units.Node // the members that the set is to have; none: those it has
+	wanted       []units.NodeID // the members that the set is to have; none: those it has
 	transfer     *transfer
 	reach        reach
 }
 
 // New gives a machine for the disk self; run is a random number of this start.
-func New(self, run units.Node) *Replica {
-	return &Replica{self: self, run: run, states: map[string]*State{KeyQuorum: {}}, owned: map[string]*ownership{}, requests: map[uint64]*pendingRequest{}, reach: reach{heard: map[units.Node]units.Time{}}}
+func New(self, run units.NodeID) *Replica {
+	return &Replica{self: self, run: run, states: map[string]*State{KeyQuorum: {}}, owned: map[string]*ownership{}, requests: map[uint64]*pendingRequest{}, reach: reach{heard: map[units.NodeID]units.Time{}}}
 }
 
 // Quorum returns the newest set of voters that this node has adopted; its version is 0 before the founding.
@@ -54,12 +54,12 @@
 
 // SetEligible takes membership's opinion of who may own keys: the eligible nodes and, where none of those is a member, the
 // leaving ones.
-func (b *Replica) SetEligible(eligible []units.Node, leaving ...units.Node) {
+func (b *Replica) SetEligible(eligible []units.NodeID, leaving ...units.NodeID) {
 	b.eligible, b.leaving = eligible, leaving
 }
 
 // Owner gives the node that should own a key: the same on all nodes with the same view.
-func (b *Replica) Owner(key string) units.Node {
+func (b *Replica) Owner(key string) units.NodeID {
 	if n := b.highest(key, b.eligible); n != 0 {
 		return n
 	}
@@ -67,8 +67,8 @@
 }
 
 // highest picks the member of the quorum set with the highest hash among the nodes given; zero if none is a member.
-func (b *Replica) highest(key string, nodes []units.Node) units.Node {
-	var best units.Node
+func (b *Replica) highest(key string, nodes []units.NodeID) units.NodeID {
+	var best units.NodeID
 	var top uint64
 	for _, n := range nodes {
 		if !b.quorum.Has(n) {
@@ -149,10 +149,10 @@
 	for _, o := range b.sorted() {
 		if b.Owner(o.key) != b.self {
 			if o.by != nil {
-				b.reply(*o.by, codes.Unsure, 0, nil, &out)
+				b.reply(*o.by, resultcode.CommitUnknown, 0, nil, &out)
 			}
 			for _, a := range o.asks {
-				b.reply(a, codes.Unsure, 0, nil, &out)
+				b.reply(a, resultcode.CommitUnknown, 0, nil, &out)
 			}
 			delete(b.owned, o.key)
 			continue
@@ -195,7 +195,7 @@
 }
 
 func (b *Replica) call(now units.Time, n message.Message, h head, key string, body []byte, out *message.Effects) {
-	a := Request{Tag: h.Tag, From: n.From, Key: key, Write: h.Write != opRead, Lookup: h.Write == opLookup, ExpectedVersion: units.Num(h.Num)}
+	a := Request{Tag: h.Tag, From: n.From, Key: key, Write: h.Write != opRead, Lookup: h.Write == opLookup, ExpectedVersion: units.Version(h.Num)}
 	var plan []byte
 	if err := message.Unpack(body, &struct{}{}, &plan, &a.Data); err != nil {
 		out.Fail(err)
@@ -203,12 +203,12 @@
 	}
 	a.RequestID = string(plan)
 	if b.Owner(key) != b.self {
-		b.reply(a, codes.NoMajority, 0, nil, out)
+		b.reply(a, resultcode.NoMajority, 0, nil, out)
 		return
 	}
 	o := b.own(key)
 	if len(o.asks) >= 256 {
-		b.reply(a, codes.NoMajority, 0, nil, out)
+		b.reply(a, resultcode.NoMajority, 0, nil, out)
 		return
 	}
 	o.asks = append(o.asks, a)
@@ -217,6 +217,6 @@
 	}
 }
 
-func (b *Replica) reply(a Request, c codes.Code, num units.Num, data []byte, out *message.Effects) {
+func (b *Replica) reply(a Request, c resultcode.Code, num units.Version, data []byte, out *message.Effects) {
 	out.Send(a.From, Reply, b.pack(head{Tag: a.Tag, Code: uint16(c), Num: uint64(num)}, a.Key, data))
 }
--- a/internal/control/register/request.go
+++ b/internal/control/register/request.go
@@ -4,14 +4,14 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // wish is an Ask on its way to an owner.
 type pendingRequest struct {
 	Request
-	to units.Node
+	to units.NodeID
 	at units.Time
 }
 
@@ -23,11 +23,11 @@
 const AnswerTimeout = 900 * time.Millisecond
 
 // TimeoutCode is what a request is answered with when its time is up: a read has no effect, a write may still have one.
-func (a Request) TimeoutCode() codes.Code {
+func (a Request) TimeoutCode() resultcode.Code {
 	if a.Write {
-		return codes.Unsure
+		return resultcode.CommitUnknown
 	}
-	return codes.NoMajority
+	return resultcode.NoMajority
 }
 
 // Submit forwards a request to the owner that this node sees for its key. The Result is appended to Results; without a
@@ -36,7 +36,7 @@
 	a.From = b.self
 	to := b.Owner(a.Key)
 	if b.quorum.Version == 0 || to == 0 {
-		b.result(now, Result{Tag: a.Tag, Code: codes.NoMajority}, &out)
+		b.result(now, Result{Tag: a.Tag, Code: resultcode.NoMajority}, &out)
 		return out
 	}
 	w := &pendingRequest{Request: a, to: to, at: now}
@@ -74,17 +74,17 @@
 
 // answered takes an owner's answer to a request that is pending here. One on another key was meant for an earlier run of
 // this node, which used the same tag.
-func (b *Replica) answered(now units.Time, h head, key string, version units.Num, body []byte, out *message.Effects) {
+func (b *Replica) answered(now units.Time, h head, key string, version units.Version, body []byte, out *message.Effects) {
 	w := b.requests[h.Tag]
 	if w == nil || w.Key != key {
 		return
 	}
-	code := codes.Code(h.Code)
-	if (code == codes.Unsure || code == codes.NoMajority) && b.again(h.Tag) {
+	code := resultcode.Code(h.Code)
+	if (code == resultcode.CommitUnknown || code == resultcode.NoMajority) && b.again(h.Tag) {
 		return
 	}
 	delete(b.requests, h.Tag)
-	b.replied(now, version, Result{Tag: h.Tag, Code: code, Version: units.Num(h.Num), Data: body}, out)
+	b.replied(now, version, Result{Tag: h.Tag, Code: code, Version: units.Version(h.Num), Data: body}, out)
 }
 
 // again says whether a wish that met an owner no longer one, or not yet one, will be sent once more: then its
--- a/internal/control/register/seeds.go
+++ b/internal/control/register/seeds.go
@@ -16,12 +16,12 @@
 	Addr         string   // this node's own
 	SeedAddrs    []string // those of the very first start
 	Participates bool     // this node takes part: by its boot file, or by what its disk bears
-	view         []units.Node
+	view         []units.NodeID
 	since        units.Time
 }
 
 // Proposal gives the set that this node sees, nothing while it sees none, and whether this node is to propose it.
-func (s *SeedBootstrap) Proposal(now units.Time, l ControllerView) (ids []units.Node, lead bool) {
+func (s *SeedBootstrap) Proposal(now units.Time, l ControllerView) (ids []units.NodeID, lead bool) {
 	if !s.Participates || l.FleetExists || len(s.SeedAddrs) == 0 {
 		return nil, false
 	}
@@ -59,7 +59,7 @@
 }
 
 // at gives the controller that lives at an address.
-func (l ControllerView) at(addr string) units.Node {
+func (l ControllerView) at(addr string) units.NodeID {
 	for _, m := range l.Controllers {
 		if m.Addr == addr {
 			return m.Node
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -2,7 +2,7 @@
 
 import (
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -10,7 +10,7 @@
 // under an epoch that this owner has not met, the number that it builds on, or the request itself. Then a majority confirms
 // the epoch first. The other refusals need no such round: the number that the request would have got was chosen for another.
 // Nor does an OK out of the table: what stands in the table of a chosen value was chosen with it (design 2).
-func (a *Request) doubtful(newest units.Num, outcomes Outcomes) bool {
+func (a *Request) doubtful(newest units.Version, outcomes Outcomes) bool {
 	if a.sure || a.ExpectedVersion == AnyVersion || !a.Lookup && a.ExpectedVersion <= newest {
 		return false
 	}
@@ -19,9 +19,9 @@
 }
 
 // settled answers a write that is not to be made: it was made before, or can't be made any more.
-func (a *Request) settled(newest units.Num, outcomes Outcomes) (codes.Code, units.Num, bool) {
+func (a *Request) settled(newest units.Version, outcomes Outcomes) (resultcode.Code, units.Version, bool) {
 	if num, known := outcomes.find(fingerprintOf(a.RequestID), newest); known {
-		return codes.OK, num, true
+		return resultcode.OK, num, true
 	}
 	if a.Lookup || a.ExpectedVersion != AnyVersion && a.ExpectedVersion != newest {
 		return outcomes.absent(a.ExpectedVersion+1, newest), newest, true
@@ -32,7 +32,7 @@
 // confirm asks a majority whether the owner's epoch still stands.
 func (b *Replica) confirm(now units.Time, o *ownership, out *message.Effects) {
 	b.tag++
-	o.phase, o.tag, o.got, o.sent = confirming, b.tag, map[units.Node]bool{}, now
+	o.phase, o.tag, o.got, o.sent = confirming, b.tag, map[units.NodeID]bool{}, now
 	b.spread(o, Confirm, head{Tag: o.tag}, nil, out)
 }
 
--- a/internal/control/register/stale_disk_test.go
+++ b/internal/control/register/stale_disk_test.go
@@ -6,24 +6,24 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // A trio is three members whose messages arrive at once, and whose disks keep what they sync.
 type trio struct {
 	now      units.Time
-	replicas map[units.Node]*Replica
-	disks    map[units.Node]map[string]message.Record
-	cut      map[units.Node]bool
+	replicas map[units.NodeID]*Replica
+	disks    map[units.NodeID]map[string]message.Record
+	cut      map[units.NodeID]bool
 	sent     []message.Message
 	tag      uint64
 }
 
 func newTrio() *trio {
-	g := &trio{now: units.Time(time.Second), replicas: map[units.Node]*Replica{}, disks: map[units.Node]map[string]message.Record{}, cut: map[units.Node]bool{}}
-	set := QuorumSet{Version: 1, Members: []units.Node{1, 2, 3}}
-	for id := units.Node(1); id <= 3; id++ {
+	g := &trio{now: units.Time(time.Second), replicas: map[units.NodeID]*Replica{}, disks: map[units.NodeID]map[string]message.Record{}, cut: map[units.NodeID]bool{}}
+	set := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
+	for id := units.NodeID(1); id <= 3; id++ {
 		g.disks[id] = map[string]message.Record{"set": {Kind: RecordQuorum, Data: set.Pack()}}
 		g.restart(id, 100+id)
 	}
@@ -31,7 +31,7 @@
 }
 
 // restart begins anew from what the disk holds; run names the start.
-func (g *trio) restart(id, run units.Node) {
+func (g *trio) restart(id, run units.NodeID) {
 	r := New(id, run)
 	var records []message.Record
 	for _, key := range message.Keys(g.disks[id]) {
@@ -43,7 +43,7 @@
 	g.replicas[id] = r
 }
 
-func (g *trio) deliver(from units.Node, out message.Effects) {
+func (g *trio) deliver(from units.NodeID, out message.Effects) {
 	for _, w := range out.Writes {
 		g.disks[from][fmt.Sprint(w.Kind, w.Key)] = w
 	}
@@ -57,13 +57,13 @@
 }
 
 // believe has everyone take one node for the only one that may own keys.
-func (g *trio) believe(owner units.Node) {
+func (g *trio) believe(owner units.NodeID) {
 	for _, r := range g.replicas {
-		r.SetEligible([]units.Node{owner})
+		r.SetEligible([]units.NodeID{owner})
 	}
 }
 
-func (g *trio) ticks(id units.Node, rounds int) {
+func (g *trio) ticks(id units.NodeID, rounds int) {
 	for range rounds {
 		g.now = g.now.Add(400 * time.Millisecond)
 		g.deliver(id, g.replicas[id].Tick(g.now))
@@ -71,7 +71,7 @@
 }
 
 // ask gives the result of a call, if one comes.
-func (g *trio) ask(at units.Node, a Request) (Result, bool) {
+func (g *trio) ask(at units.NodeID, a Request) (Result, bool) {
 	g.tag++
 	a.Tag, a.Key = g.tag, "config"
 	g.deliver(at, g.replicas[at].Submit(g.now, a))
@@ -86,10 +86,10 @@
 	return Result{}, false
 }
 
-func (g *trio) write(t *testing.T, at units.Node, n int) {
+func (g *trio) write(t *testing.T, at units.NodeID, n int) {
 	t.Helper()
-	r, ok := g.ask(at, Request{Write: true, ExpectedVersion: units.Num(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
-	if !ok || r.Code != codes.OK || r.Version != units.Num(n) {
+	r, ok := g.ask(at, Request{Write: true, ExpectedVersion: units.Version(n - 1), RequestID: fmt.Sprint("plan", n), Data: fmt.Append(nil, "value ", n)})
+	if !ok || r.Code != resultcode.OK || r.Version != units.Version(n) {
 		t.Fatalf("change %d: %+v", n, r)
 	}
 }
@@ -142,17 +142,17 @@
 		Request
 		want Result
 	}{
-		{Request{}, Result{Code: codes.OK, Version: 1000, Data: []byte("value 1000")}},
-		{Request{Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, Result{Code: codes.Conflict, Version: 1000}},
-		{Request{Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: codes.OK, Version: 1001}},
+		{Request{}, Result{Code: resultcode.OK, Version: 1000, Data: []byte("value 1000")}},
+		{Request{Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, Result{Code: resultcode.VersionConflict, Version: 1000}},
+		{Request{Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}, Result{Code: resultcode.OK, Version: 1001}},
 	} {
 		g := stale(t)
-		g.cut = map[units.Node]bool{3: true}
+		g.cut = map[units.NodeID]bool{3: true}
 		r, ok := g.ask(1, a.Request)
 		if !ok || r.Code != a.want.Code || r.Version != a.want.Version || string(r.Data) != string(a.want.Data) {
 			t.Errorf("%+v is answered %+v", a.Request, r)
 		}
-		promised := map[units.Node]bool{}
+		promised := map[units.NodeID]bool{}
 		for _, n := range g.sent {
 			switch n.Kind {
 			case Promise:
@@ -169,7 +169,7 @@
 // Two starts from one disk never use one epoch.
 func TestRestartsShareNoEpoch(t *testing.T) {
 	epochs := map[string]bool{}
-	for run := units.Node(201); run < 211; run++ {
+	for run := units.NodeID(201); run < 211; run++ {
 		g := newTrio()
 		g.believe(1)
 		g.write(t, 1, 1)
@@ -205,7 +205,7 @@
 	g.write(t, 1, 1)
 	g.cut[3] = true
 	g.write(t, 1, 2)
-	g.replicas[3].state("config").Promised = units.Epoch{N: 1 << 20, By: 9}
+	g.replicas[3].state("config").Promised = units.Epoch{Number: 1 << 20, Node: 9}
 	g.cut[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
@@ -224,7 +224,7 @@
 	g.believe(2)
 	g.write(t, 2, 2)
 	g.believe(1)
-	g.replicas[3].state("config").Promised = units.Epoch{N: 1 << 20, By: 9}
+	g.replicas[3].state("config").Promised = units.Epoch{Number: 1 << 20, Node: 9}
 	g.cut[3] = false
 	g.deliver(1, g.replicas[1].Resend(3, "config"))
 	g.ticks(1, 2)
--- a/internal/hollow/core.go
+++ b/internal/hollow/core.go
@@ -38,11 +38,11 @@
 
 func newCore(n *node) *core {
 	w := n.w
-	c := &core{n: n, replica: register.New(n.self, units.Node(w.rng.Uint64())), roll: idempotency.LoadRegistry(n.self, w.Now, nil), sky: discovery.New(),
+	c := &core{n: n, replica: register.New(n.self, units.NodeID(w.rng.Uint64())), roll: idempotency.LoadRegistry(n.self, w.Now, nil), sky: discovery.New(),
 		turn: map[string]*discovery.Schedule{}, planner: register.Planner{FixedSize: Founders, ReplaceAfter: register.ReplaceFixedAfter}}
-	c.duty = lease.New(n.self, "platform", func() []units.Node { return c.replica.Quorum().Members }, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
+	c.duty = lease.New(n.self, "platform", func() []units.NodeID { return c.replica.Quorum().Members }, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
 	c.iso = antientropy.New(n.self, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
-	n.bull.Stored = func() map[string]units.Num { return c.replica.KnownVersions() }
+	n.bull.Stored = func() map[string]units.Version { return c.replica.KnownVersions() }
 	return c
 }
 
@@ -61,7 +61,7 @@
 	return out
 }
 
-func (c *core) gone(now units.Time, l []units.Node) {
+func (c *core) gone(now units.Time, l []units.NodeID) {
 	for _, n := range l {
 		c.duty.HolderStopped(now, n)
 	}
@@ -135,7 +135,7 @@
 }
 
 func (c *core) spread(now units.Time, it configpush.Item, out *message.Effects) {
-	var to []units.Node
+	var to []units.NodeID
 	for _, m := range c.n.membership.All() {
 		if m.State <= membership.Suspect && m.Node != c.n.self {
 			to = append(to, m.Node)
--- a/internal/hollow/frames.go
+++ b/internal/hollow/frames.go
@@ -53,7 +53,7 @@
 		if i == 100 { // the wire stands
 			from = cpu()
 		}
-		a.Send(message.Message{To: units.Node(2), Kind: message.KindMembership, Body: body})
+		a.Send(message.Message{To: units.NodeID(2), Kind: message.KindMembership, Body: body})
 		select {
 		case <-wake:
 		case <-time.After(5 * time.Second):
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 func measured(t *testing.T, name string, s Shape) Result {
@@ -47,7 +47,7 @@
 		t.Run(e.Name, func(t *testing.T) {
 			r := measured(t, e.Name, s)
 			router, member := row(t, r, "router", "all"), row(t, r, "router", "membership")
-			if e.Name != "region" && e.Name != "heal" && r.Changes[codes.OK] == 0 {
+			if e.Name != "region" && e.Name != "heal" && r.Changes[resultcode.OK] == 0 {
 				t.Errorf("changes %v", r.Changes)
 			}
 			if router.Core <= 0 || router.HeapKB <= 0 || r.Ready <= 0 {
@@ -62,18 +62,18 @@
 			case "serve": // 1700/400 requests a second ask, are granted and give back; many of them at the node itself
 				permits := row(t, r, "router", "permits")
 				near(t, "notes of permits", permits.Notes, 4.25, 200)
-				if n := r.Verdicts[codes.OK]; n < 2000 || len(r.Verdicts) != 1 {
+				if n := r.Verdicts[resultcode.OK]; n < 2000 || len(r.Verdicts) != 1 {
 					t.Errorf("verdicts %v", r.Verdicts)
 				}
 			case "claim":
-				if n := r.Claimed[codes.OK]; n < 300 || len(r.Claimed) != 1 {
+				if n := r.Claimed[resultcode.OK]; n < 300 || len(r.Claimed) != 1 {
 					t.Errorf("claims %v", r.Claimed)
 				}
 				if b := row(t, r, "controller", "all"); b.Writes == 0 || b.Disk == 0 {
 					t.Errorf("nothing written: %+v", b)
 				}
 			case "config":
-				if r.Changes[codes.OK] != 6 || r.Force <= 0 {
+				if r.Changes[resultcode.OK] != 6 || r.Force <= 0 {
 					t.Errorf("changes %v, in force after %v", r.Changes, r.Force)
 				}
 				near(t, "bytes of news taken", row(t, r, "router", "news").In, float64(len(Config(s.Models, s.Tenants, "")))/2, 1e5)
--- a/internal/hollow/load.go
+++ b/internal/hollow/load.go
@@ -7,8 +7,8 @@
 
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/units"
@@ -31,19 +31,19 @@
 	traffic   bool
 	claims    bool
 	Polls     int
-	Done      map[codes.Code]int // operators' changes by their outcome
-	Verdicts  map[codes.Code]int
-	Claimed   map[codes.Code]int
-	asked     map[units.Num]units.Time
-	taken     map[units.Num]int
+	Done      map[resultcode.Code]int // operators' changes by their outcome
+	Verdicts  map[resultcode.Code]int
+	Claimed   map[resultcode.Code]int
+	asked     map[units.Version]units.Time
+	taken     map[units.Version]int
 	Force     time.Duration // the longest from an operator's change to its being in force on the last router
 	changes   int
 	serial    int
 }
 
 func newLoad(s Shape) *load {
-	l := &load{pool: map[string][]int{}, Done: map[codes.Code]int{}, Verdicts: map[codes.Code]int{}, Claimed: map[codes.Code]int{},
-		asked: map[units.Num]units.Time{}, taken: map[units.Num]int{}}
+	l := &load{pool: map[string][]int{}, Done: map[resultcode.Code]int{}, Verdicts: map[resultcode.Code]int{}, Claimed: map[resultcode.Code]int{},
+		asked: map[units.Version]units.Time{}, taken: map[units.Version]int{}}
 	for i := range s.Models {
 		l.poolNames = append(l.poolNames, fmt.Sprintf("pool%02d", i))
 	}
@@ -86,7 +86,7 @@
 // Change has the first voter's operator write a new configuration.
 func (w *World) Change() {
 	w.changes++
-	w.asked[units.Num(w.changes)] = w.Now
+	w.asked[units.Version(w.changes)] = w.Now
 	for _, n := range w.nodes {
 		if n.role == membership.Controller {
 			n.prog.(*core).change(Config(w.Models, w.Tenants, fmt.Sprintf("change %d", w.changes)))
@@ -96,7 +96,7 @@
 }
 
 // inForce is told that one more router has a configuration in force.
-func (w *World) inForce(num units.Num, now units.Time) {
+func (w *World) inForce(num units.Version, now units.Time) {
 	if w.taken[num]++; w.taken[num] == w.Routers {
 		w.Force = max(w.Force, now.Sub(w.asked[num]))
 	}
@@ -127,7 +127,7 @@
 	cands, keepers := v.cands(now, s, units.Mix("prefix", fmt.Sprint(w.rng.IntN(prefixes))))
 	v.tag++
 	out := v.queue.Submit(now, admission.Request{Tag: v.tag, Policy: s.Allow, Candidates: cands, MaxCandidates: s.Spread + 4, Deadline: now.Add(deadline), FirstTokenTime: s.First,
-		Coordinator: func(n string) units.Node { return keepers[n] }})
+		Coordinator: func(n string) units.NodeID { return keepers[n] }})
 	v.tell()
 	return out
 }
@@ -144,7 +144,7 @@
 	w, life := v.n.w, v.n.life
 	for _, x := range v.queue.Decisions {
 		w.Verdicts[x.Code]++
-		if x.Code != codes.OK {
+		if x.Code != resultcode.OK {
 			continue
 		}
 		run := min(time.Duration(w.rng.ExpFloat64()*float64(meanRun)), deadline-time.Second)
--- a/internal/hollow/measure.go
+++ b/internal/hollow/measure.go
@@ -10,7 +10,7 @@
 
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // Experiment is one thing that a site does while it is measured.
@@ -79,9 +79,9 @@
 	Rows     []Row
 	Ready    time.Duration // until all served and all knew all
 	Force    time.Duration // the longest until a change was in force everywhere
-	Changes  map[codes.Code]int
-	Verdicts map[codes.Code]int
-	Claimed  map[codes.Code]int
+	Changes  map[resultcode.Code]int
+	Verdicts map[resultcode.Code]int
+	Claimed  map[resultcode.Code]int
 	Polls    int
 	Real     time.Duration // processor time of the measured span
 }
--- a/internal/hollow/net.go
+++ b/internal/hollow/net.go
@@ -26,7 +26,7 @@
 type program interface {
 	step(now units.Time, n message.Message) message.Effects
 	beat(now units.Time, all []membership.Member) message.Effects
-	gone(now units.Time, l []units.Node)
+	gone(now units.Time, l []units.NodeID)
 	calm(now units.Time) bool // it serves, or votes, or stands by
 }
 
@@ -46,7 +46,7 @@
 	Now    units.Time
 	rng    *rand.Rand
 	nodes  []*node
-	byID   map[units.Node]*node
+	byID   map[units.NodeID]*node
 	byAddr map[string]*node
 	slots  map[int64][]event
 	counts map[partKey]*count
--- a/internal/hollow/node.go
+++ b/internal/hollow/node.go
@@ -25,7 +25,7 @@
 // node is one hollow process: what package node holds, and a program.
 type node struct {
 	w          *World
-	self       units.Node
+	self       units.NodeID
 	addr       string
 	zone       string
 	region     string
@@ -70,7 +70,7 @@
 	n.life++
 	n.up = true
 	if n.self == 0 || n.role == membership.Router { // a controller is known by its disk
-		n.self = units.Node(w.rng.Uint64() | 1)
+		n.self = units.NodeID(w.rng.Uint64() | 1)
 	}
 	w.byID[n.self] = n
 	web := n.addr[:len(n.addr)-2] + "80"
--- a/internal/hollow/vane.go
+++ b/internal/hollow/vane.go
@@ -60,7 +60,7 @@
 	return out
 }
 
-func (v *router) gone(now units.Time, l []units.Node) {
+func (v *router) gone(now units.Time, l []units.NodeID) {
 	for _, n := range l {
 		v.ledger.ProcessEnded(now, n)
 		v.watch.ProcessEnded(now, n)
@@ -80,7 +80,7 @@
 	if v.config != nil {
 		longest = max(time.Second, v.config.Longest(true))
 	}
-	var peers []units.Node
+	var peers []units.NodeID
 	for _, m := range v.n.membership.All() {
 		if m.Role == membership.Router && m.State <= membership.Suspect && m.Node != v.n.self {
 			peers = append(peers, m.Node)
@@ -147,9 +147,9 @@
 }
 
 // cands is the daemon's own search for a prompt's workers and their keepers.
-func (v *router) cands(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.Node) {
+func (v *router) cands(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
 	q := placement.Query{Prefix: prefix, Zone: v.n.zone, PreferredCount: s.Spread}
-	keepers := map[string]units.Node{}
+	keepers := map[string]units.NodeID{}
 	for _, x := range v.pools[s.Pool] {
 		name := s.Name + "/" + x.ID
 		if x.Leaving || v.out[x.Zone] || x.Service != "" && x.Service != s.Name {
--- a/internal/hollow/world.go
+++ b/internal/hollow/world.go
@@ -21,7 +21,7 @@
 
 // NewWorld founds the control state among its voters and writes the first configuration; no router runs yet.
 func NewWorld(s Shape) (*World, error) {
-	w := &World{Shape: s, rng: rand.New(rand.NewPCG(s.Seed, 17)), byID: map[units.Node]*node{}, byAddr: map[string]*node{}, slots: map[int64][]event{},
+	w := &World{Shape: s, rng: rand.New(rand.NewPCG(s.Seed, 17)), byID: map[units.NodeID]*node{}, byAddr: map[string]*node{}, slots: map[int64][]event{},
 		counts: map[partKey]*count{}, load: newLoad(s)}
 	for i := range Founders {
 		w.add(i*3, membership.Controller) // zones of all regions
--- a/internal/logbook/logbook.go
+++ b/internal/logring/logbook.go
@@ -1,6 +1,6 @@
-// Package logbook writes warnings out as they come, up to a bounded rate, and keeps the last other lines in memory until
+// Package logring writes warnings out as they come, up to a bounded rate, and keeps the last other lines in memory until
 // something goes wrong (design 1).
-package logbook
+package logring
 
 import (
 	"fmt"
@@ -20,8 +20,8 @@
 // dumpGap is how long after one dump the next error waits in memory.
 const dumpGap = 5 * time.Second
 
-// Book is a ring of lines; it is a handler for apex/log.
-type Book struct {
+// Ring is a ring of lines; it is a handler for apex/log.
+type Ring struct {
 	mu   sync.Mutex
 	ring []string
 	at   int
@@ -33,10 +33,10 @@
 }
 
 // New gives a ring of n lines that dumps to out.
-func New(n int, out io.Writer) *Book { return &Book{ring: make([]string, n), out: out} }
+func New(n int, out io.Writer) *Ring { return &Ring{ring: make([]string, n), out: out} }
 
 // HandleLog writes a warning out or takes a line into the ring; an error or worse dumps the ring, at most once in dumpGap.
-func (b *Book) HandleLog(e *log.Entry) error {
+func (b *Ring) HandleLog(e *log.Entry) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	line := fmt.Sprintf("%s %-5s %s %v", e.Timestamp.UTC().Format("15:04:05.000"), e.Level, e.Message, e.Fields)
@@ -55,7 +55,7 @@
 
 // mayWrite says whether one more warning may be written out in this span, and counts it. A time of day that jumps back
 // only makes a span longer or shorter.
-func (b *Book) mayWrite(now time.Time) bool {
+func (b *Ring) mayWrite(now time.Time) bool {
 	if age := now.Sub(b.spanBegan); age < 0 || age > warningsSpan {
 		b.spanBegan, b.written = now, 0
 	}
@@ -64,13 +64,13 @@
 }
 
 // Dump writes the ring out and empties it.
-func (b *Book) Dump() {
+func (b *Ring) Dump() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dump()
 }
 
-func (b *Book) dump() {
+func (b *Ring) dump() {
 	for i := range b.ring {
 		if l := b.ring[(b.at+i)%len(b.ring)]; l != "" {
 			fmt.Fprintln(b.out, l)
--- a/internal/logbook/logbook_test.go
+++ b/internal/logring/logbook_test.go
@@ -1,4 +1,4 @@
-package logbook
+package logring
 
 import (
 	"fmt"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,7 +19,7 @@
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/cluster/transport"
-	"seamshunt/internal/logbook"
+	"seamshunt/internal/logring"
 	"seamshunt/internal/tasks"
 	"seamshunt/internal/units"
 )
@@ -28,10 +28,10 @@
 // idempotency claimant, disk queue, wires.
 type Base struct {
 	Boot      *boot.Boot
-	Self      units.Node
+	Self      units.NodeID
 	Tasks     *tasks.Group
 	Transport *transport.Transport
-	LogRing   *logbook.Book
+	LogRing   *logring.Ring
 	Log       *log.Logger
 
 	GossipMu sync.Mutex
@@ -41,7 +41,7 @@
 
 	MessageHandlers map[message.Kind]func(units.Time, message.Message) // by range of kinds, for the program's own machines
 	OnResume        func(units.Time)                                   // after a freeze
-	OnPeersEnded    func(units.Time, []units.Node)                     // processes found to have ended
+	OnPeersEnded    func(units.Time, []units.NodeID)                   // processes found to have ended
 	OnChange        func()                                             // news came, or membership changed
 	PersistEffects  func(message.Effects)                              // disk work; nil on a router
 	DroppedMessages atomic.Uint64
@@ -55,15 +55,15 @@
 }
 
 // RandomID gives a fresh id.
-func RandomID() units.Node {
+func RandomID() units.NodeID {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
-	return units.Node(binary.LittleEndian.Uint64(b[:]) | 1)
+	return units.NodeID(binary.LittleEndian.Uint64(b[:]) | 1)
 }
 
 // New builds the tables; Start brings them to life.
-func New(b *boot.Boot, self units.Node, role membership.Role) *Base {
-	t := &Base{Boot: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logbook.New(512, os.Stderr),
+func New(b *boot.Boot, self units.NodeID, role membership.Role) *Base {
+	t := &Base{Boot: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
 	me := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, Web: b.Web, Zone: b.Zone}
--- a/internal/rig/simulator/catchup_cost_test.go
+++ b/internal/rig/simulator/catchup_cost_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -33,9 +33,9 @@
 func (w *World) store(t *testing.T, key, data string) {
 	t.Helper()
 	for range 5 {
-		var code codes.Code
+		var code resultcode.Code
 		w.change(key, data, func(o *Op) { code = o.Code })
-		if w.until(6*time.Second, func() bool { return code != 0 }); code == codes.OK {
+		if w.until(6*time.Second, func() bool { return code != 0 }); code == resultcode.OK {
 			return
 		}
 	}
--- a/internal/rig/simulator/catchup_test.go
+++ b/internal/rig/simulator/catchup_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -104,7 +104,7 @@
 	}
 	if !r.paused {
 		r.change(key, r.text(), func(o *Op) {
-			if o.Code == codes.OK {
+			if o.Code == resultcode.OK {
 				r.acked++
 			}
 		})
--- a/internal/rig/simulator/core.go
+++ b/internal/rig/simulator/core.go
@@ -22,12 +22,12 @@
 	feed   *configpush.Feed
 }
 
-func (s *Sim) common(h *Host, self units.Node, role membership.Role, seeds []string) common {
+func (s *Sim) common(h *Host, self units.NodeID, role membership.Role, seeds []string) common {
 	me := membership.Member{Node: self, Inc: uint64(s.Now) + 1, Role: role, Addr: h.Addr, Zone: h.Zone}
 	return common{membership.New(me, seeds, rand.New(rand.NewPCG(s.Rng.Uint64(), 3))), configpush.New(self)}
 }
 
-func (c *common) beat(now units.Time, self units.Node) ([]membership.Member, message.Effects) {
+func (c *common) beat(now units.Time, self units.NodeID) ([]membership.Member, message.Effects) {
 	c.gossip.News = c.feed.Sum
 	out := c.gossip.Tick(now)
 	all := c.gossip.All()
@@ -60,7 +60,7 @@
 	return s.Add(addr, zone, NewDisk(), func(h *Host) *Proc {
 		h.Grow = grow
 		if g := h.Grow; h.Disk.ID == 0 {
-			h.Disk.ID = units.Node(s.Rng.Uint64() | 1)
+			h.Disk.ID = units.NodeID(s.Rng.Uint64() | 1)
 			if g != nil && g.First && g.Counts {
 				h.Disk.Born = slices.Clone(g.Seeds)
 			}
@@ -90,7 +90,7 @@
 				c.Syncer.CatchUp()
 			}}
 		c.Reload = func() {
-			c.Replica = register.New(self, units.Node(s.Rng.Uint64()))
+			c.Replica = register.New(self, units.NodeID(s.Rng.Uint64()))
 			if err := c.Replica.Load(h.Disk.Records()); err != nil {
 				panic(err)
 			}
@@ -101,9 +101,9 @@
 		}
 		h.Disk.open()
 		c.Reload()
-		c.Lease = lease.New(self, "platform", func() []units.Node { return c.Replica.Quorum().Members }, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
+		c.Lease = lease.New(self, "platform", func() []units.NodeID { return c.Replica.Quorum().Members }, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
 		c.Syncer = antientropy.New(self, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 6)))
-		c.feed.Stored = func() map[string]units.Num { return c.Replica.KnownVersions() }
+		c.feed.Stored = func() map[string]units.Version { return c.Replica.KnownVersions() }
 		cores[h] = c
 		return c.Proc
 	})
@@ -191,7 +191,7 @@
 }
 
 func (c *Core) spread(now units.Time, it configpush.Item, out *message.Effects) {
-	var to []units.Node
+	var to []units.NodeID
 	for _, m := range c.gossip.All() {
 		if m.State <= membership.Suspect && m.Node != c.Self {
 			to = append(to, m.Node)
--- a/internal/rig/simulator/cut_off_controller_test.go
+++ b/internal/rig/simulator/cut_off_controller_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -42,7 +42,7 @@
 	if r.cut.Proc == nil {
 		return
 	}
-	var heard units.Num
+	var heard units.Version
 	if it := c.feed.Items["config"]; it != nil {
 		heard = it.Num
 	}
@@ -50,7 +50,7 @@
 	a := register.Request{Key: "config"}
 	if r.Rng.IntN(3) > 0 {
 		a = register.Request{Key: "config", Write: true, RequestID: fmt.Sprint("cut", r.serial), Data: []byte(configText(r.serial)),
-			ExpectedVersion: heard + units.Num(r.Rng.IntN(2))}
+			ExpectedVersion: heard + units.Version(r.Rng.IntN(2))}
 	}
 	sent, life := r.Now, r.cut.life
 	r.order(c, a, func(x register.Result) {
@@ -59,9 +59,9 @@
 			return
 		case r.Now.Sub(sent) > time.Second:
 			r.fault("the cut controller answered after %v", r.Now.Sub(sent))
-		case x.Code == codes.OK && !r.passes && r.Now < until:
+		case x.Code == resultcode.OK && !r.passes && r.Now < until:
 			r.fault("the cut controller acknowledged %+v with %+v", a, x)
-		case x.Code != codes.OK && x.Code != codes.Unsure && x.Code != codes.NoMajority && !r.passes && r.Now < until:
+		case x.Code != resultcode.OK && x.Code != resultcode.CommitUnknown && x.Code != resultcode.NoMajority && !r.passes && r.Now < until:
 			r.fault("the cut controller refused %+v with %+v", a, x)
 		}
 		r.calls[fmt.Sprint("cut off: ", x.Code)]++
@@ -77,7 +77,7 @@
 	data, began := []byte(configText(r.serial)), r.Now
 	id := fmt.Sprint("others", r.serial)
 	at := r.Rng.IntN(len(r.coreH))
-	var base units.Num
+	var base units.Version
 	for _, a := range r.acked {
 		base = max(base, a.num)
 	}
@@ -93,12 +93,12 @@
 			took := r.Now.Sub(began)
 			r.longAt = max(r.longAt, took)
 			switch x.Code {
-			case codes.OK:
+			case resultcode.OK:
 				if took > ackLimit {
 					r.fault("an order at the others was acknowledged after %v", took)
 				}
 				r.After(200*time.Millisecond, func() { r.atOthers(until) })
-			case codes.Conflict: // another's change came first: a new order on it
+			case resultcode.VersionConflict: // another's change came first: a new order on it
 				base, began = x.Version, r.Now
 				r.serial++
 				id = fmt.Sprint("others", r.serial)
@@ -156,7 +156,7 @@
 	r.Run(end)
 	back, ok := r.until(touchLimit, func() bool {
 		done := false
-		r.order(r.cores[r.cut], register.Request{Key: "config"}, func(x register.Result) { done = x.Code == codes.OK })
+		r.order(r.cores[r.cut], register.Request{Key: "config"}, func(x register.Result) { done = x.Code == resultcode.OK })
 		r.Run(r.Now.Add(callPause))
 		return done
 	})
--- a/internal/rig/simulator/cut_off_kinds_test.go
+++ b/internal/rig/simulator/cut_off_kinds_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -77,7 +77,7 @@
 // a controller that knows that it does not reach one. It mirrors controller.Submit.
 func (w *World) order(c *Core, a register.Request, answered func(register.Result)) {
 	if !c.Replica.ReachesMajority(w.Now) {
-		answered(register.Result{Code: codes.NoMajority})
+		answered(register.Result{Code: resultcode.NoMajority})
 		return
 	}
 	open := true
@@ -97,7 +97,7 @@
 		if !a.Write {
 			o.Data = string(r.Data)
 		}
-		if open && a.Write && r.Code == codes.OK {
+		if open && a.Write && r.Code == resultcode.OK {
 			w.acked = append(w.acked, ackedConfig{r.Version, w.Now, string(a.Data)})
 		}
 		answer(r)
--- a/internal/rig/simulator/disk.go
+++ b/internal/rig/simulator/disk.go
@@ -11,8 +11,8 @@
 
 // Disk keeps synced records, and in its page cache those that were written and not synced; it can be slow, stalled, full or lost.
 type Disk struct {
-	ID      units.Node // zero while blank
-	Born    []string   // the seeds of the very first start, on a disk that was blank then
+	ID      units.NodeID // zero while blank
+	Born    []string     // the seeds of the very first start, on a disk that was blank then
 	Delay   time.Duration
 	Stalled bool
 	Full    bool // lives from the reserve
--- a/internal/rig/simulator/edge.go
+++ b/internal/rig/simulator/edge.go
@@ -9,9 +9,9 @@
 	"seamshunt/internal/cluster/discovery"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/router/idempotency"
@@ -25,7 +25,7 @@
 	*Proc
 	H        *Host
 	Config   *config.Config
-	Num      units.Num
+	Num      units.Version
 	Ready    bool
 	Pools    map[string][]config.Worker
 	Out      map[string]bool
@@ -35,7 +35,7 @@
 	ledger   *capacity.Ledger
 	watch    *capacity.RouterTracker
 	claimant *idempotency.Claimant
-	claims   map[uint64]func(codes.Code, bool)
+	claims   map[uint64]func(resultcode.Code, bool)
 	placer   placement.Placer
 	peers    []capacity.Peer
 	began    units.Time
@@ -47,9 +47,9 @@
 // Edge adds a machine without a disk.
 func (s *Sim) Edge(addr, zone string, seeds []string, edges map[*Host]*Edge) *Host {
 	return s.Add(addr, zone, nil, func(h *Host) *Proc {
-		self := units.Node(s.Rng.Uint64() | 1)
+		self := units.NodeID(s.Rng.Uint64() | 1)
 		e := &Edge{common: s.common(h, self, membership.Router, seeds), H: h, Pools: map[string][]config.Worker{}, Out: map[string]bool{},
-			sky: discovery.New(), queue: admission.New(self), ledger: capacity.New(self), watch: capacity.NewRouterTracker(), claimant: idempotency.New(self, s.Now), claims: map[uint64]func(codes.Code, bool){}, began: s.Now,
+			sky: discovery.New(), queue: admission.New(self), ledger: capacity.New(self), watch: capacity.NewRouterTracker(), claimant: idempotency.New(self, s.Now), claims: map[uint64]func(resultcode.Code, bool){}, began: s.Now,
 			verdict: map[uint64]func(admission.Decision){}, tag: s.Rng.Uint64() >> 8}
 		e.Proc = &Proc{Self: self, Step: e.step, Tick: e.tick, Woke: func(now units.Time) {
 			e.unready()
@@ -126,7 +126,7 @@
 		e.ledger.SetWorkers(e.Config.Keep(e.Pools, e.sky.Start(), e.Out))
 		e.ledger.SetRouters(peers, e.watch.RunDeadlines(e.Config.Longest(false)))
 	}
-	var others []units.Node
+	var others []units.NodeID
 	for _, m := range all {
 		if m.Role == membership.Router && m.State <= membership.Suspect && m.Node != e.Self {
 			others = append(others, m.Node)
--- a/internal/rig/simulator/full_test.go
+++ b/internal/rig/simulator/full_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -24,7 +24,7 @@
 		w.change("zone/v2", `{"evacuated":true}`, func(o *Op) { got["zone/v2"] = o })
 		w.change("config", configText(1), func(o *Op) { got["config"] = o })
 		w.Run(w.Now.Add(3 * time.Second))
-		if a, b := got["zone/v2"], got["config"]; a == nil || b == nil || a.Code != codes.OK || b.Code != codes.OK {
+		if a, b := got["zone/v2"], got["config"]; a == nil || b == nil || a.Code != resultcode.OK || b.Code != resultcode.OK {
 			t.Fatalf("seed %d: on full disks: %+v, %+v", seed, a, b)
 		}
 		for _, h := range w.coreH {
@@ -36,7 +36,7 @@
 			var back *Op
 			w.Call(register.Request{Key: key}, func(r *Op) { back = r })
 			w.Run(w.Now.Add(time.Second))
-			if back == nil || back.Code != codes.OK || back.Num != o.Num || back.Data != o.Data {
+			if back == nil || back.Code != resultcode.OK || back.Num != o.Num || back.Data != o.Data {
 				t.Errorf("seed %d: %s acknowledged as %d, read back %+v", seed, key, o.Num, back)
 			}
 		}
@@ -44,7 +44,7 @@
 			h.Disk.used = reserve + 1
 		}
 		w.change("config", configText(2), func(o *Op) {
-			if o.Code == codes.OK {
+			if o.Code == resultcode.OK {
 				t.Errorf("seed %d: acknowledged with no room left", seed)
 			}
 		})
@@ -75,7 +75,7 @@
 					w.Run(w.Now.Add(time.Second))
 					w.cores[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: r.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { wr = x })
 					w.Run(w.Now.Add(time.Second))
-					if r.Code != codes.OK || wr.Code != codes.OK {
+					if r.Code != resultcode.OK || wr.Code != resultcode.OK {
 						t.Errorf("%s without %s: %s read at %s: %d, written: %d", p.Name, lone.Addr, key, h.Addr, r.Code, wr.Code)
 					}
 				}
--- a/internal/rig/simulator/grow_loss_test.go
+++ b/internal/rig/simulator/grow_loss_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -140,9 +140,9 @@
 				w.Run(units.Time(5 * time.Second))
 				for round := range 4 {
 					text := configText(round)
-					num := units.Num(0)
+					num := units.Version(0)
 					w.change("config", text, func(o *Op) {
-						if o.Code != codes.OK {
+						if o.Code != resultcode.OK {
 							return
 						}
 						num = o.Num
@@ -197,7 +197,7 @@
 			w.Run(w.Now.Add(10 * time.Second))
 			ok := 0
 			for _, o := range w.History[len(w.History)-2:] {
-				if o.Code == codes.OK {
+				if o.Code == resultcode.OK {
 					ok++
 				}
 			}
--- a/internal/rig/simulator/grow_power_test.go
+++ b/internal/rig/simulator/grow_power_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -39,7 +39,7 @@
 		var got *Op
 		w.Call(register.Request{Key: "zone/" + zone}, func(o *Op) { got = o })
 		w.Run(w.Now.Add(time.Second))
-		if got != nil && got.Code == codes.OK {
+		if got != nil && got.Code == resultcode.OK {
 			return got.Data, true
 		}
 	}
@@ -70,9 +70,9 @@
 					t.Fatalf("%+v, seed %d: the evacuation was not acknowledged", x, seed)
 				}
 				for round := 1; round <= 4; round++ {
-					next, nextNum := configText(round), units.Num(0)
+					next, nextNum := configText(round), units.Version(0)
 					w.change("config", next, func(o *Op) {
-						if o.Code == codes.OK {
+						if o.Code == resultcode.OK {
 							nextNum = o.Num
 						}
 					})
@@ -110,9 +110,9 @@
 // change is acknowledged, as many disks are lost as the core bears, and every other machine loses power. It says whether the change
 // was acknowledged, and whether it is read back.
 func (w *World) killedWhileWriting(counted, round int) (acknowledged, there bool) {
-	text, num := configText(round), units.Num(0)
+	text, num := configText(round), units.Version(0)
 	w.change("config", text, func(o *Op) {
-		if o.Code == codes.OK {
+		if o.Code == resultcode.OK {
 			num = o.Num
 		}
 	})
@@ -151,12 +151,12 @@
 }
 
 // reads says whether a confirmed read gives a configuration under a number, or a later one.
-func (w *World) reads(text string, num units.Num) bool {
+func (w *World) reads(text string, num units.Version) bool {
 	for range 12 {
 		var got *Op
 		w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
 		w.Run(w.Now.Add(time.Second))
-		if got != nil && got.Code == codes.OK {
+		if got != nil && got.Code == resultcode.OK {
 			return got.Num > num || got.Num == num && got.Data == text
 		}
 	}
--- a/internal/rig/simulator/grow_test.go
+++ b/internal/rig/simulator/grow_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -58,11 +58,11 @@
 }
 
 // put writes a configuration and waits for the acknowledgement.
-func (w *World) put(t *testing.T, n int) (text string, num units.Num) {
+func (w *World) put(t *testing.T, n int) (text string, num units.Version) {
 	t.Helper()
 	text = configText(n)
 	w.change("config", text, func(o *Op) {
-		if o.Code == codes.OK {
+		if o.Code == resultcode.OK {
 			num = o.Num
 		}
 	})
@@ -72,7 +72,7 @@
 	return text, num
 }
 
-func (w *World) readBack(t *testing.T, text string, num units.Num) {
+func (w *World) readBack(t *testing.T, text string, num units.Version) {
 	t.Helper()
 	if got := w.readNewest(t); got.Num != num || got.Data != text {
 		t.Fatalf("%s: acknowledged %d, read back %+v; voters %v", w.Name, num, got, w.voters())
@@ -85,7 +85,7 @@
 	var got *Op
 	for range 12 {
 		w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
-		if w.Run(w.Now.Add(time.Second)); got != nil && got.Code == codes.OK {
+		if w.Run(w.Now.Add(time.Second)); got != nil && got.Code == resultcode.OK {
 			return got
 		}
 	}
--- a/internal/rig/simulator/history.go
+++ b/internal/rig/simulator/history.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -14,12 +14,12 @@
 	var bad []string
 	by := map[string][]Op{}
 	for _, o := range h {
-		if o.To != 0 && o.Code == codes.OK {
+		if o.To != 0 && o.Code == resultcode.OK {
 			by[o.Key] = append(by[o.Key], o)
 		}
 	}
 	for key, l := range by {
-		data, writer := map[units.Num]string{}, map[units.Num]bool{}
+		data, writer := map[units.Version]string{}, map[units.Version]bool{}
 		for _, o := range l {
 			if d, ok := data[o.Num]; ok && d != o.Data {
 				bad = append(bad, fmt.Sprintf("%s: number %d has two values", key, o.Num))
--- a/internal/rig/simulator/linearizable_test.go
+++ b/internal/rig/simulator/linearizable_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/rig/linearizability"
 )
 
@@ -20,11 +20,11 @@
 			c.Kind, c.Builds, c.Position = linearizability.Write, uint64(o.Expect), uint64(o.Expect)+1
 		}
 		switch {
-		case o.To != 0 && o.Code == codes.OK && o.Write && o.Num != o.Expect+1:
+		case o.To != 0 && o.Code == resultcode.OK && o.Write && o.Num != o.Expect+1:
 			bad = append(bad, fmt.Sprintf("%s: a write on %d got number %d", o.Key, o.Expect, o.Num))
-		case o.To != 0 && o.Code == codes.OK:
+		case o.To != 0 && o.Code == resultcode.OK:
 			c.Outcome = linearizability.Done
-		case o.To != 0 && o.Code == codes.Conflict:
+		case o.To != 0 && o.Code == resultcode.VersionConflict:
 			c.Outcome = linearizability.Refused
 		}
 		calls[o.Key] = append(calls[o.Key], c)
--- a/internal/rig/simulator/load.go
+++ b/internal/rig/simulator/load.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/router/idempotency"
@@ -90,20 +90,20 @@
 	token := e.tag<<8 ^ uint64(e.Self)
 	until := w.Now.Add(4 * time.Second)
 	holders := idempotency.Holders(e.gossip.All(), key)
-	e.claims[token] = func(c codes.Code, kept bool) {
-		if w.Figures.Claims++; c == codes.NoClaim {
+	e.claims[token] = func(c resultcode.Code, kept bool) {
+		if w.Figures.Claims++; c == resultcode.ClaimFailed {
 			w.Figures.NoClaims++
 		}
-		if c == codes.OK && !kept {
+		if c == resultcode.OK && !kept {
 			if _, ok := w.weak[key]; !ok { // the first copy's claim is the one that may be forgotten
 				w.weak[key] = w.Now
 			}
 			w.Figures.Weak++
 		}
 		switch {
-		case c == codes.OK && w.Now < until:
+		case c == resultcode.OK && w.Now < until:
 			w.admit(e, until, w.topic(), key)
-		case c == codes.OK || c == codes.Burned:
+		case c == resultcode.OK || c == resultcode.KeySpent:
 			w.notRun(e, key)
 		}
 	}
@@ -128,7 +128,7 @@
 func (w *World) admit(e *Edge, until units.Time, topic int, key string) {
 	s := e.Config.Services["advice"]
 	q := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(topic)), Zone: e.H.Zone, PreferredCount: s.Spread}
-	keepers := map[string]units.Node{}
+	keepers := map[string]units.NodeID{}
 	for _, x := range e.Pools[s.Pool] {
 		name := s.Name + "/" + x.ID
 		if x.Leaving || e.Out[x.Zone] || x.Service != "" && x.Service != s.Name {
@@ -145,13 +145,13 @@
 	tag := e.tag
 	e.verdict[tag] = func(v admission.Decision) { w.verdict(e, tag, until, key, v) }
 	out := e.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: s.Allow, Candidates: e.placer.Rank(s.Place, q), MaxCandidates: s.Spread + 4, Deadline: until,
-		FirstTokenTime: s.First, Coordinator: func(n string) units.Node { return keepers[n] }})
+		FirstTokenTime: s.First, Coordinator: func(n string) units.NodeID { return keepers[n] }})
 	e.tell()
 	w.out(e.H, out)
 }
 
 func (w *World) verdict(e *Edge, tag uint64, until units.Time, key string, v admission.Decision) {
-	if v.Code != codes.OK {
+	if v.Code != resultcode.OK {
 		w.notRun(e, key)
 		return
 	}
--- a/internal/rig/simulator/mishap.go
+++ b/internal/rig/simulator/mishap.go
@@ -14,7 +14,7 @@
 func (w *World) replace(i int) {
 	h := w.coreH[i]
 	// The deployments bear the loss of one disk: the next is lost only once the voters are whole again.
-	disks := map[units.Node]bool{}
+	disks := map[units.NodeID]bool{}
 	for _, o := range w.coreH {
 		disks[o.Disk.ID] = true
 	}
@@ -77,7 +77,7 @@
 			return false
 		}
 	}
-	disks := map[units.Node]bool{}
+	disks := map[units.NodeID]bool{}
 	for _, h := range w.coreH {
 		disks[h.Disk.ID] = true
 	}
--- a/internal/rig/simulator/old_quorum_test.go
+++ b/internal/rig/simulator/old_quorum_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -44,13 +44,13 @@
 }
 
 // write acknowledges a configuration on the side of the quorum.
-func (q *oldQuorum) write(base units.Num) units.Num {
+func (q *oldQuorum) write(base units.Version) units.Version {
 	q.t.Helper()
-	var num units.Num
+	var num units.Version
 	request := register.Request{Key: "config", Write: true, ExpectedVersion: base, RequestID: "next", Data: []byte(configText(1))}
 	acked := func() bool {
 		q.callAt(q.cores[q.coreH[2]], request, func(o *Op) {
-			if o.Code == codes.OK {
+			if o.Code == resultcode.OK {
 				num = o.Num
 			}
 		})
--- a/internal/rig/simulator/operators.go
+++ b/internal/rig/simulator/operators.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -15,15 +15,15 @@
 	Key      string
 	Write    bool
 	From, To units.Time // To is zero while it is open
-	Expect   units.Num
-	Code     codes.Code
-	Num      units.Num
+	Expect   units.Version
+	Code     resultcode.Code
+	Num      units.Version
 	Data     string
 	at       string
 }
 
 type ackedConfig struct {
-	num  units.Num
+	num  units.Version
 	at   units.Time
 	data string
 }
@@ -62,10 +62,10 @@
 	c.Submit(w.Sim, a, func(r register.Result) {
 		o := &w.History[i]
 		o.To, o.Code, o.Num = w.Now, r.Code, r.Version
-		if !a.Write && r.Code == codes.OK {
+		if !a.Write && r.Code == resultcode.OK {
 			o.Data = string(r.Data)
 		}
-		if a.Write && r.Code == codes.OK && a.Key == "config" {
+		if a.Write && r.Code == resultcode.OK && a.Key == "config" {
 			w.acked = append(w.acked, ackedConfig{r.Version, w.Now, string(a.Data)})
 		}
 		if done != nil {
@@ -77,7 +77,7 @@
 // change reads a key and writes on the number found.
 func (w *World) change(key, data string, done func(*Op)) {
 	w.Call(register.Request{Key: key}, func(o *Op) {
-		if o.Code != codes.OK {
+		if o.Code != resultcode.OK {
 			return
 		}
 		w.Call(register.Request{Key: key, Write: true, ExpectedVersion: o.Num, RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
@@ -101,7 +101,7 @@
 	}
 	w.evac[zone] = 0
 	w.change("zone/"+zone, fmt.Sprintf(`{"evacuated":%v}`, on), func(o *Op) {
-		if o.Code == codes.OK && on {
+		if o.Code == resultcode.OK && on {
 			w.evac[zone], w.lateZ[zone] = w.Now, 0
 		} else if !on {
 			delete(w.evac, zone)
--- a/internal/rig/simulator/orders_core_test.go
+++ b/internal/rig/simulator/orders_core_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -16,24 +16,24 @@
 // acknowledged is what a third owner finds (design 2).
 func TestOrdersOwnership(t *testing.T) {
 	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
-		m := voted(b, map[units.Node]units.Node{1: 1, 2: 2, 3: 3})
-		for _, x := range []units.Node{1, 2} {
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+		m := voted(b, map[units.NodeID]units.NodeID{1: 1, 2: 2, 3: 3})
+		for _, x := range []units.NodeID{1, 2} {
 			b.put(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, ExpectedVersion: 0, Data: []byte{byte(x)}}))
 		}
 		b.run(choose, func() {})
 		// Both try again as their ticks would, then all is quiet.
 		for round := range 6 {
 			b.now = units.Time(round+1) * units.Time(time.Second)
-			for _, x := range []units.Node{1, 2} {
+			for _, x := range []units.NodeID{1, 2} {
 				b.put(x, m[x].Tick(b.now))
 				b.run(func(int) int { return 0 }, func() {})
 			}
 		}
-		acked := map[units.Num]byte{}
-		for _, x := range []units.Node{1, 2} {
+		acked := map[units.Version]byte{}
+		for _, x := range []units.NodeID{1, 2} {
 			for _, r := range m[x].Results {
-				if r.Code == codes.OK {
+				if r.Code == resultcode.OK {
 					if o, ok := acked[r.Version]; ok {
 						t.Fatalf("number %d was acknowledged to %d and %d", r.Version, o, x)
 					}
@@ -49,7 +49,7 @@
 			b.put(3, m[3].Tick(b.now))
 			b.run(func(int) int { return 0 }, func() {})
 		}
-		if len(m[3].Results) != 1 || m[3].Results[0].Code != codes.OK {
+		if len(m[3].Results) != 1 || m[3].Results[0].Code != resultcode.OK {
 			t.Fatalf("the third owner reads %v", m[3].Results)
 		}
 		r := m[3].Results[0]
@@ -66,12 +66,12 @@
 
 // Blank disks with different views never found two sets.
 func TestOrdersFounding(t *testing.T) {
-	views := [][]units.Node{{1, 2, 3}, {2, 3, 4}, {1, 2, 3}, {2, 3, 4}}
+	views := [][]units.NodeID{{1, 2, 3}, {2, 3, 4}, {1, 2, 3}, {2, 3, 4}}
 	n := orders(7, func(choose func(int) int) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
-		m := map[units.Node]*register.Replica{}
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+		m := map[units.NodeID]*register.Replica{}
 		for i := range views {
-			id := units.Node(i + 1)
+			id := units.NodeID(i + 1)
 			x := register.New(id, id+100)
 			x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[i]})
 			m[id] = x
@@ -83,7 +83,7 @@
 					x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[min(1, int(id)/4+now)]}) // all but the first come to see others
 				}
 			}
-			for id := units.Node(1); id <= 4; id++ {
+			for id := units.NodeID(1); id <= 4; id++ {
 				b.put(id, m[id].Tick(units.Time(now+1)*units.Time(time.Second)))
 			}
 			if now == 0 {
@@ -95,7 +95,7 @@
 			b.notes = append(b.notes, b.late...)
 			b.run(choose, func() {})
 		}
-		var set []units.Node
+		var set []units.NodeID
 		for id, x := range m {
 			v := x.Quorum()
 			if v.Version == 0 {
@@ -136,13 +136,13 @@
 
 // tryVoterChange is one such order.
 func tryVoterChange(t *testing.T, choose func(int) int, changed, acked *atomic.Int64) {
-	b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
-	m := voted(b, map[units.Node]units.Node{1: 1, 2: 1, 3: 1})
+	b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+	m := voted(b, map[units.NodeID]units.NodeID{1: 1, 2: 1, 3: 1})
 	four := register.New(4, 104)
 	m[4] = four
 	b.step[4] = func(k message.Message) message.Effects { return four.Step(b.now, k) }
 	at := func(ms int) units.Time { return units.Time(time.Duration(ms) * time.Millisecond) }
-	quiet := func(from, rounds int, who ...units.Node) {
+	quiet := func(from, rounds int, who ...units.NodeID) {
 		for r := range rounds {
 			b.now = at(from + 400*r)
 			for _, x := range who {
@@ -154,7 +154,7 @@
 	b.put(1, m[1].Submit(0, register.Request{Tag: 1, Key: "k", Write: true, ExpectedVersion: 0, Data: []byte("one")}))
 	quiet(1000, 3, 1)
 	b.now = at(2200)
-	m[1].ChangeMembers([]units.Node{1, 2, 3, 4})
+	m[1].ChangeMembers([]units.NodeID{1, 2, 3, 4})
 	b.put(1, m[1].Tick(b.now))
 	b.put(1, m[1].Submit(b.now, register.Request{Tag: 2, Key: "k", Write: true, ExpectedVersion: 1, Data: []byte("two")}))
 	b.run(choose, func() {})
@@ -167,22 +167,22 @@
 	}
 	two := false
 	for _, r := range m[1].Results {
-		two = two || r.Tag == 2 && r.Code == codes.OK
+		two = two || r.Tag == 2 && r.Code == resultcode.OK
 	}
 	if two {
 		acked.Add(1)
 	}
 	// The old owner and one old disk are gone; the rest must know.
 	delete(b.step, 1)
-	for _, x := range []units.Node{2, 3, 4} {
-		m[x].SetEligible([]units.Node{4, 2})
+	for _, x := range []units.NodeID{2, 3, 4} {
+		m[x].SetEligible([]units.NodeID{4, 2})
 	}
 	owner := m[2].Owner("k")
 	quiet(20000, 3, 2, 3, 4)
 	m[owner].Results = nil
 	b.put(owner, m[owner].Submit(b.now, register.Request{Tag: 3, Key: "k"}))
 	quiet(21500, 3, owner)
-	if len(m[owner].Results) != 1 || m[owner].Results[0].Code != codes.OK {
+	if len(m[owner].Results) != 1 || m[owner].Results[0].Code != resultcode.OK {
 		t.Fatalf("owner %d of set %v reads %v", owner, m[owner].Quorum(), m[owner].Results)
 	}
 	if got := string(m[owner].Results[0].Data); two && got != "two" || got != "one" && got != "two" {
--- a/internal/rig/simulator/orders_rig_test.go
+++ b/internal/rig/simulator/orders_rig_test.go
@@ -49,12 +49,12 @@
 type bag struct {
 	now   units.Time
 	notes []message.Message
-	step  map[units.Node]func(message.Message) message.Effects
+	step  map[units.NodeID]func(message.Message) message.Effects
 	hold  func() bool // whether the next note is held up till after this round; nil for never
 	late  []message.Message
 }
 
-func (b *bag) put(from units.Node, o message.Effects) {
+func (b *bag) put(from units.NodeID, o message.Effects) {
 	for _, n := range append(o.Messages, o.AfterSync...) {
 		n.From = from
 		// Calls between voters change nothing that these tests look at, and would multiply the orders.
@@ -78,18 +78,18 @@
 	}
 }
 
-var three = []units.Node{1, 2, 3}
+var three = []units.NodeID{1, 2, 3}
 
 // voted gives three voters of one set, each believing the one it is told of to be the owner.
-func voted(b *bag, believe map[units.Node]units.Node) map[units.Node]*register.Replica {
-	m := map[units.Node]*register.Replica{}
+func voted(b *bag, believe map[units.NodeID]units.NodeID) map[units.NodeID]*register.Replica {
+	m := map[units.NodeID]*register.Replica{}
 	set := register.QuorumSet{Version: 1, Members: three}
 	for _, n := range three {
 		x := register.New(n, n+100)
 		if err := x.Load([]message.Record{{Kind: register.RecordQuorum, Data: set.Pack()}}); err != nil {
 			panic(err)
 		}
-		x.SetEligible([]units.Node{believe[n]})
+		x.SetEligible([]units.NodeID{believe[n]})
 		m[n] = x
 		b.step[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
 	}
--- a/internal/rig/simulator/orders_roll_test.go
+++ b/internal/rig/simulator/orders_roll_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/units"
 )
@@ -14,17 +14,17 @@
 // Two copies of a request by way of two routers, three disks, and then all memory is lost: a third copy that comes to
 // routers that know only what a majority of the disks gave them never gets the key too, in whatever order notes came.
 func TestOrdersClaimsOutliveMemory(t *testing.T) {
-	disks := []units.Node{11, 12, 13}
+	disks := []units.NodeID{11, 12, 13}
 	won, again := 0, 0
 	n := orders(4, func(choose func(int) int) {
 		gone := disks[choose(3)]
 		now := units.Time(time.Minute)
 		v := register.QuorumSet{Version: 1, Members: disks}
-		kept := map[units.Node][]message.Record{}
-		b := &bag{now: now, step: map[units.Node]func(message.Message) message.Effects{}}
-		rolls := map[units.Node]*idempotency.Registry{}
-		start := func() map[units.Node]*idempotency.Claimant {
-			m := map[units.Node]*idempotency.Claimant{}
+		kept := map[units.NodeID][]message.Record{}
+		b := &bag{now: now, step: map[units.NodeID]func(message.Message) message.Effects{}}
+		rolls := map[units.NodeID]*idempotency.Registry{}
+		start := func() map[units.NodeID]*idempotency.Claimant {
+			m := map[units.NodeID]*idempotency.Claimant{}
 			for _, x := range three {
 				m[x] = idempotency.New(x, now)
 				m[x].Core(v)
@@ -40,7 +40,7 @@
 			}
 			return m
 		}
-		beat := func(m map[units.Node]*idempotency.Claimant) {
+		beat := func(m map[units.NodeID]*idempotency.Claimant) {
 			b.now = b.now.Add(300 * time.Millisecond)
 			for _, d := range disks {
 				o := rolls[d].Tick(b.now, v)
@@ -48,7 +48,7 @@
 				b.put(d, o)
 			}
 			for _, x := range three {
-				var others []units.Node
+				var others []units.NodeID
 				for _, y := range three {
 					if y != x {
 						others = append(others, y)
@@ -58,10 +58,10 @@
 			}
 			b.run(func(int) int { return 0 }, func() {})
 		}
-		count := func(m map[units.Node]*idempotency.Claimant) (k int) {
+		count := func(m map[units.NodeID]*idempotency.Claimant) (k int) {
 			for _, x := range m {
 				for _, r := range x.Results {
-					if r.Code == codes.OK {
+					if r.Code == resultcode.OK {
 						if k++; !r.Kept {
 							t.Fatal("granted without the disks, which all answer")
 						}
--- a/internal/rig/simulator/orders_test.go
+++ b/internal/rig/simulator/orders_test.go
@@ -7,8 +7,8 @@
 
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/lease"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/router/idempotency"
@@ -19,11 +19,11 @@
 func TestOrdersBallot(t *testing.T) {
 	won := 0
 	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
 		now := units.Time(5 * time.Second)
-		m := map[units.Node]*lease.Lease{}
+		m := map[units.NodeID]*lease.Lease{}
 		for _, x := range three {
-			y := lease.New(x, "d", func() []units.Node { return three }, 0, rand.New(rand.NewPCG(uint64(x), 1)))
+			y := lease.New(x, "d", func() []units.NodeID { return three }, 0, rand.New(rand.NewPCG(uint64(x), 1)))
 			m[x] = y
 			b.step[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
 		}
@@ -45,13 +45,13 @@
 
 // Half the votes each must not last: a lost round gives its votes back, and one of the two wins in the end.
 func TestSplitBallotEnds(t *testing.T) {
-	four := []units.Node{1, 2, 3, 4}
+	four := []units.NodeID{1, 2, 3, 4}
 	for seed := range uint64(50) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
 		now := units.Time(5 * time.Second)
-		m := map[units.Node]*lease.Lease{}
+		m := map[units.NodeID]*lease.Lease{}
 		for _, x := range four {
-			y := lease.New(x, "d", func() []units.Node { return four }, 0, rand.New(rand.NewPCG(seed, uint64(x))))
+			y := lease.New(x, "d", func() []units.NodeID { return four }, 0, rand.New(rand.NewPCG(seed, uint64(x))))
 			m[x] = y
 			b.step[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
 		}
@@ -84,8 +84,8 @@
 func TestOrdersClaims(t *testing.T) {
 	won := 0
 	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
-		m := map[units.Node]*idempotency.Claimant{}
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+		m := map[units.NodeID]*idempotency.Claimant{}
 		for _, x := range three {
 			y := idempotency.New(x, 0)
 			y.Tick(units.Time(time.Minute), nil, time.Second) // takes part
@@ -98,7 +98,7 @@
 		k := 0
 		for _, x := range m {
 			for _, r := range x.Results {
-				if r.Code == codes.OK {
+				if r.Code == resultcode.OK {
 					k++
 				}
 			}
@@ -116,14 +116,14 @@
 // News never goes back, whatever order it comes in, and the newest is in force at the end.
 func TestOrdersNews(t *testing.T) {
 	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
 		core, router := configpush.New(1), configpush.New(2)
 		b.step[1] = func(k message.Message) message.Effects { return core.Step(0, k) }
 		b.step[2] = func(k message.Message) message.Effects { return router.Step(0, k) }
 		for i := range 4 {
-			b.put(1, core.Spread(0, configpush.Item{Key: "config", Num: units.Num(i + 1), Data: []byte{byte(i)}}, []units.Node{2}))
+			b.put(1, core.Spread(0, configpush.Item{Key: "config", Num: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
 		}
-		last := units.Num(0)
+		last := units.Version(0)
 		b.run(choose, func() {
 			if it := router.Items["config"]; it != nil {
 				if it.Num < last {
@@ -145,11 +145,11 @@
 func TestOrdersPermits(t *testing.T) {
 	most := 0
 	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
+		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
 		peers := []capacity.Peer{{Node: 1, Zone: "z"}, {Node: 2, Zone: "z"}}
 		w := map[string]capacity.Worker{"s/w": {Zone: "z", Capacity: 1, MaxWaiting: 2}}
-		desks, keeps := map[units.Node]*admission.Queue{}, map[units.Node]*capacity.Ledger{}
-		for _, x := range []units.Node{1, 2} {
+		desks, keeps := map[units.NodeID]*admission.Queue{}, map[units.NodeID]*capacity.Ledger{}
+		for _, x := range []units.NodeID{1, 2} {
 			d, g := admission.New(x), capacity.New(x)
 			desks[x], keeps[x] = d, g
 			b.step[x] = func(k message.Message) (out message.Effects) {
@@ -168,9 +168,9 @@
 		keeps[keeper].SetRouters(peers, nil)
 		b.put(keeper, keeps[keeper].Tick(0))
 		b.run(func(int) int { return 0 }, func() {})
-		ask := func(x, of units.Node) {
+		ask := func(x, of units.NodeID) {
 			b.put(x, desks[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
-				Coordinator: func(string) units.Node { return of }}))
+				Coordinator: func(string) units.NodeID { return of }}))
 		}
 		ask(1, keeper)
 		ask(2, keeper)
@@ -193,19 +193,19 @@
 
 // A core machine that reaches only one router: what that one hears goes on to the others, who ask for it by number.
 func TestNewsGoesRoundACut(t *testing.T) {
-	b := &bag{step: map[units.Node]func(message.Message) message.Effects{}}
-	m := map[units.Node]*configpush.Feed{}
-	for n := units.Node(1); n <= 6; n++ {
+	b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+	m := map[units.NodeID]*configpush.Feed{}
+	for n := units.NodeID(1); n <= 6; n++ {
 		x := configpush.New(n)
 		m[n] = x
 		b.step[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
 	}
-	b.put(1, m[1].Spread(0, configpush.Item{Key: "workers/main/1", Num: 7, Data: []byte("x")}, []units.Node{2}))
+	b.put(1, m[1].Spread(0, configpush.Item{Key: "workers/main/1", Num: 7, Data: []byte("x")}, []units.NodeID{2}))
 	for range 3 { // beats
 		b.run(func(int) int { return 0 }, func() {})
 		b.now = b.now.Add(400 * time.Millisecond)
-		for n := units.Node(2); n <= 6; n++ {
-			b.put(n, m[n].Tick(b.now, []units.Node{2, 3, 4, 5, 6}))
+		for n := units.NodeID(2); n <= 6; n++ {
+			b.put(n, m[n].Tick(b.now, []units.NodeID{2, 3, 4, 5, 6}))
 		}
 	}
 	for n, x := range m {
--- a/internal/rig/simulator/play.go
+++ b/internal/rig/simulator/play.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/units"
@@ -54,7 +54,7 @@
 			continue
 		}
 		w.callAt(w.cores[h], register.Request{Key: "config"}, func(o *Op) { last = o })
-		if w.Run(w.Now.Add(6 * time.Second)); last != nil && last.Code == codes.OK {
+		if w.Run(w.Now.Add(6 * time.Second)); last != nil && last.Code == resultcode.OK {
 			break
 		}
 	}
@@ -65,7 +65,7 @@
 		}
 	}
 	switch {
-	case last == nil || last.Code != codes.OK:
+	case last == nil || last.Code != resultcode.OK:
 		w.fault("the configuration can't be read back")
 	case last.Num < newest.num || last.Num == newest.num && last.Data != newest.data:
 		w.fault("read back number %d, acknowledged %d", last.Num, newest.num)
@@ -157,7 +157,7 @@
 	w.Run(w.Now.Add(25 * time.Second)) // whatever ran has ended, whatever was waited out is over
 	for _, h := range w.edgeH {
 		e := w.edges[h]
-		tags, got := map[string]uint64{}, map[string]codes.Code{}
+		tags, got := map[string]uint64{}, map[string]resultcode.Code{}
 		for _, l := range w.listed {
 			if !e.Ready || l.Leaving || e.Out[l.Zone] || !w.workers[l.ID].up {
 				continue
@@ -168,13 +168,13 @@
 			e.verdict[e.tag] = func(v admission.Decision) { got[name] = v.Code }
 			w.Inject(h, func(now units.Time) message.Effects {
 				return e.queue.Submit(now, admission.Request{Tag: e.tag, Policy: "knee", Candidates: []string{name}, MaxCandidates: 1, Deadline: now.Add(4 * time.Second),
-					Coordinator: func(string) units.Node { return capacity.Coordinator(e.peers, name, l.Zone) }})
+					Coordinator: func(string) units.NodeID { return capacity.Coordinator(e.peers, name, l.Zone) }})
 			})
 		}
 		w.Run(w.Now.Add(600 * time.Millisecond))
 		for _, name := range message.Keys(tags) {
 			w.Inject(h, func(now units.Time) message.Effects { return e.queue.Done(now, tags[name], false) })
-			if got[name] != codes.OK {
+			if got[name] != resultcode.OK {
 				w.fault("%s gets no slot of %s: %d", h.Addr, name, got[name])
 			}
 		}
--- a/internal/rig/simulator/play_test.go
+++ b/internal/rig/simulator/play_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -95,7 +95,7 @@
 
 // The checker of histories must see planted violations.
 func TestLinearSeesViolations(t *testing.T) {
-	ok := codes.OK
+	ok := resultcode.OK
 	good := []Op{
 		{Key: "k", Write: true, From: 1, To: 2, Expect: 0, Num: 1, Data: "a", Code: ok},
 		{Key: "k", From: 3, To: 4, Num: 1, Data: "a", Code: ok},
@@ -129,9 +129,9 @@
 			w.Run(units.Time(4 * time.Second))
 			for i := range 5 {
 				text := configText(i)
-				acked := units.Num(0)
+				acked := units.Version(0)
 				w.change("config", text, func(o *Op) {
-					if o.Code == codes.OK {
+					if o.Code == resultcode.OK {
 						acked = o.Num
 						for _, h := range w.coreH {
 							w.Kill(h)
@@ -149,7 +149,7 @@
 				w.Run(w.Now.Add(4 * time.Second))
 				w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
 				w.Run(w.Now.Add(4 * time.Second))
-				if got == nil || got.Code != codes.OK || got.Num != acked || got.Data != text {
+				if got == nil || got.Code != resultcode.OK || got.Num != acked || got.Data != text {
 					t.Fatalf("%s seed %d: acknowledged %d, after the power came back %+v", p.Name, seed, acked, got)
 				}
 			}
--- a/internal/rig/simulator/replace_member_test.go
+++ b/internal/rig/simulator/replace_member_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -73,9 +73,9 @@
 // first, and all others lose power. All start again a second later.
 func (w *World) loseAfterAck(t *testing.T, number, first, lost int) {
 	t.Helper()
-	text, num := configText(number), units.Num(0)
+	text, num := configText(number), units.Version(0)
 	w.change("config", text, func(o *Op) {
-		if o.Code != codes.OK {
+		if o.Code != resultcode.OK {
 			return
 		}
 		num = o.Num
@@ -207,7 +207,7 @@
 
 // putAgain writes a configuration as an operator does: read and written through any machine, and sent again as it was each
 // second until it is acknowledged, within the time that an acknowledgement may take.
-func (w *World) putAgain(t *testing.T, number int) (text string, num units.Num) {
+func (w *World) putAgain(t *testing.T, number int) (text string, num units.Version) {
 	t.Helper()
 	text = configText(number)
 	write := register.Request{Key: "config", Write: true, RequestID: fmt.Sprint("number ", number), Data: []byte(text)}
@@ -220,14 +220,14 @@
 		w.After(time.Second, send)
 		if !read {
 			w.Call(register.Request{Key: "config"}, func(o *Op) {
-				if o.Code == codes.OK && !read {
+				if o.Code == resultcode.OK && !read {
 					read, write.ExpectedVersion = true, o.Num
 				}
 			})
 			return
 		}
 		w.Call(write, func(o *Op) {
-			if o.Code == codes.OK {
+			if o.Code == resultcode.OK {
 				num = o.Num
 			}
 		})
--- a/internal/rig/simulator/resend_test.go
+++ b/internal/rig/simulator/resend_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/rig/linearizability"
 	"seamshunt/internal/units"
 )
@@ -24,7 +24,9 @@
 	heard   register.Result
 }
 
-func isClear(code codes.Code) bool { return code == codes.OK || code == codes.Conflict }
+func isClear(code resultcode.Code) bool {
+	return code == resultcode.OK || code == resultcode.VersionConflict
+}
 
 // operators are clients that send an order again, to any machine, until a clear answer comes through.
 type operators struct {
@@ -36,10 +38,10 @@
 }
 
 // read asks for the configuration's number until it is told.
-func (p *operators) read(then func(units.Num)) {
+func (p *operators) read(then func(units.Version)) {
 	from, w := p.w.Now, p.w
 	w.Call(register.Request{Key: "config"}, func(o *Op) {
-		if o.Code != codes.OK {
+		if o.Code != resultcode.OK {
 			w.After(200*time.Millisecond, func() { p.read(then) })
 			return
 		}
@@ -73,7 +75,7 @@
 	if p.w.Now >= p.until {
 		return
 	}
-	p.read(func(num units.Num) {
+	p.read(func(num units.Version) {
 		n := len(p.orders)
 		x := &order{from: p.w.Now, request: register.Request{Key: "config", Write: true, ExpectedVersion: num, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
 		p.orders = append(p.orders, x)
@@ -84,17 +86,17 @@
 // judge looks at every answer that was given, also those that were lost. So few orders as are made here, fewer than
 // register.MaxOutcomes, must be known to the last.
 func (p *operators) judge() (bad []string) {
-	taken := map[units.Num]int{}
+	taken := map[units.Version]int{}
 	for i, x := range p.orders {
-		var got units.Num
+		var got units.Version
 		refused := false
 		for _, r := range x.answers {
 			switch {
-			case r.Code == codes.Conflict:
+			case r.Code == resultcode.VersionConflict:
 				refused = true
-			case r.Code == codes.OK && (r.Version != x.request.ExpectedVersion+1 || got != 0 && r.Version != got):
+			case r.Code == resultcode.OK && (r.Version != x.request.ExpectedVersion+1 || got != 0 && r.Version != got):
 				bad = append(bad, fmt.Sprintf("order %d on %d got number %d and %d", i, x.request.ExpectedVersion, got, r.Version))
-			case r.Code == codes.OK:
+			case r.Code == resultcode.OK:
 				got = r.Version
 			}
 		}
@@ -119,9 +121,9 @@
 		c := linearizability.Call{Kind: linearizability.Write, From: int64(x.from), To: int64(x.to), Builds: uint64(x.request.ExpectedVersion),
 			Position: uint64(x.request.ExpectedVersion) + 1, Data: string(x.request.Data)}
 		switch x.heard.Code {
-		case codes.OK:
+		case resultcode.OK:
 			c.Outcome = linearizability.Done
-		case codes.Conflict:
+		case resultcode.VersionConflict:
 			c.Outcome = linearizability.Refused
 		}
 		calls = append(calls, c)
@@ -215,7 +217,7 @@
 		for _, x := range p.orders {
 			took := 0
 			for _, r := range x.answers {
-				if r.Code == codes.OK {
+				if r.Code == resultcode.OK {
 					took++
 				}
 			}
--- a/internal/rig/simulator/sim.go
+++ b/internal/rig/simulator/sim.go
@@ -34,7 +34,7 @@
 
 // Proc is one process: its step machines behind two functions.
 type Proc struct {
-	Self    units.Node
+	Self    units.NodeID
 	Step    func(units.Time, message.Message) message.Effects
 	Tick    func(units.Time) message.Effects
 	Refused func(units.Time, string)
--- a/internal/rig/simulator/world.go
+++ b/internal/rig/simulator/world.go
@@ -68,7 +68,7 @@
 	shut    map[*Host]bool       // core machines that can't reach the platform
 	markAt  map[*Host]units.Time // when a machine last had no path to a core machine that reaches the platform
 	acked   []ackedConfig
-	nums    map[*Edge]units.Num
+	nums    map[*Edge]units.Version
 	cutAt   map[*Host]units.Time // when a machine last had no path to the core's majority
 	Plan    []string
 	ran     map[string]int        // runs by key, for prompts that may not repeat
@@ -82,7 +82,7 @@
 // NewWorld builds a deployment; nothing has found anything yet.
 func NewWorld(p Place, seed uint64) *World {
 	w := &World{Sim: New(seed), Place: p, cores: map[*Host]*Core{}, edges: map[*Host]*Edge{}, workers: map[string]*work{},
-		born: map[string]units.Time{}, evac: map[string]units.Time{}, lateZ: map[string]time.Duration{}, keptAt: map[string]units.Time{}, rate: 40, nums: map[*Edge]units.Num{}, shut: map[*Host]bool{}, markAt: map[*Host]units.Time{}, cutAt: map[*Host]units.Time{}, ran: map[string]int{}, never: map[string]bool{}, weak: map[string]units.Time{}}
+		born: map[string]units.Time{}, evac: map[string]units.Time{}, lateZ: map[string]time.Duration{}, keptAt: map[string]units.Time{}, rate: 40, nums: map[*Edge]units.Version{}, shut: map[*Host]bool{}, markAt: map[*Host]units.Time{}, cutAt: map[*Host]units.Time{}, ran: map[string]int{}, never: map[string]bool{}, weak: map[string]units.Time{}}
 	for i := range p.Cores {
 		w.seeds = append(w.seeds, fmt.Sprintf("core%d", i+1))
 	}
@@ -125,7 +125,7 @@
 // healthy says whether a majority of the voters' disks could answer now.
 func (w *World) healthy() bool {
 	v := w.voters()
-	ok := map[units.Node]bool{}
+	ok := map[units.NodeID]bool{}
 	for _, h := range w.coreH {
 		if w.alive(h) && !h.Disk.Stalled && !h.Disk.out() && h.Disk.Delay < 400*time.Millisecond {
 			reach := 0
--- a/internal/router/adapter.go
+++ b/internal/router/adapter.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/listener"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -91,7 +91,7 @@
 }
 
 // parseConfig parses a configuration in the adapter's format or the native one.
-func (v *Router) parseConfig(b []byte) (*config.Config, []*codes.Fault) {
+func (v *Router) parseConfig(b []byte) (*config.Config, []*resultcode.Fault) {
 	if v.Adapter != nil {
 		return v.Adapter.Config(b)
 	}
--- a/internal/router/admission/busy_test.go
+++ b/internal/router/admission/busy_test.go
@@ -14,7 +14,7 @@
 	const ms = time.Millisecond
 	h, now := New(1), units.Time(time.Hour)
 	h.Submit(now, Request{Tag: 7, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: now.Add(time.Second), FirstTokenTime: 50 * ms,
-		Coordinator: func(string) units.Node { return 2 }})
+		Coordinator: func(string) units.NodeID { return 2 }})
 	if !h.Busy() {
 		t.Error("an ask is under way")
 	}
--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/units"
 )
@@ -32,7 +32,7 @@
 type Decision struct {
 	Tag          uint64
 	Worker       string // set when it goes in
-	Code         codes.Code
+	Code         resultcode.Code
 	ExpectedWait time.Duration // when refused: how long the shortest waitlist seen would take
 }
 
@@ -45,19 +45,19 @@
 
 // Queue is the step machine.
 type Queue struct {
-	self      units.Node
+	self      units.NodeID
 	reqs      map[uint64]*Request
 	InFlight  map[string]int // this node's own prompts in flight, per worker
-	loyal     map[string]units.Node
-	mute      map[units.Node]units.Time // keepers that said nothing, till when they are asked last
-	sent      map[string][]units.Time   // what went to a worker in the last second
+	loyal     map[string]units.NodeID
+	mute      map[units.NodeID]units.Time // keepers that said nothing, till when they are asked last
+	sent      map[string][]units.Time     // what went to a worker in the last second
 	Loads     map[string]Load
 	Decisions []Decision
 }
 
 // New gives an empty one.
-func New(self units.Node) *Queue {
-	return &Queue{self: self, reqs: map[uint64]*Request{}, InFlight: map[string]int{}, loyal: map[string]units.Node{}, mute: map[units.Node]units.Time{}, sent: map[string][]units.Time{}, Loads: map[string]Load{}}
+func New(self units.NodeID) *Queue {
+	return &Queue{self: self, reqs: map[uint64]*Request{}, InFlight: map[string]int{}, loyal: map[string]units.NodeID{}, mute: map[units.NodeID]units.Time{}, sent: map[string][]units.Time{}, Loads: map[string]Load{}}
 }
 
 // Submit takes a prompt in at the door.
@@ -70,7 +70,7 @@
 // open lets everything in at the first worker.
 func (h *Queue) open(now units.Time, r *Request, out *message.Effects) {
 	if len(r.Candidates) == 0 {
-		h.shed(r, codes.NoWorker)
+		h.shed(r, resultcode.NoWorker)
 		return
 	}
 	r.worker = r.Candidates[0]
@@ -111,7 +111,7 @@
 	r.opts = append(r.opts[:best:best], r.opts[best+1:]...)
 	if now.Add(o.due+r.FirstTokenTime) > r.Deadline {
 		r.why = capacity.ReasonTooLate
-		h.shed(r, codes.WaitLate)
+		h.shed(r, resultcode.DeadlineUnreachable)
 		return
 	}
 	r.tried++
@@ -120,14 +120,14 @@
 	h.ask(now, r, true, out)
 }
 
-func why(reason uint8) codes.Code {
+func why(reason uint8) resultcode.Code {
 	switch reason {
 	case capacity.ReasonQueueFull, capacity.ReasonBusy:
-		return codes.WaitFull
+		return resultcode.QueueFull
 	case capacity.ReasonTooLate:
-		return codes.WaitLate
+		return resultcode.DeadlineUnreachable
 	}
-	return codes.NoWorker
+	return resultcode.NoWorker
 }
 
 func (h *Queue) ask(now units.Time, r *Request, wait bool, out *message.Effects) {
@@ -153,10 +153,10 @@
 	r.stage = held
 	h.InFlight[r.worker]++
 	h.sent[r.worker] = append(h.lately(now, r.worker), now)
-	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: codes.OK})
+	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Worker: r.worker, Code: resultcode.OK})
 }
 
-func (h *Queue) shed(r *Request, c codes.Code) {
+func (h *Queue) shed(r *Request, c resultcode.Code) {
 	delete(h.reqs, r.Tag)
 	h.Decisions = append(h.Decisions, Decision{Tag: r.Tag, Code: c, ExpectedWait: r.due})
 }
@@ -209,7 +209,7 @@
 }
 
 // keeper is whoever this node last reported to, else whom it asked.
-func (h *Queue) keeper(r *Request) units.Node {
+func (h *Queue) keeper(r *Request) units.NodeID {
 	if k, ok := h.loyal[r.worker]; ok {
 		return k
 	}
--- a/internal/router/admission/request.go
+++ b/internal/router/admission/request.go
@@ -31,7 +31,7 @@
 	Deadline       units.Time
 	FirstTokenTime time.Duration
 	Worth          uint16 // of its promise
-	Coordinator    func(worker string) units.Node
+	Coordinator    func(worker string) units.NodeID
 
 	PreferredCount      int           // the first so many of Cands hold the shared parts of its prompt
 	PrefillTime         time.Duration // what reading its prompt takes a home
@@ -43,7 +43,7 @@
 
 	stage  stage
 	worker string
-	keeper units.Node
+	keeper units.NodeID
 	next   int
 	tried  int
 	opts   []option
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/units"
 )
@@ -24,7 +24,7 @@
 			switch {
 			case now.Add(r.FirstTokenTime) > r.Deadline:
 				h.drop(r, &out)
-				h.shed(r, codes.WaitLate)
+				h.shed(r, resultcode.DeadlineUnreachable)
 			case now.Sub(r.heard) >= lostAt:
 				h.drop(r, &out)
 				h.refused(now, r, capacity.ReasonNoReply, 0, &out)
@@ -122,18 +122,18 @@
 		h.granted(now, n.From, r, mine, b, name, &out)
 	case capacity.Refusal:
 		if mine {
-			h.refused(now, r, b.Reason, units.Millis(b.TimeLeft).Span(), &out)
+			h.refused(now, r, b.Reason, units.Millis(b.TimeLeft).Duration(), &out)
 		}
 	case capacity.Queued:
 		if mine {
 			r.heard = now
-			r.due = units.Millis(b.TimeLeft).Span()
+			r.due = units.Millis(b.TimeLeft).Duration()
 		}
 	}
 	return out
 }
 
-func (h *Queue) granted(now units.Time, from units.Node, r *Request, mine bool, b capacity.Header, name string, out *message.Effects) {
+func (h *Queue) granted(now units.Time, from units.NodeID, r *Request, mine bool, b capacity.Header, name string, out *message.Effects) {
 	if r != nil && r.stage >= held && r.worker == name {
 		return // the same grant again
 	}
@@ -147,14 +147,14 @@
 	}
 	if now.Add(r.FirstTokenTime) > r.Deadline {
 		out.Send(from, capacity.Release, back)
-		h.shed(r, codes.WaitLate)
+		h.shed(r, resultcode.DeadlineUnreachable)
 		return
 	}
 	h.enter(now, r)
 }
 
 // report tells a new keeper all that is held of a worker; from then on only its grants count (design 6).
-func (h *Queue) report(now units.Time, from units.Node, name string, out *message.Effects) {
+func (h *Queue) report(now units.Time, from units.NodeID, name string, out *message.Effects) {
 	h.loyal[name] = from
 	var l []capacity.HeldPermit
 	for _, r := range h.sorted() {
--- a/internal/router/cancellation.go
+++ b/internal/router/cancellation.go
@@ -3,20 +3,20 @@
 import (
 	"errors"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/clientwatch"
 	"seamshunt/internal/units"
 )
 
 // cancellationCode returns the code for the reason that a request is cancelled, or 0 if it is not.
-func cancellationCode(client *clientwatch.Request) codes.Code {
+func cancellationCode(client *clientwatch.Request) resultcode.Code {
 	switch err := client.Check(); {
 	case err == nil:
 		return 0
 	case errors.Is(err, clientwatch.ErrRouterShutdown):
-		return codes.Draining
+		return resultcode.Draining
 	default:
-		return codes.ClientLeft
+		return resultcode.ClientDisconnected
 	}
 }
 
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -10,9 +10,9 @@
 )
 
 // candidates returns the workers in the order of the placement policy, and each one's coordinator.
-func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.Node) {
+func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
 	query := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, PreferredCount: service.Spread}
-	coordinators := map[string]units.Node{}
+	coordinators := map[string]units.NodeID{}
 	var fallbacks []placement.Candidate // workers in an outage, used only if there is no other
 	v.viewMu.Lock()
 	for _, worker := range v.view.workersByPool[service.Pool] {
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -20,7 +20,7 @@
 )
 
 type permit struct {
-	node units.Node
+	node units.NodeID
 	tag  uint64
 }
 
@@ -46,10 +46,10 @@
 	open    bool
 	lent    map[permit]*loan
 	list    []ask // by deadline
-	need    map[units.Node]bool
-	late    map[units.Node]bool // routers that came into view with the book open: they are asked too
+	need    map[units.NodeID]bool
+	late    map[units.NodeID]bool // routers that came into view with the book open: they are asked too
 	sent    units.Time
-	silent  map[units.Node]units.Time // until when a silent node may still hold what it was lent before
+	silent  map[units.NodeID]units.Time // until when a silent node may still hold what it was lent before
 	turn    time.Duration
 	hold    time.Duration // mean time that a slot is held
 	back    units.Time
@@ -63,13 +63,13 @@
 
 // Ledger is the keeper's step machine.
 type Ledger struct {
-	self    units.Node
+	self    units.NodeID
 	workers map[string]Worker
 	routers []Peer
-	holds   map[units.Node]units.Time // processes not live, till when their runs may still be going
+	holds   map[units.NodeID]units.Time // processes not live, till when their runs may still be going
 	keeps   map[string]*keep
-	strange map[units.Node]units.Time // routers that took a worker over before membership showed them here
-	moved   bool                      // the workers or the routers are not those that the keepers were worked out for
+	strange map[units.NodeID]units.Time // routers that took a worker over before membership showed them here
+	moved   bool                        // the workers or the routers are not those that the keepers were worked out for
 	audited units.Time
 	excess  float64
 	slack   int
@@ -77,8 +77,8 @@
 }
 
 // New begins a node that keeps nothing.
-func New(self units.Node) *Ledger {
-	return &Ledger{self: self, workers: map[string]Worker{}, keeps: map[string]*keep{}, holds: map[units.Node]units.Time{}, strange: map[units.Node]units.Time{}, excess: 1, part: 1}
+func New(self units.NodeID) *Ledger {
+	return &Ledger{self: self, workers: map[string]Worker{}, keeps: map[string]*keep{}, holds: map[units.NodeID]units.Time{}, strange: map[units.NodeID]units.Time{}, excess: 1, part: 1}
 }
 
 // SetWorkers sets what there is to keep.
@@ -89,7 +89,7 @@
 }
 
 // SetRouters takes membership's view: the live routers, and till when others' runs may still be going.
-func (g *Ledger) SetRouters(routers []Peer, holds map[units.Node]units.Time) {
+func (g *Ledger) SetRouters(routers []Peer, holds map[units.NodeID]units.Time) {
 	g.moved = g.moved || !slices.Equal(g.routers, routers)
 	for _, v := range routers {
 		if !slices.ContainsFunc(g.routers, func(o Peer) bool { return o.Node == v.Node }) {
@@ -102,7 +102,7 @@
 }
 
 // ProcessEnded frees what a process held that is known to have ended: the kernel broke its runs' wires off.
-func (g *Ledger) ProcessEnded(now units.Time, n units.Node) {
+func (g *Ledger) ProcessEnded(now units.Time, n units.NodeID) {
 	for _, k := range g.keeps {
 		for p, l := range k.lent {
 			if p.node == n {
@@ -165,7 +165,7 @@
 
 // begin asks every live router what it holds; until all have said so, nothing is lent.
 func (g *Ledger) begin(now units.Time, name string, out *message.Effects) {
-	k := &keep{lent: map[permit]*loan{}, adapted: now, begun: now, silent: maps.Clone(g.holds), late: map[units.Node]bool{}}
+	k := &keep{lent: map[permit]*loan{}, adapted: now, begun: now, silent: maps.Clone(g.holds), late: map[units.NodeID]bool{}}
 	g.keeps[name] = k
 	g.recollect(now, name, k, out)
 }
@@ -174,7 +174,7 @@
 // node that has last reported to another: while views differed, that one took the worker over, and no grant of
 // this keeper's would be taken there.
 func (g *Ledger) recollect(now units.Time, name string, k *keep, out *message.Effects) {
-	k.open, k.need, k.sent, k.begun = false, map[units.Node]bool{}, now.Add(-reask), now
+	k.open, k.need, k.sent, k.begun = false, map[units.NodeID]bool{}, now.Add(-reask), now
 	for _, n := range g.live(now) {
 		k.need[n] = true
 	}
@@ -182,8 +182,8 @@
 }
 
 // live lists the routers that may hold something: those that membership shows, and those that it does not show yet.
-func (g *Ledger) live(now units.Time) []units.Node {
-	var l []units.Node
+func (g *Ledger) live(now units.Time) []units.NodeID {
+	var l []units.NodeID
 	for _, v := range g.routers {
 		l = append(l, v.Node)
 	}
--- a/internal/router/capacity/ledger_test.go
+++ b/internal/router/capacity/ledger_test.go
@@ -226,7 +226,7 @@
 	g := New(1)
 	now := units.Time(time.Hour)
 	g.SetWorkers(map[string]Worker{"s/w": {Capacity: 2, MaxWaiting: 9}})
-	g.SetRouters([]Peer{{Node: 1}, {Node: 2}}, map[units.Node]units.Time{3: now.Add(3 * time.Second)})
+	g.SetRouters([]Peer{{Node: 1}, {Node: 2}}, map[units.NodeID]units.Time{3: now.Add(3 * time.Second)})
 	if Coordinator([]Peer{{Node: 1}, {Node: 2}}, "s/w", "") != 1 {
 		g.self = 2
 	}
--- a/internal/router/capacity/note.go
+++ b/internal/router/capacity/note.go
@@ -113,14 +113,14 @@
 
 // Peer is one router in membership's view.
 type Peer struct {
-	Node     units.Node
+	Node     units.NodeID
 	Zone     string
 	Draining bool // it drains: it holds permits and reports them, and keeps no worker
 }
 
 // Coordinator gives the router that keeps a worker: rendezvous order, the worker's zone first.
-func Coordinator(routers []Peer, worker, zone string) units.Node {
-	var best units.Node
+func Coordinator(routers []Peer, worker, zone string) units.NodeID {
+	var best units.NodeID
 	var top uint64
 	own := false
 	for _, v := range routers {
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -16,7 +16,7 @@
 		if k := g.keeps[name]; err == nil && k != nil && (!k.open || k.late[n.From]) {
 			for _, h := range held {
 				if p := (permit{n.From, h.Tag}); k.lent[p] == nil {
-					k.lent[p] = &loan{until: now.Add(units.Millis(h.TimeLeft).Span() + grace), since: now, mem: h.MemoryTokens}
+					k.lent[p] = &loan{until: now.Add(units.Millis(h.TimeLeft).Duration() + grace), since: now, mem: h.MemoryTokens}
 					k.mem += int(h.MemoryTokens)
 				}
 			}
@@ -80,7 +80,7 @@
 	return k.turn
 }
 
-func (g *Ledger) asked(now units.Time, from units.Node, name string, k *keep, h Header, out *message.Effects) {
+func (g *Ledger) asked(now units.Time, from units.NodeID, name string, k *keep, h Header, out *message.Effects) {
 	p := permit{from, h.Tag}
 	if k.lent[p] != nil {
 		out.Send(from, Grant, Pack(g.state(now, name, k, Header{Tag: h.Tag}), name))
@@ -89,7 +89,7 @@
 	if h.Reason == ReasonNotCoordinator && k.open {
 		g.recollect(now, name, k, out)
 	}
-	left := units.Millis(h.TimeLeft).Span()
+	left := units.Millis(h.TimeLeft).Duration()
 	wait := k.gap(max(1, g.Capacity(now, name)))
 	for i, a := range k.list {
 		if a.permit == p {
@@ -107,7 +107,7 @@
 	w := g.workers[name]
 	me := ask{permit: p, until: now.Add(left), worth: h.Worth, read: time.Duration(h.PrefillTime) * time.Microsecond, urge: h.Priority, mem: h.MemoryTokens, since: now}
 	late, pace := k.words(now, me), k.due(now, g.rate(now, w))
-	busy := h.Wait == 0 && h.MaxFirstTokenTime > 0 && late > units.Millis(h.MaxFirstTokenTime).Span()
+	busy := h.Wait == 0 && h.MaxFirstTokenTime > 0 && late > units.Millis(h.MaxFirstTokenTime).Duration()
 	if k.open && len(k.lent) < c && len(k.list) == 0 && !busy && pace == 0 && k.fits(w, me.mem) {
 		g.lend(now, name, k, me, out)
 		return
--- a/internal/router/capacity/upkeep.go
+++ b/internal/router/capacity/upkeep.go
@@ -23,7 +23,7 @@
 func (g *Ledger) audit(now units.Time, out *message.Effects) {
 	for _, name := range message.Keys(g.keeps) {
 		k := g.keeps[name]
-		by := map[units.Node][]HeldPermit{}
+		by := map[units.NodeID][]HeldPermit{}
 		for _, p := range k.permits() {
 			if now.Sub(k.lent[p].since) >= audit {
 				by[p.node] = append(by[p.node], HeldPermit{Tag: p.tag})
--- a/internal/router/capacity/watch.go
+++ b/internal/router/capacity/watch.go
@@ -11,17 +11,17 @@
 // who is known to have ended.
 type RouterTracker struct {
 	ExcludeSuspects bool // one that is only suspected keeps no worker: a needless change costs a few notes, a dark keeper seconds
-	lost            map[units.Node]units.Time
-	void            map[units.Node]units.Time
+	lost            map[units.NodeID]units.Time
+	void            map[units.NodeID]units.Time
 }
 
 // NewRouterTracker gives an empty one.
 func NewRouterTracker() *RouterTracker {
-	return &RouterTracker{lost: map[units.Node]units.Time{}, void: map[units.Node]units.Time{}}
+	return &RouterTracker{lost: map[units.NodeID]units.Time{}, void: map[units.NodeID]units.Time{}}
 }
 
 // ProcessEnded notes that a process has ended: its wires are broken, it holds nothing.
-func (w *RouterTracker) ProcessEnded(now units.Time, n units.Node) {
+func (w *RouterTracker) ProcessEnded(now units.Time, n units.NodeID) {
 	if _, ok := w.void[n]; !ok {
 		delete(w.lost, n)
 		w.void[n] = now
@@ -77,8 +77,8 @@
 
 // RunDeadlines gives the moments until which processes that are not live may still have runs going: those that fell
 // silent for the longest time left there is, those known to have ended for as long as workers take to notice.
-func (w *RouterTracker) RunDeadlines(longest time.Duration) map[units.Node]units.Time {
-	m := map[units.Node]units.Time{}
+func (w *RouterTracker) RunDeadlines(longest time.Duration) map[units.NodeID]units.Time {
+	m := map[units.NodeID]units.Time{}
 	for n, t := range w.lost {
 		m[n] = t.Add(longest + grace)
 	}
--- a/internal/router/capacity/watch_test.go
+++ b/internal/router/capacity/watch_test.go
@@ -11,7 +11,7 @@
 // A cold worker's rate is shared with those that may be at work behind a cut; a process whose machine runs another in its
 // place, and one that was silent for long, are none of them. Two halves of a cut lend no more than the whole.
 func TestPartOfRates(t *testing.T) {
-	router := func(n units.Node, addr string, s membership.State) membership.Member {
+	router := func(n units.NodeID, addr string, s membership.State) membership.Member {
 		return membership.Member{Node: n, Role: membership.Router, Addr: addr, State: s}
 	}
 	w := NewRouterTracker()
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -5,7 +5,7 @@
 
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/units"
 )
@@ -32,7 +32,7 @@
 	if r := v.activeConfig.Load(); r != nil {
 		longest = max(time.Second, r.Longest(true))
 	}
-	var peers []units.Node
+	var peers []units.NodeID
 	for _, member := range v.Members() {
 		if member.Role == membership.Router && member.State <= membership.Suspect && member.Node != v.Self {
 			peers = append(peers, member.Node)
@@ -56,7 +56,7 @@
 	v := w.router
 	key := w.mapping.Name + "/" + w.key
 	token := v.nextTag.Add(1)<<8 ^ uint64(v.Self)
-	result := make(chan codes.Code, 1)
+	result := make(chan resultcode.Code, 1)
 	holders := idempotency.Holders(v.Members(), key)
 	v.withClaimant(func() message.Effects {
 		v.pendingClaims[token] = result
@@ -64,7 +64,7 @@
 	})
 	select {
 	case code := <-result:
-		if code == codes.OK {
+		if code == resultcode.OK {
 			w.claimedKey, w.holders = key, holders
 		}
 		return w.handleClaimResult(code)
@@ -79,13 +79,13 @@
 }
 
 // handleClaimResult refuses the request unless its claim was granted. It reports whether it did.
-func (w *nativeRequest) handleClaimResult(code codes.Code) bool {
+func (w *nativeRequest) handleClaimResult(code resultcode.Code) bool {
 	switch code {
-	case codes.OK:
+	case resultcode.OK:
 		return false
-	case codes.Claimed:
+	case resultcode.KeyClaimed:
 		w.router.refuse(w.ctx, code, "the key is claimed already: its request ran, or may run", false, 0)
-	case codes.Burned:
+	case resultcode.KeySpent:
 		w.router.refuse(w.ctx, code, "the key's request was said not to run, and it never will: take a new key", true, 0)
 	default:
 		w.router.refuse(w.ctx, code, "the key could not be claimed: a copy of the request may run elsewhere", false, time.Second)
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -19,7 +19,7 @@
 // activeConfig is the configuration in force. A request keeps the one that it started with.
 type activeConfig struct {
 	*config.Config
-	updateVersion units.Num
+	updateVersion units.Version
 }
 
 // clusterView is the state known from updates and membership, guarded by viewMu.
--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -4,14 +4,14 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
 // Claim asks the holders, and the core's disks, for a key under a token that is this node's own.
-func (s *Claimant) Claim(now units.Time, token uint64, key string, holders []units.Node) (out message.Effects) {
-	p := &pending{key: key, holders: holders, core: s.core, got: map[units.Node]bool{}, since: now}
+func (s *Claimant) Claim(now units.Time, token uint64, key string, holders []units.NodeID) (out message.Effects) {
+	p := &pending{key: key, holders: holders, core: s.core, got: map[units.NodeID]bool{}, since: now}
 	s.pends[token] = p
 	s.ask(now, token, p, &out)
 	return out
@@ -33,8 +33,8 @@
 
 // Burn makes a key useless for ever: the holder of its claim says that it did not run. Only a node whose claim
 // was granted may burn; to others the key's prompt may be running elsewhere.
-func (s *Claimant) Burn(key string, holders []units.Node) (out message.Effects) {
-	for _, n := range append(append([]units.Node(nil), holders...), s.core.All()...) {
+func (s *Claimant) Burn(key string, holders []units.NodeID) (out message.Effects) {
+	for _, n := range append(append([]units.NodeID(nil), holders...), s.core.All()...) {
 		if n != 0 {
 			out.Send(n, Burn, message.Pack(head{}, []byte(key)))
 		}
@@ -42,7 +42,7 @@
 	return out
 }
 
-func (s *Claimant) end(token uint64, c codes.Code, kept bool) {
+func (s *Claimant) end(token uint64, c resultcode.Code, kept bool) {
 	delete(s.pends, token)
 	s.Results = append(s.Results, Result{token, c, kept})
 }
@@ -65,7 +65,7 @@
 	if !kept {
 		s.late[token] = p
 	}
-	s.end(token, codes.OK, kept)
+	s.end(token, resultcode.OK, kept)
 }
 
 // tell lets the disks know of claims that were granted without them.
@@ -77,14 +77,14 @@
 			delete(s.late, token)
 		case now.Sub(p.sent) >= time.Second:
 			if p.core.Version != s.core.Version {
-				p.core, p.got = s.core, map[units.Node]bool{}
+				p.core, p.got = s.core, map[units.NodeID]bool{}
 			}
 			s.ask(now, token, p, out)
 		}
 	}
 }
 
-func (s *Claimant) answered(now units.Time, from units.Node, h head) {
+func (s *Claimant) answered(now units.Time, from units.NodeID, h head) {
 	if p := s.late[h.Token]; p != nil {
 		if h.State == granted {
 			p.got[from] = true
@@ -100,9 +100,9 @@
 	}
 	switch h.State {
 	case taken:
-		s.end(h.Token, codes.Claimed, false)
+		s.end(h.Token, resultcode.KeyClaimed, false)
 	case burned:
-		s.end(h.Token, codes.Burned, false)
+		s.end(h.Token, resultcode.KeySpent, false)
 	case granted:
 		p.got[from] = true
 		if p.held == 0 && (register.QuorumSet{Members: p.holders}).HasMajority(p.got) {
--- a/internal/router/idempotency/claims.go
+++ b/internal/router/idempotency/claims.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/units"
 )
 
@@ -53,9 +53,9 @@
 
 type pending struct {
 	key     string
-	holders []units.Node
+	holders []units.NodeID
 	core    register.QuorumSet
-	got     map[units.Node]bool
+	got     map[units.NodeID]bool
 	since   units.Time
 	held    units.Time // when a majority of the holders had granted
 	sent    units.Time
@@ -64,25 +64,25 @@
 // Result of a claim: OK, Claimed, Burned or NoClaim.
 type Result struct {
 	Token uint64
-	Code  codes.Code
+	Code  resultcode.Code
 	Kept  bool // on a majority of the core's disks too
 }
 
 type heard struct {
 	whole bool
-	ver   units.Num
+	ver   units.Version
 }
 
 // Claimant is the step machine: holder of others' claims and claimant of its own callers'.
 type Claimant struct {
-	self       units.Node
+	self       units.NodeID
 	born       units.Time
 	keys       map[string]entry
 	pends      map[uint64]*pending
 	late       map[uint64]*pending // granted by the routers alone; the disks are told as soon as they can be
 	core       register.QuorumSet
 	away       units.Time // till then the disks are not waited for
-	heard      map[units.Node]heard
+	heard      map[units.NodeID]heard
 	whole      bool
 	asked      units.Time
 	askedParts units.Time
@@ -91,22 +91,22 @@
 }
 
 // New gives a node that remembers nothing and so abstains.
-func New(self units.Node, now units.Time) *Claimant {
-	return &Claimant{self: self, born: now, keys: map[string]entry{}, pends: map[uint64]*pending{}, late: map[uint64]*pending{}, heard: map[units.Node]heard{}}
+func New(self units.NodeID, now units.Time) *Claimant {
+	return &Claimant{self: self, born: now, keys: map[string]entry{}, pends: map[uint64]*pending{}, late: map[uint64]*pending{}, heard: map[units.NodeID]heard{}}
 }
 
 // Core sets the voters, whose disks keep claims beyond the loss of all memory.
 func (s *Claimant) Core(v register.QuorumSet) { s.core = v }
 
 // Tick asks again, gives up, forgets old keys, and copies what others remember after a start.
-func (s *Claimant) Tick(now units.Time, peers []units.Node, longest time.Duration) (out message.Effects) {
+func (s *Claimant) Tick(now units.Time, peers []units.NodeID, longest time.Duration) (out message.Effects) {
 	for _, token := range message.Keys(s.pends) {
 		p := s.pends[token]
 		switch {
 		case p.held != 0:
 			s.settled(now, token, p)
 		case now.Sub(p.since) >= giveUp:
-			s.end(token, codes.NoClaim, false) // nothing is burned: another copy may hold the key and run
+			s.end(token, resultcode.ClaimFailed, false) // nothing is burned: another copy may hold the key and run
 		case now.Sub(p.sent) >= again:
 			s.ask(now, token, p, &out)
 		}
--- a/internal/router/idempotency/copy.go
+++ b/internal/router/idempotency/copy.go
@@ -23,7 +23,7 @@
 	burnt bool
 }
 
-func pack(keys map[string]entry, whole bool, ver units.Num) []byte {
+func pack(keys map[string]entry, whole bool, ver units.Version) []byte {
 	var l [][]byte
 	for _, k := range message.Keys(keys) {
 		e := keys[k]
@@ -72,14 +72,14 @@
 		e.burnt = e.burnt || x.burnt
 		s.keys[x.key] = e
 	}
-	s.heard[n.From] = heard{whole: h.Whole == 1, ver: units.Num(h.Ver)}
+	s.heard[n.From] = heard{whole: h.Whole == 1, ver: units.Version(h.Ver)}
 	return nil
 }
 
 // recall brings back what others remember after a start. It is all there once every live router has given a whole
 // memory; or, where some are as new as this one, once all have given what they have and so many voters theirs that
 // no claim on a majority of the disks can be missing.
-func (s *Claimant) recall(now units.Time, peers []units.Node, out *message.Effects) bool {
+func (s *Claimant) recall(now units.Time, peers []units.NodeID, out *message.Effects) bool {
 	allWhole, allHeard := true, true
 	for _, n := range peers {
 		h, ok := s.heard[n]
@@ -101,7 +101,7 @@
 		if late {
 			s.askedParts = now
 		}
-		for _, n := range append(append([]units.Node(nil), peers...), s.core.All()...) {
+		for _, n := range append(append([]units.NodeID(nil), peers...), s.core.All()...) {
 			if h, ok := s.heard[n]; !ok || late && !h.whole {
 				out.Send(n, CopyAsk, message.Pack(head{}))
 			}
--- a/internal/router/idempotency/holders.go
+++ b/internal/router/idempotency/holders.go
@@ -11,10 +11,10 @@
 // Holders gives the three machines that hold a key's claim: rendezvous order over all routers' addresses that are
 // known, gone or not, from different zones as far as there are any. A machine that is gone stands as zero, so that
 // losing machines never moves a key to others that know nothing of it.
-func Holders(all []membership.Member, key string) []units.Node {
+func Holders(all []membership.Member, key string) []units.NodeID {
 	type slot struct {
 		addr, zone string
-		node       units.Node
+		node       units.NodeID
 		rank       uint64
 	}
 	by := map[string]*slot{}
@@ -36,7 +36,7 @@
 		l = append(l, s)
 	}
 	slices.SortFunc(l, func(a, b *slot) int { return cmp.Compare(b.rank, a.rank) })
-	var out []units.Node
+	var out []units.NodeID
 	zones := map[string]bool{}
 	for _, fresh := range []bool{true, false} {
 		for _, s := range l {
--- a/internal/router/idempotency/registry.go
+++ b/internal/router/idempotency/registry.go
@@ -22,10 +22,10 @@
 
 // Registry is a voter's copy of all claims, on its disk: what routers remember is gone once they all are (design 8).
 type Registry struct {
-	self  units.Node
+	self  units.NodeID
 	keys  map[string]entry
 	whole bool
-	heard map[units.Node]copyState // of the voters that answered
+	heard map[units.NodeID]copyState // of the voters that answered
 	asked units.Time
 	swept units.Time
 	Low   bool // no room on the disk: nothing new is taken
@@ -33,8 +33,8 @@
 
 // LoadRegistry builds the machine from what the disk holds. How old a claim is is not on the disk, so that no calendar
 // is trusted: after a start each counts as new.
-func LoadRegistry(self units.Node, now units.Time, rs []message.Record) *Registry {
-	r := &Registry{self: self, keys: map[string]entry{}, heard: map[units.Node]copyState{}}
+func LoadRegistry(self units.NodeID, now units.Time, rs []message.Record) *Registry {
+	r := &Registry{self: self, keys: map[string]entry{}, heard: map[units.NodeID]copyState{}}
 	for _, x := range rs {
 		var it item
 		switch {
@@ -62,7 +62,7 @@
 func (r *Registry) Len() int { return len(r.keys) }
 
 // Step takes one note; ver is the newest set of voters that this node knows of.
-func (r *Registry) Step(now units.Time, n message.Message, ver units.Num) (out message.Effects) {
+func (r *Registry) Step(now units.Time, n message.Message, ver units.Version) (out message.Effects) {
 	switch n.Kind {
 	case CopyAsk:
 		var h head
@@ -71,7 +71,7 @@
 			return out
 		}
 		// Who asks under a newer set is answered once this node, too, serves no older one.
-		if units.Num(h.Ver) <= ver {
+		if units.Version(h.Ver) <= ver {
 			out.SendAfterSync(n.From, Copy, pack(r.keys, r.whole, ver))
 		}
 	case Copy:
@@ -88,7 +88,7 @@
 	return out
 }
 
-func (r *Registry) claim(now units.Time, n message.Message, h head, key string, ver units.Num, out *message.Effects) {
+func (r *Registry) claim(now units.Time, n message.Message, h head, key string, ver units.Version, out *message.Effects) {
 	e, ok := r.keys[key]
 	if n.Kind == Burn {
 		if !e.burnt && !r.Low {
@@ -103,7 +103,7 @@
 		h.State = taken
 	case ok:
 		h.State = granted
-	case !r.whole || r.Low || units.Num(h.Ver) < ver:
+	case !r.whole || r.Low || units.Version(h.Ver) < ver:
 		h.State = abstain
 	default:
 		r.set(key, entry{token: h.Token, at: now}, out)
--- a/internal/router/idempotency/registry_test.go
+++ b/internal/router/idempotency/registry_test.go
@@ -13,13 +13,13 @@
 // A blank voter grants nothing before it has copied the others; an older set of voters, a full disk and a note
 // that can't be read change nothing.
 func TestRollAbstains(t *testing.T) {
-	v := register.QuorumSet{Version: 2, Members: []units.Node{1, 2, 3}}
+	v := register.QuorumSet{Version: 2, Members: []units.NodeID{1, 2, 3}}
 	old := idempotency.LoadRegistry(2, 0, []message.Record{{Kind: idempotency.RecWhole, Data: []byte{1}}})
 	claim := func(r *idempotency.Registry, key string, token, ver uint64) int {
 		s := idempotency.New(9, 0)
-		s.Core(register.QuorumSet{Version: units.Num(ver), Members: []units.Node{7}})
+		s.Core(register.QuorumSet{Version: units.Version(ver), Members: []units.NodeID{7}})
 		s.Tick(units.Time(time.Minute), nil, time.Second)
-		out := s.Claim(0, token, key, []units.Node{9})
+		out := s.Claim(0, token, key, []units.NodeID{9})
 		wrote := 0
 		for _, n := range out.Messages {
 			if n.To == 7 {
@@ -51,7 +51,7 @@
 			Token, Ver uint64
 			State      uint8
 		}{Ver: 2})}, 2).AfterSync {
-			n.From = units.Node(2)
+			n.From = units.NodeID(2)
 			if from != old {
 				n.From = 1
 			}
--- a/internal/router/idempotency/voters_test.go
+++ b/internal/router/idempotency/voters_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/units"
 )
@@ -18,18 +18,18 @@
 )
 
 var (
-	claimHolders = []units.Node{1, 2, 3}
+	claimHolders = []units.NodeID{1, 2, 3}
 	claimSets    = []register.QuorumSet{ // each replaces one voter of the set before
-		{Version: 1, Members: []units.Node{11, 12, 13}},
-		{Version: 2, Members: []units.Node{12, 13, 14}},
-		{Version: 3, Members: []units.Node{13, 14, 15}},
+		{Version: 1, Members: []units.NodeID{11, 12, 13}},
+		{Version: 2, Members: []units.NodeID{12, 13, 14}},
+		{Version: 3, Members: []units.NodeID{13, 14, 15}},
 	}
 	claimJointSets = []register.QuorumSet{ // the same by way of joint sets
-		{Version: 1, Members: []units.Node{11, 12, 13}},
-		{Version: 2, Members: []units.Node{11, 12, 13}, Incoming: []units.Node{12, 13, 14}},
-		{Version: 3, Members: []units.Node{12, 13, 14}},
-		{Version: 4, Members: []units.Node{12, 13, 14}, Incoming: []units.Node{13, 14, 15}},
-		{Version: 5, Members: []units.Node{13, 14, 15}},
+		{Version: 1, Members: []units.NodeID{11, 12, 13}},
+		{Version: 2, Members: []units.NodeID{11, 12, 13}, Incoming: []units.NodeID{12, 13, 14}},
+		{Version: 3, Members: []units.NodeID{12, 13, 14}},
+		{Version: 4, Members: []units.NodeID{12, 13, 14}, Incoming: []units.NodeID{13, 14, 15}},
+		{Version: 5, Members: []units.NodeID{13, 14, 15}},
 	}
 )
 
@@ -38,18 +38,18 @@
 	sets    []register.QuorumSet
 	draw    *rand.Rand
 	now     units.Time
-	screens map[units.Node]*idempotency.Claimant
-	rolls   map[units.Node]*idempotency.Registry
-	knows   map[units.Node]int // the newest set that a node knows of, by its place
+	screens map[units.NodeID]*idempotency.Claimant
+	rolls   map[units.NodeID]*idempotency.Registry
+	knows   map[units.NodeID]int // the newest set that a node knows of, by its place
 	under   []message.Message
 	granted int
 	kept    bool // the grant stood on a majority of the disks
 }
 
 func newClaimFleet(seed uint64, sets []register.QuorumSet) *claimFleet {
-	f := &claimFleet{sets: sets, draw: rand.New(rand.NewPCG(seed, 5)), now: units.Time(time.Minute), screens: map[units.Node]*idempotency.Claimant{},
-		rolls: map[units.Node]*idempotency.Registry{}, knows: map[units.Node]int{}}
-	for d := units.Node(11); d <= 15; d++ {
+	f := &claimFleet{sets: sets, draw: rand.New(rand.NewPCG(seed, 5)), now: units.Time(time.Minute), screens: map[units.NodeID]*idempotency.Claimant{},
+		rolls: map[units.NodeID]*idempotency.Registry{}, knows: map[units.NodeID]int{}}
+	for d := units.NodeID(11); d <= 15; d++ {
 		f.rolls[d] = idempotency.LoadRegistry(d, f.now, nil)
 	}
 	f.restartScreens()
@@ -64,7 +64,7 @@
 }
 
 // put takes a step's messages; disks write at once.
-func (f *claimFleet) put(from units.Node, out message.Effects) {
+func (f *claimFleet) put(from units.NodeID, out message.Effects) {
 	for _, m := range append(out.Messages, out.AfterSync...) {
 		m.From = from
 		f.under = append(f.under, m)
@@ -95,13 +95,13 @@
 // beat lets a little time pass for all.
 func (f *claimFleet) beat() {
 	f.now = f.now.Add(50 * time.Millisecond)
-	for d := units.Node(11); d <= 15; d++ {
+	for d := units.NodeID(11); d <= 15; d++ {
 		f.put(d, f.rolls[d].Tick(f.now, f.sets[f.knows[d]]))
 	}
 	for _, n := range claimHolders {
 		s := f.screens[n]
 		s.Core(f.sets[f.knows[n]])
-		var others []units.Node
+		var others []units.NodeID
 		for _, o := range claimHolders {
 			if o != n {
 				others = append(others, o)
@@ -109,7 +109,7 @@
 		}
 		f.put(n, s.Tick(f.now, others, time.Hour))
 		for _, r := range s.Results {
-			if r.Code == codes.OK {
+			if r.Code == resultcode.OK {
 				f.granted++
 				f.kept = f.kept || r.Kept
 			}
@@ -138,7 +138,7 @@
 		f.knows[old[i]] = next
 		f.deliver(f.draw.IntN(8))
 	}
-	nodes := append([]units.Node{11, 12, 13, 14, 15}, claimHolders...)
+	nodes := append([]units.NodeID{11, 12, 13, 14, 15}, claimHolders...)
 	for _, i := range f.draw.Perm(len(nodes)) {
 		f.knows[nodes[i]] = max(f.knows[nodes[i]], next)
 		if f.draw.IntN(2) == 0 {
@@ -158,7 +158,7 @@
 }
 
 // claim asks for the key by way of a holder.
-func (f *claimFleet) claim(by units.Node, token uint64) {
+func (f *claimFleet) claim(by units.NodeID, token uint64) {
 	f.screens[by].Core(f.sets[f.knows[by]])
 	f.put(by, f.screens[by].Claim(f.now, token, claimKey, claimHolders))
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -11,13 +11,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 )
 
 // stats counts results and dispatches.
 type stats struct {
 	mu             sync.Mutex
-	codes          map[codes.Code]uint64
+	codes          map[resultcode.Code]uint64
 	dispatches     map[string]uint64  // dispatches by the worker's zone
 	crossZoneBytes uint64             // bytes of prompts dispatched to another zone
 	disconnects    [stageCount]uint64 // requests whose client disconnected, by stage
@@ -40,18 +40,18 @@
 
 // recordDisconnect counts and logs a request whose client disconnected at a stage, with the time since the request arrived.
 func (v *Router) recordDisconnect(at stage, elapsed time.Duration) {
-	v.stats.countResult(codes.ClientLeft)
+	v.stats.countResult(resultcode.ClientDisconnected)
 	v.stats.mu.Lock()
 	v.stats.disconnects[at]++
 	v.stats.mu.Unlock()
 	v.Log.WithField("stage", at.String()).WithField("after", elapsed).Info("client disconnected")
 }
 
-func (s *stats) countResult(c codes.Code) {
+func (s *stats) countResult(c resultcode.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.codes == nil {
-		s.codes = map[codes.Code]uint64{}
+		s.codes = map[resultcode.Code]uint64{}
 	}
 	s.codes[c]++
 }
--- a/internal/router/native_api.go
+++ b/internal/router/native_api.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 )
 
 // serve handles all requests of the native API. Paths that need no mapping are answered here.
@@ -28,7 +28,7 @@
 }
 
 // refuse answers with a code and text at once, and with Retry-After if retryAfter is set.
-func (v *Router) refuse(ctx *fasthttp.RequestCtx, code codes.Code, text string, notRun bool, retryAfter time.Duration) {
+func (v *Router) refuse(ctx *fasthttp.RequestCtx, code resultcode.Code, text string, notRun bool, retryAfter time.Duration) {
 	v.stats.countResult(code)
 	var a fastjson.Arena
 	o := a.NewObject()
@@ -51,9 +51,9 @@
 
 // malformed refuses a request that is not valid HTTP or is too large. It matched no mapping and did not run.
 func (v *Router) malformed(ctx *fasthttp.RequestCtx, err error) {
-	c := codes.BadBody
+	c := resultcode.InvalidBody
 	if err == fasthttp.ErrBodyTooLarge {
-		c = codes.TooLarge
+		c = resultcode.RequestTooLarge
 	}
 	v.refuse(ctx, c, "the request could not be read", true, 0)
 	ctx.SetConnectionClose()
@@ -72,13 +72,13 @@
 	switch {
 	case v.draining():
 		ctx.SetConnectionClose()
-		v.refuse(ctx, codes.Draining, "this node is leaving", true, drainRetryAfter)
+		v.refuse(ctx, resultcode.Draining, "this node is leaving", true, drainRetryAfter)
 		return
 	case !v.ready.Load() || w.config == nil:
-		v.refuse(ctx, codes.NotReady, "this node has no confirmed configuration yet", true, time.Second)
+		v.refuse(ctx, resultcode.NotReady, "this node has no confirmed configuration yet", true, time.Second)
 		return
 	case exceedsLimits(ctx, w.config.Limits):
-		v.refuse(ctx, codes.TooLarge, "the request is over the limits", true, 0)
+		v.refuse(ctx, resultcode.RequestTooLarge, "the request is over the limits", true, 0)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -89,7 +89,7 @@
 		return string(ctx.Request.Header.Peek(n))
 	}})
 	if !ok {
-		v.refuse(ctx, codes.NoMapping, "no mapping takes this request", true, 0)
+		v.refuse(ctx, resultcode.NoMapping, "no mapping takes this request", true, 0)
 		return
 	}
 	w.mapping = w.config.Mappings[actions[0].Mapping]
@@ -102,34 +102,34 @@
 func (w *nativeRequest) readRequest() bool {
 	ctx, v := w.ctx, w.router
 	if !ctx.IsPost() {
-		v.refuse(ctx, codes.BadBody, "a prompt is a POST", true, 0)
+		v.refuse(ctx, resultcode.InvalidBody, "a prompt is a POST", true, 0)
 		return false
 	}
 	header := ctx.Request.Header.Peek("Time-Left-Ms")
 	if len(header) == 0 {
-		v.refuse(ctx, codes.NoTimeLeft, "Time-Left-Ms is missing", true, 0)
+		v.refuse(ctx, resultcode.MissingTimeLeft, "Time-Left-Ms is missing", true, 0)
 		return false
 	}
 	n, err := strconv.ParseUint(string(header), 10, 31)
 	if err != nil || n == 0 {
-		v.refuse(ctx, codes.BadTimeLeft, "Time-Left-Ms is a whole number of milliseconds above 0", true, 0)
+		v.refuse(ctx, resultcode.InvalidTimeLeft, "Time-Left-Ms is a whole number of milliseconds above 0", true, 0)
 		return false
 	}
 	w.timeLeft = time.Duration(n) * time.Millisecond
 	w.key = string(ctx.Request.Header.Peek("Idempotency-Key"))
 	if len(w.key) > 200 {
-		v.refuse(ctx, codes.BadKey, "an Idempotency-Key has at most 200 bytes", true, 0)
+		v.refuse(ctx, resultcode.InvalidKey, "an Idempotency-Key has at most 200 bytes", true, 0)
 		return false
 	}
 	w.body = bytes.Clone(ctx.PostBody()) // the body is used after the handler has returned
 	parsed, err := fastjson.ParseBytes(w.body)
 	if err != nil {
-		v.refuse(ctx, codes.BadBody, "the body is no JSON: "+err.Error(), true, 0)
+		v.refuse(ctx, resultcode.InvalidBody, "the body is no JSON: "+err.Error(), true, 0)
 		return false
 	}
 	prompt := parsed.Get("prompt")
 	if prompt == nil || prompt.Type() != fastjson.TypeString || len(prompt.GetStringBytes()) == 0 {
-		v.refuse(ctx, codes.BadBody, "prompt is missing or no text", true, 0)
+		v.refuse(ctx, resultcode.InvalidBody, "prompt is missing or no text", true, 0)
 		return false
 	}
 	w.prompt = prompt.GetStringBytes()
--- a/internal/router/native_api_test.go
+++ b/internal/router/native_api_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 )
 
@@ -19,19 +19,19 @@
 	for _, x := range []struct {
 		name, path, head, body string
 		status                 int
-		code                   codes.Code
+		code                   resultcode.Code
 	}{
-		{"no time left", "/chat", "", promptBody, 400, codes.NoTimeLeft},
-		{"time left no number", "/chat", "Time-Left-Ms: soon\r\n", promptBody, 400, codes.BadTimeLeft},
-		{"time left zero", "/chat", "Time-Left-Ms: 0\r\n", promptBody, 400, codes.BadTimeLeft},
-		{"time left negative", "/chat", "Time-Left-Ms: -5\r\n", promptBody, 400, codes.BadTimeLeft},
-		{"no mapping", "/other", timeLeft, promptBody, 404, codes.NoMapping},
-		{"no JSON", "/chat", timeLeft, "{", 400, codes.BadBody},
-		{"no prompt", "/chat", timeLeft, "{}", 400, codes.BadBody},
-		{"prompt no text", "/chat", timeLeft, `{"prompt":7}`, 400, codes.BadBody},
-		{"prompt empty", "/chat", timeLeft, `{"prompt":""}`, 400, codes.BadBody},
-		{"long key", "/notice", timeLeft + "Idempotency-Key: " + strings.Repeat("k", 201) + "\r\n", promptBody, 400, codes.BadKey},
-		{"too late", "/chat", "Time-Left-Ms: 10\r\n", promptBody, 503, codes.OutOfTime},
+		{"no time left", "/chat", "", promptBody, 400, resultcode.MissingTimeLeft},
+		{"time left no number", "/chat", "Time-Left-Ms: soon\r\n", promptBody, 400, resultcode.InvalidTimeLeft},
+		{"time left zero", "/chat", "Time-Left-Ms: 0\r\n", promptBody, 400, resultcode.InvalidTimeLeft},
+		{"time left negative", "/chat", "Time-Left-Ms: -5\r\n", promptBody, 400, resultcode.InvalidTimeLeft},
+		{"no mapping", "/other", timeLeft, promptBody, 404, resultcode.NoMapping},
+		{"no JSON", "/chat", timeLeft, "{", 400, resultcode.InvalidBody},
+		{"no prompt", "/chat", timeLeft, "{}", 400, resultcode.InvalidBody},
+		{"prompt no text", "/chat", timeLeft, `{"prompt":7}`, 400, resultcode.InvalidBody},
+		{"prompt empty", "/chat", timeLeft, `{"prompt":""}`, 400, resultcode.InvalidBody},
+		{"long key", "/notice", timeLeft + "Idempotency-Key: " + strings.Repeat("k", 201) + "\r\n", promptBody, 400, resultcode.InvalidKey},
+		{"too late", "/chat", "Time-Left-Ms: 10\r\n", promptBody, 503, resultcode.DeadlineExceeded},
 	} {
 		c := dialClient(t, v)
 		c.post(x.path, x.head, x.body)
@@ -185,7 +185,7 @@
 			})
 			v.stats.mu.Lock()
 			defer v.stats.mu.Unlock()
-			if n := v.stats.codes[codes.ClientLeft]; n != 1 {
+			if n := v.stats.codes[resultcode.ClientDisconnected]; n != 1 {
 				t.Errorf("%d disconnects were counted; the run ended for another reason", n)
 			}
 		})
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -7,8 +7,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/clientwatch"
 	"seamshunt/internal/router/placement"
@@ -32,9 +32,9 @@
 	dispatches    int  // attempts whose bytes may have reached a worker
 	retryReserved bool // the next retry has been taken from the budget already
 	knownNotRun   bool // no copy of the request can have run
-	reason        codes.Code
+	reason        resultcode.Code
 	claimedKey    string // mapping and key whose claim was granted
-	holders       []units.Node
+	holders       []units.NodeID
 	expectedWait  time.Duration
 	client        *clientwatch.Request
 	stage         stage
@@ -80,19 +80,19 @@
 			return w.endWithRefusal()
 		}
 		if w.deadline.Sub(now) < service.First {
-			w.reason = codes.OutOfTime
+			w.reason = resultcode.DeadlineExceeded
 			return w.dispatches > 0 && w.endWithRefusal()
 		}
 		if !w.attemptsLeft(0) {
 			return w.endWithRefusal()
 		}
 		if w.dispatches > 0 && !w.takeRetry(name, now) {
-			w.reason = codes.Budget
+			w.reason = resultcode.RetryBudgetExhausted
 			return w.endWithRefusal()
 		}
 		tag := v.nextTag.Add(1)
 		verdict := w.admit(now, tag, service)
-		if verdict.Code != codes.OK {
+		if verdict.Code != resultcode.OK {
 			w.reason, w.expectedWait = verdict.Code, verdict.ExpectedWait
 			return w.dispatches > 0 && w.endWithRefusal()
 		}
@@ -105,7 +105,7 @@
 		}
 	}
 	if w.reason == 0 {
-		w.reason = codes.NoWorker
+		w.reason = resultcode.NoWorker
 	}
 	return w.dispatches > 0 && w.endWithRefusal()
 }
@@ -120,7 +120,7 @@
 	v.pendingAdmissions[tag] = result
 	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.Allow, Candidates: candidates, MaxCandidates: service.Spread + 4,
 		Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth),
-		Coordinator: func(n string) units.Node { return coordinators[n] }})
+		Coordinator: func(n string) units.NodeID { return coordinators[n] }})
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
@@ -153,7 +153,7 @@
 	addr, zone, ok := v.workerAddress(worker, service)
 	if !ok || !w.mapping.Reaches(service.Name) {
 		v.release(tag, false)
-		w.reason = codes.NoWorker
+		w.reason = resultcode.NoWorker
 		return false
 	}
 	now := v.Tasks.Now()
@@ -180,18 +180,18 @@
 		if event.Unreachable {
 			v.markDown(worker)
 		}
-		w.reason = codes.NoWorker
+		w.reason = resultcode.NoWorker
 		return false
 	case upstream.NotRun:
 		v.release(tag, false)
-		w.reason = codes.WorkerNo
+		w.reason = resultcode.WorkerRefused
 		w.dispatches++
 		return false
 	}
 	// The request may have run, so only a repeatable mapping is retried.
 	w.dispatches++
 	w.knownNotRun = false
-	w.reason = codes.Unknown
+	w.reason = resultcode.OutcomeUnknown
 	v.release(tag, !event.Unreachable)
 	v.markDown(worker)
 	v.Log.WithError(event.Err).WithField("worker", worker).Warn("attempt with unknown outcome")
--- a/internal/router/native_stream.go
+++ b/internal/router/native_stream.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/upstream"
 )
 
@@ -21,15 +21,15 @@
 func (w *nativeRequest) refuse() {
 	c := w.reason
 	if c == 0 {
-		c = codes.NoWorker
+		c = resultcode.NoWorker
 	}
-	if c == codes.ClientLeft {
+	if c == resultcode.ClientDisconnected {
 		w.ctx.SetConnectionClose()
 		w.ctx.SetStatusCode(c.Status())
 		return
 	}
 	if !w.knownNotRun {
-		w.router.refuse(w.ctx, codes.Unknown, "the outcome is unknown: it may have run", false, 0)
+		w.router.refuse(w.ctx, resultcode.OutcomeUnknown, "the outcome is unknown: it may have run", false, 0)
 		return
 	}
 	w.spendKey()
@@ -41,14 +41,14 @@
 	w.router.refuse(w.ctx, c, refusalTexts[c], true, retryAfter(s.RetryAfter, s.Jitter, w.expectedWait))
 }
 
-var refusalTexts = map[codes.Code]string{
-	codes.WaitFull:  "every waitlist is full",
-	codes.WaitLate:  "the time left does not reach to an answer",
-	codes.NoWorker:  "no worker can be reached",
-	codes.OutOfTime: "out of time",
-	codes.Draining:  "this node is leaving",
-	codes.Budget:    "no further try is left in the budget",
-	codes.WorkerNo:  "the workers refused",
+var refusalTexts = map[resultcode.Code]string{
+	resultcode.QueueFull:            "every waitlist is full",
+	resultcode.DeadlineUnreachable:  "the time left does not reach to an answer",
+	resultcode.NoWorker:             "no worker can be reached",
+	resultcode.DeadlineExceeded:     "out of time",
+	resultcode.Draining:             "this node is leaving",
+	resultcode.RetryBudgetExhausted: "no further try is left in the budget",
+	resultcode.WorkerRefused:        "the workers refused",
 }
 
 // startStream begins the client's response. Its body is read from the attempt as it arrives.
@@ -119,12 +119,12 @@
 		}
 		var timeoutErr net.Error
 		s.outcomeUnknown = errors.As(e.Err, &timeoutErr) && timeoutErr.Timeout() // the worker may still be running it
-		v.stats.countResult(codes.BrokenStream)
+		v.stats.countResult(resultcode.StreamBroken)
 		v.markDown(s.worker)
 		v.Log.WithError(e.Err).WithField("worker", s.worker).Warn("worker stream broke")
 	case <-s.request.client.Done():
 	case <-timeout.C:
-		v.stats.countResult(codes.OutOfTime)
+		v.stats.countResult(resultcode.DeadlineExceeded)
 	}
 	return nil, errBroken
 }
@@ -145,7 +145,7 @@
 		}
 	})
 	if s.sealed && len(s.pending) == 0 {
-		s.request.router.stats.countResult(codes.OK)
+		s.request.router.stats.countResult(resultcode.OK)
 		s.request.router.markUp(s.worker)
 	}
 	if s.sealed || s.outcomeUnknown {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -9,9 +9,9 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
 	"seamshunt/internal/config/routing"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/clientwatch"
 	"seamshunt/internal/units"
 )
@@ -36,7 +36,7 @@
 	client       *clientwatch.Request
 	stage        stage
 	failedWorker string // the worker whose answer broke last
-	reason       codes.Code
+	reason       resultcode.Code
 	expectedWait time.Duration
 	urgency      uint8
 	stream       *responseBody // nil unless the answer is streamed
@@ -58,7 +58,7 @@
 		}
 	}()
 	if !acceptableRequest(&ctx.Request.Header) {
-		w.respond(codes.BadBody, 0)
+		w.respond(resultcode.InvalidBody, 0)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 	w.config = v.activeConfig.Load()
 	if w.config == nil || !v.ready.Load() {
-		w.respond(codes.NotReady, 200*time.Millisecond)
+		w.respond(resultcode.NotReady, 200*time.Millisecond)
 		return
 	}
 	path, host := ctx.Request.Header.RequestURI(), requestHost(ctx)
@@ -81,12 +81,12 @@
 		return string(ctx.Request.Header.Peek(n))
 	}})
 	if !ok {
-		w.respond(codes.NoMapping, 0)
+		w.respond(resultcode.NoMapping, 0)
 		return
 	}
 	w.mapping = w.config.Mappings[actions[0].Mapping]
 	if exceedsLimits(ctx, w.config.Limits) {
-		w.respond(codes.TooLarge, 0)
+		w.respond(resultcode.RequestTooLarge, 0)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -145,7 +145,7 @@
 		return false
 	}
 	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.refused++ })
-	w.respond(codes.Draining, drainRetryAfter)
+	w.respond(resultcode.Draining, drainRetryAfter)
 	return true
 }
 
@@ -179,9 +179,9 @@
 func (w *relayRequest) refuse() {
 	code := w.reason
 	if code == 0 {
-		code = codes.NoWorker
+		code = resultcode.NoWorker
 	}
-	if code == codes.ClientLeft {
+	if code == resultcode.ClientDisconnected {
 		w.ctx.SetConnectionClose()
 	} else {
 		w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
@@ -191,8 +191,8 @@
 	}
 	switch {
 	case w.mayHaveRun:
-		w.respond(codes.Unknown, 0)
-	case code == codes.ClientLeft:
+		w.respond(resultcode.OutcomeUnknown, 0)
+	case code == resultcode.ClientDisconnected:
 		w.respond(code, 0)
 	default:
 		s := w.config.Services[w.mapping.To[0]]
@@ -201,8 +201,8 @@
 }
 
 // respond answers with one of the router's own codes. Retry-After is sent only if the request did not run.
-func (w *relayRequest) respond(code codes.Code, retryAfter time.Duration) {
-	if code != codes.ClientLeft { // recordDisconnect counts it
+func (w *relayRequest) respond(code resultcode.Code, retryAfter time.Duration) {
+	if code != resultcode.ClientDisconnected { // recordDisconnect counts it
 		w.router.stats.countResult(code)
 	}
 	r := &w.ctx.Response
@@ -218,17 +218,17 @@
 	r.SetBodyString(`{"code":` + strconv.Itoa(int(code)) + `,"text":"` + refusalText(code) + "\"}\n")
 }
 
-func refusalText(c codes.Code) string {
+func refusalText(c resultcode.Code) string {
 	switch c {
-	case codes.NoMapping:
+	case resultcode.NoMapping:
 		return "no mapping takes this request"
-	case codes.NotReady:
+	case resultcode.NotReady:
 		return "this node has no confirmed configuration yet"
-	case codes.Unknown:
+	case resultcode.OutcomeUnknown:
 		return "the outcome is unknown: it may have run"
-	case codes.BadBody:
+	case resultcode.InvalidBody:
 		return "the request could not be read"
-	case codes.TooLarge:
+	case resultcode.RequestTooLarge:
 		return "the request is over the limits"
 	}
 	return refusalTexts[c]
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/upstream"
 	"seamshunt/internal/units"
@@ -29,12 +29,12 @@
 	case w.dispatches == 0:
 		return true
 	case w.router.nearDrainDeadline():
-		w.reason = codes.Draining
+		w.reason = resultcode.Draining
 		return false
 	case w.dispatches >= w.maxAttempts() || w.mayHaveRun && w.mapping.Once:
 		return false
 	case !w.router.retryBudgetOf(service).AllowRetry(now, w.router.retrySlack()):
-		w.reason = codes.Budget
+		w.reason = resultcode.RetryBudgetExhausted
 		return false
 	}
 	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.retries++ })
@@ -50,20 +50,20 @@
 	for n := 0; n < defaultMaxAttempts+2; n++ { // attempts that never left this node may be repeated as well
 		now := v.Tasks.Now()
 		if w.deadline.Sub(now) < service.First {
-			w.reason = codes.OutOfTime
+			w.reason = resultcode.DeadlineExceeded
 			return false
 		}
 		if !w.takeAttempt(name, now) {
 			return false
 		}
 		verdict, tag := w.admit(now, service)
-		if verdict.Code == codes.NoWorker && w.dispatches == 0 && now.Sub(w.startedAt) < holdTimeout {
+		if verdict.Code == resultcode.NoWorker && w.dispatches == 0 && now.Sub(w.startedAt) < holdTimeout {
 			// The workers' coordinators are changing; the new ones answer shortly (docs/design.md, section 11).
 			v.Tasks.Wait(w.client, coordinatorRetryInterval)
 			n--
 			continue
 		}
-		if verdict.Code != codes.OK {
+		if verdict.Code != resultcode.OK {
 			w.reason, w.expectedWait = verdict.Code, verdict.ExpectedWait
 			return false
 		}
@@ -102,7 +102,7 @@
 	w.stage = w.stageUnlessStreaming(stageAdmission)
 	query := admission.Request{Tag: tag, Policy: service.Allow, Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth), MaxCandidates: 3}
 	candidates, coordinators := v.placeRelay(now, service, w, &query)
-	query.Candidates, query.Coordinator = candidates, func(n string) units.Node { return coordinators[n] }
+	query.Candidates, query.Coordinator = candidates, func(n string) units.NodeID { return coordinators[n] }
 	result := make(chan timedVerdict, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
@@ -151,7 +151,7 @@
 	addr, zone, ok := v.workerAddress(name, service)
 	if !ok || !w.mapping.Reaches(service.Name) {
 		v.release(tag, false)
-		w.reason = codes.NoWorker
+		w.reason = resultcode.NoWorker
 		return nil
 	}
 	now := v.Tasks.Now()
@@ -173,7 +173,7 @@
 			exchange.End()
 			v.release(tag, false)
 			v.markDown(name)
-			w.reason = codes.WorkerNo
+			w.reason = resultcode.WorkerRefused
 			return nil
 		}
 		elapsed := v.Tasks.Now().Sub(now)
@@ -205,15 +205,15 @@
 		if exchange.Unreachable {
 			v.markDown(worker)
 		}
-		w.reason = codes.NoWorker
+		w.reason = resultcode.NoWorker
 		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("cannot connect to worker")
 	case exchange.Outcome == upstream.NotRun || exchange.Outcome == upstream.WorkerReplaced:
 		v.release(tag, false)
 		v.markDown(worker)
-		w.reason = codes.WorkerNo
+		w.reason = resultcode.WorkerRefused
 	default:
 		w.mayHaveRun = true
-		w.reason = codes.Unknown
+		w.reason = resultcode.OutcomeUnknown
 		v.release(tag, !exchange.Unreachable)
 		v.markDown(worker)
 		v.Log.WithError(exchange.Err).WithField("worker", worker).Warn("attempt with unknown outcome")
--- a/internal/router/relay_placement.go
+++ b/internal/router/relay_placement.go
@@ -12,7 +12,7 @@
 // placeRelay ranks the workers for a request and sets the request's cost and urgency in query. It returns the candidates in order
 // and each one's coordinator.
 func (v *Router) placeRelay(now units.Time, service *config.Service, request *relayRequest, query *admission.Request) (
-	[]string, map[string]units.Node) {
+	[]string, map[string]units.NodeID) {
 	request.urgency = urgencyByRank(request.mapping)
 	if request.hasSize && service.Memory > 0 {
 		estimateCost(request.prompt, service, query)
--- a/internal/router/relay_response.go
+++ b/internal/router/relay_response.go
@@ -5,7 +5,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/codes"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/upstream"
 )
 
@@ -19,7 +19,7 @@
 	if c := response.Response.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
 		response.End() // a refusal without proof that the request has not run must not be passed on as one
 		v.release(response.tag, false)
-		w.respond(codes.Unknown, 0)
+		w.respond(resultcode.OutcomeUnknown, 0)
 		return
 	}
 	w.client.AnswerStarted()
@@ -41,7 +41,7 @@
 		if w.tryService(response.service.Name) { // which takes the retry from the budget
 			return
 		}
-		w.respond(codes.Unknown, 0)
+		w.respond(resultcode.OutcomeUnknown, 0)
 		return
 	}
 	w.ctx.Response.SetBodyRaw(content)
@@ -153,7 +153,7 @@
 	if r.request.client.Err() != nil {
 		return // aborted here
 	}
-	v.stats.countResult(codes.BrokenStream)
+	v.stats.countResult(resultcode.StreamBroken)
 	v.markDown(r.worker)
 	v.Log.WithError(err).WithField("worker", r.worker).Warn("worker stream broke")
 }
@@ -174,7 +174,7 @@
 			return false
 		}
 		verdict, tag := w.admit(now, r.service)
-		if verdict.Code != codes.OK {
+		if verdict.Code != resultcode.OK {
 			return false
 		}
 		response := w.dispatch(tag, verdict.Worker, r.service)
@@ -217,7 +217,7 @@
 		}
 	}
 	if r.complete {
-		v.stats.countResult(codes.OK)
+		v.stats.countResult(resultcode.OK)
 		v.markUp(r.worker)
 	}
 	if w.stream == r {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,9 +14,9 @@
 	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/listener"
 	"seamshunt/internal/node"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/router/admission"
 	"seamshunt/internal/router/capacity"
 	"seamshunt/internal/router/clientwatch"
@@ -49,7 +49,7 @@
 	coordinator          *capacity.Ledger
 	claimantMu           sync.Mutex
 	claimant             *idempotency.Claimant
-	pendingClaims        map[uint64]chan codes.Code
+	pendingClaims        map[uint64]chan resultcode.Code
 	placer               placement.Placer
 	retryBudgets         sync.Map // service name to *upstream.Budget
 	firstOutputLatencies sync.Map // service name to *upstream.Habit
@@ -74,7 +74,7 @@
 // New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md, section 11).
 func New(b *boot.Boot, clientAdapter *adapter.Adapter) *Router {
 	v := &Router{Base: node.New(b, node.RandomID(), membership.Router),
-		pendingAdmissions: map[uint64]chan timedVerdict{}, pendingClaims: map[uint64]chan codes.Code{}}
+		pendingAdmissions: map[uint64]chan timedVerdict{}, pendingClaims: map[uint64]chan resultcode.Code{}}
 	if v.Adapter = clientAdapter; clientAdapter != nil {
 		v.pool = upstream.NewPool(clientAdapter.Names)
 	}
@@ -176,7 +176,7 @@
 }
 
 // onNodesRemoved drops the state of processes that were found to have ended.
-func (v *Router) onNodesRemoved(now units.Time, nodes []units.Node) {
+func (v *Router) onNodesRemoved(now units.Time, nodes []units.NodeID) {
 	v.coordinatorMu.Lock()
 	for _, n := range nodes {
 		v.coordinator.ProcessEnded(now, n)
--- a/internal/router/routing_rules_test.go
+++ b/internal/router/routing_rules_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"seamshunt/internal/cluster/configpush"
-	"seamshunt/internal/codes"
 	"seamshunt/internal/config"
+	"seamshunt/internal/resultcode"
 	"seamshunt/internal/testutil"
 )
 
@@ -38,7 +38,7 @@
 	return v, big, small
 }
 
-func codeField(c codes.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
+func codeField(c resultcode.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
 
 // A mapping shared by two services uses both. Requests with the same key always use the same one, and those without a key a random
 // one.
@@ -92,19 +92,19 @@
 	timeLeft := "Time-Left-Ms: 2500\r\n"
 	c := dialClient(t, v)
 	fmt.Fprintf(c, "POST /part/x HTTP/1.1\r\nHost: y\r\n%sContent-Length: %d\r\n\r\n%s", timeLeft, len(promptBody), promptBody)
-	if status, body := c.readResponse(t); status != 404 || !strings.Contains(body, codeField(codes.NoMapping)) {
+	if status, body := c.readResponse(t); status != 404 || !strings.Contains(body, codeField(resultcode.NoMapping)) {
 		t.Errorf("another host: %d %s", status, body)
 	}
 	c = dialClient(t, v)
 	c.post("/free", timeLeft, `{"prompt":"`+strings.Repeat("a", 200)+`"}`)
-	if status, body := c.readResponse(t); status != 413 || !strings.Contains(body, codeField(codes.TooLarge)) || !strings.Contains(body, `"not_run":true`) {
+	if status, body := c.readResponse(t); status != 413 || !strings.Contains(body, codeField(resultcode.RequestTooLarge)) || !strings.Contains(body, `"not_run":true`) {
 		t.Errorf("over the limit: %d %s", status, body)
 	}
 	c = dialClient(t, v)
 	c.post("/part/lone/x", timeLeft, promptBody)
 	h := <-small
 	h.Close() // it may have run and is repeatable, but the mapping allows only one attempt
-	if status, body := c.readResponse(t); !strings.Contains(body, codeField(codes.Unknown)) {
+	if status, body := c.readResponse(t); !strings.Contains(body, codeField(resultcode.OutcomeUnknown)) {
 		t.Errorf("one attempt: %d %s", status, body)
 	}
 	for range 2 { // both run, since no key is claimed
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Node names one process: a random number for a router, the disk's id for a controller.
-type Node uint64
+// NodeID names one process: a random number for a router, the disk's id for a controller.
+type NodeID uint64
 
-func (n Node) String() string {
+func (n NodeID) String() string {
 	const digits = "0123456789abcdef"
 	var b [16]byte
 	for i := range b {
@@ -19,18 +19,18 @@
 	return string(b[:])
 }
 
-// Num numbers the changes of one key of the control state (design 4).
-type Num uint64
+// Version numbers the changes of one key of the control state (design 4).
+type Version uint64
 
 // Epoch fences the owners of one key; the node breaks ties (design 2).
 type Epoch struct {
-	N  uint64
-	By Node
+	Number uint64
+	Node   NodeID
 }
 
 // Less says whether e is older than o.
 func (e Epoch) Less(o Epoch) bool {
-	return e.N < o.N || e.N == o.N && e.By < o.By
+	return e.Number < o.Number || e.Number == o.Number && e.Node < o.Node
 }
 
 // Time is an instant on a process's own monotonic clock, or on the simulator's.
@@ -46,8 +46,8 @@
 // Millis is a span in whole milliseconds, as it crosses wires.
 type Millis uint32
 
-// Span turns m into a duration.
-func (m Millis) Span() time.Duration { return time.Duration(m) * time.Millisecond }
+// Duration turns m into a duration.
+func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
 // ToMillis rounds a span down; below zero is zero.
 func ToMillis(d time.Duration) Millis {
