--- a/internal/control/controller/adapter_calls.go
+++ b/internal/control/controller/adapter_calls.go
@@ -188,8 +188,8 @@
 // controller that is cut off, or has just started, may not know all members: it says that there is no such zone only while
 // a majority answers it.
 func (c *Controller) checkZoneExists(ctx context.Context, zone string) resultcode.Code {
-	if len(c.Boot.Zones) > 0 {
-		if slices.Contains(c.Boot.Zones, zone) {
+	if len(c.Settings.Zones) > 0 {
+		if slices.Contains(c.Settings.Zones, zone) {
 			return resultcode.OK
 		}
 		return resultcode.UnknownZone
--- a/internal/control/controller/audit.go
+++ b/internal/control/controller/audit.go
@@ -49,7 +49,7 @@
 		case e := <-c.audit:
 			var err error
 			if l == nil {
-				l, err = changelog.Open(c.Boot.Data, c.Boot.Name)
+				l, err = changelog.Open(c.Settings.Data, c.Settings.Name)
 			}
 			if err == nil {
 				err = l.Add(e.leaf)
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -137,7 +137,7 @@
 
 // Start opens everything and returns.
 func (c *Controller) Start() error {
-	ln, err := listener.Listen(c.Boot.Web)
+	ln, err := listener.Listen(c.Settings.Web)
 	if err != nil {
 		return fmt.Errorf("controller: %w", err)
 	}
@@ -150,7 +150,7 @@
 	c.Tasks.Go(c.writer)
 	c.Tasks.Go(c.recorder)
 	c.Tasks.Every(50*time.Millisecond, c.beat)
-	for _, p := range c.Boot.Pools {
+	for _, p := range c.Settings.Pools {
 		c.Tasks.Go(func() { c.poller(p) })
 	}
 	return nil
--- a/internal/control/controller/cut_off_test.go
+++ b/internal/control/controller/cut_off_test.go
@@ -119,7 +119,7 @@
 	}
 	t.Logf("%d answers", answers)
 	for _, c := range others {
-		back, err := New(c.Boot, toyBook())
+		back, err := New(c.Settings, toyBook())
 		if err == nil {
 			err = back.Start()
 		}
--- a/internal/control/controller/disk.go
+++ b/internal/control/controller/disk.go
@@ -101,7 +101,7 @@
 		return
 	}
 	c.disk.file.Close()
-	o, err := openDisk(c.Boot)
+	o, err := openDisk(c.Settings)
 	if o.damage != nil {
 		c.sayDamage(o.damage)
 	}
--- a/internal/control/controller/disk_test.go
+++ b/internal/control/controller/disk_test.go
@@ -41,7 +41,7 @@
 func call(t *testing.T, c *Controller, method, path, body string) (int, []byte) {
 	t.Helper()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	req.SetRequestURI("http://" + c.Boot.Web + path)
+	req.SetRequestURI("http://" + c.Settings.Web + path)
 	req.Header.SetMethod(method)
 	req.SetBodyString(body)
 	if err := fasthttp.DoTimeout(req, resp, 10*time.Second); err != nil {
--- a/internal/control/controller/grow_test.go
+++ b/internal/control/controller/grow_test.go
@@ -141,7 +141,7 @@
 		return l, nil
 	}
 	c := alone(t, t.TempDir(), func(c *Controller) {
-		c.adapter, c.Boot.Platform, c.Boot.Pools, c.Boot.PollMs = book, ln.Addr().String(), []string{allPools}, 50
+		c.adapter, c.Settings.Platform, c.Settings.Pools, c.Settings.PollMs = book, ln.Addr().String(), []string{allPools}, 50
 	})
 	t.Cleanup(c.Drain)
 	testutil.Until(t, "the first is taken", func() bool {
--- a/internal/control/controller/late_connection_test.go
+++ b/internal/control/controller/late_connection_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	cs := grownCore(t, 3, book)
-	conn, err := net.Dial("tcp", cs[0].Boot.Web)
+	conn, err := net.Dial("tcp", cs[0].Settings.Web)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/controller/late_order_test.go
+++ b/internal/control/controller/late_order_test.go
@@ -204,7 +204,7 @@
 	cs := grownCore(t, 3, zoneBook())
 	for _, first := range []string{"", readRequest} {
 		t.Run(fmt.Sprintf("behind %d bytes", len(first)), func(t *testing.T) {
-			conn, err := net.Dial("tcp", cs[0].Boot.Web)
+			conn, err := net.Dial("tcp", cs[0].Settings.Web)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -213,7 +213,7 @@
 			if first != "" {
 				exchange(t, conn, answers, first)
 			}
-			probe(t, cs[0].Boot.Web) // it has been accepted
+			probe(t, cs[0].Settings.Web) // it has been accepted
 			newest := turnTwice(t, cs[1], cs[0], true)
 			if status := exchange(t, conn, answers, withdrawal); status != 503 {
 				t.Errorf("answered %d", status)
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -124,7 +124,7 @@
 		d.Warnings = append(d.Warnings, "zone "+zone+" is so already")
 	}
 	in, all := 0, 0
-	for _, p := range c.Boot.Pools {
+	for _, p := range c.Settings.Pools {
 		for _, w := range c.listed(p) {
 			if w.Leaving || c.evacuated(w.Zone) && w.Zone != zone {
 				continue
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -50,7 +50,7 @@
 // poller asks the platform for one pool's workers, at this node's share of the fleet's rate (design 5). It wakes when
 // the next question can be due, and once a gap at the least, since its share may have changed.
 func (c *Controller) poller(pool string) {
-	gap := time.Duration(c.Boot.PollMs) * time.Millisecond
+	gap := time.Duration(c.Settings.PollMs) * time.Millisecond
 	turn := discovery.Schedule{}
 	t := time.NewTimer(firstAsk)
 	defer t.Stop()
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -10,11 +10,11 @@
 
 // voting founds the first set of voters, and has it changed when it should be another; replicaMu is held.
 func (c *Controller) voting(now units.Time, look register.ControllerView) {
-	if c.Boot.Grow {
+	if c.Settings.Grow {
 		c.replica.BootstrapFromSeeds(c.seeds.Proposal(now, look))
 	} else {
 		look.FleetExists = look.FleetExists || c.heir
-		c.replica.BootstrapFixed(c.Boot.Founders, look)
+		c.replica.BootstrapFixed(c.Settings.Founders, look)
 	}
 	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
 	c.checkTolerance(now, look)
@@ -33,7 +33,7 @@
 // checkTolerance notes what the set does not bear, and logs it once it has stood for a while. Such a set is served all the
 // same. replicaMu is held.
 func (c *Controller) checkTolerance(now units.Time, look register.ControllerView) {
-	wanted := register.Tolerance{Machines: c.Boot.LostMachines, Zones: c.Boot.LostZones}
+	wanted := register.Tolerance{Machines: c.Settings.LostMachines, Zones: c.Settings.LostZones}
 	text := wanted.Shortfall(c.replica.Quorum(), look)
 	if text != c.shortfall.text {
 		c.shortfall = shortfall{text: text, since: now}
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -77,9 +77,9 @@
 	var seed string
 	start := func(dir string) *Controller {
 		return alone(t, dir, func(c *Controller) {
-			c.Boot.Founders, c.planner.FixedSize = 2, 2
+			c.Settings.Founders, c.planner.FixedSize = 2, 2
 			if seed == "" {
-				seed = c.Boot.Addr
+				seed = c.Settings.Addr
 			}
 		})
 	}
@@ -96,8 +96,8 @@
 		t.Errorf("a change before the founding: %d %s", code, b)
 	}
 	late := alone(t, t.TempDir(), func(x *Controller) {
-		x.Boot.Founders, x.planner.FixedSize = 2, 2
-		x.Gossip = membership.New(membership.Member{Node: x.Self, Inc: 1, Role: membership.Controller, Addr: x.Boot.Addr, Web: x.Boot.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
+		x.Settings.Founders, x.planner.FixedSize = 2, 2
+		x.Gossip = membership.New(membership.Member{Node: x.Self, Inc: 1, Role: membership.Controller, Addr: x.Settings.Addr, Web: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
 	testutil.Until(t, "both are voters", says(`"state":"voter"`))
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -19,8 +19,8 @@
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("node", a.NewString(c.Self.String()))
-	o.Set("name", a.NewString(c.Boot.Name))
-	o.Set("zone", a.NewString(c.Boot.Zone))
+	o.Set("name", a.NewString(c.Settings.Name))
+	o.Set("zone", a.NewString(c.Settings.Zone))
 	c.replicaMu.Lock()
 	v := c.replica.Quorum()
 	vs := a.NewArray()
@@ -113,20 +113,20 @@
 	switch {
 	case v.Has(c.Self):
 		return "voter"
-	case c.Boot.Grow:
+	case c.Settings.Grow:
 		return c.grows(v, look)
 	case v.Version > 0 || look.FleetExists || c.heir:
 		return "learner: it joins once a voter has been gone for 5 s, or one is missing"
-	case len(look.Uninitialized) > c.Boot.Founders:
-		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Uninitialized), c.Boot.Founders)
+	case len(look.Uninitialized) > c.Settings.Founders:
+		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Uninitialized), c.Settings.Founders)
 	}
-	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Uninitialized), c.Boot.Founders)
+	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Uninitialized), c.Settings.Founders)
 }
 
 // grows is the same where voters are founded from seeds (design 13).
 func (c *Controller) grows(v register.QuorumSet, look register.ControllerView) string {
 	switch {
-	case !c.Boot.Counts:
+	case !c.Settings.Counts:
 		return "its disk does not count: it never votes"
 	case v.Version > 0 || look.FleetExists:
 		return "learner: it joins the voters"
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -65,7 +65,7 @@
 // leaveQuorum waits until this node is out of the quorum set, where the set can do without it: what only this disk and few
 // others hold is on a majority of the next set before this one ends.
 func (c *Controller) leaveQuorum() {
-	until := c.Tasks.Now().Add(min(leaveWithin, c.Boot.Bounds.Grace/2))
+	until := c.Tasks.Now().Add(min(leaveWithin, c.Settings.Bounds.Grace/2))
 	for c.Tasks.Now() < until && c.givesUpSeat() {
 		c.Tasks.Sleep(leaveLookEach)
 	}
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -27,7 +27,7 @@
 	if c.adapter != nil && pool == allPools {
 		return c.listAll()
 	}
-	code, b, _, err := transport.HTTP("GET", c.Boot.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
+	code, b, _, err := transport.HTTP("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
 	if err != nil {
 		c.yield()
 		return nil, err
@@ -47,7 +47,7 @@
 func (c *Controller) listAll() ([]config.Worker, error) {
 	away := false
 	l, err := c.adapter.Workers(func(path string) (int, []byte, error) {
-		code, b, err := c.kept.get(c.Boot.Platform, path)
+		code, b, err := c.kept.get(c.Settings.Platform, path)
 		away = away || err != nil
 		return code, b, err
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,7 +27,7 @@
 // Base holds the shared tables. Lock order: membership, configpush, control state, rules, admission queue, capacity ledger,
 // idempotency claimant, disk queue, wires.
 type Base struct {
-	Boot      *boot.Boot
+	Settings  *boot.Boot
 	Self      units.NodeID
 	Tasks     *tasks.Group
 	Transport *transport.Transport
@@ -63,7 +63,7 @@
 
 // New builds the tables; Start brings them to life.
 func New(b *boot.Boot, self units.NodeID, role membership.Role) *Base {
-	t := &Base{Boot: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
+	t := &Base{Settings: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
 	me := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, Web: b.Web, Zone: b.Zone}
@@ -73,13 +73,13 @@
 
 // Start opens the wires and begins the common loops.
 func (t *Base) Start() error {
-	tel, err := transport.Open(t.Self, t.Boot.Addr, t.Tasks, transport.Handlers{Take: t.take, Refused: t.refused,
+	tel, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Take: t.take, Refused: t.refused,
 		Ended: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
 	t.Transport = tel
-	t.freezes.start(t.Tasks.Now(), t.Boot.Bounds.CatchUp)
+	t.freezes.start(t.Tasks.Now(), t.Settings.Bounds.CatchUp)
 	t.open.Store(true)
 	t.pace.Start(t.Tasks, often, t.beat)
 	return nil
--- a/internal/router/adapter.go
+++ b/internal/router/adapter.go
@@ -60,10 +60,10 @@
 
 // serveReadiness serves readiness probes, status and metrics at their own address, if there is one.
 func (v *Router) serveReadiness() error {
-	if v.Boot.Ready == "" {
+	if v.Settings.Ready == "" {
 		return nil
 	}
-	ln, err := listener.Listen(v.Boot.Ready)
+	ln, err := listener.Listen(v.Settings.Ready)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -11,7 +11,7 @@
 
 // candidates returns the workers in the order of the placement policy, and each one's coordinator.
 func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
-	query := placement.Query{Prefix: prefix, Zone: v.Boot.Zone, PreferredCount: service.Spread}
+	query := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: service.Spread}
 	coordinators := map[string]units.NodeID{}
 	var fallbacks []placement.Candidate // workers in an outage, used only if there is no other
 	v.viewMu.Lock()
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -66,7 +66,7 @@
 	workers := active.Keep(view.workersByPool, view.catalog.Start(), view.evacuatedZones)
 	v.coordinatorMu.Lock()
 	v.coordinator.SetWorkers(workers)
-	v.coordinator.SetRateLimits(v.Boot.Bounds.WarmExcess, v.Boot.Bounds.WarmSlack, view.peerWatch.RateShare(now, len(peers)))
+	v.coordinator.SetRateLimits(v.Settings.Bounds.WarmExcess, v.Settings.Bounds.WarmSlack, view.peerWatch.RateShare(now, len(peers)))
 	v.coordinator.SetRouters(peers, view.peerWatch.RunDeadlines(active.Longest(false)))
 	v.coordinatorMu.Unlock()
 }
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -146,7 +146,7 @@
 	if len(kept) != 1 || kept[0].InUse != 0 {
 		t.Errorf("coordinated workers: %+v", kept)
 	}
-	if _, b, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
+	if _, b, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
 		t.Errorf("%v %s", err, b)
 	}
 }
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -82,7 +82,7 @@
 // Drain hands this node's duties to others and lets requests in flight finish within the grace period.
 func (v *Router) Drain() {
 	now := v.Tasks.Now()
-	d := newDrainWindow(now, time.Duration(v.Boot.DrainMs)*time.Millisecond)
+	d := newDrainWindow(now, time.Duration(v.Settings.DrainMs)*time.Millisecond)
 	v.drainWindow.Store(d)
 	v.SetFlag(membership.Draining, true)
 	v.SetFlag(membership.Ready, false)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -135,7 +135,7 @@
 
 func dialClient(t *testing.T, v *Router) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Boot.Web)
+	c, err := net.Dial("tcp", v.Settings.Web)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -159,7 +159,7 @@
 	now := v.Tasks.Now()
 	id := fmt.Sprintf("%s-%s", v.Self, strconv.FormatUint(tag, 16))
 	attempt := upstream.NewAttempt(w.client, addr, id, w.body, w.deadline.Sub(now))
-	v.stats.countDispatch(zone, v.Boot.Zone, len(w.body))
+	v.stats.countDispatch(zone, v.Settings.Zone, len(w.body))
 	v.Tasks.Go(attempt.Run)
 	if w.dispatches == 0 {
 		v.retryBudgetOf(service.Name).RecordFirstAttempt(now)
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -82,7 +82,7 @@
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 0
 	})
-	_, body, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/status")
+	_, body, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/status")
 	var x struct {
 		Promises map[string]struct {
 			Asked  int `json:"asked"`
@@ -101,13 +101,13 @@
 	a, _ := startNativeWorker(t)
 	v := newTestRouter(t, a)
 	ready := func() bool {
-		code, _, err := fasthttp.Get(nil, "http://"+v.Boot.Web+"/healthz")
+		code, _, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/healthz")
 		return err == nil && code == 200
 	}
 	if !ready() {
 		t.Fatal("a single router is not ready")
 	}
-	peer := membership.New(membership.Member{Node: 9, Inc: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Boot.Addr}, rand.New(rand.NewPCG(1, 1)))
+	peer := membership.New(membership.Member{Node: 9, Inc: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
 	v.GossipMu.Lock()
 	for _, n := range peer.Tick(0).Messages {
 		n.From = 9
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -159,7 +159,7 @@
 	req := w.newWorkerRequest(worker, w.deadline.Sub(now))
 	order := &upstream.Dispatch{Worker: worker, Addr: addr, ID: w.id, Request: req, Deadline: time.Now().Add(w.deadline.Sub(now)), SendOnce: w.mapping.Once,
 		MaxConns: v.connectionShare(service)}
-	v.stats.countDispatch(zone, v.Boot.Zone, len(w.body))
+	v.stats.countDispatch(zone, v.Settings.Zone, len(w.body))
 	if w.dispatches == 0 {
 		v.retryBudgetOf(service.Name).RecordFirstAttempt(now)
 	}
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -149,7 +149,7 @@
 // dialRelayClient connects a client to the router.
 func dialRelayClient(t testing.TB, v *Router) *workerConn {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Boot.Web)
+	c, err := net.Dial("tcp", v.Settings.Web)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -97,7 +97,7 @@
 
 // Start opens the listeners, starts the background loops and returns.
 func (v *Router) Start() error {
-	ln, err := listener.Listen(v.Boot.Web)
+	ln, err := listener.Listen(v.Settings.Web)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
@@ -198,7 +198,7 @@
 func (v *Router) retryBudgetOf(service string) *upstream.RetryBudget {
 	budget, ok := v.retryBudgets.Load(service)
 	if !ok {
-		ratio := v.Boot.Bounds.RetryRatio
+		ratio := v.Settings.Bounds.RetryRatio
 		if v.Adapter != nil {
 			ratio *= adapterRetryShare
 		}
@@ -213,11 +213,11 @@
 // retrySlack returns this node's part of the retries that are allowed on top of the budget's ratio. It is at most 2, since a
 // node that has just started may know few of the other nodes.
 func (v *Router) retrySlack() int {
-	if v.Boot.Bounds.RetrySlack == 0 {
+	if v.Settings.Bounds.RetrySlack == 0 {
 		return 0
 	}
 	v.viewMu.Lock()
 	routers := len(v.view.peers)
 	v.viewMu.Unlock()
-	return min(2, v.Boot.Bounds.RetrySlack/(2*max(1, routers)))
+	return min(2, v.Settings.Bounds.RetrySlack/(2*max(1, routers)))
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -11,7 +11,7 @@
 
 func (v *Router) health(ctx *fasthttp.RequestCtx) {
 	v.viewMu.Lock()
-	evacuated := v.view.evacuatedZones[v.Boot.Zone]
+	evacuated := v.view.evacuatedZones[v.Settings.Zone]
 	v.viewMu.Unlock()
 	if !v.ready.Load() || v.draining() || evacuated || v.isolated() {
 		ctx.SetStatusCode(503)
@@ -44,8 +44,8 @@
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("node", a.NewString(v.Self.String()))
-	o.Set("name", a.NewString(v.Boot.Name))
-	o.Set("zone", a.NewString(v.Boot.Zone))
+	o.Set("name", a.NewString(v.Settings.Name))
+	o.Set("zone", a.NewString(v.Settings.Zone))
 	o.Set("ready", jsonBool(&a, v.ready.Load()))
 	o.Set("leaving", jsonBool(&a, v.draining()))
 	o.Set("in_flight", a.NewNumberInt(int(v.inFlight.Load())))
