--- a/cmd/controller/calls.go
+++ b/cmd/controller/calls.go
@@ -15,7 +15,7 @@
 
 // call speaks to a running controller's operators' door.
 func call(at, method, path string, body []byte) ([]byte, string, error) {
-	code, b, num, err := transport.HTTP(method, at, path, body, nil, 10*time.Second)
+	code, b, num, err := transport.HTTPRequest(method, at, path, body, nil, 10*time.Second)
 	if err != nil {
 		return nil, "", fmt.Errorf("%s: %w", at, err)
 	}
--- a/cmd/testbed/readiness.go
+++ b/cmd/testbed/readiness.go
@@ -26,7 +26,7 @@
 func (p *play) look() {
 	ready := map[string][]string{}
 	for _, x := range p.place.Machines {
-		code, _, _, err := transport.HTTP("GET", x.Ready(), "/readiness", nil, nil, 300*time.Millisecond)
+		code, _, _, err := transport.HTTPRequest("GET", x.Ready(), "/readiness", nil, nil, 300*time.Millisecond)
 		if p.stays(x.Name, err == nil && code == 200) {
 			ready[x.Zone] = append(ready[x.Zone], x.Front())
 		}
--- a/internal/cluster/configpush/beat_test.go
+++ b/internal/cluster/configpush/beat_test.go
@@ -12,12 +12,12 @@
 func TestBehind(t *testing.T) {
 	b, now := New(1), units.Time(time.Hour)
 	member := func(news uint64, heard units.Time) []membership.Member {
-		return []membership.Member{{Node: 1}, {Node: 2, News: news, Heard: heard}}
+		return []membership.Member{{Node: 1}, {Node: 2, FeedDigest: news, FeedDigestAt: heard}}
 	}
 	asked := func(all []membership.Member) int {
 		t.Helper()
 		k := 0
-		for _, n := range b.Beat(now, all, 1).Messages {
+		for _, n := range b.PushAndPull(now, all, 1).Messages {
 			if n.Kind == Pull {
 				k++
 			}
@@ -29,7 +29,7 @@
 	}
 	now = now.Add(time.Second)
 	before := now.Add(-10 * time.Millisecond)
-	b.Take(Item{Key: "config", Num: 4})
+	b.Apply(Item{Key: "config", Version: 4})
 	if asked(member(7, before)) != 0 {
 		t.Error("an old digest counts")
 	}
@@ -37,7 +37,7 @@
 	if asked(member(7, before)) != 0 {
 		t.Error("an old digest counts a beat later")
 	}
-	if asked(member(b.Sum, now)) != 0 {
+	if asked(member(b.Digest, now)) != 0 {
 		t.Error("one that holds the same is asked")
 	}
 	if asked(member(7, now)) != 1 {
--- a/internal/cluster/configpush/confirm.go
+++ b/internal/cluster/configpush/confirm.go
@@ -33,7 +33,7 @@
 // The quorum set is part of the news that must not be older. Every change of it is accepted by a majority of the set
 // before, so among any majority of an old set there is one whose disk holds a newer set's number.
 func (b *Feed) Confirm(now units.Time, all []membership.Member, self units.NodeID, voters []units.NodeID, began units.Time) (ok bool, out message.Effects) {
-	core, peers := Neighbours(all, self)
+	core, peers := LivePeers(all, self)
 	ok = len(voters) > 0 && b.confirmed(now, voters)
 	if !ok && len(core) == 0 && now.Sub(began) > alone && len(peers) > 0 {
 		ok = b.confirmed(now, peers)
@@ -42,14 +42,14 @@
 		b.vouchAsked = now
 		question := message.Pack(vouchHead{uint64(now)})
 		for _, n := range append(core, peers...) {
-			out.Send(n, Vouch, question)
+			out.Send(n, ConfirmRequest, question)
 		}
 	}
 	return ok, out
 }
 
-// Neighbours lists the live controllers, and the live routers that serve.
-func Neighbours(all []membership.Member, self units.NodeID) (core, peers []units.NodeID) {
+// LivePeers lists the live controllers, and the live routers that serve.
+func LivePeers(all []membership.Member, self units.NodeID) (core, peers []units.NodeID) {
 	for _, m := range all {
 		switch {
 		case m.State > membership.Suspect || m.Node == self:
@@ -66,13 +66,13 @@
 func (b *Feed) confirmed(now units.Time, voters []units.NodeID) bool {
 	vouchers := 0
 	for _, n := range voters {
-		answer, ok := b.Vouch[n]
+		answer, ok := b.Confirmations[n]
 		if !ok || now.Sub(answer.asked) > vouchFresh {
 			continue
 		}
 		vouchers++
 		for key, number := range answer.numbers {
-			if it := b.Items[key]; it == nil || it.Num < number {
+			if it := b.Items[key]; it == nil || it.Version < number {
 				return false
 			}
 		}
@@ -87,12 +87,12 @@
 		return err
 	}
 	numbers := b.nums()
-	if b.Stored != nil {
-		for key, number := range b.Stored() {
+	if b.StoredVersions != nil {
+		for key, number := range b.StoredVersions() {
 			numbers[key] = max(numbers[key], number)
 		}
 	}
-	out.SendAfterSync(n.From, Vouched, message.Pack(question, b.packNums(numbers)))
+	out.SendAfterSync(n.From, ConfirmReply, message.Pack(question, b.packNums(numbers)))
 	return nil
 }
 
@@ -108,15 +108,15 @@
 		return err
 	}
 	asked := units.Time(question.Asked)
-	if last, ok := b.Vouch[n.From]; !ok || last.asked <= asked {
-		b.Vouch[n.From] = vouched{asked, numbers}
+	if last, ok := b.Confirmations[n.From]; !ok || last.asked <= asked {
+		b.Confirmations[n.From] = vouched{asked, numbers}
 	}
 	return nil
 }
 
-// Beat pushes on what is on its way, and asks neighbours whose digest differs for what is lacking (design 4). A digest
+// PushAndPull pushes on what is on its way, and asks neighbours whose digest differs for what is lacking (design 4). A digest
 // that was told before this node's own news last changed says nothing: who told it has, as a rule, changed as well.
-func (b *Feed) Beat(now units.Time, all []membership.Member, self units.NodeID) message.Effects {
+func (b *Feed) PushAndPull(now units.Time, all []membership.Member, self units.NodeID) message.Effects {
 	var live []units.NodeID
 	for _, m := range all {
 		if m.State <= membership.Suspect && m.Node != self {
@@ -124,12 +124,12 @@
 		}
 	}
 	out := b.Tick(now, live)
-	if b.Sum != b.seen {
-		b.seen, b.moved = b.Sum, now
+	if b.Digest != b.seen {
+		b.seen, b.moved = b.Digest, now
 	}
 	for _, m := range all {
-		if m.State == membership.Alive && m.Node != self && m.News != 0 && m.News != b.Sum && m.Heard > b.moved && now.Sub(m.Heard) < freshFor {
-			out.Join(b.Behind(now, m.Node))
+		if m.State == membership.Alive && m.Node != self && m.FeedDigest != 0 && m.FeedDigest != b.Digest && m.FeedDigestAt > b.moved && now.Sub(m.FeedDigestAt) < freshFor {
+			out.Append(b.RequestMissing(now, m.Node))
 		}
 	}
 	return out
--- a/internal/cluster/configpush/confirm_test.go
+++ b/internal/cluster/configpush/confirm_test.go
@@ -23,12 +23,12 @@
 
 func (v *vouching) disk(node units.NodeID, numbers map[string]units.Version) {
 	f := New(node)
-	f.Stored = func() map[string]units.Version { return numbers }
+	f.StoredVersions = func() map[string]units.Version { return numbers }
 	v.disks[node] = f
 }
 
 func (v *vouching) heard(key string, number units.Version) {
-	v.router.Take(Item{Key: key, Num: number})
+	v.router.Apply(Item{Key: key, Version: number})
 }
 
 // answers lets the router ask once, and gives what the reachable controllers answer.
@@ -119,9 +119,9 @@
 // A question or an answer that can't be read changes nothing and is told of.
 func TestMalformedVouches(t *testing.T) {
 	f := New(1)
-	for _, n := range []message.Message{{Kind: Vouch}, {Kind: Vouched}, {Kind: Vouched, Body: message.Pack(vouchHead{1}, []byte{1, 0})}} {
+	for _, n := range []message.Message{{Kind: ConfirmRequest}, {Kind: ConfirmReply}, {Kind: ConfirmReply, Body: message.Pack(vouchHead{1}, []byte{1, 0})}} {
 		out := f.Step(0, n)
-		if len(out.Errs) != 1 || len(out.AfterSync) != 0 || len(f.Vouch) != 0 {
+		if len(out.Errors) != 1 || len(out.AfterSync) != 0 || len(f.Confirmations) != 0 {
 			t.Errorf("%v: %v", n, out)
 		}
 	}
--- a/internal/cluster/configpush/feed.go
+++ b/internal/cluster/configpush/feed.go
@@ -15,8 +15,8 @@
 	Push = message.KindConfigPush + iota
 	Ack
 	Pull
-	Vouch
-	Vouched
+	ConfirmRequest
+	ConfirmReply
 )
 
 const (
@@ -31,10 +31,10 @@
 
 // Item is one key's newest news.
 type Item struct {
-	Key   string
-	Num   units.Version
-	Data  []byte
-	Heard units.Time // when this node had it; the time isn't sent
+	Key        string
+	Version    units.Version
+	Data       []byte
+	ReceivedAt units.Time // when this node had it; the time isn't sent
 }
 
 type pushed struct {
@@ -46,47 +46,47 @@
 // Feed is one node's state machine of the numbered values that are spread to all nodes: what it holds, what it pushes and
 // who has acknowledged it. It isn't safe for concurrent use.
 type Feed struct {
-	Items      map[string]*Item
-	Sum        uint64
-	Fresh      []Item                                    // what changed since the daemon last looked
-	Acks       map[string]map[units.NodeID]units.Version // who has acknowledged what, on the pushing side
-	asked      map[units.NodeID]units.Time               // when a neighbour was last asked for its news
-	vouchAsked units.Time
-	me         string                          // salt for drawing whom to relay to
-	out        map[string]*pushed              // news on its way
-	Vouch      map[units.NodeID]vouched        // a starting node's confirmations
-	Stored     func() map[string]units.Version // a controller's numbers on disk; nil on a router
-	seen       uint64                          // the digest at the last beat
-	moved      units.Time                      // when that was found changed
-	told       bool                            // something new came from a neighbour since the last tick
+	Items          map[string]*Item
+	Digest         uint64
+	Changes        []Item                                    // what changed since the daemon last looked
+	Acks           map[string]map[units.NodeID]units.Version // who has acknowledged what, on the pushing side
+	asked          map[units.NodeID]units.Time               // when a neighbour was last asked for its news
+	vouchAsked     units.Time
+	me             string                          // salt for drawing whom to relay to
+	out            map[string]*pushed              // news on its way
+	Confirmations  map[units.NodeID]vouched        // a starting node's confirmations
+	StoredVersions func() map[string]units.Version // a controller's numbers on disk; nil on a router
+	seen           uint64                          // the digest at the last beat
+	moved          units.Time                      // when that was found changed
+	told           bool                            // something new came from a neighbour since the last tick
 }
 
 // New gives an empty one.
 func New(self units.NodeID) *Feed {
 	return &Feed{me: self.String(), Items: map[string]*Item{}, Acks: map[string]map[units.NodeID]units.Version{}, asked: map[units.NodeID]units.Time{},
-		out: map[string]*pushed{}, Vouch: map[units.NodeID]vouched{}}
+		out: map[string]*pushed{}, Confirmations: map[units.NodeID]vouched{}}
 }
 
-// Take sets a key's news if it is newer; it never goes back.
-func (b *Feed) Take(it Item) bool {
+// Apply sets a key's news if it is newer; it never goes back.
+func (b *Feed) Apply(it Item) bool {
 	old := b.Items[it.Key]
-	if old != nil && old.Num >= it.Num {
+	if old != nil && old.Version >= it.Version {
 		return false
 	}
 	b.Items[it.Key] = &it
-	b.Fresh = append(b.Fresh, it)
-	b.Sum = 0
+	b.Changes = append(b.Changes, it)
+	b.Digest = 0
 	for k, x := range b.Items {
-		b.Sum += units.Mix(k, units.Hex(uint64(x.Num)))
+		b.Digest += units.Mix(k, units.Hex(uint64(x.Version)))
 	}
 	return true
 }
 
-// Spread takes a chosen value and begins to push it to the nodes given.
-func (b *Feed) Spread(now units.Time, it Item, to []units.NodeID) (out message.Effects) {
-	it.Heard = now
-	b.Take(it)
-	p := &pushed{need: map[units.NodeID]bool{}, num: it.Num, sent: now}
+// Publish takes a chosen value and begins to push it to the nodes given.
+func (b *Feed) Publish(now units.Time, it Item, to []units.NodeID) (out message.Effects) {
+	it.ReceivedAt = now
+	b.Apply(it)
+	p := &pushed{need: map[units.NodeID]bool{}, num: it.Version, sent: now}
 	for _, n := range to {
 		p.need[n] = true
 		out.Send(n, Push, pack(it))
@@ -96,19 +96,19 @@
 }
 
 func pack(it Item) []byte {
-	return message.Pack(newsHead{uint64(it.Num)}, []byte(it.Key), it.Data)
+	return message.Pack(newsHead{uint64(it.Version)}, []byte(it.Key), it.Data)
 }
 
 // Tick pushes again to those that have not acknowledged and still live, and to newcomers.
 func (b *Feed) Tick(now units.Time, live []units.NodeID) (out message.Effects) {
-	for _, key := range message.Keys(b.out) {
+	for _, key := range message.SortedKeys(b.out) {
 		p := b.out[key]
 		it := b.Items[key]
-		if now.Sub(p.sent) < again || it == nil || it.Num != p.num {
+		if now.Sub(p.sent) < again || it == nil || it.Version != p.num {
 			continue
 		}
 		p.sent = now
-		for _, n := range message.Keys(p.need) {
+		for _, n := range message.SortedKeys(p.need) {
 			if slices.Contains(live, n) {
 				out.Send(n, Push, pack(*it))
 			} else {
@@ -131,7 +131,7 @@
 	}
 	b.told = false
 	l := slices.Clone(live)
-	salt := units.Hex(b.Sum) + units.Hex(uint64(len(l)))
+	salt := units.Hex(b.Digest) + units.Hex(uint64(len(l)))
 	slices.SortFunc(l, func(x, y units.NodeID) int {
 		return cmp.Compare(units.Mix(salt, b.me, x.String()), units.Mix(salt, b.me, y.String()))
 	})
@@ -140,8 +140,8 @@
 	}
 }
 
-// Behind is told that a neighbour's digest differs: the two exchange what each lacks.
-func (b *Feed) Behind(now units.Time, from units.NodeID) (out message.Effects) {
+// RequestMissing is told that a neighbour's digest differs: the two exchange what each lacks.
+func (b *Feed) RequestMissing(now units.Time, from units.NodeID) (out message.Effects) {
 	if t, ok := b.asked[from]; ok && now.Sub(t) < again {
 		return out
 	}
@@ -153,14 +153,14 @@
 func (b *Feed) nums() map[string]units.Version {
 	m := map[string]units.Version{}
 	for k, x := range b.Items {
-		m[k] = x.Num
+		m[k] = x.Version
 	}
 	return m
 }
 
 func (b *Feed) packNums(m map[string]units.Version) []byte {
 	var l [][]byte
-	for _, k := range message.Keys(m) {
+	for _, k := range message.SortedKeys(m) {
 		l = append(l, message.Pack(newsHead{uint64(m[k])}, []byte(k)))
 	}
 	return message.PackList(l)
@@ -188,7 +188,7 @@
 	switch n.Kind {
 	case Push:
 		if err = message.Unpack(n.Body, &h, &key, &data); err == nil {
-			b.told = b.Take(Item{Key: string(key), Num: units.Version(h.Num), Data: data, Heard: now}) || b.told
+			b.told = b.Apply(Item{Key: string(key), Version: units.Version(h.Num), Data: data, ReceivedAt: now}) || b.told
 			out.Send(n.From, Ack, message.Pack(h, key))
 		}
 	case Ack:
@@ -200,12 +200,12 @@
 		if theirs, err = unpackNums(n.Body); err == nil {
 			b.pulled(now, n.From, theirs, &out)
 		}
-	case Vouch:
+	case ConfirmRequest:
 		err = b.vouch(n, &out)
-	case Vouched:
+	case ConfirmReply:
 		err = b.vouchedBy(n)
 	}
-	out.Fail(err)
+	out.AddError(err)
 	return out
 }
 
@@ -223,15 +223,15 @@
 
 // pulled sends what the neighbour lacks, and asks back when it is ahead.
 func (b *Feed) pulled(now units.Time, from units.NodeID, theirs map[string]units.Version, out *message.Effects) {
-	for _, k := range message.Keys(b.Items) {
+	for _, k := range message.SortedKeys(b.Items) {
 		it := b.Items[k]
-		if theirs[k] < it.Num {
+		if theirs[k] < it.Version {
 			out.Send(from, Push, pack(*it))
 		}
 	}
 	for k, x := range theirs {
-		if it := b.Items[k]; it == nil || it.Num < x {
-			out.Join(b.Behind(now, from))
+		if it := b.Items[k]; it == nil || it.Version < x {
+			out.Append(b.RequestMissing(now, from))
 			return
 		}
 	}
--- a/internal/cluster/discovery/cold_test.go
+++ b/internal/cluster/discovery/cold_test.go
@@ -20,10 +20,10 @@
 		now = at
 		num++
 		w.ID, w.Addr, w.Age = "w", "a", time.Hour
-		a := n.Ask(now, "*", 1, num)
-		data, news := n.Heard(a, []config.Worker{w})
+		a := n.NewQuery(now, "*", 1, num)
+		data, news := n.RecordAnswer(a, []config.Worker{w})
 		if news {
-			if _, err := n.Take(now+10*ms, Key("*", 1), a.Num, data); err != nil {
+			if _, err := n.Apply(now+10*ms, Key("*", 1), a.Version, data); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -16,8 +16,8 @@
 	"seamshunt/internal/units"
 )
 
-// Prefix begins the keys of sightings in the news: workers/POOL/ASKER.
-const Prefix = "workers/"
+// KeyPrefix begins the keys of sightings in the news: workers/POOL/ASKER.
+const KeyPrefix = "workers/"
 
 // coldSlack is how much longer a worker must look to stay cold than it should before it counts as cold anew (start).
 const coldSlack = 500 * time.Millisecond
@@ -47,11 +47,11 @@
 }
 
 // Key names an asker's sightings of a pool in the news.
-func Key(pool string, asker units.NodeID) string { return Prefix + pool + "/" + asker.String() }
+func Key(pool string, asker units.NodeID) string { return KeyPrefix + pool + "/" + asker.String() }
 
-// Take takes a sighting from the news, and gives the pool that it is of.
-func (n *Catalog) Take(now units.Time, key string, num units.Version, data []byte) (string, error) {
-	pool, asker, _ := strings.Cut(strings.TrimPrefix(key, Prefix), "/")
+// Apply takes a sighting from the news, and gives the pool that it is of.
+func (n *Catalog) Apply(now units.Time, key string, num units.Version, data []byte) (string, error) {
+	pool, asker, _ := strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
 	l, err := config.ReadWorkers(data)
 	if err != nil {
 		return pool, err
@@ -84,7 +84,7 @@
 // marks as leaving is leaving, and one that either lists is listed.
 func (n *Catalog) List(pool string) []config.Worker {
 	by, got := n.pools[pool], map[string]config.Worker{}
-	for _, a := range message.Keys(by) {
+	for _, a := range message.SortedKeys(by) {
 		s, old := by[a], false
 		for b, t := range by {
 			old = old || b != a && t.knew[a] >= s.num && !(s.knew[b] >= t.num)
@@ -105,38 +105,38 @@
 		}
 	}
 	l := make([]config.Worker, 0, len(got))
-	for _, id := range message.Keys(got) {
+	for _, id := range message.SortedKeys(got) {
 		l = append(l, got[id])
 	}
 	return l
 }
 
-// Start says when each worker began, as far as is known.
-func (n *Catalog) Start() map[string]units.Time { return n.start }
+// StartTimes says when each worker began, as far as is known.
+func (n *Catalog) StartTimes() map[string]units.Time { return n.start }
 
 // Query is one question to the platform: its number, and which sightings its asker had heard of when it began.
 type Query struct {
-	Pool  string
-	Num   units.Version
-	Began units.Time
-	knew  map[string]units.Version
+	Pool      string
+	Version   units.Version
+	StartedAt units.Time
+	knew      map[string]units.Version
 }
 
-// Ask begins a question. Wall is the asker's calendar in milliseconds; a number also goes past every one that the
+// NewQuery begins a question. Wall is the asker's calendar in milliseconds; a number also goes past every one that the
 // asker is known to have given, so a wrong calendar costs nothing.
-func (n *Catalog) Ask(now units.Time, pool string, self units.NodeID, wall int64) Query {
-	a := Query{Pool: pool, Num: units.Version(max(1, wall)), Began: now, knew: map[string]units.Version{}}
+func (n *Catalog) NewQuery(now units.Time, pool string, self units.NodeID, wall int64) Query {
+	a := Query{Pool: pool, Version: units.Version(max(1, wall)), StartedAt: now, knew: map[string]units.Version{}}
 	for k, s := range n.pools[pool] {
 		a.knew[k] = s.num
 		if k == self.String() {
-			a.Num = max(a.Num, s.num+1)
+			a.Version = max(a.Version, s.num+1)
 		}
 	}
 	return a
 }
 
-// Heard takes the platform's answer and gives the news that it makes; nothing when it says what is known already.
-func (n *Catalog) Heard(a Query, l []config.Worker) ([]byte, bool) {
+// RecordAnswer takes the platform's answer and gives the news that it makes; nothing when it says what is known already.
+func (n *Catalog) RecordAnswer(a Query, l []config.Worker) ([]byte, bool) {
 	l = slices.Clone(l)
 	slices.SortFunc(l, func(x, y config.Worker) int { return cmp.Compare(x.ID, y.ID) })
 	known := map[string]config.Worker{}
@@ -147,9 +147,9 @@
 	for i := range l {
 		w := &l[i]
 		k, ok := known[w.ID]
-		again := !ok || k.Addr != w.Addr || k.Service != w.Service || n.younger(a.Began, w)
+		again := !ok || k.Addr != w.Addr || k.Service != w.Service || n.younger(a.StartedAt, w)
 		if w.Life = k.Life; again {
-			w.Life = uint64(a.Num) // started, or started again: it warms anew
+			w.Life = uint64(a.Version) // started, or started again: it warms anew
 		}
 		fresh = fresh || again || k.Zone != w.Zone || k.Leaving != w.Leaving || k.Slots != w.Slots
 	}
@@ -158,7 +158,7 @@
 	}
 	var r fastjson.Arena
 	v, knew := config.WorkersValue(&r, l), r.NewObject()
-	for _, k := range message.Keys(a.knew) {
+	for _, k := range message.SortedKeys(a.knew) {
 		knew.Set(k, r.NewNumberString(fmt.Sprint(uint64(a.knew[k]))))
 	}
 	v.Set("knew", knew)
--- a/internal/cluster/discovery/discovery_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -48,26 +48,26 @@
 func TestOrdersOfSightings(t *testing.T) {
 	a, b := New(), New()
 	hear := func(n *Catalog, s told) {
-		if _, err := n.Take(0, s.key, s.num, s.data); err != nil {
+		if _, err := n.Apply(0, s.key, s.num, s.data); err != nil {
 			t.Fatal(err)
 		}
 	}
 	tell := func(n *Catalog, self units.NodeID, wall int64, l []config.Worker) told {
-		q := n.Ask(0, "main", self, wall)
-		data, news := n.Heard(q, l)
+		q := n.NewQuery(0, "main", self, wall)
+		data, news := n.RecordAnswer(q, l)
 		if !news {
 			t.Fatalf("no news of %v", l)
 		}
-		s := told{Key("main", self), q.Num, data}
+		s := told{Key("main", self), q.Version, data}
 		hear(n, s)
 		return s
 	}
 	first := tell(a, 1, 100, list(time.Hour))
 	hear(b, first)
-	early := b.Ask(0, "main", 2, 900)                  // asked before the mark, told on late: list(joined)
-	mark := tell(a, 1, 200, list(time.Hour, "w2"))     // does not know of that question
-	data, _ := b.Heard(early, list(2 * time.Hour)[:1]) // the platform did not list w2 yet
-	late := told{Key("main", 2), early.Num, data}
+	early := b.NewQuery(0, "main", 2, 900)                    // asked before the mark, told on late: list(joined)
+	mark := tell(a, 1, 200, list(time.Hour, "w2"))            // does not know of that question
+	data, _ := b.RecordAnswer(early, list(2 * time.Hour)[:1]) // the platform did not list w2 yet
+	late := told{Key("main", 2), early.Version, data}
 	hear(b, late)
 	hear(b, mark)
 	again := tell(b, 2, 901, list(time.Hour)) // not leaving any more, and its asker knew of the mark
@@ -97,15 +97,15 @@
 	step := func(sec int, l []config.Worker, want bool) {
 		t.Helper()
 		l[0].Age += time.Duration(sec) * time.Second // w1 runs on
-		q := n.Ask(at(sec), "main", 1, int64(sec)*1000)
-		data, news := n.Heard(q, l)
+		q := n.NewQuery(at(sec), "main", 1, int64(sec)*1000)
+		data, news := n.RecordAnswer(q, l)
 		if news != want {
 			t.Errorf("at %d s news %v", sec, news)
 		}
 		if news {
 			for i, x := range []*Catalog{n, v} {
 				// The other hears of it four seconds late.
-				if _, err := x.Take(at(sec+4*i), Key("main", 1), q.Num, data); err != nil {
+				if _, err := x.Apply(at(sec+4*i), Key("main", 1), q.Version, data); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -114,15 +114,15 @@
 	step(10, list(10*time.Second), true)
 	step(20, list(20*time.Second), false)
 	step(30, list(time.Second), true) // started again in place at 29 s
-	if got := v.Start()["w2"]; got != at(33) {
+	if got := v.StartTimes()["w2"]; got != at(33) {
 		t.Errorf("started at %v", time.Duration(got))
 	}
-	if got := v.Start()["w1"]; got != at(4).Add(-time.Hour) {
+	if got := v.StartTimes()["w1"]; got != at(4).Add(-time.Hour) {
 		t.Errorf("the other one was made younger: %v", time.Duration(got))
 	}
 	step(40, list(11 * time.Second)[:1], true) // gone
 	step(50, list(0), true)                    // listed again, cold
-	if got := n.Start()["w2"]; got != at(50) {
+	if got := n.StartTimes()["w2"]; got != at(50) {
 		t.Errorf("listed again: %v", time.Duration(got))
 	}
 }
@@ -130,16 +130,16 @@
 // A number goes past every one given before, whatever the calendar says; what can't be read changes nothing.
 func TestNumbersAndBadNews(t *testing.T) {
 	n := New()
-	q := n.Ask(0, "main", 1, 5000)
-	data, _ := n.Heard(q, list(0))
-	if _, err := n.Take(0, Key("main", 1), q.Num, data); err != nil {
+	q := n.NewQuery(0, "main", 1, 5000)
+	data, _ := n.RecordAnswer(q, list(0))
+	if _, err := n.Apply(0, Key("main", 1), q.Version, data); err != nil {
 		t.Fatal(err)
 	}
-	if q := n.Ask(0, "main", 1, 10); q.Num != 5001 {
-		t.Errorf("after a calendar set back: number %d", q.Num)
+	if q := n.NewQuery(0, "main", 1, 10); q.Version != 5001 {
+		t.Errorf("after a calendar set back: number %d", q.Version)
 	}
 	for i, bad := range []string{"", "{}", `{"workers":[{"id":""}]}`, `{"workers":3}`, `{"workers":[],"knew":4}`} {
-		if _, err := n.Take(0, Key("main", 2), units.Version(i+1), []byte(bad)); (err == nil) != (i == 4) || len(n.List("main")) != 2 {
+		if _, err := n.Apply(0, Key("main", 2), units.Version(i+1), []byte(bad)); (err == nil) != (i == 4) || len(n.List("main")) != 2 {
 			t.Errorf("%q: %v, %d listed", bad, err, len(n.List("main")))
 		}
 	}
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -32,28 +32,28 @@
 
 // Flags a member says of itself.
 const (
-	Draining uint16 = 1 << iota
-	Unfit           // its disk can't be trusted with ownership now
-	Ready           // a router that serves
-	Voter           // a controller that believes it votes
-	Full            // its disk has no room
-	Counts          // a controller whose disk may vote (design 13)
-	First           // a controller of the system's very first start, by its boot file or by its disk
+	Draining  uint16 = 1 << iota
+	DiskUnfit        // its disk can't be trusted with ownership now
+	Ready            // a router that serves
+	Voter            // a controller that believes it votes
+	DiskFull         // its disk has no room
+	MayVote          // a controller whose disk may vote (design 13)
+	Bootstrap        // a controller of the system's very first start, by its boot file or by its disk
 )
 
 // Member is one process.
 type Member struct {
-	Node  units.NodeID
-	Inc   uint64
-	State State
-	Role  Role
-	Flags uint16
-	Addr  string
-	Web   string
-	Zone  string
-	News  uint64     // digest of its news, as last told by itself
-	Heard units.Time // when it told so
-	since units.Time
+	Node         units.NodeID
+	Incarnation  uint64
+	State        State
+	Role         Role
+	Flags        uint16
+	Addr         string
+	HTTPAddr     string
+	Zone         string
+	FeedDigest   uint64     // digest of its news, as last told by itself
+	FeedDigestAt units.Time // when it told so
+	since        units.Time
 }
 
 // Rates of the probing (start values).
@@ -76,26 +76,26 @@
 // Gossip is one node's state machine of membership: its table, its probes and the changes still to be told. It isn't safe
 // for concurrent use.
 type Gossip struct {
-	Self    units.NodeID
-	News    uint64
-	all     map[units.NodeID]*Member
-	order   []units.NodeID // of all, sorted; made anew when it changes
-	kept    []Member       // what All last gave, till something changes
-	digest  uint64         // of the live members, while summed holds
-	summed  bool
-	ver     uint64
-	seeds   []string
-	rng     *rand.Rand
-	ring    []units.NodeID
-	seq     uint64
-	open    units.NodeID
-	seqOf   uint64
-	at      units.Time
-	asked   bool
-	relay   map[uint64]relay
-	fresh   map[units.NodeID]int // how often each change is still to be told
-	wholeAt units.Time           // when a whole table was last sent for a digest's sake
-	intro   units.Time
+	Self       units.NodeID
+	FeedDigest uint64
+	all        map[units.NodeID]*Member
+	order      []units.NodeID // of all, sorted; made anew when it changes
+	kept       []Member       // what All last gave, till something changes
+	digest     uint64         // of the live members, while summed holds
+	summed     bool
+	ver        uint64
+	seeds      []string
+	rng        *rand.Rand
+	ring       []units.NodeID
+	seq        uint64
+	open       units.NodeID
+	seqOf      uint64
+	at         units.Time
+	asked      bool
+	relay      map[uint64]relay
+	fresh      map[units.NodeID]int // how often each change is still to be told
+	wholeAt    units.Time           // when a whole table was last sent for a digest's sake
+	intro      units.Time
 }
 
 // New starts with oneself and the seeds.
@@ -107,11 +107,11 @@
 	return m
 }
 
-// Seeds names other processes to talk to from now on.
-func (m *Gossip) Seeds(l []string) { m.seeds = slices.Clone(l) }
+// SetSeeds names other processes to talk to from now on.
+func (m *Gossip) SetSeeds(l []string) { m.seeds = slices.Clone(l) }
 
-// Flag sets or clears what this node says of itself.
-func (m *Gossip) Flag(f uint16, on bool) {
+// SetFlag sets or clears what this node says of itself.
+func (m *Gossip) SetFlag(f uint16, on bool) {
 	s := m.all[m.Self]
 	old := s.Flags
 	if on {
@@ -120,7 +120,7 @@
 		s.Flags &^= f
 	}
 	if s.Flags != old {
-		s.Inc++
+		s.Incarnation++
 		m.changed()
 	}
 }
@@ -139,7 +139,7 @@
 	if m.open != 0 && !m.asked && now.Sub(m.at) >= askAt {
 		m.asked = true
 		for _, x := range m.pick(3, m.open) {
-			out.Send(x, Second, m.pack(m.seqOf, m.open, false))
+			out.Send(x, IndirectProbe, m.pack(m.seqOf, m.open, false))
 		}
 	}
 	for _, x := range m.all {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -10,7 +10,7 @@
 )
 
 func member(n units.NodeID) Member {
-	return Member{Node: n, Inc: 1, Role: Router, Addr: "a" + n.String(), Zone: "z"}
+	return Member{Node: n, Incarnation: 1, Role: Router, Addr: "a" + n.String(), Zone: "z"}
 }
 
 func grown(self units.NodeID, others ...units.NodeID) *Gossip {
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -11,8 +11,8 @@
 const (
 	Probe = message.KindMembership + iota
 	Ack
-	Second
-	SecondAck
+	IndirectProbe
+	IndirectAck
 )
 
 type probeHead struct {
@@ -60,12 +60,12 @@
 }
 
 func (m *Gossip) lay(seq uint64, target units.NodeID, items [][]byte) []byte {
-	return message.Pack(probeHead{Seq: seq, News: m.News, Target: uint64(target), Sum: m.sum()}, message.PackList(items))
+	return message.Pack(probeHead{Seq: seq, News: m.FeedDigest, Target: uint64(target), Sum: m.sum()}, message.PackList(items))
 }
 
 func (x *Member) pack() []byte {
-	h := memberHead{Node: uint64(x.Node), Inc: x.Inc, Flags: x.Flags, State: uint8(x.State), Role: uint8(x.Role)}
-	return message.Pack(h, []byte(x.Addr), []byte(x.Web), []byte(x.Zone))
+	h := memberHead{Node: uint64(x.Node), Inc: x.Incarnation, Flags: x.Flags, State: uint8(x.State), Role: uint8(x.Role)}
+	return message.Pack(h, []byte(x.Addr), []byte(x.HTTPAddr), []byte(x.Zone))
 }
 
 // tell has a change ride on so many notes that all hear of it, as a rule; the digests find the exceptions.
@@ -97,8 +97,8 @@
 		if err := message.Unpack(t, &mh, &addr, &web, &zone); err != nil {
 			return h, nil, err
 		}
-		ms = append(ms, Member{Node: units.NodeID(mh.Node), Inc: mh.Inc, Flags: mh.Flags, State: State(mh.State),
-			Role: Role(mh.Role), Addr: string(addr), Web: string(web), Zone: string(zone)})
+		ms = append(ms, Member{Node: units.NodeID(mh.Node), Incarnation: mh.Inc, Flags: mh.Flags, State: State(mh.State),
+			Role: Role(mh.Role), Addr: string(addr), HTTPAddr: string(web), Zone: string(zone)})
 	}
 	return h, ms, nil
 }
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -9,7 +9,7 @@
 func (m *Gossip) Step(now units.Time, n message.Message) (out message.Effects) {
 	h, list, err := unpack(n.Body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	known := m.all[n.From] != nil
@@ -17,7 +17,7 @@
 		m.merge(now, &list[i])
 	}
 	if x := m.all[n.From]; x != nil {
-		x.News, x.Heard = h.News, now
+		x.FeedDigest, x.FeedDigestAt = h.News, now
 		m.heard()
 	}
 	switch n.Kind {
@@ -28,11 +28,11 @@
 		if m.differs(now, h.Sum) {
 			out.Send(n.From, Probe, m.pack(0, 0, true))
 		}
-	case Second:
+	case IndirectProbe:
 		m.seq++
 		m.relay[m.seq] = relay{to: n.From, seq: h.Seq, at: now}
 		out.Send(units.NodeID(h.Target), Probe, m.pack(m.seq, 0, false))
-	case SecondAck:
+	case IndirectAck:
 		if h.Seq == m.seqOf && units.NodeID(h.Target) == m.open {
 			m.hold(now, m.open)
 			m.open = 0
@@ -44,7 +44,7 @@
 func (m *Gossip) acked(now units.Time, from units.NodeID, seq uint64, out *message.Effects) {
 	if r, ok := m.relay[seq]; ok {
 		delete(m.relay, seq)
-		out.Send(r.to, SecondAck, m.pack(r.seq, from, false))
+		out.Send(r.to, IndirectAck, m.pack(r.seq, from, false))
 	}
 	if seq != 0 && seq == m.seqOf && from == m.open {
 		m.open = 0
@@ -63,8 +63,8 @@
 func (m *Gossip) merge(now units.Time, y *Member) {
 	if y.Node == m.Self {
 		s := m.all[m.Self]
-		if y.Inc > s.Inc || y.Inc == s.Inc && y.State > s.State {
-			s.Inc = y.Inc + 1
+		if y.Incarnation > s.Incarnation || y.Incarnation == s.Incarnation && y.State > s.State {
+			s.Incarnation = y.Incarnation + 1
 			m.changed()
 			m.tell(m.Self)
 		}
@@ -73,17 +73,17 @@
 	x := m.all[y.Node]
 	if x == nil {
 		c := *y
-		c.since, c.News, c.Heard = now, 0, 0
+		c.since, c.FeedDigest, c.FeedDigestAt = now, 0, 0
 		m.all[y.Node] = &c
 		m.order = nil
 		m.changed()
 		m.tell(y.Node)
 		return
 	}
-	if y.Inc > x.Inc || y.Inc == x.Inc && y.State > x.State {
+	if y.Incarnation > x.Incarnation || y.Incarnation == x.Incarnation && y.State > x.State {
 		was := *x
 		*x = *y
-		x.News, x.Heard, x.since = was.News, was.Heard, was.since
+		x.FeedDigest, x.FeedDigestAt, x.since = was.FeedDigest, was.FeedDigestAt, was.since
 		old := was.State
 		m.changed()
 		m.tell(y.Node)
@@ -93,9 +93,9 @@
 	}
 }
 
-// Refused takes evidence that nobody listens at addr: whoever lived there has ended, even where membership
+// ConnectionRefused takes evidence that nobody listens at addr: whoever lived there has ended, even where membership
 // had given it up before for its silence (design 6).
-func (m *Gossip) Refused(now units.Time, addr string) []units.NodeID {
+func (m *Gossip) ConnectionRefused(now units.Time, addr string) []units.NodeID {
 	var l []units.NodeID
 	for _, x := range m.All() {
 		if x.Addr != addr || x.Node == m.Self || x.State == Left {
@@ -112,7 +112,7 @@
 // Leave says goodbye to everybody.
 func (m *Gossip) Leave() (out message.Effects) {
 	s := m.all[m.Self]
-	s.Inc++
+	s.Incarnation++
 	s.State = Left
 	m.changed()
 	for _, n := range m.others(0) {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -12,8 +12,8 @@
 // Version is another one whenever a member came, went or changed what it says of itself, its news apart.
 func (m *Gossip) Version() uint64 { return m.ver }
 
-// Asking says whether a probe has waited for its answer for longer than usual.
-func (m *Gossip) Asking(now units.Time) bool { return m.open != 0 && now > m.at }
+// ProbePending says whether a probe has waited for its answer for longer than usual.
+func (m *Gossip) ProbePending(now units.Time) bool { return m.open != 0 && now > m.at }
 
 // heard is told that only a member's news was told anew, which the digest is not of.
 func (m *Gossip) heard() { m.kept = nil }
@@ -21,7 +21,7 @@
 // ids gives all nodes in order.
 func (m *Gossip) ids() []units.NodeID {
 	if m.order == nil {
-		m.order = message.Keys(m.all)
+		m.order = message.SortedKeys(m.all)
 	}
 	return m.order
 }
@@ -54,7 +54,7 @@
 		m.digest, m.summed = 0, true
 		for n, x := range m.all {
 			if x.State <= Suspect {
-				m.digest += units.Mix(n.String(), units.Hex(x.Inc))
+				m.digest += units.Mix(n.String(), units.Hex(x.Incarnation))
 			}
 		}
 	}
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -24,9 +24,9 @@
 		t.Helper()
 		want := uint64(0)
 		l := make([]Member, 0, len(m.all))
-		for _, n := range message.Keys(m.all) {
+		for _, n := range message.SortedKeys(m.all) {
 			if x := m.all[n]; x.State <= Suspect {
-				want += units.Mix(n.String(), units.Hex(x.Inc))
+				want += units.Mix(n.String(), units.Hex(x.Incarnation))
 			}
 			l = append(l, *m.all[n])
 		}
@@ -58,14 +58,14 @@
 		m := ms[units.NodeID(n)]
 		switch rng.IntN(400) {
 		case 0:
-			m.Flag(Ready, rng.IntN(2) == 0)
+			m.SetFlag(Ready, rng.IntN(2) == 0)
 		case 1:
-			m.Refused(now, "a"+units.NodeID(1+rng.Uint64N(9)).String())
+			m.ConnectionRefused(now, "a"+units.NodeID(1+rng.Uint64N(9)).String())
 		case 2:
 			send(m.Self, m.Leave())
 			check(m)
 			m = New(member(m.Self), m.seeds, m.rng)
-			m.all[m.Self].Inc = uint64(now)
+			m.all[m.Self].Incarnation = uint64(now)
 			ms[m.Self] = m
 		case 3:
 			now = now.Add(11 * time.Minute) // whoever is gone is forgotten
--- a/internal/cluster/membership/version_test.go
+++ b/internal/cluster/membership/version_test.go
@@ -29,9 +29,9 @@
 		t.Error("a newcomer is no change")
 	}
 	for v = a.Version(); now < units.Time(time.Hour+20*time.Second); now = now.Add(50 * time.Millisecond) {
-		b.News++
+		b.FeedDigest++
 		hello(a, b)
-		if a.Asking(now) {
+		if a.ProbePending(now) {
 			t.Fatal("asking behind an answer")
 		}
 	}
@@ -44,10 +44,10 @@
 		now = now.Add(50 * time.Millisecond)
 		sent = a.Tick(now).Messages
 	}
-	if a.Asking(now) || !a.Asking(now.Add(50*time.Millisecond)) {
+	if a.ProbePending(now) || !a.ProbePending(now.Add(50*time.Millisecond)) {
 		t.Error("a probe is under way once it has waited")
 	}
-	b.Flag(Draining, true)
+	b.SetFlag(Draining, true)
 	sent[0].From = a.Self
 	for _, r := range b.Step(now, sent[0]).Messages {
 		r.From = b.Self
--- a/internal/cluster/message/message.go
+++ b/internal/cluster/message/message.go
@@ -46,7 +46,7 @@
 	Messages  []Message
 	Writes    []Record
 	AfterSync []Message
-	Errs      []error
+	Errors    []error
 }
 
 // Send adds a note that may leave at once.
@@ -59,19 +59,19 @@
 	o.AfterSync = append(o.AfterSync, Message{To: to, Kind: k, Body: b})
 }
 
-// Fail collects an error; nil is passed over.
-func (o *Effects) Fail(err error) {
+// AddError collects an error; nil is passed over.
+func (o *Effects) AddError(err error) {
 	if err != nil {
-		o.Errs = append(o.Errs, err)
+		o.Errors = append(o.Errors, err)
 	}
 }
 
-// Join adds all of p behind o.
-func (o *Effects) Join(p Effects) {
+// Append adds all of p behind o.
+func (o *Effects) Append(p Effects) {
 	o.Messages = append(o.Messages, p.Messages...)
 	o.Writes = append(o.Writes, p.Writes...)
 	o.AfterSync = append(o.AfterSync, p.AfterSync...)
-	o.Errs = append(o.Errs, p.Errs...)
+	o.Errors = append(o.Errors, p.Errors...)
 }
 
 // Pack lays out a fixed struct and then each tail behind its length.
@@ -139,8 +139,8 @@
 	return items, nil
 }
 
-// Keys gives a map's keys in order, so that equal states give out equal notes and a seed replays (design 1).
-func Keys[K cmp.Ordered, V any](m map[K]V) []K {
+// SortedKeys gives a map's keys in order, so that equal states give out equal notes and a seed replays (design 1).
+func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	l := make([]K, 0, len(m))
 	for k := range m {
 		l = append(l, k)
--- a/internal/cluster/transport/engine.go
+++ b/internal/cluster/transport/engine.go
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("transport: %w", err)
 	}
 	t.engine, t.listener = engine, ln
-	c.Supervise(func() error { return t.accept(addr) }, handlers.Ended)
+	c.Supervise(func() error { return t.accept(addr) }, handlers.ListenerFailed)
 	return t, nil
 }
 
@@ -75,7 +75,7 @@
 		}
 		giveUpSilent(c)
 		if _, err := t.engine.Enroll(c); err != nil {
-			t.Unopened.Add(1)
+			t.FailedAccepts.Add(1)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 // OnTraffic takes whole frames off a neighbour's connection; a bad one closes it. A neighbour never talks back on a link.
 func (e *events) OnTraffic(c gnet.Conn) gnet.Action {
 	if _, ok := c.Context().(*link); ok {
-		e.t.Bad.Add(1)
+		e.t.BadFrames.Add(1)
 		return gnet.Close
 	}
 	return e.t.frames(c)
@@ -151,7 +151,7 @@
 		}
 		h, err := readHead(b)
 		if err != nil {
-			t.Bad.Add(1)
+			t.BadFrames.Add(1)
 			return gnet.Close
 		}
 		if c.InboundBuffered() < headLen+int(h.Len) {
@@ -161,7 +161,7 @@
 		if err != nil {
 			return gnet.None
 		}
-		t.In.Add(uint64(len(b)))
+		t.BytesIn.Add(uint64(len(b)))
 		t.takeFrame(h, b)
 	}
 	return gnet.None
@@ -174,10 +174,10 @@
 	}
 	n, err := h.note(b[headLen:])
 	if err != nil {
-		t.Bad.Add(1)
+		t.BadFrames.Add(1)
 		return
 	}
-	t.handlers.Take(n)
+	t.handlers.Receive(n)
 }
 
 // Close ends all connections. It waits for the event loop, but not for ever.
--- a/internal/cluster/transport/engine_test.go
+++ b/internal/cluster/transport/engine_test.go
@@ -21,7 +21,7 @@
 	addr := testutil.Addr(t)
 	c := tasks.New(clockwork.NewRealClock(), 1)
 	got, ended := make(chan message.Message, 1), make(chan error, 8)
-	x, err := Open(1, addr, c, Handlers{Take: func(n message.Message) { got <- n }, Ended: func(err error) { ended <- err }})
+	x, err := Open(1, addr, c, Handlers{Receive: func(n message.Message) { got <- n }, ListenerFailed: func(err error) { ended <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/transport/http.go
+++ b/internal/cluster/transport/http.go
@@ -9,9 +9,9 @@
 	"seamshunt/internal/shield"
 )
 
-// HTTP asks an address once, on a wire of its own, with fasthttp's own retries turned off. The third result is
+// HTTPRequest asks an address once, on a wire of its own, with fasthttp's own retries turned off. The third result is
 // the answer's Number header.
-func HTTP(method, addr, path string, body []byte, head map[string]string, limit time.Duration) (int, []byte, string, error) {
+func HTTPRequest(method, addr, path string, body []byte, head map[string]string, limit time.Duration) (int, []byte, string, error) {
 	cl := &fasthttp.HostClient{Addr: addr, MaxIdemponentCallAttempts: 1,
 		Dial:       func(a string) (net.Conn, error) { return shield.Dial(a, limit) },
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
--- a/internal/cluster/transport/link_test.go
+++ b/internal/cluster/transport/link_test.go
@@ -58,7 +58,7 @@
 func TestSlowReader(t *testing.T) {
 	x := pair(t, func(message.Message) {})
 	addr, got := listen(t)
-	x.Learn(2, addr)
+	x.SetAddr(2, addr)
 	x.Send(message.Message{To: 2, Kind: 77, Body: make([]byte, 4)})
 	c := <-got
 	defer c.Close()
@@ -105,7 +105,7 @@
 func TestClosedWireIsDialledAnew(t *testing.T) {
 	x := pair(t, func(message.Message) {})
 	addr, got := listen(t)
-	x.Learn(2, addr)
+	x.SetAddr(2, addr)
 	for i := range 5 {
 		var c net.Conn
 		for c == nil { // what is sent before the end is noticed is lost, as on any net
--- a/internal/cluster/transport/packed_test.go
+++ b/internal/cluster/transport/packed_test.go
@@ -64,8 +64,8 @@
 	if n := <-got; len(n.Body) != 1000 {
 		t.Errorf("a note of %d bytes came", len(n.Body))
 	}
-	if x.Bad.Load() != 2 {
-		t.Errorf("%d bad frames counted", x.Bad.Load())
+	if x.BadFrames.Load() != 2 {
+		t.Errorf("%d bad frames counted", x.BadFrames.Load())
 	}
 }
 
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -36,30 +36,30 @@
 
 // Handlers are what a transport calls. None may block.
 type Handlers struct {
-	Take    func(message.Message) // a message for this node
-	Refused func(addr string)     // nobody listens there
-	Ended   func(error)           // the listener ended; it is opened again
+	Receive           func(message.Message) // a message for this node
+	ConnectionRefused func(addr string)     // nobody listens there
+	ListenerFailed    func(error)           // the listener ended; it is opened again
 }
 
 // Transport holds a process's connections to its neighbours. It is safe for concurrent use.
 type Transport struct {
-	Self     units.NodeID
-	tasks    *tasks.Group
-	handlers Handlers
-	engine   *gnet.Client // the event loop of all connections
-	mu       sync.Mutex   // last in the lock order: nothing is called while it is held
-	listener net.Listener // nil while none is open
-	closed   bool
-	wires    map[string]*wire
-	addrs    map[units.NodeID]string
-	Bad      atomic.Uint64
-	In       atomic.Uint64
-	Out      atomic.Uint64
-	Unopened atomic.Uint64 // connections of neighbours that could not be taken, as for want of descriptors
+	Self          units.NodeID
+	tasks         *tasks.Group
+	handlers      Handlers
+	engine        *gnet.Client // the event loop of all connections
+	mu            sync.Mutex   // last in the lock order: nothing is called while it is held
+	listener      net.Listener // nil while none is open
+	closed        bool
+	wires         map[string]*wire
+	addrs         map[units.NodeID]string
+	BadFrames     atomic.Uint64
+	BytesIn       atomic.Uint64
+	BytesOut      atomic.Uint64
+	FailedAccepts atomic.Uint64 // connections of neighbours that could not be taken, as for want of descriptors
 }
 
-// Learn notes where a node can be reached.
-func (t *Transport) Learn(n units.NodeID, addr string) {
+// SetAddr notes where a node can be reached.
+func (t *Transport) SetAddr(n units.NodeID, addr string) {
 	t.mu.Lock()
 	t.addrs[n] = addr
 	t.mu.Unlock()
@@ -69,7 +69,7 @@
 func (t *Transport) Send(n message.Message) {
 	n.From = t.Self
 	if n.To == t.Self {
-		t.handlers.Take(n)
+		t.handlers.Receive(n)
 		return
 	}
 	b := frame(n)
@@ -90,7 +90,7 @@
 	if l := w.link; l != nil {
 		t.mu.Unlock()
 		if l.send(b) {
-			t.Out.Add(uint64(len(b)))
+			t.BytesOut.Add(uint64(len(b)))
 			return
 		}
 		t.mu.Lock()
@@ -127,8 +127,8 @@
 		w.back = min(max(2*w.back, 50*time.Millisecond), backMost)
 		w.next = t.tasks.Now().Add(w.back)
 		t.mu.Unlock()
-		if errors.Is(err, syscall.ECONNREFUSED) && t.handlers.Refused != nil {
-			t.handlers.Refused(addr)
+		if errors.Is(err, syscall.ECONNREFUSED) && t.handlers.ConnectionRefused != nil {
+			t.handlers.ConnectionRefused(addr)
 		}
 		return
 	}
@@ -136,7 +136,7 @@
 	t.mu.Unlock()
 	for _, b := range wait {
 		if l.send(b) {
-			t.Out.Add(uint64(len(b)))
+			t.BytesOut.Add(uint64(len(b)))
 		}
 	}
 }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -22,11 +22,11 @@
 		t.Fatal(err)
 	}
 	c := tasks.New(clockwork.NewRealClock(), 1)
-	x, err := Open(1, addr, c, Handlers{Take: take})
+	x, err := Open(1, addr, c, Handlers{Receive: take})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.Learn(1, addr)
+	x.SetAddr(1, addr)
 	t.Cleanup(func() { x.Close(); c.Stop(time.Second) })
 	return x
 }
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bad := x.Bad.Load()
+		bad := x.BadFrames.Load()
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Write(b); err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil && !bytes.Contains([]byte(err.Error()), []byte("reset")) {
 			t.Errorf("%s: the wire is not closed: %v", name, err)
 		}
-		if x.Bad.Load() != bad+1 {
+		if x.BadFrames.Load() != bad+1 {
 			t.Errorf("%s is not counted", name)
 		}
 		c.Close()
@@ -89,7 +89,7 @@
 	}
 	x := pair(t, func(message.Message) {})
 	said := make(chan string, 1)
-	x.handlers.Refused = func(a string) { said <- a }
+	x.handlers.ConnectionRefused = func(a string) { said <- a }
 	x.Send(message.Message{Addr: free, Kind: 77})
 	select {
 	case a := <-said:
--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -111,7 +111,7 @@
 	case Verdict:
 		err = s.judged(n)
 	}
-	out.Fail(err)
+	out.AddError(err)
 	return out
 }
 
@@ -147,7 +147,7 @@
 		return err
 	}
 	ahead, behind := false, false
-	for _, key := range message.Keys(states) {
+	for _, key := range message.SortedKeys(states) {
 		if !held(states[key]) || h.Mask>>part(key)&1 == 0 {
 			continue
 		}
@@ -155,7 +155,7 @@
 		case c > 0:
 			ahead = true
 			s.Mended++
-			out.Join(mend(n.From, key))
+			out.Append(mend(n.From, key))
 		case c < 0:
 			behind = true
 		}
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -36,7 +36,7 @@
 func held(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
 
 func sums(states map[string]*register.State) (d digests) {
-	for _, key := range message.Keys(states) {
+	for _, key := range message.SortedKeys(states) {
 		s := states[key]
 		if !held(s) {
 			continue
@@ -67,7 +67,7 @@
 // list packs how new each key of the head's ranges is.
 func list(h rangeHead, states map[string]*register.State) []byte {
 	var l [][]byte
-	for _, key := range message.Keys(states) {
+	for _, key := range message.SortedKeys(states) {
 		if s := states[key]; held(s) && h.Mask>>part(key)&1 == 1 {
 			l = append(l, message.Pack(keyHead{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
 		}
--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -216,8 +216,8 @@
 		if out := g.syncers[1].Step(message.Message{From: 99, Kind: k, Body: message.Pack(digests{})}, g.copies[1], mend); len(out.Messages) > 0 {
 			t.Errorf("a stranger's kind %d is answered", k)
 		}
-		if out := g.syncers[1].Step(message.Message{From: 2, Kind: k}, g.copies[1], mend); len(out.Messages) > 0 || len(out.Errs) != 1 {
-			t.Errorf("a malformed kind %d: %d answers, errors %v", k, len(out.Messages), out.Errs)
+		if out := g.syncers[1].Step(message.Message{From: 2, Kind: k}, g.copies[1], mend); len(out.Messages) > 0 || len(out.Errors) != 1 {
+			t.Errorf("a malformed kind %d: %d answers, errors %v", k, len(out.Messages), out.Errors)
 		}
 	}
 	if g.syncers[1].Ignored != 4 || g.syncers[1].catchUp != nil {
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -78,8 +78,8 @@
 	}
 	c.polled.stoodStill = c.WasPausedSince
 	c.seeds, c.born = founding(b, a.Live()), born(a.Live())
-	c.SetFlag(membership.Counts, b.Counts || !b.Grow)
-	c.SetFlag(membership.First, b.Grow && c.seeds.Participates)
+	c.SetFlag(membership.MayVote, b.Counts || !b.Grow)
+	c.SetFlag(membership.Bootstrap, b.Grow && c.seeds.Participates)
 	if book != nil && book.Control != nil {
 		c.door = book.Control(c.Control())
 	}
@@ -127,7 +127,7 @@
 		c.leaseMu.Unlock()
 		c.Deliver(out)
 	}
-	c.Feed.Stored = func() map[string]units.Version {
+	c.Feed.StoredVersions = func() map[string]units.Version {
 		c.replicaMu.Lock()
 		defer c.replicaMu.Unlock()
 		return c.replica.KnownVersions()
@@ -202,7 +202,7 @@
 	}
 	for _, x := range news {
 		c.FeedMu.Lock()
-		out := c.Feed.Spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: x.Data}, to)
+		out := c.Feed.Publish(now, configpush.Item{Key: x.Key, Version: x.Version, Data: x.Data}, to)
 		c.FeedMu.Unlock()
 		c.Deliver(out)
 	}
@@ -213,12 +213,12 @@
 	all := c.Members()
 	unfit := c.disk.unfit(now)
 	low, full := c.tryDisk(now)
-	c.SetFlag(membership.Full, full)
+	c.SetFlag(membership.DiskFull, full)
 	c.SetFlag(membership.Draining, c.leaving.Load())
 	look := register.NewControllerView(all)
 	c.FeedMu.Lock()
-	told, fresh := c.Feed.Items[register.KeyQuorum], c.Feed.Fresh
-	c.Feed.Fresh = nil
+	told, fresh := c.Feed.Items[register.KeyQuorum], c.Feed.Changes
+	c.Feed.Changes = nil
 	c.FeedMu.Unlock()
 	c.look(now, fresh)
 	c.replicaMu.Lock()
@@ -229,17 +229,17 @@
 	c.replica.SetEligible(look.Eligible, look.Draining...)
 	c.voting(now, look)
 	out := c.replica.Tick(now)
-	c.claims.Low = low
-	out.Join(c.claims.Tick(now, c.replica.Quorum()))
+	c.claims.DiskFull = low
+	out.Append(c.claims.Tick(now, c.replica.Quorum()))
 	c.syncer.SetHealthy(!unfit)
-	out.Join(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
+	out.Append(c.syncer.Tick(now, c.replica.Quorum().All(), c.replica.States()))
 	voter := c.replica.Quorum().Has(c.Self)
 	seat := c.planner.SeatValidUntil(c.replica.LastMajorityContact(now))
 	news := c.drain()
 	c.Deliver(out)
 	c.replicaMu.Unlock()
 	c.SetFlag(membership.Voter, voter)
-	c.SetFlag(membership.Unfit, unfit)
+	c.SetFlag(membership.DiskUnfit, unfit)
 	c.spread(now, news)
 	c.leaseMu.Lock()
 	c.lease.SetSeatExpiry(seat)
--- a/internal/control/controller/cut_off_test.go
+++ b/internal/control/controller/cut_off_test.go
@@ -36,7 +36,7 @@
 	}
 	c.replica.SetEligible([]units.NodeID{2})
 	c.replica.Tick(c.Tasks.Now()) // it begins to ask the others whether they answer
-	c.Feed.Take(configpush.Item{Key: keyConfig, Num: 3, Data: []byte(`{"v":5,"x":"a"}`)})
+	c.Feed.Apply(configpush.Item{Key: keyConfig, Version: 3, Data: []byte(`{"v":5,"x":"a"}`)})
 	return c
 }
 
--- a/internal/control/controller/disk.go
+++ b/internal/control/controller/disk.go
@@ -154,7 +154,7 @@
 		if !v.Has(m.Node) || m.State > membership.Suspect {
 			continue
 		}
-		if m.Flags&membership.Full != 0 {
+		if m.Flags&membership.DiskFull != 0 {
 			full++
 		} else {
 			room++
--- a/internal/control/controller/evacuation.go
+++ b/internal/control/controller/evacuation.go
@@ -63,7 +63,7 @@
 		r := c.record(ctx, register.Request{Key: o.key, ExpectedVersion: o.num, Data: o.wanted})
 		switch r.Code {
 		case resultcode.OK:
-			c.learn(configpush.Item{Key: o.key, Num: r.Version, Data: o.wanted})
+			c.learn(configpush.Item{Key: o.key, Version: r.Version, Data: o.wanted})
 			return resultcode.OK
 		case resultcode.VersionConflict:
 		default:
@@ -80,14 +80,14 @@
 func (c *Controller) learn(item configpush.Item) {
 	c.FeedMu.Lock()
 	defer c.FeedMu.Unlock()
-	item.Heard = c.Tasks.Now()
-	c.Feed.Take(item)
+	item.ReceivedAt = c.Tasks.Now()
+	c.Feed.Apply(item)
 }
 
 // zoneState finds the state that an order is to be written on, given a time before which it was not sent.
 func (c *Controller) zoneState(ctx context.Context, o *zoneOrder, sentAfter units.Time) resultcode.Code {
 	if item, ok := c.heard(o.key); ok {
-		o.num, o.state, o.mayChange = item.Num, item.Data, item.Heard <= sentAfter
+		o.num, o.state, o.mayChange = item.Version, item.Data, item.ReceivedAt <= sentAfter
 		return resultcode.OK
 	}
 	code := c.newestZoneState(ctx, o)
@@ -105,7 +105,7 @@
 // heardOf is a key's value as this node last had news of it: it was chosen, but a newer one may stand.
 func (c *Controller) heardOf(key string) (units.Version, []byte) {
 	item, _ := c.heard(key)
-	return item.Num, item.Data
+	return item.Version, item.Data
 }
 
 // heard is the same with the time at which this node had it.
--- a/internal/control/controller/late_order_test.go
+++ b/internal/control/controller/late_order_test.go
@@ -192,7 +192,7 @@
 // probe asks on a connection of its own, and returns with the answer.
 func probe(t *testing.T, addr string) {
 	t.Helper()
-	if code, _, _, err := transport.HTTP("GET", addr, "/healthz", nil, nil, 10*time.Second); err != nil || code != 200 {
+	if code, _, _, err := transport.HTTPRequest("GET", addr, "/healthz", nil, nil, 10*time.Second); err != nil || code != 200 {
 		t.Fatalf("%d %v", code, err)
 	}
 }
--- a/internal/control/controller/metrics.go
+++ b/internal/control/controller/metrics.go
@@ -21,7 +21,7 @@
 	c.zoneOrders.write(ctx)
 	writeMetric(ctx, "abandoned_orders_total", c.abandonedOrders.Load())
 	c.writeDiskMetrics(ctx, c.Tasks.Now())
-	writeMetric(ctx, "bad_frames_total", c.Transport.Bad.Load())
+	writeMetric(ctx, "bad_frames_total", c.Transport.BadFrames.Load())
 	writeMetric(ctx, "bad_notes_total", c.Errors.Load())
 	writeMetric(ctx, "dropped_notes_total", c.DroppedMessages.Load())
 	writeMetric(ctx, "audit_missed_total", c.missed.Load())
@@ -84,7 +84,7 @@
 func (z *zoneOrders) write(w io.Writer) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	for _, code := range message.Keys(z.byCode) {
+	for _, code := range message.SortedKeys(z.byCode) {
 		fmt.Fprintf(w, "seamshunt_zone_orders_total{code=\"%d\"} %d\n", code, z.byCode[code])
 	}
 }
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -195,7 +195,7 @@
 	node, _, named := strings.Cut(id, "-")
 	for _, m := range c.Members() {
 		if m.Node.String() == node && m.Node != c.Self && m.State <= membership.Suspect && len(ctx.Request.Header.Peek("Passed-On")) == 0 {
-			c.passOn(ctx, m.Web)
+			c.passOn(ctx, m.HTTPAddr)
 			return
 		}
 	}
@@ -208,7 +208,7 @@
 
 // passOn gives an operator's call to the controller it belongs to, once.
 func (c *Controller) passOn(ctx *fasthttp.RequestCtx, web string) {
-	code, b, _, err := transport.HTTP("POST", web, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, passOnTimeout)
+	code, b, _, err := transport.HTTPRequest("POST", web, string(ctx.Path()), ctx.PostBody(), map[string]string{"Passed-On": c.Self.String()}, passOnTimeout)
 	if err != nil {
 		c.fail(ctx, &resultcode.Fault{Code: resultcode.CommitUnknown, Text: texts[resultcode.CommitUnknown]})
 		return
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -77,7 +77,7 @@
 func (c *Controller) ask(pool string) {
 	now := c.Tasks.Now()
 	c.catalogMu.Lock()
-	a := c.catalog.Ask(now, pool, c.Self, time.Now().UnixMilli())
+	a := c.catalog.NewQuery(now, pool, c.Self, time.Now().UnixMilli())
 	known := len(c.catalog.List(pool))
 	c.catalogMu.Unlock()
 	l, err := c.list(pool)
@@ -85,7 +85,7 @@
 	case err != nil:
 	case len(l) == 0 && known > 0:
 		err = errors.New("an empty list is not believed")
-	case c.polled.stoodStill(a.Began):
+	case c.polled.stoodStill(a.StartedAt):
 		err = errors.New("a list that waited while this process stood still is not believed")
 	}
 	c.polled.mu.Lock()
@@ -101,10 +101,10 @@
 		return
 	}
 	c.catalogMu.Lock()
-	data, news := c.catalog.Heard(a, l)
+	data, news := c.catalog.RecordAnswer(a, l)
 	c.catalogMu.Unlock()
 	if news {
-		c.spread(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: a.Num, Data: data}})
+		c.spread(c.Tasks.Now(), []register.ChosenValue{{Key: discovery.Key(pool, c.Self), Version: a.Version, Data: data}})
 	}
 }
 
@@ -125,10 +125,10 @@
 	c.catalogMu.Lock()
 	defer c.catalogMu.Unlock()
 	for _, it := range fresh {
-		if !strings.HasPrefix(it.Key, discovery.Prefix) {
+		if !strings.HasPrefix(it.Key, discovery.KeyPrefix) {
 			continue
 		}
-		if _, err := c.catalog.Take(now, it.Key, it.Num, it.Data); err != nil {
+		if _, err := c.catalog.Apply(now, it.Key, it.Version, it.Data); err != nil {
 			c.Errors.Add(1)
 			c.Log.WithError(err).Error("a worker list can't be read here")
 		}
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -25,7 +25,7 @@
 	var webs []string
 	for _, x := range c.Members() {
 		if x.Role == membership.Router && x.State <= membership.Suspect {
-			webs = append(webs, x.Web)
+			webs = append(webs, x.HTTPAddr)
 		}
 	}
 	ch := make(chan answer, len(webs))
@@ -35,7 +35,7 @@
 	}
 	for _, w := range webs {
 		c.Tasks.Go(func() {
-			code, b, _, err := transport.HTTP("GET", w, "/status", nil, nil, limit)
+			code, b, _, err := transport.HTTPRequest("GET", w, "/status", nil, nil, limit)
 			if err != nil || code != 200 {
 				ch <- nil
 				return
@@ -91,7 +91,7 @@
 	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
 	o.Set("routers", a.NewNumberInt(asked))
 	o.Set("routers_answered", a.NewNumberInt(answered))
-	for _, k := range message.Keys(m) {
+	for _, k := range message.SortedKeys(m) {
 		s := m[k]
 		x := a.NewObject()
 		x.Set("promise", a.NewString(s.Promise))
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -97,7 +97,7 @@
 	}
 	late := alone(t, t.TempDir(), func(x *Controller) {
 		x.Settings.Founders, x.planner.FixedSize = 2, 2
-		x.Gossip = membership.New(membership.Member{Node: x.Self, Inc: 1, Role: membership.Controller, Addr: x.Settings.Addr, Web: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
+		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
 	testutil.Until(t, "both are voters", says(`"state":"voter"`))
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -48,12 +48,12 @@
 	c.FeedMu.Lock()
 	for k, it := range c.Feed.Items {
 		x := a.NewObject()
-		x.Set("number", a.NewNumberInt(int(it.Num)))
+		x.Set("number", a.NewNumberInt(int(it.Version)))
 		at, all := 0, 0
 		for _, m := range members {
 			if m.Role == membership.Router && m.State <= membership.Suspect {
 				all++
-				if c.Feed.Acks[k][m.Node] >= it.Num || m.News == c.Feed.Sum {
+				if c.Feed.Acks[k][m.Node] >= it.Version || m.FeedDigest == c.Feed.Digest {
 					at++
 				}
 			}
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -27,7 +27,7 @@
 	if c.adapter != nil && pool == allPools {
 		return c.listAll()
 	}
-	code, b, _, err := transport.HTTP("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", c.Settings.Platform, "/v1/pools/"+pool+"/workers", nil, nil, time.Second)
 	if err != nil {
 		c.yield()
 		return nil, err
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -120,7 +120,7 @@
 	var h head
 	var duty []byte
 	if err := message.Unpack(n.Body, &h, &duty); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	if string(duty) != b.Duty {
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -29,7 +29,7 @@
 // system; what is not changes nothing.
 func (b *Replica) adopt(q QuorumSet, out *message.Effects) bool {
 	if b.quorum.Version > 0 && q.Version > 0 && q.SystemID != b.quorum.SystemID {
-		out.Fail(errOtherSystem)
+		out.AddError(errOtherSystem)
 		return false
 	}
 	if q.Version <= b.quorum.Version {
@@ -47,7 +47,7 @@
 // LearnQuorum adopts a set of voters that was spread to all nodes, if it is newer; body is a packed QuorumSet.
 func (b *Replica) LearnQuorum(body []byte) (out message.Effects) {
 	v, err := UnpackQuorumSet(body)
-	out.Fail(err)
+	out.AddError(err)
 	if err == nil {
 		b.adopt(v, &out) // what is of another system is counted and changes nothing
 	}
@@ -79,12 +79,12 @@
 		return
 	}
 	if b.quorum.Version > 0 && !b.quorum.Has(n.From) {
-		out.Fail(errNotMember)
+		out.AddError(errNotMember)
 		return
 	}
 	if n.Kind == Accept {
 		if err := checkBody(key, units.Version(h.Num), body); err != nil {
-			out.Fail(err)
+			out.AddError(err)
 			return
 		}
 	}
--- a/internal/control/register/change.go
+++ b/internal/control/register/change.go
@@ -97,9 +97,9 @@
 		return
 	}
 	t.readAt = now
-	for _, key := range message.Keys(t.readTags) {
+	for _, key := range message.SortedKeys(t.readTags) {
 		if tag := t.readTags[key]; !t.done[tag] {
-			out.Join(b.Submit(now, Request{Tag: tag, Key: key}))
+			out.Append(b.Submit(now, Request{Tag: tag, Key: key}))
 		}
 	}
 }
@@ -107,7 +107,7 @@
 // listKeys answers with the keys on this disk, behind the disk's queue.
 func (b *Replica) listKeys(n message.Message, out *message.Effects) {
 	var keys [][]byte
-	for _, key := range message.Keys(b.states) {
+	for _, key := range message.SortedKeys(b.states) {
 		keys = append(keys, []byte(key))
 	}
 	out.SendAfterSync(n.From, KeyList, b.pack(head{}, "", message.PackList(keys)))
@@ -121,7 +121,7 @@
 	}
 	keys, err := message.UnpackList(body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return
 	}
 	t.listed[n.From] = true
--- a/internal/control/register/cluster_test.go
+++ b/internal/control/register/cluster_test.go
@@ -27,7 +27,7 @@
 }
 
 func (c *cluster) deliver(from units.NodeID, out message.Effects) {
-	c.errs = append(c.errs, out.Errs...)
+	c.errs = append(c.errs, out.Errors...)
 	for _, n := range append(out.Messages, out.AfterSync...) {
 		if n.From = from; c.replicas[n.To] != nil {
 			c.deliver(n.To, c.replicas[n.To].Step(c.now, n))
--- a/internal/control/register/coreview.go
+++ b/internal/control/register/coreview.go
@@ -28,14 +28,14 @@
 			l.FleetExists = l.FleetExists || live && m.Flags&membership.Ready != 0
 			continue
 		}
-		l.diskless = l.diskless && m.Flags&membership.Counts == 0
+		l.diskless = l.diskless && m.Flags&membership.MayVote == 0
 		l.departed[m.Node] = m.State == membership.Left
 		if live {
 			l.Controllers = append(l.Controllers, m)
 		}
 		if usable(m) && live {
 			l.Eligible = append(l.Eligible, m.Node)
-		} else if live && m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == membership.Draining {
+		} else if live && m.State == membership.Alive && m.Flags&(membership.Draining|membership.DiskUnfit) == membership.Draining {
 			l.Draining = append(l.Draining, m.Node)
 		}
 		if m.Flags&membership.Voter != 0 {
@@ -48,7 +48,7 @@
 }
 
 func usable(m membership.Member) bool {
-	return m.State == membership.Alive && m.Flags&(membership.Draining|membership.Unfit) == 0
+	return m.State == membership.Alive && m.Flags&(membership.Draining|membership.DiskUnfit) == 0
 }
 
 // replaced finds the controllers whose address a later one has: one address bears one process, and the later one began
@@ -56,14 +56,14 @@
 func replaced(all []membership.Member) map[units.NodeID]bool {
 	at := map[string]membership.Member{}
 	for _, m := range all {
-		if o, ok := at[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || o.Inc < m.Inc) {
+		if o, ok := at[m.Addr]; m.Role == membership.Controller && m.State == membership.Alive && (!ok || o.Incarnation < m.Incarnation) {
 			at[m.Addr] = m
 		}
 	}
 	lost := map[units.NodeID]bool{}
 	for _, m := range all {
 		n, ok := at[m.Addr]
-		if ok && m.Role == membership.Controller && n.Node != m.Node && (m.State > membership.Suspect || m.Inc < n.Inc) {
+		if ok && m.Role == membership.Controller && n.Node != m.Node && (m.State > membership.Suspect || m.Incarnation < n.Incarnation) {
 			lost[m.Node] = true
 		}
 	}
@@ -79,7 +79,7 @@
 
 // counts says whether a controller's disk counts, or stands in for one where nobody's does.
 func (l ControllerView) counts(m membership.Member) bool {
-	return l.diskless || m.Flags&membership.Counts != 0
+	return l.diskless || m.Flags&membership.MayVote != 0
 }
 
 // zone is where a controller is, as far as is known.
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -192,7 +192,7 @@
 
 // learnAny tells a node of a set that has been in force, as the news does, perhaps late.
 func (r *randomRun) learnAny() {
-	sets := message.Keys(r.checker.sets)
+	sets := message.SortedKeys(r.checker.sets)
 	set := r.checker.sets[sets[r.pick(len(sets))]]
 	r.perform(r.any(), 0, func(x *Replica) message.Effects { return x.LearnQuorum(set.Pack()) })
 }
--- a/internal/control/register/model_api_test.go
+++ b/internal/control/register/model_api_test.go
@@ -26,5 +26,5 @@
 	if r.transfer == nil {
 		return nil
 	}
-	return message.Keys(r.transfer.readTags)
+	return message.SortedKeys(r.transfer.readTags)
 }
--- a/internal/control/register/model_cluster_test.go
+++ b/internal/control/register/model_cluster_test.go
@@ -119,7 +119,7 @@
 		return
 	}
 	out := step(n.replica)
-	for _, err := range out.Errs {
+	for _, err := range out.Errors {
 		if !expectedError(err) {
 			c.checker.fail("node %d: %v", n.id, err)
 		}
--- a/internal/control/register/model_input_test.go
+++ b/internal/control/register/model_input_test.go
@@ -17,13 +17,13 @@
 		for length := range len(m.Body) {
 			short := m
 			short.Body = m.Body[:length]
-			if out := unchanged(t, n, short, fmt.Sprintf("cut to %d bytes", length)); len(out.Errs) == 0 {
+			if out := unchanged(t, n, short, fmt.Sprintf("cut to %d bytes", length)); len(out.Errors) == 0 {
 				t.Fatalf("%v cut to %d bytes is not reported", kindNames[m.Kind], length)
 			}
 		}
 		long := m
 		long.Body = append(append([]byte{}, m.Body...), 0)
-		if out := unchanged(t, n, long, "a byte too long"); len(out.Errs) == 0 {
+		if out := unchanged(t, n, long, "a byte too long"); len(out.Errors) == 0 {
 			t.Errorf("%v with a byte too many is not reported", kindNames[m.Kind])
 		}
 		if t.Failed() {
@@ -159,7 +159,7 @@
 		n := busyCluster().node(1)
 		h := head{N: 900, By: 900, Seq: 1, Num: 9}
 		m := message.Message{From: 2, To: 1, Kind: Accept, Body: message.Pack(h, n.replica.quorum.Pack(), []byte("a"), body)}
-		if out := unchanged(t, n, m, "a malformed value"); len(out.Errs) == 0 {
+		if out := unchanged(t, n, m, "a malformed value"); len(out.Errors) == 0 {
 			t.Errorf("the malformed value %q is not reported", body)
 		}
 		record := message.Record{Kind: RecordAccept, Key: "a", Data: message.Pack(slotHead{N: 1, By: 1, Seq: 1, Num: 1}, body)}
@@ -179,11 +179,11 @@
 	for name, set := range map[string]QuorumSet{"empty": empty, "doubled": doubled, "zero": zero} {
 		n := busyCluster().node(1)
 		m := message.Message{From: 2, To: 1, Kind: Reply, Body: message.Pack(head{}, set.Pack(), []byte(""), nil)}
-		if out := unchanged(t, n, m, name+" set in a message"); len(out.Errs) == 0 {
+		if out := unchanged(t, n, m, name+" set in a message"); len(out.Errors) == 0 {
 			t.Errorf("%s set in a message is not reported", name)
 		}
 		before := stateFingerprint(n.replica)
-		if out := n.replica.LearnQuorum(set.Pack()); len(out.Errs) == 0 || !reflect.DeepEqual(before, stateFingerprint(n.replica)) {
+		if out := n.replica.LearnQuorum(set.Pack()); len(out.Errors) == 0 || !reflect.DeepEqual(before, stateFingerprint(n.replica)) {
 			t.Errorf("%s set learned: %+v", name, out)
 		}
 	}
--- a/internal/control/register/model_schedule_test.go
+++ b/internal/control/register/model_schedule_test.go
@@ -115,7 +115,7 @@
 	for range 2 {
 		c.settle()
 	}
-	for _, key := range message.Keys(c.checker.clients.writes) {
+	for _, key := range message.SortedKeys(c.checker.clients.writes) {
 		c.mustRead(key)
 	}
 }
--- a/internal/control/register/outcomes_test.go
+++ b/internal/control/register/outcomes_test.go
@@ -84,13 +84,13 @@
 			return message.Message{From: 3, To: 2, Kind: k, Body: c.replicas[3].pack(h, "config", body)}
 		}
 		out := c.replicas[2].Step(c.now, note(Accept, head{Seq: 1, Num: 2}))
-		if s := c.replicas[2].states["config"]; len(out.Errs) != 1 || len(out.Writes)+len(out.AfterSync) != 0 || fmt.Sprint(*s) != fmt.Sprint(before) {
+		if s := c.replicas[2].states["config"]; len(out.Errors) != 1 || len(out.Writes)+len(out.AfterSync) != 0 || fmt.Sprint(*s) != fmt.Sprint(before) {
 			t.Errorf("%s: a voter takes it: %v, %v", name, out, *s)
 		}
 		o := &ownership{key: "config", phase: preparing, epoch: units.Epoch{Number: before.Promised.Number + 5, Node: 109}, got: map[units.NodeID]bool{}}
 		c.replicas[2].owned["config"] = o
 		out = c.replicas[2].Step(c.now, note(Promise, head{Ok: 1, HN: before.Promised.Number + 4, Seq: 1, Num: 2}))
-		if len(out.Errs) != 1 || len(o.got) != 0 || o.best.Version != 0 {
+		if len(out.Errors) != 1 || len(o.got) != 0 || o.best.Version != 0 {
 			t.Errorf("%s: an owner counts it: %v, %+v", name, out, o)
 		}
 		record := message.Record{Kind: RecordAccept, Key: "config", Data: message.Pack(slotHead{N: 1, Seq: 1, Num: 2}, body)}
--- a/internal/control/register/owner.go
+++ b/internal/control/register/owner.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if !slices.Contains(b.targets(o), n.From) {
-		out.Fail(errNotMember)
+		out.AddError(errNotMember)
 		return
 	}
 	if n.Kind == Stale {
@@ -131,7 +131,7 @@
 			return
 		}
 		if err := checkBody(o.key, units.Version(h.Num), body); err != nil {
-			out.Fail(err) // not a promise that can be counted: what it bears would be lost
+			out.AddError(err) // not a promise that can be counted: what it bears would be lost
 			return
 		}
 		x := State{Accepted: h.higher(), Seq: h.Seq, Version: units.Version(h.Num), Body: body}
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -12,7 +12,7 @@
 func seatView(n int) ControllerView {
 	var all []membership.Member
 	for id := 1; id <= n; id++ {
-		all = append(all, membership.Member{Node: units.NodeID(id), Inc: 1, Role: membership.Controller, Addr: units.NodeID(id).String(), Flags: membership.Counts})
+		all = append(all, membership.Member{Node: units.NodeID(id), Incarnation: 1, Role: membership.Controller, Addr: units.NodeID(id).String(), Flags: membership.MayVote})
 	}
 	return NewControllerView(all)
 }
--- a/internal/control/register/planner_size_test.go
+++ b/internal/control/register/planner_size_test.go
@@ -11,7 +11,7 @@
 
 // A set of a fixed size replaces members that are gone for long, and keeps the seats of others.
 func TestPlannerOfFixedSize(t *testing.T) {
-	all := []membership.Member{core(1, "a", membership.Counts), core(2, "b", membership.Counts), core(3, "c", membership.Counts), core(4, "d", membership.Counts), core(5, "e", membership.Counts)}
+	all := []membership.Member{core(1, "a", membership.MayVote), core(2, "b", membership.MayVote), core(3, "c", membership.MayVote), core(4, "d", membership.MayVote), core(5, "e", membership.MayVote)}
 	q := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3, 4}}
 	p := &Planner{FixedSize: 4, ReplaceAfter: ReplaceFixedAfter}
 	now := units.Time(time.Second)
@@ -30,13 +30,13 @@
 
 // Where no loss must be borne, the set shrinks to what is left once a member says that it leaves.
 func TestPlannerShrinksForLeavers(t *testing.T) {
-	all := []membership.Member{core(1, "a", membership.Counts), core(2, "b", membership.Counts|membership.Draining)}
+	all := []membership.Member{core(1, "a", membership.MayVote), core(2, "b", membership.MayVote|membership.Draining)}
 	p := &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	q := QuorumSet{Version: 1, Members: []units.NodeID{1, 2}}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.NodeID{1}) {
 		t.Errorf("one of two leaves: %v", got)
 	}
-	all = append(all, core(3, "c", membership.Counts))
+	all = append(all, core(3, "c", membership.MayVote))
 	p = &Planner{MinSize: 1, ReplaceAfter: ReplaceAfter}
 	if got := p.NextMembers(units.Time(time.Second), q, NewControllerView(all)); !slices.Equal(got, []units.NodeID{1, 3}) {
 		t.Errorf("one of two leaves, and another came: %v", got)
--- a/internal/control/register/planner_test.go
+++ b/internal/control/register/planner_test.go
@@ -12,12 +12,12 @@
 )
 
 func core(n units.NodeID, addr string, flags uint16) membership.Member {
-	return membership.Member{Node: n, Inc: uint64(n), Role: membership.Controller, Addr: addr, Flags: flags}
+	return membership.Member{Node: n, Incarnation: uint64(n), Role: membership.Controller, Addr: addr, Flags: flags}
 }
 
 // Which set a node sees to found from seeds, and who proposes it (design 13).
 func TestSeedsSet(t *testing.T) {
-	const both = membership.Counts | membership.First
+	const both = membership.MayVote | membership.Bootstrap
 	abc := []string{"a", "b", "c"}
 	for name, x := range map[string]struct {
 		at    string
@@ -29,15 +29,15 @@
 		"all are there":              {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, true},
 		"another's view":             {"d", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", both)}, 0, []units.NodeID{1, 2, 3}, false},
 		"one is missing":             {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(4, "d", both)}, 9 * time.Second, nil, false},
-		"one is of a later start":    {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", membership.Counts)}, 9 * time.Second, nil, false},
+		"one is of a later start":    {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", membership.MayVote)}, 9 * time.Second, nil, false},
 		"one doesn't count":          {"b", []membership.Member{core(1, "a", 0), core(2, "b", both), core(3, "c", both)}, 0, []units.NodeID{2, 3}, true},
-		"a fleet stands":             {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", membership.Counts|membership.Voter)}, 0, nil, false},
-		"a lost one's place":         {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(5, "c", membership.Counts)}, 0, nil, false},
-		"none counts, at first":      {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.First), core(4, "d", both), core(5, "e", both)}, 0, []units.NodeID{4, 5}, false},
-		"none counts":                {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.First), core(4, "d", both), core(5, "e", membership.Counts)}, 2 * time.Second, []units.NodeID{4}, true},
+		"a fleet stands":             {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(4, "d", membership.MayVote|membership.Voter)}, 0, nil, false},
+		"a lost one's place":         {"a", []membership.Member{core(1, "a", both), core(2, "b", both), core(3, "c", both), core(5, "c", membership.MayVote)}, 0, nil, false},
+		"none counts, at first":      {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.Bootstrap), core(4, "d", both), core(5, "e", both)}, 0, []units.NodeID{4, 5}, false},
+		"none counts":                {"a", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", membership.Bootstrap), core(4, "d", both), core(5, "e", membership.MayVote)}, 2 * time.Second, []units.NodeID{4}, true},
 		"none counts, not the first": {"b", []membership.Member{core(1, "a", 0), core(2, "b", 0), core(3, "c", 0), core(4, "d", both)}, 2 * time.Second, []units.NodeID{4}, false},
-		"no disk at all, at first":   {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 2 * time.Second, []units.NodeID{1, 2, 3, 4}, false},
-		"no disk at all":             {"a", []membership.Member{core(1, "a", membership.First), core(2, "b", membership.First), core(3, "c", membership.First), core(4, "d", membership.First)}, 4 * time.Second, []units.NodeID{1, 2, 3, 4}, true},
+		"no disk at all, at first":   {"a", []membership.Member{core(1, "a", membership.Bootstrap), core(2, "b", membership.Bootstrap), core(3, "c", membership.Bootstrap), core(4, "d", membership.Bootstrap)}, 2 * time.Second, []units.NodeID{1, 2, 3, 4}, false},
+		"no disk at all":             {"a", []membership.Member{core(1, "a", membership.Bootstrap), core(2, "b", membership.Bootstrap), core(3, "c", membership.Bootstrap), core(4, "d", membership.Bootstrap)}, 4 * time.Second, []units.NodeID{1, 2, 3, 4}, true},
 	} {
 		s := SeedBootstrap{Addr: x.at, SeedAddrs: abc, Participates: true}
 		s.Proposal(units.Time(time.Second), NewControllerView(x.all))
@@ -63,7 +63,7 @@
 		var live []membership.Member // at one place each
 		for i := range 3 + rng.IntN(6) {
 			next++
-			m := core(next, fmt.Sprint("m", i), membership.Counts)
+			m := core(next, fmt.Sprint("m", i), membership.MayVote)
 			m.Zone = fmt.Sprint("z", i%zones)
 			live = append(live, m)
 		}
@@ -96,7 +96,7 @@
 						old.State, addr = membership.Dead, fmt.Sprint("n", next)
 						dead[len(dead)-1] = old
 					}
-					live[i] = core(next, addr, membership.Counts)
+					live[i] = core(next, addr, membership.MayVote)
 					live[i].Zone = old.Zone
 				}
 			} else if now >= units.Time(20*time.Second) {
@@ -184,7 +184,7 @@
 
 // Single situations of a set that follows the disks, where losses of one are borne, and what comes of them.
 func TestPlannerSteps(t *testing.T) {
-	const counts = membership.Counts
+	const counts = membership.MayVote
 	member := func(n units.NodeID, zone string, flags uint16, state membership.State) membership.Member {
 		m := core(n, "a"+n.String(), flags)
 		m.Zone, m.State = zone, state
@@ -210,7 +210,7 @@
 		"one leaves, none stands by":            {three, []membership.Member{abc[0], abc[1], member(3, "z", counts|membership.Draining, membership.Alive)}, time.Minute, nil},
 		"one is away for a moment":              {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, time.Second, nil},
 		"one is away":                           {three, []membership.Member{abc[0], abc[1], member(3, "z", counts, membership.Suspect), alive(4, "z")}, 2 * time.Second, []units.NodeID{1, 2, 4}},
-		"a disk is lost":                        {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Inc: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
+		"a disk is lost":                        {three, []membership.Member{abc[0], abc[1], abc[2], {Node: 9, Incarnation: 9, Role: membership.Controller, Addr: abc[2].Addr, Flags: counts, Zone: "z"}}, 0, []units.NodeID{1, 2, 9}},
 		"two disks of five are lost":            {[]units.NodeID{1, 2, 3, 4, 5}, with(member(4, "x", counts, membership.Dead), member(5, "y", counts, membership.Dead), alive(6, "x"), alive(7, "y")), 2 * time.Second, []units.NodeID{1, 2, 3, 6, 7}},
 		"one of five is lost, none stands by":   {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), 2 * time.Second, nil},
 		"the same, for long":                    {[]units.NodeID{1, 2, 3, 4, 5}, with(alive(4, "x"), member(5, "y", counts, membership.Dead)), time.Minute, three},
--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -94,12 +94,12 @@
 	var h head
 	var cfg, key, body []byte
 	if err := message.Unpack(n.Body, &h, &cfg, &key, &body); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	v, err := UnpackQuorumSet(cfg)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	if !b.adopt(v, &out) {
@@ -198,7 +198,7 @@
 	a := Request{Tag: h.Tag, From: n.From, Key: key, Write: h.Write != opRead, Lookup: h.Write == opLookup, ExpectedVersion: units.Version(h.Num)}
 	var plan []byte
 	if err := message.Unpack(body, &struct{}{}, &plan, &a.Data); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return
 	}
 	a.RequestID = string(plan)
--- a/internal/control/register/request.go
+++ b/internal/control/register/request.go
@@ -59,7 +59,7 @@
 // wishTick sends wishes on when their key has another owner: reads, and writes whose plan id keeps them from being
 // made twice.
 func (b *Replica) wishTick(now units.Time, out *message.Effects) {
-	for _, tag := range message.Keys(b.requests) {
+	for _, tag := range message.SortedKeys(b.requests) {
 		w := b.requests[tag]
 		to := b.Owner(w.Key)
 		switch {
--- a/internal/control/register/seeds.go
+++ b/internal/control/register/seeds.go
@@ -30,8 +30,8 @@
 		if i < 0 {
 			return nil, false
 		}
-		if m := l.Controllers[i]; m.Flags&membership.Counts != 0 {
-			if m.Flags&membership.First == 0 {
+		if m := l.Controllers[i]; m.Flags&membership.MayVote != 0 {
+			if m.Flags&membership.Bootstrap == 0 {
 				return nil, false
 			}
 			ids = append(ids, m.Node)
@@ -43,7 +43,7 @@
 		return ids, ids[0] == l.at(s.Addr)
 	}
 	for _, m := range l.Controllers {
-		if m.State == membership.Alive && l.counts(m) && m.Flags&membership.First != 0 {
+		if m.State == membership.Alive && l.counts(m) && m.Flags&membership.Bootstrap != 0 {
 			ids = append(ids, m.Node)
 		}
 	}
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -41,7 +41,7 @@
 	for len(o.asks) > 0 {
 		a := o.asks[0]
 		outcomes, _, err := unpackBody(o.best.Version, o.best.Body)
-		out.Fail(err) // never: it was checked when it came in
+		out.AddError(err) // never: it was checked when it came in
 		if !a.Write || a.doubtful(o.best.Version, outcomes) {
 			o.asks[0].sure = true
 			b.confirm(now, o, out)
--- a/internal/control/register/stale_disk_test.go
+++ b/internal/control/register/stale_disk_test.go
@@ -34,7 +34,7 @@
 func (g *trio) restart(id, run units.NodeID) {
 	r := New(id, run)
 	var records []message.Record
-	for _, key := range message.Keys(g.disks[id]) {
+	for _, key := range message.SortedKeys(g.disks[id]) {
 		records = append(records, g.disks[id][key])
 	}
 	if err := r.Load(records); err != nil {
--- a/internal/control/register/tolerance_test.go
+++ b/internal/control/register/tolerance_test.go
@@ -27,7 +27,7 @@
 		q := QuorumSet{Version: 1}
 		var all []membership.Member
 		for i, zone := range x.zones {
-			m := core(units.NodeID(i+1), "a"+string(rune('0'+i)), membership.Counts)
+			m := core(units.NodeID(i+1), "a"+string(rune('0'+i)), membership.MayVote)
 			m.Zone = string(zone)
 			all = append(all, m)
 			q.Members = append(q.Members, m.Node)
--- a/internal/fleet/drill.go
+++ b/internal/fleet/drill.go
@@ -39,7 +39,7 @@
 var ErrShort = errors.New("drill refused")
 
 func (d *Drill) status() (l []member, voters []string, err error) {
-	code, b, _, err := transport.HTTP("GET", d.At, "/status", nil, nil, 3*time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", d.At, "/status", nil, nil, 3*time.Second)
 	if err != nil || code != 200 {
 		return nil, nil, fmt.Errorf("drill: no status from %s: %d %v", d.At, code, err)
 	}
@@ -89,7 +89,7 @@
 		return fmt.Errorf("%w: %d of %d voters would be left", ErrShort, left, len(voters))
 	}
 	for z := range zones {
-		if code, b, _, err := transport.HTTP("GET", d.At, "/v1/zones/"+z, nil, nil, 8*time.Second); err != nil || code == 200 && string(b) != `{"evacuated":false}` {
+		if code, b, _, err := transport.HTTPRequest("GET", d.At, "/v1/zones/"+z, nil, nil, 8*time.Second); err != nil || code == 200 && string(b) != `{"evacuated":false}` {
 			return fmt.Errorf("%w: zone %s stands at %s %v", ErrShort, z, b, err)
 		}
 	}
@@ -99,7 +99,7 @@
 
 // probePath finds a mapping that may repeat, to send probes to.
 func (d *Drill) probePath() error {
-	code, b, _, err := transport.HTTP("GET", d.At, "/v1/config", nil, nil, 8*time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", d.At, "/v1/config", nil, nil, 8*time.Second)
 	if err != nil || code != 200 {
 		return fmt.Errorf("%w: no configuration can be read: %d %v", ErrShort, code, err)
 	}
@@ -125,7 +125,7 @@
 		var x struct {
 			Handed map[string]int `json:"handed_over"`
 		}
-		if code, b, _, err := transport.HTTP("GET", m.Web, "/status", nil, nil, time.Second); err == nil && code == 200 && json.Unmarshal(b, &x) == nil {
+		if code, b, _, err := transport.HTTPRequest("GET", m.Web, "/status", nil, nil, time.Second); err == nil && code == 200 && json.Unmarshal(b, &x) == nil {
 			n += x.Handed[d.Zone]
 		}
 	}
@@ -157,7 +157,7 @@
 		return err
 	}
 	verb := map[bool]string{true: "killzone", false: "startzone"}[out]
-	code, b, _, err := transport.HTTP("GET", d.Harness, "/harness?event="+url.QueryEscape(verb+":"+d.Zone), nil, nil, 30*time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", d.Harness, "/harness?event="+url.QueryEscape(verb+":"+d.Zone), nil, nil, 30*time.Second)
 	if err == nil && code != 200 {
 		err = fmt.Errorf("drill: the harness says %s", b)
 	}
--- a/internal/fleet/drill_judge.go
+++ b/internal/fleet/drill_judge.go
@@ -14,7 +14,7 @@
 
 // config reads the configuration in force, as a mark.
 func (d *Drill) config() (string, error) {
-	code, b, num, err := transport.HTTP("GET", d.At, "/v1/config", nil, nil, 8*time.Second)
+	code, b, num, err := transport.HTTPRequest("GET", d.At, "/v1/config", nil, nil, 8*time.Second)
 	if err != nil || code != 200 {
 		return "", fmt.Errorf("drill: no configuration can be read: %d %v", code, err)
 	}
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -30,7 +30,7 @@
 	for time.Now().Before(end) {
 		for _, at := range f.controllers() {
 			if !have {
-				code, _, n, err := transport.HTTP("GET", at, path, nil, nil, 8*time.Second)
+				code, _, n, err := transport.HTTPRequest("GET", at, path, nil, nil, 8*time.Second)
 				if err != nil || code != 200 && code != 404 {
 					last = fmt.Errorf("fleet: read %s: %d %v", path, code, err)
 					continue
@@ -40,7 +40,7 @@
 					num = "0"
 				}
 			}
-			code, b, _, err := transport.HTTP("PUT", at, path+"?number="+num, body, map[string]string{"Plan-Id": plan}, 8*time.Second)
+			code, b, _, err := transport.HTTPRequest("PUT", at, path+"?number="+num, body, map[string]string{"Plan-Id": plan}, 8*time.Second)
 			if err != nil {
 				last = err
 				continue
@@ -65,7 +65,7 @@
 	last := ErrNone
 	for time.Now().Before(end) {
 		for _, at := range f.controllers() {
-			code, b, n, err := transport.HTTP("GET", at, path, nil, nil, 8*time.Second)
+			code, b, n, err := transport.HTTPRequest("GET", at, path, nil, nil, 8*time.Second)
 			if err == nil && code == 200 {
 				x, err := strconv.ParseUint(n, 10, 64)
 				return b, x, err
@@ -88,7 +88,7 @@
 		if !up {
 			continue
 		}
-		if code, _, _, err := transport.HTTP("GET", web, "/healthz", nil, nil, 300*time.Millisecond); err == nil && code == 200 {
+		if code, _, _, err := transport.HTTPRequest("GET", web, "/healthz", nil, nil, 300*time.Millisecond); err == nil && code == 200 {
 			m[p.zone] = append(m[p.zone], web)
 		}
 	}
--- a/internal/hollow/core.go
+++ b/internal/hollow/core.go
@@ -42,7 +42,7 @@
 		turn: map[string]*discovery.Schedule{}, planner: register.Planner{FixedSize: Founders, ReplaceAfter: register.ReplaceFixedAfter}}
 	c.duty = lease.New(n.self, "platform", func() []units.NodeID { return c.replica.Quorum().Members }, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
 	c.iso = antientropy.New(n.self, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
-	n.bull.Stored = func() map[string]units.Version { return c.replica.KnownVersions() }
+	n.bull.StoredVersions = func() map[string]units.Version { return c.replica.KnownVersions() }
 	return c
 }
 
@@ -68,7 +68,7 @@
 }
 
 func (c *core) calm(units.Time) bool {
-	return c.replica.Quorum().Version > 0 && (c.roll.Whole() || !c.replica.Quorum().Has(c.n.self))
+	return c.replica.Quorum().Version > 0 && (c.roll.Complete() || !c.replica.Quorum().Has(c.n.self))
 }
 
 // beat is the controller's loop, and its poller's.
@@ -78,26 +78,26 @@
 	look := register.NewControllerView(all)
 	var out message.Effects
 	if it := c.n.bull.Items[register.KeyQuorum]; it != nil {
-		out.Join(c.replica.LearnQuorum(it.Data))
+		out.Append(c.replica.LearnQuorum(it.Data))
 	}
-	for _, it := range c.n.bull.Fresh {
-		if strings.HasPrefix(it.Key, discovery.Prefix) {
-			_, _ = c.sky.Take(now, it.Key, it.Num, it.Data)
+	for _, it := range c.n.bull.Changes {
+		if strings.HasPrefix(it.Key, discovery.KeyPrefix) {
+			_, _ = c.sky.Apply(now, it.Key, it.Version, it.Data)
 		}
 	}
-	c.n.bull.Fresh = nil
+	c.n.bull.Changes = nil
 	c.replica.SetEligible(look.Eligible, look.Draining...)
 	c.replica.BootstrapFixed(Founders, look)
 	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
-	out.Join(c.replica.Tick(now))
-	out.Join(c.roll.Tick(now, c.replica.Quorum()))
+	out.Append(c.replica.Tick(now))
+	out.Append(c.roll.Tick(now, c.replica.Quorum()))
 	c.iso.SetHealthy(c.replica.ReachesMajority(now))
-	out.Join(c.iso.Tick(now, c.replica.Quorum().All(), c.replica.States()))
+	out.Append(c.iso.Tick(now, c.replica.Quorum().All(), c.replica.States()))
 	voter := c.replica.Quorum().Has(c.n.self)
-	m.Flag(membership.Voter, voter)
-	m.Flag(membership.Unfit, !c.replica.ReachesMajority(now))
+	m.SetFlag(membership.Voter, voter)
+	m.SetFlag(membership.DiskUnfit, !c.replica.ReachesMajority(now))
 	c.drain(now, &out)
-	out.Join(c.duty.Tick(now, voter))
+	out.Append(c.duty.Tick(now, voter))
 	c.poll(now, &out)
 	return out
 }
@@ -115,9 +115,9 @@
 			continue
 		}
 		c.n.w.Polls++
-		a := c.sky.Ask(now, p, c.n.self, int64(1e12)+int64(now)/1e6)
-		if data, news := c.sky.Heard(a, c.n.w.listed(p)); news {
-			c.spread(now, configpush.Item{Key: discovery.Key(p, c.n.self), Num: a.Num, Data: data}, out)
+		a := c.sky.NewQuery(now, p, c.n.self, int64(1e12)+int64(now)/1e6)
+		if data, news := c.sky.RecordAnswer(a, c.n.w.listed(p)); news {
+			c.spread(now, configpush.Item{Key: discovery.Key(p, c.n.self), Version: a.Version, Data: data}, out)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	fresh := c.replica.Chosen
 	c.replica.Chosen = nil
 	for _, x := range fresh {
-		c.spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: x.Data}, out)
+		c.spread(now, configpush.Item{Key: x.Key, Version: x.Version, Data: x.Data}, out)
 	}
 }
 
@@ -141,7 +141,7 @@
 			to = append(to, m.Node)
 		}
 	}
-	out.Join(c.n.bull.Spread(now, it, to))
+	out.Append(c.n.bull.Publish(now, it, to))
 }
 
 // change writes the configuration anew, as an operator's confirmed plan does.
--- a/internal/hollow/frames.go
+++ b/internal/hollow/frames.go
@@ -31,12 +31,12 @@
 		addrs[i] = ln.Addr().String()
 		ln.Close()
 	}
-	a, err := transport.Open(1, addrs[0], c, transport.Handlers{Take: func(message.Message) {}})
+	a, err := transport.Open(1, addrs[0], c, transport.Handlers{Receive: func(message.Message) {}})
 	if err != nil {
 		return 0, fmt.Errorf("hollow: %w", err)
 	}
 	defer a.Close()
-	b, err := transport.Open(2, addrs[1], c, transport.Handlers{Take: func(message.Message) {
+	b, err := transport.Open(2, addrs[1], c, transport.Handlers{Receive: func(message.Message) {
 		c.Do(func() {
 			came.Add(1)
 			wake <- struct{}{}
@@ -46,7 +46,7 @@
 		return 0, fmt.Errorf("hollow: %w", err)
 	}
 	defer b.Close()
-	a.Learn(2, addrs[1])
+	a.SetAddr(2, addrs[1])
 	body := make([]byte, size)
 	from := time.Duration(0)
 	for i := range n + 100 {
--- a/internal/hollow/net.go
+++ b/internal/hollow/net.go
@@ -138,7 +138,7 @@
 	life := from.life
 	w.After(time.Millisecond, func() {
 		if from.up && from.life == life {
-			if l := from.membership.Refused(w.Now, addr); len(l) > 0 {
+			if l := from.membership.ConnectionRefused(w.Now, addr); len(l) > 0 {
 				from.prog.gone(w.Now, l)
 			}
 		}
--- a/internal/hollow/node.go
+++ b/internal/hollow/node.go
@@ -74,7 +74,7 @@
 	}
 	w.byID[n.self] = n
 	web := n.addr[:len(n.addr)-2] + "80"
-	me := membership.Member{Node: n.self, Inc: uint64(1e12 + int64(w.Now)/1e6), Role: n.role, Addr: n.addr, Web: web, Zone: n.zone}
+	me := membership.Member{Node: n.self, Incarnation: uint64(1e12 + int64(w.Now)/1e6), Role: n.role, Addr: n.addr, HTTPAddr: web, Zone: n.zone}
 	n.membership = membership.New(me, w.seeds(), rand.New(rand.NewPCG(w.rng.Uint64(), 0)))
 	n.bull = configpush.New(n.self)
 	gap := routerGap
@@ -104,9 +104,9 @@
 
 // beat is package node's: membership, then news.
 func (n *node) beat(now units.Time) message.Effects {
-	n.membership.News = n.bull.Sum
+	n.membership.FeedDigest = n.bull.Digest
 	out := n.membership.Tick(now)
-	out.Join(n.bull.Beat(now, n.membership.All(), n.self))
+	out.Append(n.bull.PushAndPull(now, n.membership.All(), n.self))
 	return out
 }
 
--- a/internal/hollow/vane.go
+++ b/internal/hollow/vane.go
@@ -51,7 +51,7 @@
 			v.tell()
 		}
 		if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
-			out.Join(v.ledger.Step(now, n))
+			out.Append(v.ledger.Step(now, n))
 		}
 	case message.KindClaim:
 		out = v.claimant.Step(now, n)
@@ -75,7 +75,7 @@
 	v.refresh(now)
 	out := v.queue.Tick(now)
 	v.tell()
-	out.Join(v.ledger.Tick(now))
+	out.Append(v.ledger.Tick(now))
 	var longest time.Duration
 	if v.config != nil {
 		longest = max(time.Second, v.config.Longest(true))
@@ -86,8 +86,8 @@
 			peers = append(peers, m.Node)
 		}
 	}
-	v.claimant.Core(v.voters)
-	out.Join(v.claimant.Tick(now, peers, longest))
+	v.claimant.SetVoters(v.voters)
+	out.Append(v.claimant.Tick(now, peers, longest))
 	v.tell()
 	v.confirm(now, &out)
 	return out
@@ -95,8 +95,8 @@
 
 // refresh brings news and membership into the tables and, when they changed, to the keeper.
 func (v *router) refresh(now units.Time) {
-	fresh := v.n.bull.Fresh
-	v.n.bull.Fresh = nil
+	fresh := v.n.bull.Changes
+	v.n.bull.Changes = nil
 	for _, it := range fresh {
 		v.news(now, it)
 	}
@@ -110,7 +110,7 @@
 	if v.config == nil {
 		return
 	}
-	v.ledger.SetWorkers(v.config.Keep(v.pools, v.sky.Start(), v.out))
+	v.ledger.SetWorkers(v.config.Keep(v.pools, v.sky.StartTimes(), v.out))
 	v.ledger.SetRouters(peers, v.watch.RunDeadlines(v.config.Longest(false)))
 }
 
@@ -119,10 +119,10 @@
 	case "config":
 		if c, faults := config.Read(it.Data); len(faults) == 0 {
 			v.config = c
-			v.n.w.inForce(it.Num, now)
+			v.n.w.inForce(it.Version, now)
 		}
 	case "workers":
-		if pool, err := v.sky.Take(now, it.Key, it.Num, it.Data); err == nil {
+		if pool, err := v.sky.Apply(now, it.Key, it.Version, it.Data); err == nil {
 			v.pools[pool] = v.sky.List(pool)
 		}
 	case register.KeyQuorum:
@@ -134,16 +134,16 @@
 
 func (v *router) confirm(now units.Time, out *message.Effects) {
 	all := v.n.membership.All()
-	configpush.Neighbours(all, v.n.self)
+	configpush.LivePeers(all, v.n.self)
 	if v.ready || v.config == nil {
 		return
 	}
 	ok, asks := v.n.bull.Confirm(now, all, v.n.self, v.voters.Members, v.began)
 	if ok {
 		v.ready = true
-		v.n.membership.Flag(membership.Ready, true)
+		v.n.membership.SetFlag(membership.Ready, true)
 	}
-	out.Join(asks)
+	out.Append(asks)
 }
 
 // cands is the daemon's own search for a prompt's workers and their keepers.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,15 +66,15 @@
 	t := &Base{Settings: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
-	me := membership.Member{Node: self, Inc: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, Web: b.Web, Zone: b.Zone}
+	me := membership.Member{Node: self, Incarnation: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, HTTPAddr: b.Web, Zone: b.Zone}
 	t.Gossip = membership.New(me, b.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
 	return t
 }
 
 // Start opens the wires and begins the common loops.
 func (t *Base) Start() error {
-	tel, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Take: t.take, Refused: t.refused,
-		Ended: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
+	tel, err := transport.Open(t.Self, t.Settings.Addr, t.Tasks, transport.Handlers{Receive: t.take, ConnectionRefused: t.refused,
+		ListenerFailed: func(err error) { t.Log.WithError(err).Error("the listener for other nodes ended; it is opened again") }})
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
@@ -92,20 +92,20 @@
 		t.OnResume(now)
 	}
 	t.FeedMu.Lock()
-	sum := t.Feed.Sum
+	sum := t.Feed.Digest
 	t.FeedMu.Unlock()
 	t.GossipMu.Lock()
-	t.Gossip.News = sum
+	t.Gossip.FeedDigest = sum
 	out := t.Gossip.Tick(now)
-	all, ver, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.Asking(now)
+	all, ver, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.ProbePending(now)
 	t.GossipMu.Unlock()
 	if t.saw(now, ver) {
 		for _, m := range all {
-			t.Transport.Learn(m.Node, m.Addr)
+			t.Transport.SetAddr(m.Node, m.Addr)
 		}
 	}
 	t.FeedMu.Lock()
-	out.Join(t.Feed.Beat(now, all, t.Self))
+	out.Append(t.Feed.PushAndPull(now, all, t.Self))
 	t.FeedMu.Unlock()
 	t.Deliver(out)
 	if asking || !t.MembershipStable(now) {
@@ -132,7 +132,7 @@
 		ver := t.Gossip.Version()
 		t.GossipMu.Unlock()
 		if ok {
-			t.Transport.Learn(m.Node, m.Addr)
+			t.Transport.SetAddr(m.Node, m.Addr)
 		}
 		t.Deliver(out)
 		if ver != t.ver.Load() {
@@ -141,7 +141,7 @@
 	case message.KindConfigPush:
 		t.FeedMu.Lock()
 		out := t.Feed.Step(now, n)
-		fresh := len(t.Feed.Fresh) > 0
+		fresh := len(t.Feed.Changes) > 0
 		t.FeedMu.Unlock()
 		t.Deliver(out)
 		if fresh {
@@ -166,7 +166,7 @@
 			t.Transport.Send(n)
 		}
 	}
-	for _, err := range out.Errs {
+	for _, err := range out.Errors {
 		t.Errors.Add(1)
 		t.Log.WithError(err).Warn("bad note")
 	}
@@ -175,7 +175,7 @@
 func (t *Base) refused(addr string) {
 	now := t.Tasks.Now()
 	t.GossipMu.Lock()
-	l := t.Gossip.Refused(now, addr)
+	l := t.Gossip.ConnectionRefused(now, addr)
 	t.GossipMu.Unlock()
 	if len(l) > 0 && t.OnPeersEnded != nil {
 		t.OnPeersEnded(now, l)
@@ -185,14 +185,14 @@
 // Reload takes a boot file that has changed: only the seeds may be others.
 func (t *Base) Reload(b *boot.Boot) {
 	t.GossipMu.Lock()
-	t.Gossip.Seeds(b.Seeds)
+	t.Gossip.SetSeeds(b.Seeds)
 	t.GossipMu.Unlock()
 }
 
 // SetFlag sets what this node says of itself.
 func (t *Base) SetFlag(f uint16, on bool) {
 	t.GossipMu.Lock()
-	t.Gossip.Flag(f, on)
+	t.Gossip.SetFlag(f, on)
 	t.GossipMu.Unlock()
 }
 
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -20,7 +20,7 @@
 func (t *Base) WriteZoneMetrics(w io.Writer) {
 	t.FeedMu.Lock()
 	defer t.FeedMu.Unlock()
-	for _, key := range message.Keys(t.Feed.Items) {
+	for _, key := range message.SortedKeys(t.Feed.Items) {
 		zone, ok := strings.CutPrefix(key, ZonePrefix)
 		if !ok {
 			continue
@@ -30,6 +30,6 @@
 			evacuated = 1
 		}
 		fmt.Fprintf(w, "seamshunt_zone_evacuated{zone=%q} %d\n", zone, evacuated)
-		fmt.Fprintf(w, "seamshunt_zone_number{zone=%q} %d\n", zone, item.Num)
+		fmt.Fprintf(w, "seamshunt_zone_number{zone=%q} %d\n", zone, item.Version)
 	}
 }
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -12,9 +12,9 @@
 // The metrics tell each zone's state with its number, and no other value's.
 func TestZoneMetrics(t *testing.T) {
 	b := New(&boot.Boot{Name: "n"}, 1, membership.Router)
-	b.Feed.Take(configpush.Item{Key: "config", Num: 3, Data: []byte(`{}`)})
-	b.Feed.Take(configpush.Item{Key: ZonePrefix + "z1", Num: 4, Data: []byte(`{"evacuated":true}`)})
-	b.Feed.Take(configpush.Item{Key: ZonePrefix + "z2", Num: 2, Data: []byte(`{"evacuated":false}`)})
+	b.Feed.Apply(configpush.Item{Key: "config", Version: 3, Data: []byte(`{}`)})
+	b.Feed.Apply(configpush.Item{Key: ZonePrefix + "z1", Version: 4, Data: []byte(`{"evacuated":true}`)})
+	b.Feed.Apply(configpush.Item{Key: ZonePrefix + "z2", Version: 2, Data: []byte(`{"evacuated":false}`)})
 	var out strings.Builder
 	b.WriteZoneMetrics(&out)
 	want := `seamshunt_zone_evacuated{zone="z1"} 1
--- a/internal/rig/simulator/catchup_test.go
+++ b/internal/rig/simulator/catchup_test.go
@@ -168,8 +168,8 @@
 		t.Errorf("%s: %s", r.Name, f)
 	}
 	for _, h := range r.coreH {
-		keys := len(message.Keys(r.cores[h].Replica.States())) // a machine that stands by holds fewer than a member
-		if n := controlRecords(h.Disk); n > 2*keys+2 {         // a promise and a value of each, the set of voters, the founding vote
+		keys := len(message.SortedKeys(r.cores[h].Replica.States())) // a machine that stands by holds fewer than a member
+		if n := controlRecords(h.Disk); n > 2*keys+2 {               // a promise and a value of each, the set of voters, the founding vote
 			t.Errorf("%s: %s keeps %d records of %d keys after %d changes", r.Name, h.Addr, n, keys, r.acked)
 		}
 	}
--- a/internal/rig/simulator/core.go
+++ b/internal/rig/simulator/core.go
@@ -23,15 +23,15 @@
 }
 
 func (s *Sim) common(h *Host, self units.NodeID, role membership.Role, seeds []string) common {
-	me := membership.Member{Node: self, Inc: uint64(s.Now) + 1, Role: role, Addr: h.Addr, Zone: h.Zone}
+	me := membership.Member{Node: self, Incarnation: uint64(s.Now) + 1, Role: role, Addr: h.Addr, Zone: h.Zone}
 	return common{membership.New(me, seeds, rand.New(rand.NewPCG(s.Rng.Uint64(), 3))), configpush.New(self)}
 }
 
 func (c *common) beat(now units.Time, self units.NodeID) ([]membership.Member, message.Effects) {
-	c.gossip.News = c.feed.Sum
+	c.gossip.FeedDigest = c.feed.Digest
 	out := c.gossip.Tick(now)
 	all := c.gossip.All()
-	out.Join(c.feed.Beat(now, all, self))
+	out.Append(c.feed.PushAndPull(now, all, self))
 	return all, out
 }
 
@@ -70,17 +70,17 @@
 			seeds = h.Grow.Seeds
 		}
 		c := &Core{common: s.common(h, self, membership.Controller, seeds), H: h, founders: founders, planner: planner(h.Grow, founders), catalog: discovery.New(), pollPlatform: s.Poll, waits: map[uint64]func(register.Result){}}
-		c.gossip.Flag(membership.Counts, h.Grow == nil || h.Grow.Counts)
+		c.gossip.SetFlag(membership.MayVote, h.Grow == nil || h.Grow.Counts)
 		if g := h.Grow; g != nil {
 			c.seedFounder = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.Born, Participates: h.Disk.Born != nil}
 			if !g.Counts {
 				c.seedFounder.SeedAddrs, c.seedFounder.Participates = slices.Clone(g.Seeds), g.First
 			}
-			c.gossip.Flag(membership.First, c.seedFounder.Participates)
+			c.gossip.SetFlag(membership.Bootstrap, c.seedFounder.Participates)
 			g.First = false
 		}
 		c.Proc = &Proc{Self: self, Step: c.step, Tick: c.tick, Refused: func(now units.Time, a string) {
-			for _, n := range c.gossip.Refused(now, a) {
+			for _, n := range c.gossip.ConnectionRefused(now, a) {
 				c.Lease.HolderStopped(now, n)
 			}
 		},
@@ -103,7 +103,7 @@
 		c.Reload()
 		c.Lease = lease.New(self, "platform", func() []units.NodeID { return c.Replica.Quorum().Members }, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
 		c.Syncer = antientropy.New(self, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 6)))
-		c.feed.Stored = func() map[string]units.Version { return c.Replica.KnownVersions() }
+		c.feed.StoredVersions = func() map[string]units.Version { return c.Replica.KnownVersions() }
 		cores[h] = c
 		return c.Proc
 	})
@@ -139,12 +139,12 @@
 
 func (c *Core) tick(now units.Time) message.Effects {
 	unfit := c.H.Disk.Unfit(now) || !c.Replica.ReachesMajority(now)
-	c.gossip.Flag(membership.Unfit, unfit)
-	c.gossip.Flag(membership.Draining, c.Drain)
+	c.gossip.SetFlag(membership.DiskUnfit, unfit)
+	c.gossip.SetFlag(membership.Draining, c.Drain)
 	all, out := c.beat(now, c.Self)
 	look := register.NewControllerView(all)
 	if it := c.feed.Items[register.KeyQuorum]; it != nil {
-		out.Join(c.Replica.LearnQuorum(it.Data))
+		out.Append(c.Replica.LearnQuorum(it.Data))
 	}
 	c.Replica.SetEligible(look.Eligible, look.Draining...)
 	if c.H.Grow != nil {
@@ -153,22 +153,22 @@
 		c.Replica.BootstrapFixed(c.founders, look)
 	}
 	c.Replica.ChangeMembers(c.planner.NextMembers(now, c.Replica.Quorum(), look))
-	out.Join(c.Replica.Tick(now))
-	c.Roll.Low = c.H.Disk.Full
-	out.Join(c.Roll.Tick(now, c.Replica.Quorum()))
+	out.Append(c.Replica.Tick(now))
+	c.Roll.DiskFull = c.H.Disk.Full
+	out.Append(c.Roll.Tick(now, c.Replica.Quorum()))
 	voter := c.Replica.Quorum().Has(c.Self)
-	c.gossip.Flag(membership.Voter, voter)
+	c.gossip.SetFlag(membership.Voter, voter)
 	c.drain(now, &out)
 	c.Lease.SetSeatExpiry(c.planner.SeatValidUntil(c.Replica.LastMajorityContact(now)))
-	out.Join(c.Lease.Tick(now, voter && !c.Drain))
+	out.Append(c.Lease.Tick(now, voter && !c.Drain))
 	c.Syncer.SetHealthy(!unfit)
-	out.Join(c.Syncer.Tick(now, c.Replica.Quorum().All(), c.Replica.States()))
-	for _, it := range c.feed.Fresh {
-		if strings.HasPrefix(it.Key, discovery.Prefix) {
-			_, _ = c.catalog.Take(now, it.Key, it.Num, it.Data)
+	out.Append(c.Syncer.Tick(now, c.Replica.Quorum().All(), c.Replica.States()))
+	for _, it := range c.feed.Changes {
+		if strings.HasPrefix(it.Key, discovery.KeyPrefix) {
+			_, _ = c.catalog.Apply(now, it.Key, it.Version, it.Data)
 		}
 	}
-	c.feed.Fresh = nil
+	c.feed.Changes = nil
 	if c.pollPlatform != nil && !c.Drain && c.turn.Due(now, c.Lease.Share(now), pollGap) {
 		c.pollPlatform(c, now)
 	}
@@ -186,7 +186,7 @@
 	fresh := c.Replica.Chosen
 	c.Replica.Chosen = nil
 	for _, x := range fresh {
-		c.spread(now, configpush.Item{Key: x.Key, Num: x.Version, Data: slices.Clone(x.Data)}, out)
+		c.spread(now, configpush.Item{Key: x.Key, Version: x.Version, Data: slices.Clone(x.Data)}, out)
 	}
 }
 
@@ -197,7 +197,7 @@
 			to = append(to, m.Node)
 		}
 	}
-	out.Join(c.feed.Spread(now, it, to))
+	out.Append(c.feed.Publish(now, it, to))
 }
 
 // Submit brings an operator's request to this machine. done gets the result, or after register.RequestTimeout Unsure for a
--- a/internal/rig/simulator/cut_off_controller_test.go
+++ b/internal/rig/simulator/cut_off_controller_test.go
@@ -44,7 +44,7 @@
 	}
 	var heard units.Version
 	if it := c.feed.Items["config"]; it != nil {
-		heard = it.Num
+		heard = it.Version
 	}
 	r.serial++
 	a := register.Request{Key: "config"}
--- a/internal/rig/simulator/disk.go
+++ b/internal/rig/simulator/disk.go
@@ -38,7 +38,7 @@
 		keep(read, r)
 	}
 	l := make([]message.Record, 0, len(read))
-	for _, k := range message.Keys(read) {
+	for _, k := range message.SortedKeys(read) {
 		l = append(l, read[k])
 	}
 	return l
--- a/internal/rig/simulator/edge.go
+++ b/internal/rig/simulator/edge.go
@@ -56,7 +56,7 @@
 			e.queue.ProcessResumed(now)
 			e.ledger = capacity.New(self)
 		}, Refused: func(now units.Time, a string) {
-			for _, n := range e.gossip.Refused(now, a) {
+			for _, n := range e.gossip.ConnectionRefused(now, a) {
 				e.ledger.ProcessEnded(now, n)
 				e.watch.ProcessEnded(now, n)
 			}
@@ -68,8 +68,8 @@
 
 func (e *Edge) unready() {
 	e.Ready = false
-	e.gossip.Flag(membership.Ready, false)
-	clear(e.feed.Vouch)
+	e.gossip.SetFlag(membership.Ready, false)
+	clear(e.feed.Confirmations)
 }
 
 func (e *Edge) step(now units.Time, n message.Message) (out message.Effects) {
@@ -83,7 +83,7 @@
 			out = e.queue.Step(now, n)
 		}
 		if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
-			out.Join(e.ledger.Step(now, n))
+			out.Append(e.ledger.Step(now, n))
 		}
 		e.tell()
 	case message.KindClaim:
@@ -107,23 +107,23 @@
 	for _, r := range results {
 		if f := e.claims[r.Token]; f != nil {
 			delete(e.claims, r.Token)
-			f(r.Code, r.Kept)
+			f(r.Code, r.Durable)
 		}
 	}
 }
 
 func (e *Edge) tick(now units.Time) message.Effects {
 	all, out := e.beat(now, e.Self)
-	e.gossip.Flag(membership.Draining, e.Drain)
-	fresh := e.feed.Fresh
-	e.feed.Fresh = nil
+	e.gossip.SetFlag(membership.Draining, e.Drain)
+	fresh := e.feed.Changes
+	e.feed.Changes = nil
 	for _, it := range fresh {
 		e.news(now, it)
 	}
 	peers, _ := e.watch.Update(now, all)
 	e.peers = peers
 	if e.Config != nil {
-		e.ledger.SetWorkers(e.Config.Keep(e.Pools, e.sky.Start(), e.Out))
+		e.ledger.SetWorkers(e.Config.Keep(e.Pools, e.sky.StartTimes(), e.Out))
 		e.ledger.SetRouters(peers, e.watch.RunDeadlines(e.Config.Longest(false)))
 	}
 	var others []units.NodeID
@@ -133,11 +133,11 @@
 		}
 	}
 	if e.Config != nil {
-		e.claimant.Core(e.voters)
-		out.Join(e.claimant.Tick(now, others, e.Config.Longest(true)))
+		e.claimant.SetVoters(e.voters)
+		out.Append(e.claimant.Tick(now, others, e.Config.Longest(true)))
 	}
-	out.Join(e.queue.Tick(now))
-	out.Join(e.ledger.Tick(now))
+	out.Append(e.queue.Tick(now))
+	out.Append(e.ledger.Tick(now))
 	e.tell()
 	e.confirm(now, all, &out)
 	return out
@@ -148,12 +148,12 @@
 	switch kind {
 	case "config":
 		if c, faults := config.Read(it.Data); len(faults) == 0 {
-			e.Config, e.Num = c, it.Num
+			e.Config, e.Num = c, it.Version
 		}
 	case "zone":
 		e.Out[name] = fastjson.GetBool(it.Data, "evacuated")
 	case "workers":
-		if pool, err := e.sky.Take(now, it.Key, it.Num, it.Data); err == nil {
+		if pool, err := e.sky.Apply(now, it.Key, it.Version, it.Data); err == nil {
 			e.Pools[pool] = e.sky.List(pool)
 		}
 	case register.KeyQuorum:
@@ -170,7 +170,7 @@
 	ok, asks := e.feed.Confirm(now, all, e.Self, e.voters.Members, e.began)
 	if ok {
 		e.Ready = true
-		e.gossip.Flag(membership.Ready, true)
+		e.gossip.SetFlag(membership.Ready, true)
 	}
-	out.Join(asks)
+	out.Append(asks)
 }
--- a/internal/rig/simulator/load.go
+++ b/internal/rig/simulator/load.go
@@ -122,7 +122,7 @@
 		w.fault("%s was said not to run and had run", key)
 	}
 	w.never[key] = true
-	w.out(e.H, e.claimant.Burn(key, idempotency.Holders(e.gossip.All(), key)))
+	w.out(e.H, e.claimant.Spend(key, idempotency.Holders(e.gossip.All(), key)))
 }
 
 func (w *World) admit(e *Edge, until units.Time, topic int, key string) {
--- a/internal/rig/simulator/notes_test.go
+++ b/internal/rig/simulator/notes_test.go
@@ -36,7 +36,7 @@
 			clear(w.Between)
 			w.Run(w.Now.Add(20 * time.Second))
 			all := 0
-			for _, k := range message.Keys(w.Between) {
+			for _, k := range message.SortedKeys(w.Between) {
 				all += w.Between[k]
 			}
 			line += fmt.Sprintf("; %v prompts a second: %.2f kB/s, of it membership %.2f, news %.2f, control %.2f, permits %.2f, claims %.2f", rate, float64(all)/20e3,
--- a/internal/rig/simulator/orders_roll_test.go
+++ b/internal/rig/simulator/orders_roll_test.go
@@ -27,7 +27,7 @@
 			m := map[units.NodeID]*idempotency.Claimant{}
 			for _, x := range three {
 				m[x] = idempotency.New(x, now)
-				m[x].Core(v)
+				m[x].SetVoters(v)
 				b.step[x] = func(k message.Message) message.Effects { return m[x].Step(b.now, k) }
 			}
 			for _, d := range disks {
@@ -62,7 +62,7 @@
 			for _, x := range m {
 				for _, r := range x.Results {
 					if r.Code == resultcode.OK {
-						if k++; !r.Kept {
+						if k++; !r.Durable {
 							t.Fatal("granted without the disks, which all answer")
 						}
 					}
@@ -75,7 +75,7 @@
 		for range 10 {
 			beat(m)
 		}
-		if !rolls[11].Whole() || !m[1].Whole() {
+		if !rolls[11].Complete() || !m[1].Complete() {
 			t.Fatal("a new fleet's disks and routers take no part")
 		}
 		b.put(1, m[1].Claim(b.now, 111, "k", three))
@@ -88,7 +88,7 @@
 		for range 10 {
 			beat(m)
 		}
-		if !m[3].Whole() {
+		if !m[3].Complete() {
 			t.Fatal("the routers still abstain, though a majority of the disks told them all")
 		}
 		b.put(3, m[3].Claim(b.now, 333, "k", three))
--- a/internal/rig/simulator/orders_test.go
+++ b/internal/rig/simulator/orders_test.go
@@ -121,15 +121,15 @@
 		b.step[1] = func(k message.Message) message.Effects { return core.Step(0, k) }
 		b.step[2] = func(k message.Message) message.Effects { return router.Step(0, k) }
 		for i := range 4 {
-			b.put(1, core.Spread(0, configpush.Item{Key: "config", Num: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
+			b.put(1, core.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
 		}
 		last := units.Version(0)
 		b.run(choose, func() {
 			if it := router.Items["config"]; it != nil {
-				if it.Num < last {
-					t.Fatalf("back from %d to %d", last, it.Num)
+				if it.Version < last {
+					t.Fatalf("back from %d to %d", last, it.Version)
 				}
-				last = it.Num
+				last = it.Version
 			}
 		})
 		if last != 4 || core.Acks["config"][2] != 4 {
@@ -157,7 +157,7 @@
 					out = d.Step(0, k)
 				}
 				if k.Kind == capacity.Acquire || k.Kind == capacity.Release || k.Kind == capacity.Report || k.Kind == capacity.ReportRequest {
-					out.Join(g.Step(0, k))
+					out.Append(g.Step(0, k))
 				}
 				return out
 			}
@@ -200,7 +200,7 @@
 		m[n] = x
 		b.step[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
 	}
-	b.put(1, m[1].Spread(0, configpush.Item{Key: "workers/main/1", Num: 7, Data: []byte("x")}, []units.NodeID{2}))
+	b.put(1, m[1].Publish(0, configpush.Item{Key: "workers/main/1", Version: 7, Data: []byte("x")}, []units.NodeID{2}))
 	for range 3 { // beats
 		b.run(func(int) int { return 0 }, func() {})
 		b.now = b.now.Add(400 * time.Millisecond)
@@ -209,7 +209,7 @@
 		}
 	}
 	for n, x := range m {
-		if it := x.Items["workers/main/1"]; it == nil || it.Num != 7 {
+		if it := x.Items["workers/main/1"]; it == nil || it.Version != 7 {
 			t.Errorf("%d has not heard of it", n)
 		}
 	}
--- a/internal/rig/simulator/platform.go
+++ b/internal/rig/simulator/platform.go
@@ -16,7 +16,7 @@
 // poll is one question of a core machine to the platform, which sees the world at the middle of its way. What comes
 // back to a frozen process waits for it; a process that was started again never hears of it.
 func (w *World) poll(c *Core, now units.Time) {
-	a := c.catalog.Ask(now, "main", c.Self, int64(now)/int64(time.Millisecond))
+	a := c.catalog.NewQuery(now, "main", c.Self, int64(now)/int64(time.Millisecond))
 	w.judgeRate(now)
 	life := c.H.life
 	way := 2*time.Millisecond + time.Duration(w.Rng.Int64N(int64(8*time.Millisecond)))
@@ -57,8 +57,8 @@
 		return
 	}
 	w.Inject(c.H, func(now units.Time) (out message.Effects) {
-		if data, news := c.catalog.Heard(a, l); news {
-			c.spread(now, configpush.Item{Key: discovery.Key("main", c.Self), Num: a.Num, Data: data}, &out)
+		if data, news := c.catalog.RecordAnswer(a, l); news {
+			c.spread(now, configpush.Item{Key: discovery.Key("main", c.Self), Version: a.Version, Data: data}, &out)
 		}
 		return out
 	})
--- a/internal/rig/simulator/play.go
+++ b/internal/rig/simulator/play.go
@@ -72,7 +72,7 @@
 	case len(w.acked) == 0:
 		w.fault("no configuration was ever acknowledged")
 	}
-	for _, id := range message.Keys(w.workers) {
+	for _, id := range message.SortedKeys(w.workers) {
 		if x := w.workers[id]; x.leaving > 0 {
 			w.Figures.Leaves = append(w.Figures.Leaves, x.late)
 		}
@@ -172,7 +172,7 @@
 			})
 		}
 		w.Run(w.Now.Add(600 * time.Millisecond))
-		for _, name := range message.Keys(tags) {
+		for _, name := range message.SortedKeys(tags) {
 			w.Inject(h, func(now units.Time) message.Effects { return e.queue.Done(now, tags[name], false) })
 			if got[name] != resultcode.OK {
 				w.fault("%s gets no slot of %s: %d", h.Addr, name, got[name])
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -94,7 +94,7 @@
 func (h *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == capacity.Audit {
 		name, l, _, err := capacity.UnpackReport(n.Body)
-		out.Fail(err)
+		out.AddError(err)
 		for _, x := range l {
 			if h.reqs[x.Tag] == nil {
 				out.Send(n.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
@@ -105,7 +105,7 @@
 	delete(h.mute, n.From)
 	b, name, err := capacity.Unpack(n.Body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	if n.Kind == capacity.ReportRequest {
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -117,7 +117,7 @@
 func (g *Ledger) Tick(now units.Time) (out message.Effects) {
 	var names []string
 	if g.moved {
-		names = message.Keys(g.workers)
+		names = message.SortedKeys(g.workers)
 	}
 	g.moved = false
 	for _, name := range names {
@@ -131,7 +131,7 @@
 			g.cede(name, k, &out)
 		}
 	}
-	for _, name := range message.Keys(g.keeps) {
+	for _, name := range message.SortedKeys(g.keeps) {
 		k := g.keeps[name]
 		if _, ok := g.workers[name]; !ok {
 			g.cede(name, k, &out)
@@ -187,7 +187,7 @@
 	for _, v := range g.routers {
 		l = append(l, v.Node)
 	}
-	for _, n := range message.Keys(g.strange) {
+	for _, n := range message.SortedKeys(g.strange) {
 		_, gone := g.holds[n]
 		switch {
 		case gone || slices.Contains(l, n) || now.Sub(g.strange[n]) > strangeFor:
@@ -225,7 +225,7 @@
 	}
 	if now.Sub(k.sent) >= reask {
 		k.sent = now
-		for _, n := range message.Keys(k.need) {
+		for _, n := range message.SortedKeys(k.need) {
 			out.Send(n, ReportRequest, Pack(Header{}, name))
 		}
 	}
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -12,7 +12,7 @@
 func (g *Ledger) Step(now units.Time, n message.Message) (out message.Effects) {
 	if n.Kind == Report {
 		name, held, sent, err := UnpackReport(n.Body)
-		out.Fail(err)
+		out.AddError(err)
 		if k := g.keeps[name]; err == nil && k != nil && (!k.open || k.late[n.From]) {
 			for _, h := range held {
 				if p := (permit{n.From, h.Tag}); k.lent[p] == nil {
@@ -33,7 +33,7 @@
 	}
 	h, name, err := Unpack(n.Body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	k := g.keeps[name]
--- a/internal/router/capacity/upkeep.go
+++ b/internal/router/capacity/upkeep.go
@@ -21,7 +21,7 @@
 
 // audit asks holders about permits that have been out for a while; they return what they don't know.
 func (g *Ledger) audit(now units.Time, out *message.Effects) {
-	for _, name := range message.Keys(g.keeps) {
+	for _, name := range message.SortedKeys(g.keeps) {
 		k := g.keeps[name]
 		by := map[units.NodeID][]HeldPermit{}
 		for _, p := range k.permits() {
@@ -29,7 +29,7 @@
 				by[p.node] = append(by[p.node], HeldPermit{Tag: p.tag})
 			}
 		}
-		for _, n := range message.Keys(by) {
+		for _, n := range message.SortedKeys(by) {
 			out.Send(n, Audit, PackReport(name, by[n], 0))
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 	k.sent = now
 	live := g.live(now)
-	for _, n := range message.Keys(k.late) {
+	for _, n := range message.SortedKeys(k.late) {
 		if !slices.Contains(live, n) {
 			delete(k.late, n)
 			continue
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -42,7 +42,7 @@
 	voters := v.view.voters
 	v.viewMu.Unlock()
 	v.withClaimant(func() message.Effects {
-		v.claimant.Core(voters)
+		v.claimant.SetVoters(voters)
 		return v.claimant.Tick(now, peers, longest)
 	})
 }
@@ -96,6 +96,6 @@
 // spendKey marks the key as spent, so that "not run" stays true although a copy of the request may still be in transit.
 func (w *nativeRequest) spendKey() {
 	if w.claimedKey != "" {
-		w.router.withClaimant(func() message.Effects { return w.router.claimant.Burn(w.claimedKey, w.holders) })
+		w.router.withClaimant(func() message.Effects { return w.router.claimant.Spend(w.claimedKey, w.holders) })
 	}
 }
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -42,8 +42,8 @@
 // refresh applies updates and membership to the cluster view and passes changes on to the coordinator.
 func (v *Router) refresh(now units.Time) {
 	v.FeedMu.Lock()
-	updates := v.Feed.Fresh
-	v.Feed.Fresh = nil
+	updates := v.Feed.Changes
+	v.Feed.Changes = nil
 	v.FeedMu.Unlock()
 	for _, update := range updates {
 		v.applyUpdate(now, update)
@@ -63,7 +63,7 @@
 	if active == nil {
 		return
 	}
-	workers := active.Keep(view.workersByPool, view.catalog.Start(), view.evacuatedZones)
+	workers := active.Keep(view.workersByPool, view.catalog.StartTimes(), view.evacuatedZones)
 	v.coordinatorMu.Lock()
 	v.coordinator.SetWorkers(workers)
 	v.coordinator.SetRateLimits(v.Settings.Bounds.WarmExcess, v.Settings.Bounds.WarmSlack, view.peerWatch.RateShare(now, len(peers)))
@@ -81,12 +81,12 @@
 			v.Log.WithError(faults[0]).Error("a configuration that the controllers accepted does not compile here")
 			return
 		}
-		v.activeConfig.Store(&activeConfig{Config: parsed, updateVersion: update.Num})
+		v.activeConfig.Store(&activeConfig{Config: parsed, updateVersion: update.Version})
 	case "zone":
 		v.applyZoneState(name, update)
 	case "workers":
 		v.viewMu.Lock()
-		pool, err := v.view.catalog.Take(now, update.Key, update.Num, update.Data)
+		pool, err := v.view.catalog.Apply(now, update.Key, update.Version, update.Data)
 		v.view.workersByPool[pool] = v.view.catalog.List(pool)
 		v.viewMu.Unlock()
 		if err != nil {
@@ -110,7 +110,7 @@
 	v.view.evacuatedZones[zone] = evacuated
 	v.viewMu.Unlock()
 	if changed {
-		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": update.Num}).Warn("zone state changed")
+		v.Log.WithFields(log.Fields{"zone": zone, "evacuated": evacuated, "number": update.Version}).Warn("zone state changed")
 	}
 }
 
@@ -118,7 +118,7 @@
 // (docs/design.md, section 4).
 func (v *Router) confirmUpToDate(now units.Time) {
 	members := v.Members()
-	switch controllers, _ := configpush.Neighbours(members, v.Self); {
+	switch controllers, _ := configpush.LivePeers(members, v.Self); {
 	case len(controllers) > 0:
 		v.noControllerSince.Store(0)
 	case v.noControllerSince.Load() == 0:
@@ -149,6 +149,6 @@
 	v.ready.Store(false)
 	v.SetFlag(membership.Ready, false)
 	v.FeedMu.Lock()
-	clear(v.Feed.Vouch)
+	clear(v.Feed.Confirmations)
 	v.FeedMu.Unlock()
 }
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -29,12 +29,12 @@
 	t.Helper()
 	v.FeedMu.Lock()
 	for _, update := range updates {
-		v.Feed.Take(update)
+		v.Feed.Apply(update)
 	}
 	v.FeedMu.Unlock()
 	marker := fmt.Sprintf("marker%d", markers.Add(1))
 	v.FeedMu.Lock()
-	v.Feed.Take(configpush.Item{Key: "zone/" + marker, Num: 1, Data: []byte(`{"evacuated":true}`)})
+	v.Feed.Apply(configpush.Item{Key: "zone/" + marker, Version: 1, Data: []byte(`{"evacuated":true}`)})
 	v.FeedMu.Unlock()
 	testutil.Until(t, "the updates are applied", func() bool {
 		v.viewMu.Lock()
@@ -50,8 +50,8 @@
 	a, big := startNativeWorker(t)
 	b, small := startNativeWorker(t)
 	v := newTestRouter(t, a)
-	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(fallbackConfig)},
-		configpush.Item{Key: "workers/side", Num: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
+	applyUpdates(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(fallbackConfig)},
+		configpush.Item{Key: "workers/side", Version: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
 	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
@@ -94,7 +94,7 @@
 	if _, err := c.r.ReadString('}'); err != nil {
 		t.Fatal(err)
 	}
-	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(fallbackConfig)}, configpush.Item{Key: "zone/z1", Num: 1, Data: []byte(`{"evacuated":true}`)})
+	applyUpdates(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(fallbackConfig)}, configpush.Item{Key: "zone/z1", Version: 1, Data: []byte(`{"evacuated":true}`)})
 	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 404 || !strings.Contains(body, `"code":203`) {
 		t.Errorf("the mapping is removed: %d %s", status, body)
 	}
@@ -124,8 +124,8 @@
 	t.Parallel()
 	a, _ := startNativeWorker(t)
 	v := newTestRouter(t, a)
-	applyUpdates(t, v, configpush.Item{Key: "config", Num: 3, Data: []byte(fallbackConfig)})
-	applyUpdates(t, v, configpush.Item{Key: "config", Num: 2, Data: []byte(testConfig)})
+	applyUpdates(t, v, configpush.Item{Key: "config", Version: 3, Data: []byte(fallbackConfig)})
+	applyUpdates(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(testConfig)})
 	if n := v.activeConfig.Load().updateVersion; n != 3 {
 		t.Errorf("version %d in force", n)
 	}
@@ -136,8 +136,8 @@
 	t.Parallel()
 	a, _ := startNativeWorker(t)
 	v := newTestRouter(t, a)
-	applyUpdates(t, v, configpush.Item{Key: "workers/main/ff", Num: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
-	for _, k := range []message.Kind{capacity.Acquire, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.Copy} {
+	applyUpdates(t, v, configpush.Item{Key: "workers/main/ff", Version: 9, Data: []byte(`{"workers":[{"id":""}]}`)})
+	for _, k := range []message.Kind{capacity.Acquire, capacity.Report, capacity.Grant, idempotency.Claim, idempotency.CopyReply} {
 		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.coordinatorMu.Lock()
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -104,8 +104,8 @@
 		l = append(l, config.Worker{ID: fmt.Sprintf("w%d", i+1), Addr: a, Zone: "z1", Age: time.Hour})
 	}
 	v.FeedMu.Lock()
-	v.Feed.Take(configpush.Item{Key: "config", Num: 1, Data: []byte(configText)})
-	v.Feed.Take(configpush.Item{Key: "workers/main", Num: 1, Data: config.PackWorkers(l)})
+	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(configText)})
+	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.PackWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router coordinates its workers", func() bool {
@@ -122,7 +122,7 @@
 	testutil.Until(t, "the router takes part in claims", func() bool {
 		v.claimantMu.Lock()
 		defer v.claimantMu.Unlock()
-		return v.claimant.Whole()
+		return v.claimant.Complete()
 	})
 	return v
 }
--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -31,12 +31,12 @@
 	}
 }
 
-// Burn makes a key useless for ever: the holder of its claim says that it did not run. Only a node whose claim
+// Spend makes a key useless for ever: the holder of its claim says that it did not run. Only a node whose claim
 // was granted may burn; to others the key's prompt may be running elsewhere.
-func (s *Claimant) Burn(key string, holders []units.NodeID) (out message.Effects) {
+func (s *Claimant) Spend(key string, holders []units.NodeID) (out message.Effects) {
 	for _, n := range append(append([]units.NodeID(nil), holders...), s.core.All()...) {
 		if n != 0 {
-			out.Send(n, Burn, message.Pack(head{}, []byte(key)))
+			out.Send(n, Spend, message.Pack(head{}, []byte(key)))
 		}
 	}
 	return out
@@ -70,10 +70,10 @@
 
 // tell lets the disks know of claims that were granted without them.
 func (s *Claimant) tell(now units.Time, out *message.Effects) {
-	for _, token := range message.Keys(s.late) {
+	for _, token := range message.SortedKeys(s.late) {
 		p := s.late[token]
 		switch {
-		case now.Sub(p.since) > Keep || p.core.HasMajority(p.got):
+		case now.Sub(p.since) > Retention || p.core.HasMajority(p.got):
 			delete(s.late, token)
 		case now.Sub(p.sent) >= time.Second:
 			if p.core.Version != s.core.Version {
--- a/internal/router/idempotency/claims.go
+++ b/internal/router/idempotency/claims.go
@@ -14,10 +14,10 @@
 // The notes of claims.
 const (
 	Claim = message.KindClaim + iota
-	Claimed
-	Burn
-	CopyAsk
-	Copy
+	ClaimReply
+	Spend
+	CopyRequest
+	CopyReply
 )
 
 // What a holder says of a key.
@@ -30,13 +30,13 @@
 
 // Spans (start values).
 const (
-	again    = 150 * time.Millisecond
-	giveUp   = 450 * time.Millisecond
-	Keep     = 10 * time.Minute // how long a key is remembered
-	slots    = 3
-	coreWait = 200 * time.Millisecond // how long a claim that the routers granted waits for the disks
-	awayFor  = 2 * time.Second        // how long they are not waited for after that
-	settle   = 2 * time.Second        // till all nodes know of a new machine, and so agree on a key's holders
+	again     = 150 * time.Millisecond
+	giveUp    = 450 * time.Millisecond
+	Retention = 10 * time.Minute // how long a key is remembered
+	slots     = 3
+	coreWait  = 200 * time.Millisecond // how long a claim that the routers granted waits for the disks
+	awayFor   = 2 * time.Second        // how long they are not waited for after that
+	settle    = 2 * time.Second        // till all nodes know of a new machine, and so agree on a key's holders
 )
 
 type head struct {
@@ -63,9 +63,9 @@
 
 // Result of a claim: OK, Claimed, Burned or NoClaim.
 type Result struct {
-	Token uint64
-	Code  resultcode.Code
-	Kept  bool // on a majority of the core's disks too
+	Token   uint64
+	Code    resultcode.Code
+	Durable bool // on a majority of the core's disks too
 }
 
 type heard struct {
@@ -95,12 +95,12 @@
 	return &Claimant{self: self, born: now, keys: map[string]entry{}, pends: map[uint64]*pending{}, late: map[uint64]*pending{}, heard: map[units.NodeID]heard{}}
 }
 
-// Core sets the voters, whose disks keep claims beyond the loss of all memory.
-func (s *Claimant) Core(v register.QuorumSet) { s.core = v }
+// SetVoters sets the voters, whose disks keep claims beyond the loss of all memory.
+func (s *Claimant) SetVoters(v register.QuorumSet) { s.core = v }
 
 // Tick asks again, gives up, forgets old keys, and copies what others remember after a start.
 func (s *Claimant) Tick(now units.Time, peers []units.NodeID, longest time.Duration) (out message.Effects) {
-	for _, token := range message.Keys(s.pends) {
+	for _, token := range message.SortedKeys(s.pends) {
 		p := s.pends[token]
 		switch {
 		case p.held != 0:
@@ -115,7 +115,7 @@
 	if now.Sub(s.swept) > time.Second {
 		s.swept = now
 		for k, e := range s.keys {
-			if now.Sub(e.at) > Keep {
+			if now.Sub(e.at) > Retention {
 				delete(s.keys, k)
 			}
 		}
@@ -127,34 +127,34 @@
 	return out
 }
 
-// Whole says whether this node takes part in claims.
-func (s *Claimant) Whole() bool { return s.whole }
+// Complete says whether this node takes part in claims.
+func (s *Claimant) Complete() bool { return s.whole }
 
 // Step takes one note.
 func (s *Claimant) Step(now units.Time, n message.Message) (out message.Effects) {
 	var h head
 	var key []byte
 	switch n.Kind {
-	case CopyAsk:
-		out.Send(n.From, Copy, pack(s.keys, s.whole, 0))
+	case CopyRequest:
+		out.Send(n.From, CopyReply, pack(s.keys, s.whole, 0))
 		return out
-	case Copy:
-		out.Fail(s.take(now, n))
+	case CopyReply:
+		out.AddError(s.take(now, n))
 		return out
 	}
 	if err := message.Unpack(n.Body, &h, &key); err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return out
 	}
 	switch n.Kind {
 	case Claim:
 		h.State = s.hold(now, h.Token, string(key))
-		out.Send(n.From, Claimed, message.Pack(h, key))
-	case Burn:
+		out.Send(n.From, ClaimReply, message.Pack(h, key))
+	case Spend:
 		e := s.keys[string(key)]
 		e.burnt, e.at = true, now
 		s.keys[string(key)] = e
-	case Claimed:
+	case ClaimReply:
 		s.answered(now, n.From, h)
 	}
 	return out
--- a/internal/router/idempotency/copy.go
+++ b/internal/router/idempotency/copy.go
@@ -25,7 +25,7 @@
 
 func pack(keys map[string]entry, whole bool, ver units.Version) []byte {
 	var l [][]byte
-	for _, k := range message.Keys(keys) {
+	for _, k := range message.SortedKeys(keys) {
 		e := keys[k]
 		x := item{Token: e.token}
 		if e.burnt {
@@ -103,7 +103,7 @@
 		}
 		for _, n := range append(append([]units.NodeID(nil), peers...), s.core.All()...) {
 			if h, ok := s.heard[n]; !ok || late && !h.whole {
-				out.Send(n, CopyAsk, message.Pack(head{}))
+				out.Send(n, CopyRequest, message.Pack(head{}))
 			}
 		}
 	}
--- a/internal/router/idempotency/registry.go
+++ b/internal/router/idempotency/registry.go
@@ -10,8 +10,8 @@
 
 // The records of claims on a voter's disk. An empty one ends its key.
 const (
-	RecClaim uint8 = 16 + iota
-	RecWhole
+	RecordClaim uint8 = 16 + iota
+	RecordComplete
 )
 
 // copyState is what a voter's copy showed.
@@ -22,13 +22,13 @@
 
 // Registry is a voter's copy of all claims, on its disk: what routers remember is gone once they all are (design 8).
 type Registry struct {
-	self  units.NodeID
-	keys  map[string]entry
-	whole bool
-	heard map[units.NodeID]copyState // of the voters that answered
-	asked units.Time
-	swept units.Time
-	Low   bool // no room on the disk: nothing new is taken
+	self     units.NodeID
+	keys     map[string]entry
+	whole    bool
+	heard    map[units.NodeID]copyState // of the voters that answered
+	asked    units.Time
+	swept    units.Time
+	DiskFull bool // no room on the disk: nothing new is taken
 }
 
 // LoadRegistry builds the machine from what the disk holds. How old a claim is is not on the disk, so that no calendar
@@ -38,9 +38,9 @@
 	for _, x := range rs {
 		var it item
 		switch {
-		case x.Kind == RecWhole:
+		case x.Kind == RecordComplete:
 			r.whole = true
-		case x.Kind == RecClaim && message.Unpack(x.Data, &it) == nil:
+		case x.Kind == RecordClaim && message.Unpack(x.Data, &it) == nil:
 			r.keys[x.Key] = entry{token: it.Token, burnt: it.Burnt == 1, at: now}
 		}
 	}
@@ -52,11 +52,11 @@
 	if e.burnt {
 		it.Burnt = 1
 	}
-	return message.Record{Kind: RecClaim, Key: key, Data: message.Pack(it)}
+	return message.Record{Kind: RecordClaim, Key: key, Data: message.Pack(it)}
 }
 
-// Whole says whether this voter knows all that a majority was ever told, and so may grant.
-func (r *Registry) Whole() bool { return r.whole }
+// Complete says whether this voter knows all that a majority was ever told, and so may grant.
+func (r *Registry) Complete() bool { return r.whole }
 
 // Len counts the claims.
 func (r *Registry) Len() int { return len(r.keys) }
@@ -64,23 +64,23 @@
 // Step takes one note; ver is the newest set of voters that this node knows of.
 func (r *Registry) Step(now units.Time, n message.Message, ver units.Version) (out message.Effects) {
 	switch n.Kind {
-	case CopyAsk:
+	case CopyRequest:
 		var h head
 		if err := message.Unpack(n.Body, &h); err != nil {
-			out.Fail(err)
+			out.AddError(err)
 			return out
 		}
 		// Who asks under a newer set is answered once this node, too, serves no older one.
 		if units.Version(h.Ver) <= ver {
-			out.SendAfterSync(n.From, Copy, pack(r.keys, r.whole, ver))
+			out.SendAfterSync(n.From, CopyReply, pack(r.keys, r.whole, ver))
 		}
-	case Copy:
+	case CopyReply:
 		r.copy(now, n, &out)
-	case Claim, Burn:
+	case Claim, Spend:
 		var h head
 		var key []byte
 		if err := message.Unpack(n.Body, &h, &key); err != nil {
-			out.Fail(err)
+			out.AddError(err)
 			return out
 		}
 		r.claim(now, n, h, string(key), ver, &out)
@@ -90,8 +90,8 @@
 
 func (r *Registry) claim(now units.Time, n message.Message, h head, key string, ver units.Version, out *message.Effects) {
 	e, ok := r.keys[key]
-	if n.Kind == Burn {
-		if !e.burnt && !r.Low {
+	if n.Kind == Spend {
+		if !e.burnt && !r.DiskFull {
 			r.set(key, entry{token: e.token, burnt: true, at: now}, out)
 		}
 		return
@@ -103,13 +103,13 @@
 		h.State = taken
 	case ok:
 		h.State = granted
-	case !r.whole || r.Low || units.Version(h.Ver) < ver:
+	case !r.whole || r.DiskFull || units.Version(h.Ver) < ver:
 		h.State = abstain
 	default:
 		r.set(key, entry{token: h.Token, at: now}, out)
 		h.State = granted
 	}
-	out.SendAfterSync(n.From, Claimed, message.Pack(h, []byte(key)))
+	out.SendAfterSync(n.From, ClaimReply, message.Pack(h, []byte(key)))
 }
 
 func (r *Registry) set(key string, e entry, out *message.Effects) {
@@ -124,7 +124,7 @@
 	}
 	h, l, err := unpackCopy(n.Body)
 	if err != nil {
-		out.Fail(err)
+		out.AddError(err)
 		return
 	}
 	for _, x := range l {
@@ -137,16 +137,16 @@
 
 // Tick forgets old claims, and has a blank disk copy those of the other voters.
 func (r *Registry) Tick(now units.Time, v register.QuorumSet) (out message.Effects) {
-	if now.Sub(r.swept) > time.Second && !r.Low {
+	if now.Sub(r.swept) > time.Second && !r.DiskFull {
 		r.swept = now
-		for _, k := range message.Keys(r.keys) {
-			if now.Sub(r.keys[k].at) > Keep {
+		for _, k := range message.SortedKeys(r.keys) {
+			if now.Sub(r.keys[k].at) > Retention {
 				delete(r.keys, k)
-				out.Writes = append(out.Writes, message.Record{Kind: RecClaim, Key: k})
+				out.Writes = append(out.Writes, message.Record{Kind: RecordClaim, Key: k})
 			}
 		}
 	}
-	if r.whole || !v.Has(r.self) || r.Low {
+	if r.whole || !v.Has(r.self) || r.DiskFull {
 		return out
 	}
 	whole, blank := 0, 0
@@ -163,14 +163,14 @@
 	// in a new fleet those that are asked later find some whole already, which must not stop them.
 	if whole >= enough(v) || blank == len(v.Members) {
 		r.whole = true
-		out.Writes = append(out.Writes, message.Record{Kind: RecWhole, Data: []byte{1}})
+		out.Writes = append(out.Writes, message.Record{Kind: RecordComplete, Data: []byte{1}})
 		return out
 	}
 	if now.Sub(r.asked) >= again {
 		r.asked = now
 		for _, n := range v.Members {
 			if n != r.self && !r.heard[n].whole {
-				out.Send(n, CopyAsk, message.Pack(head{Ver: uint64(v.Version)}))
+				out.Send(n, CopyRequest, message.Pack(head{Ver: uint64(v.Version)}))
 			}
 		}
 	}
--- a/internal/router/idempotency/voters_test.go
+++ b/internal/router/idempotency/voters_test.go
@@ -100,7 +100,7 @@
 	}
 	for _, n := range claimHolders {
 		s := f.screens[n]
-		s.Core(f.sets[f.knows[n]])
+		s.SetVoters(f.sets[f.knows[n]])
 		var others []units.NodeID
 		for _, o := range claimHolders {
 			if o != n {
@@ -111,7 +111,7 @@
 		for _, r := range s.Results {
 			if r.Code == resultcode.OK {
 				f.granted++
-				f.kept = f.kept || r.Kept
+				f.kept = f.kept || r.Durable
 			}
 		}
 		s.Results = nil
@@ -150,7 +150,7 @@
 
 func (f *claimFleet) whole(set int) bool {
 	for _, d := range f.sets[set].Members {
-		if !f.rolls[d].Whole() {
+		if !f.rolls[d].Complete() {
 			return false
 		}
 	}
@@ -159,7 +159,7 @@
 
 // claim asks for the key by way of a holder.
 func (f *claimFleet) claim(by units.NodeID, token uint64) {
-	f.screens[by].Core(f.sets[f.knows[by]])
+	f.screens[by].SetVoters(f.sets[f.knows[by]])
 	f.put(by, f.screens[by].Claim(f.now, token, claimKey, claimHolders))
 }
 
@@ -176,7 +176,7 @@
 	for seed := range uint64(claimSeeds) {
 		f := newClaimFleet(seed, sets)
 		f.until(t, "the first set and the holders take part", func() bool {
-			return f.whole(0) && f.screens[1].Whole() && f.screens[2].Whole() && f.screens[3].Whole()
+			return f.whole(0) && f.screens[1].Complete() && f.screens[2].Complete() && f.screens[3].Complete()
 		})
 		f.claim(1, 101)
 		f.deliver(f.draw.IntN(12))
@@ -196,7 +196,7 @@
 		before, stood := f.granted, f.kept
 		f.under = nil
 		f.restartScreens()
-		f.until(t, "the holders take part again", func() bool { return f.screens[3].Whole() && f.screens[1].Whole() })
+		f.until(t, "the holders take part again", func() bool { return f.screens[3].Complete() && f.screens[1].Complete() })
 		f.claim(3, 303)
 		for range 60 {
 			f.beat()
--- a/internal/router/mapping_stats.go
+++ b/internal/router/mapping_stats.go
@@ -115,7 +115,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := a.NewObject()
-	for _, name := range message.Keys(t.byMapping) {
+	for _, name := range message.SortedKeys(t.byMapping) {
 		stats := t.byMapping[name]
 		entry := a.NewObject()
 		entry.Set("promise", a.NewString(stats.promise))
@@ -143,7 +143,7 @@
 func (t *statsByMapping) writeMetrics(w io.Writer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, name := range message.Keys(t.byMapping) {
+	for _, name := range message.SortedKeys(t.byMapping) {
 		stats := t.byMapping[name]
 		for _, c := range []struct {
 			name string
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -84,9 +84,9 @@
 	v.WriteZoneMetrics(ctx)
 	v.upstreamMetrics(ctx)
 	fmt.Fprintf(ctx, "seamshunt_cross_zone_prompt_bytes_total %d\n", s.crossZoneBytes)
-	fmt.Fprintf(ctx, "seamshunt_wire_bytes_total %d\n", v.Transport.Out.Load())
+	fmt.Fprintf(ctx, "seamshunt_wire_bytes_total %d\n", v.Transport.BytesOut.Load())
 	fmt.Fprintf(ctx, "seamshunt_in_flight %d\n", v.inFlight.Load())
-	fmt.Fprintf(ctx, "seamshunt_bad_frames_total %d\nseamshunt_bad_notes_total %d\n", v.Transport.Bad.Load(), v.Errors.Load())
+	fmt.Fprintf(ctx, "seamshunt_bad_frames_total %d\nseamshunt_bad_notes_total %d\n", v.Transport.BadFrames.Load(), v.Errors.Load())
 	fmt.Fprintf(ctx, "seamshunt_dropped_notes_total %d\n", v.DroppedMessages.Load())
 	age := 0.0
 	if t := v.noControllerSince.Load(); t > 0 {
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -107,7 +107,7 @@
 	if !ready() {
 		t.Fatal("a single router is not ready")
 	}
-	peer := membership.New(membership.Member{Node: 9, Inc: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
+	peer := membership.New(membership.Member{Node: 9, Incarnation: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
 	v.GossipMu.Lock()
 	for _, n := range peer.Tick(0).Messages {
 		n.From = 9
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -120,8 +120,8 @@
 		l = append(l, config.Worker{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots})
 	}
 	v.FeedMu.Lock()
-	v.Feed.Take(configpush.Item{Key: "config", Num: 1, Data: []byte(relayConfig)})
-	v.Feed.Take(configpush.Item{Key: "workers/" + platform.Pool, Num: 1, Data: config.PackWorkers(l)})
+	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(relayConfig)})
+	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.PackWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router coordinates its workers", func() bool {
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -55,7 +55,7 @@
 	versions := a.NewObject()
 	v.FeedMu.Lock()
 	for k, it := range v.Feed.Items {
-		versions.Set(k, a.NewNumberInt(int(it.Num)))
+		versions.Set(k, a.NewNumberInt(int(it.Version)))
 	}
 	v.FeedMu.Unlock()
 	o.Set("news", versions)
@@ -123,10 +123,10 @@
 	x.Set("role", a.NewString([]string{"", "router", "controller"}[m.Role%3]))
 	x.Set("zone", a.NewString(m.Zone))
 	x.Set("addr", a.NewString(m.Addr))
-	x.Set("web", a.NewString(m.Web))
+	x.Set("web", a.NewString(m.HTTPAddr))
 	x.Set("state", a.NewString([]string{"alive", "suspect", "dead", "left"}[m.State%4]))
 	x.Set("draining", jsonBool(a, m.Flags&membership.Draining != 0))
-	x.Set("unfit", jsonBool(a, m.Flags&membership.Unfit != 0))
+	x.Set("unfit", jsonBool(a, m.Flags&membership.DiskUnfit != 0))
 	x.Set("ready", jsonBool(a, m.Flags&membership.Ready != 0))
 	return x
 }
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -21,7 +21,7 @@
 	}
 	v.queueMu.Unlock()
 	v.coordinatorMu.Lock()
-	out.Join(v.coordinator.Tick(now))
+	out.Append(v.coordinator.Tick(now))
 	busy = busy || v.coordinator.Busy()
 	v.coordinatorMu.Unlock()
 	v.Deliver(out)
