--- a/internal/router/adapter.go
+++ b/internal/router/adapter.go
@@ -14,7 +14,8 @@
 	"seamshunt/internal/units"
 )
 
-// configureForAdapter configures the server to accept clients' requests in the adapter's protocol and to relay them byte for byte.
+// configureForAdapter configures the server to accept clients' requests in the adapter's protocol and to relay them byte
+// for byte.
 func (v *Router) configureForAdapter() {
 	server := v.server
 	server.Handler = v.handleRelay
--- a/internal/router/cancellation.go
+++ b/internal/router/cancellation.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// finishRequest releases the client of a request and records it as disconnected if it left before a complete answer. No work for
-// the request may be left.
+// finishRequest releases the client of a request and records it as disconnected if it left before a complete answer. No
+// work for the request may be left.
 func (v *Router) finishRequest(client *clientwatch.Request, at stage, startedAt units.Time, complete bool) {
 	if !complete && errors.Is(client.Check(), clientwatch.ErrClientDisconnected) {
 		v.recordDisconnect(at, v.Tasks.Now().Sub(startedAt))
--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -40,8 +40,8 @@
 	return ""
 }
 
-// Work on a request is always bound to the request's context: no file in the data plane makes an uncancellable call unless it is
-// exempt.
+// Work on a request is always bound to the request's context: no file in the data plane makes an uncancellable call unless
+// it is exempt.
 func TestRequestWorkIsCancellable(t *testing.T) {
 	usedExemptions := map[string]bool{}
 	visit := func(file string, entry fs.DirEntry, err error) error {
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -34,7 +34,8 @@
 	v.queueMu.Lock()
 	for i := range query.Candidates {
 		if load, ok := v.queue.Loads[query.Candidates[i].Name]; ok && now.Sub(load.UpdatedAt) < 2*time.Second {
-			query.Candidates[i].Load = float64(load.InUse+load.Waiting)/float64(load.Capacity) + float64(max(0, load.PrefillBacklog-now.Sub(load.UpdatedAt)))/float64(time.Second)
+			query.Candidates[i].Load = float64(load.InUse+load.Waiting)/float64(load.Capacity) +
+				float64(max(0, load.PrefillBacklog-now.Sub(load.UpdatedAt)))/float64(time.Second)
 		}
 	}
 	v.queueMu.Unlock()
@@ -46,7 +47,7 @@
 	v.queueMu.Lock()
 	delete(v.pendingAdmissions, tag)
 	out := v.queue.Abort(v.Tasks.Now(), tag)
-	v.deliverVerdicts(v.Tasks.Now())
+	v.deliverDecisions(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
 }
@@ -56,7 +57,7 @@
 	v.queueMu.Lock()
 	delete(v.pendingAdmissions, tag)
 	out := v.queue.Done(v.Tasks.Now(), tag, outcomeUnknown)
-	v.deliverVerdicts(v.Tasks.Now())
+	v.deliverDecisions(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
 }
--- a/internal/router/client_disconnect_harness_test.go
+++ b/internal/router/client_disconnect_harness_test.go
@@ -30,8 +30,8 @@
 	go w.accept(w.listener)
 }
 
-// received returns the IDs of the requests that a worker got on connections that the test has not read. It must be called after
-// the router has finished: the test's own connection then is the last one in the worker's accept queue.
+// received returns the IDs of the requests that a worker got on connections that the test has not read. It must be called
+// after the router has finished: the test's own connection then is the last one in the worker's accept queue.
 func (w *scriptedWorker) received(t testing.TB) (ids []string) {
 	t.Helper()
 	marker, err := net.Dial("tcp", w.addr)
--- a/internal/router/client_disconnect_test.go
+++ b/internal/router/client_disconnect_test.go
@@ -14,8 +14,8 @@
 // relayRoutes are the routes of relayConfig, one of each variant.
 var relayRoutes = []string{"pure", "effectful", "resumable", "streaming"}
 
-// disconnectPoints are the stages of a request at which its client disconnects. Each function returns, once the router has finished
-// with the request, the worker that would have received it.
+// disconnectPoints are the stages of a request at which its client disconnects. Each function returns, once the router has
+// finished with the request, the worker that would have received it.
 var disconnectPoints = map[string]func(t *testing.T, route string) *scriptedWorker{
 	"connecting":            leftWhileConnecting,
 	"held for confirmation": leftWhileAwaitingConfirmation,
@@ -110,8 +110,8 @@
 	return w
 }
 
-// leftAfterFurtherBytes has a client send the beginning of another request before it disconnects, so that the FIN is not the next
-// thing that the router can read.
+// leftAfterFurtherBytes has a client send the beginning of another request before it disconnects, so that the FIN is not
+// the next thing that the router can read.
 func leftAfterFurtherBytes(t *testing.T, route string) *scriptedWorker {
 	w := newScriptedWorker(t, "i-1")
 	v := newRelayRouter(t, w)
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -23,8 +23,8 @@
 
 var markers atomic.Uint64
 
-// applyUpdates passes updates to the router and waits until they are applied. Updates are applied in order, so it waits for a
-// marker that follows them.
+// applyUpdates passes updates to the router and waits until they are applied. Updates are applied in order, so it waits
+// for a marker that follows them.
 func applyUpdates(t *testing.T, v *Router, updates ...configpush.Item) {
 	t.Helper()
 	v.FeedMu.Lock()
@@ -43,8 +43,8 @@
 	})
 }
 
-// A request falls back only to the service that the mapping names, and only once the first service is full. A mapping without a
-// fallback refuses the request as not run.
+// A request falls back only to the service that the mapping names, and only once the first service is full. A mapping
+// without a fallback refuses the request as not run.
 func TestFallbackService(t *testing.T) {
 	t.Parallel()
 	a, big := startNativeWorker(t)
@@ -141,10 +141,10 @@
 		v.MessageHandlers[k&^15](v.Tasks.Now(), message.Message{From: 77, Kind: k, Body: []byte{1}})
 	}
 	v.coordinatorMu.Lock()
-	kept := v.coordinator.Status(v.Tasks.Now())
+	coordinated := v.coordinator.Status(v.Tasks.Now())
 	v.coordinatorMu.Unlock()
-	if len(kept) != 1 || kept[0].InUse != 0 {
-		t.Errorf("coordinated workers: %+v", kept)
+	if len(coordinated) != 1 || coordinated[0].InUse != 0 {
+		t.Errorf("coordinated workers: %+v", coordinated)
 	}
 	if _, b, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
 		t.Errorf("%v %s", err, b)
--- a/internal/router/connection_limit_test.go
+++ b/internal/router/connection_limit_test.go
@@ -13,8 +13,9 @@
 	"seamshunt/internal/testutil"
 )
 
-// Guards against clients using up all file descriptors, after which the router received no configuration updates any more. Clients
-// may hold at most half of the descriptors. A connection beyond that is refused at once, and a closed one makes room.
+// Guards against clients using up all file descriptors, after which the router received no configuration updates any more.
+// Clients may hold at most half of the descriptors. A connection beyond that is refused at once, and a closed one makes
+// room.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	const files = 8
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Files: files}
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -14,10 +14,11 @@
 	// minDrainTime is the minimum time for which a draining node waits for requests: clients keep sending until they have
 	// probed its readiness twice.
 	minDrainTime = 3 * time.Second
-	// openWindow is how long a draining node admits requests by how long requests of the mapping have lasted so far, rather
-	// than by how long they may last. It is limited to 1/openWindowDivisor of the grace period. Clients that probe readiness
-	// once a second and act on two answers know of the drain 1 to 2 s after SIGTERM, and a request sent more than 2 s after it
-	// must not be aborted. The signal may have taken a while to arrive, so the window is shorter than 2 s.
+	// openWindow is how long a draining node admits requests by how long requests of the mapping have lasted so far,
+	// rather than by how long they may last. It is limited to 1/openWindowDivisor of the grace period. Clients that probe
+	// readiness once a second and act on two answers know of the drain 1 to 2 s after SIGTERM, and a request sent more
+	// than 2 s after it must not be aborted. The signal may have taken a while to arrive, so the window is
+	// shorter than that.
 	openWindow        = 1600 * time.Millisecond
 	openWindowDivisor = 3
 	// observationFactor: requests of a mapping must have been observed for this many times the remaining grace period before
@@ -44,8 +45,8 @@
 	return &drainWindow{startedAt: now, deadline: now.Add(grace)}
 }
 
-// isOpen reports whether requests are still admitted by how long they usually last, since clients can't know yet that the node
-// is draining.
+// isOpen reports whether requests are still admitted by how long they usually last, since clients can't know yet that the
+// node is draining.
 func (d *drainWindow) isOpen(now units.Time) bool {
 	return now.Sub(d.startedAt) < min(openWindow, d.deadline.Sub(d.startedAt)/openWindowDivisor)
 }
--- a/internal/router/drain_random_test.go
+++ b/internal/router/drain_random_test.go
@@ -23,8 +23,8 @@
 	clientResponse
 }
 
-// wronglyAborted reports whether a request was started and aborted before its own deadline. Requests in flight at closedAt are
-// aborted then, as the process ends. Requests sent while the drain window was open may be aborted.
+// wronglyAborted reports whether a request was started and aborted before its own deadline. Requests in flight at closedAt
+// are aborted then, as the process ends. Requests sent while the drain window was open may be aborted.
 func (a drainRequest) wronglyAborted(drain *drainWindow, closedAt units.Time) bool {
 	aborted := a.status != 0 && !a.complete || a.endedAt > closedAt
 	inTime := min(a.endedAt, closedAt).Sub(a.sentAt) < a.timeLeft
@@ -94,8 +94,8 @@
 	}
 }
 
-// Clients keep sending to a draining router until it ends, with streams that may be endless. Whatever is started after the open
-// window finishes completely or at its own deadline, and the rest is refused as not run.
+// Clients keep sending to a draining router until it ends, with streams that may be endless. Whatever is started after the
+// open window finishes completely or at its own deadline, and the rest is refused as not run.
 func TestRandomRequestsToDrainingRouter(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/units"
 )
 
-// Whatever a draining node starts ends before the grace period does, for every grace period and every moment: judged by how long
-// such requests usually last within the open window, and by their deadline after it.
+// Whatever a draining node starts ends before the grace period does, for every grace period and every moment: judged by
+// how long such requests usually last within the open window, and by their deadline after it.
 func TestDrainWindowAdmitsOnlyWhatCanFinish(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 20))
@@ -25,7 +25,8 @@
 		for range 2000 {
 			now := startedAt.Add(time.Duration(rng.Int64N(int64(grace))))
 			deadline := now.Add(time.Duration(rng.Int64N(int64(2 * grace))))
-			observed := requestDurations{longest: time.Duration(rng.Int64N(int64(grace) / durationMargin)), observedFor: time.Duration(rng.Int64N(int64(3 * grace)))}
+			observed := requestDurations{longest: time.Duration(rng.Int64N(int64(grace) / durationMargin)),
+				observedFor: time.Duration(rng.Int64N(int64(3 * grace)))}
 			admitted := drain.admits(now, deadline, observed)
 			switch {
 			case now.Sub(startedAt) < min(openWindow, grace/openWindowDivisor):
@@ -75,19 +76,19 @@
 	}
 }
 
-// caseJustWarned is the case of a draining node that has observed short requests of the same mapping.
-const caseJustWarned = "drain just started, long deadline, such requests end within a second"
+// caseDrainJustStarted is the case of a draining node that has observed short requests of the same mapping.
+const caseDrainJustStarted = "drain just started, long deadline, such requests end within a second"
 
-// A request that can't finish within the grace period is refused at once, as not run and with Retry-After, on a new connection and
-// on a kept one. No worker receives it. A request that can finish is served.
+// A request that can't finish within the grace period is refused at once, as not run and with Retry-After, on a new
+// connection and on a kept one. No worker receives it. A request that can finish is served.
 func TestDrainingRouterRefusesWhatCannotFinish(t *testing.T) {
 	for _, x := range []struct {
-		name      string
-		ago, left time.Duration
-		timeLeft  string
-		status    int
+		name               string
+		elapsed, remaining time.Duration
+		timeLeft           string
+		status             int
 	}{
-		{caseJustWarned, time.Second, 7 * time.Second, "15000", 200},
+		{caseDrainJustStarted, time.Second, 7 * time.Second, "15000", 200},
 		{"drain just started, long deadline, durations unknown", time.Second, 7 * time.Second, "15000", 503},
 		{"clients may have probed readiness twice, long deadline", 1900 * time.Millisecond, 5400 * time.Millisecond, "15000", 503},
 		{"open window over, long deadline", 4 * time.Second, 4 * time.Second, "15000", 503},
@@ -106,10 +107,10 @@
 				if got := kept.receive(); got.status != 200 || !got.complete || got.close {
 					t.Fatalf("before the drain: %+v", got)
 				}
-				if x.name == caseJustWarned {
+				if x.name == caseDrainJustStarted {
 					recordDurations(t, v, route, minDurationSamples, time.Second, time.Minute)
 				}
-				setDraining(v, x.ago, x.left)
+				setDraining(v, x.elapsed, x.remaining)
 				for name, c := range map[string]*workerConn{"kept": kept, "new": dialRelayClient(t, v)} {
 					text := strings.Replace(requestText(route, name, ""), "Time-Left-Ms: 15000", "Time-Left-Ms: "+x.timeLeft, 1)
 					_, _ = c.Write([]byte(text))
@@ -143,11 +144,11 @@
 func TestDrainingRouterRefusesWhatMayOutlastIt(t *testing.T) {
 	const remaining = 7 * time.Second
 	for _, x := range []struct {
-		name     string
-		measured int
-		longest  time.Duration
-		watched  time.Duration
-		status   int
+		name        string
+		samples     int
+		longest     time.Duration
+		observedFor time.Duration
+		status      int
 	}{
 		{"too few samples", minDurationSamples - 1, time.Second, time.Hour, 503},
 		{"not observed for long enough", minDurationSamples, time.Second, observationFactor*remaining - time.Second, 503},
@@ -161,7 +162,7 @@
 				w := newScriptedWorker(t, "w1")
 				v := newRelayRouter(t, w)
 				go serveShortStreams(w)
-				recordDurations(t, v, route, x.measured, x.longest, x.watched)
+				recordDurations(t, v, route, x.samples, x.longest, x.observedFor)
 				setDraining(v, time.Second, remaining)
 				c := dialRelayClient(t, v)
 				c.send(route, "early", "")
@@ -177,15 +178,16 @@
 	}
 }
 
-// recordDurations records complete requests of a mapping at a router, with the longest duration, first observed a time ago.
-func recordDurations(t *testing.T, v *Router, mapping string, measured int, longest, since time.Duration) {
+// recordDurations records complete requests of a mapping at a router, as if they had been observed for observedFor
+// and the slowest had lasted longest.
+func recordDurations(t *testing.T, v *Router, mapping string, samples int, longest, observedFor time.Duration) {
 	t.Helper()
-	startedAt := v.Tasks.Now().Add(-since)
-	v.mappingStats.update(mappingOf(t, v, mapping), func(t *mappingStats) {
-		t.requests, t.firstRequestAt = 1, startedAt
-		t.durations.Add(longest)
-		for range measured - 1 {
-			t.durations.Add(min(longest, time.Second))
+	startedAt := v.Tasks.Now().Add(-observedFor)
+	v.mappingStats.update(mappingOf(t, v, mapping), func(stats *mappingStats) {
+		stats.requests, stats.firstRequestAt = 1, startedAt
+		stats.durations.Add(longest)
+		for range samples - 1 {
+			stats.durations.Add(min(longest, time.Second))
 		}
 	})
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -29,8 +29,8 @@
 	id string
 }
 
-// startNativeWorker starts a worker whose answers the test writes itself, byte for byte. It returns the address and the accepted
-// connections.
+// startNativeWorker starts a worker whose answers the test writes itself, byte for byte. It returns the address and the
+// accepted connections.
 func startNativeWorker(t *testing.T) (string, chan nativeWorkerConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,7 +82,8 @@
 	h.Close()
 }
 
-// newTestRouter starts a single router with testConfig. Updates are inserted directly, and it coordinates all workers itself.
+// newTestRouter starts a single router with testConfig. Updates are inserted directly, and it coordinates all workers
+// itself.
 func newTestRouter(t testing.TB, workers ...string) *Router {
 	t.Helper()
 	return newTestRouterWithConfig(t, testConfig, workers...)
--- a/internal/router/mapping_stats.go
+++ b/internal/router/mapping_stats.go
@@ -16,22 +16,22 @@
 
 // mappingStats counts how well this node meets a mapping's promise (docs/design.md, section 9).
 type mappingStats struct {
-	promise           string
-	service           string
-	target            time.Duration
-	requests          uint64
-	firstOutputOnTime uint64 // first output within the promised time
-	firstOutputLate   uint64
-	onTime            uint64 // complete answers within the deadline
-	refused           uint64
-	retries           uint64
-	refusalTime       time.Duration // total time from arrival to refusal
-	streamTime        time.Duration // total duration of the streams that ended
-	streamsEnded      uint64
-	firstOutput       upstream.FirstTokenTimes
-	durations         upstream.FirstTokenTimes // of requests with complete answers, from when they were read to the end of the answer
-	firstRequestAt    units.Time
-	seconds           [60]struct { // requests in each of the last 60 seconds
+	promise          string
+	service          string
+	target           time.Duration
+	requests         uint64
+	firstTokenOnTime uint64 // first token within the promised time
+	firstTokenLate   uint64
+	onTime           uint64 // complete answers within the deadline
+	refused          uint64
+	retries          uint64
+	refusalTime      time.Duration // total time from arrival to refusal
+	streamTime       time.Duration // total duration of the streams that ended
+	streamsEnded     uint64
+	firstToken       upstream.FirstTokenTimes
+	durations        upstream.FirstTokenTimes // of requests with complete answers, from when they were read to the end of the answer
+	firstRequestAt   units.Time
+	seconds          [60]struct { // requests in each of the last 60 seconds
 		second int64
 		count  int
 	}
@@ -61,7 +61,8 @@
 // minDurationSamples is the minimum number of complete answers before a mapping's durations are relied on.
 const minDurationSamples = 8
 
-// requestDurations summarizes how long a mapping's requests last, from when they were read to the end of their complete answers.
+// requestDurations summarizes how long a mapping's requests last, from when they were read to the end of their complete
+// answers.
 type requestDurations struct {
 	longest     time.Duration
 	observedFor time.Duration // time since the first request; 0 if there are too few samples
@@ -101,12 +102,12 @@
 	return float64(count) / float64(max(1, at-earliest))
 }
 
-func (x *mappingStats) recordFirstOutput(d time.Duration) {
-	x.firstOutput.Add(d)
+func (x *mappingStats) recordFirstToken(d time.Duration) {
+	x.firstToken.Add(d)
 	if d <= x.target {
-		x.firstOutputOnTime++
+		x.firstTokenOnTime++
 	} else {
-		x.firstOutputLate++
+		x.firstTokenLate++
 	}
 }
 
@@ -123,12 +124,12 @@
 		for _, c := range []struct {
 			name string
 			n    uint64
-		}{{"asked", stats.requests}, {"first_kept", stats.firstOutputOnTime}, {"first_missed", stats.firstOutputLate},
+		}{{"asked", stats.requests}, {"first_kept", stats.firstTokenOnTime}, {"first_missed", stats.firstTokenLate},
 			{"on_time", stats.onTime}, {"refused", stats.refused}, {"again", stats.retries}, {"ended", stats.streamsEnded}} {
 			entry.Set(c.name, a.NewNumberInt(int(c.n)))
 		}
-		median, _ := stats.firstOutput.Quantile(0.5)
-		p95, _ := stats.firstOutput.Quantile(0.95)
+		median, _ := stats.firstToken.Quantile(0.5)
+		p95, _ := stats.firstToken.Quantile(0.95)
 		entry.Set("first_ms_median", a.NewNumberInt(int(median.Milliseconds())))
 		entry.Set("first_ms_95th", a.NewNumberInt(int(p95.Milliseconds())))
 		entry.Set("refused_after_ms", a.NewNumberInt(int(stats.refusalTime.Milliseconds()/int64(max(1, stats.refused)))))
@@ -148,7 +149,7 @@
 		for _, c := range []struct {
 			name string
 			n    uint64
-		}{{"asked", stats.requests}, {"first_words_kept", stats.firstOutputOnTime}, {"first_words_missed", stats.firstOutputLate},
+		}{{"asked", stats.requests}, {"first_words_kept", stats.firstTokenOnTime}, {"first_words_missed", stats.firstTokenLate},
 			{"on_time", stats.onTime}, {"refused", stats.refused}, {"further_tries", stats.retries}} {
 			fmt.Fprintf(w, "seamshunt_promise_%s_total{mapping=%q,promise=%q} %d\n", c.name, name, stats.promise, c.n)
 		}
--- a/internal/router/native_api.go
+++ b/internal/router/native_api.go
@@ -136,8 +136,8 @@
 	return true
 }
 
-// retryAfter returns the delay after which a refused client should retry: the larger of the service's minimum and the expected
-// wait, plus jitter.
+// retryAfter returns the delay after which a refused client should retry: the larger of the service's minimum and the
+// expected wait, plus jitter.
 func retryAfter(minimum, jitter, expectedWait time.Duration) time.Duration {
 	b := max(minimum, expectedWait)
 	if jitter > 0 {
--- a/internal/router/native_api_test.go
+++ b/internal/router/native_api_test.go
@@ -93,9 +93,9 @@
 	t.Parallel()
 	end := "0\r\n\r\n"
 	for name, misbehave := range map[string]func(h nativeWorkerConn){
-		"cut":            func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)) },
-		"cut in a chunk": func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)); fmt.Fprint(h, "40\r\n{\"n\":1,") },
-		"no seal":        func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)); fmt.Fprint(h, end) },
+		"closed":          func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)) },
+		"closed in chunk": func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)); fmt.Fprint(h, "40\r\n{\"n\":1,") },
+		"no seal":         func(h nativeWorkerConn) { h.writeChunk(pieceLine(0)); fmt.Fprint(h, end) },
 		"gap": func(h nativeWorkerConn) {
 			h.writeChunk(pieceLine(0))
 			h.writeChunk(pieceLine(2))
@@ -159,17 +159,17 @@
 	}
 }
 
-// When a client disconnects, its run is cancelled, before and after the first output, and its slot becomes free again.
+// When a client disconnects, its run is cancelled, before and after the first token, and its slot becomes free again.
 func TestClientDisconnect(t *testing.T) {
 	t.Parallel()
-	for _, afterFirstOutput := range []bool{false, true} {
-		t.Run(fmt.Sprint(afterFirstOutput), func(t *testing.T) {
+	for _, afterFirstToken := range []bool{false, true} {
+		t.Run(fmt.Sprint(afterFirstToken), func(t *testing.T) {
 			t.Parallel()
 			addr, conns := startNativeWorker(t)
 			v := newTestRouter(t, addr)
 			c := sendPrompt(t, v, "/chat")
 			h := <-conns
-			if afterFirstOutput {
+			if afterFirstToken {
 				h.writeHeader()
 				h.writeChunk(pieceLine(0))
 				if _, err := c.r.ReadString('}'); err != nil {
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -43,7 +43,7 @@
 
 const (
 	defaultMaxAttempts   = 3
-	maxVerdictAge        = 300 * time.Millisecond // older verdicts are discarded: the process may have been paused
+	maxDecisionAge       = 300 * time.Millisecond // older decisions are discarded: the process may have been paused
 	overdueCheckInterval = 50 * time.Millisecond  // how often an attempt without output is checked
 )
 
@@ -54,8 +54,8 @@
 	return false
 }
 
-// chooseService picks one of the services that share the mapping and tries it. The client's key decides, so that all copies of
-// the request pick the same service.
+// chooseService picks one of the services that share the mapping and tries it. The client's key decides, so that all
+// copies of the request pick the same service.
 func (w *nativeRequest) chooseService() bool {
 	id := w.key
 	if id == "" {
@@ -91,16 +91,16 @@
 			return w.endWithRefusal()
 		}
 		tag := v.nextTag.Add(1)
-		verdict := w.admit(now, tag, service)
-		if verdict.Code != resultcode.OK {
-			w.reason, w.expectedWait = verdict.Code, verdict.ExpectedWait
+		decision := w.admit(now, tag, service)
+		if decision.Code != resultcode.OK {
+			w.reason, w.expectedWait = decision.Code, decision.ExpectedWait
 			return w.dispatches > 0 && w.endWithRefusal()
 		}
-		if v.Tasks.Now().Sub(verdict.decidedAt) > maxVerdictAge {
+		if v.Tasks.Now().Sub(decision.decidedAt) > maxDecisionAge {
 			v.release(tag, false)
 			continue
 		}
-		if w.dispatch(tag, verdict.Worker, service) {
+		if w.dispatch(tag, decision.Worker, service) {
 			return true
 		}
 	}
@@ -110,27 +110,27 @@
 	return w.dispatches > 0 && w.endWithRefusal()
 }
 
-// admit requests admission and waits for the verdict or until the request is cancelled.
-func (w *nativeRequest) admit(now units.Time, tag uint64, service *config.Service) timedVerdict {
+// admit requests admission and waits for the decision or until the request is cancelled.
+func (w *nativeRequest) admit(now units.Time, tag uint64, service *config.Service) timedDecision {
 	v := w.router
 	w.stage = stageAdmission
 	candidates, coordinators := v.candidates(now, service, placement.Fingerprint(w.prompt, service.Prefix))
-	result := make(chan timedVerdict, 1)
+	result := make(chan timedDecision, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
 	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.Allow, Candidates: candidates, MaxCandidates: service.Spread + 4,
 		Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth),
 		Coordinator: func(n string) units.NodeID { return coordinators[n] }})
-	v.deliverVerdicts(now)
+	v.deliverDecisions(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
 	select {
-	case verdict := <-result:
-		return verdict
+	case decision := <-result:
+		return decision
 	case <-w.client.Done():
 		v.releaseAborted(tag)
 		w.checkCancelled()
-		return timedVerdict{Decision: admission.Decision{Code: w.reason}}
+		return timedDecision{Decision: admission.Decision{Code: w.reason}}
 	}
 }
 
@@ -146,8 +146,8 @@
 	return "", "", false
 }
 
-// dispatch sends the prompt to a worker. It reports whether the request is answered or its answer has begun; otherwise it may be
-// retried.
+// dispatch sends the prompt to a worker. It reports whether the request is answered or its answer has begun; otherwise it
+// may be retried.
 func (w *nativeRequest) dispatch(tag uint64, worker string, service *config.Service) bool {
 	v := w.router
 	addr, zone, ok := v.workerAddress(worker, service)
@@ -172,7 +172,7 @@
 	switch event.Outcome {
 	case upstream.Partial, upstream.Complete:
 		w.client.AnswerStarted()
-		v.firstOutputLatencyOf(service.Name).Add(v.Tasks.Now().Sub(now))
+		v.firstTokenLatencyOf(service.Name).Add(v.Tasks.Now().Sub(now))
 		w.startStream(tag, attempt, event, worker)
 		return true
 	case upstream.NotSent:
--- a/internal/router/native_stream.go
+++ b/internal/router/native_stream.go
@@ -56,7 +56,7 @@
 	w.streaming, w.stage = true, stageStream
 	body := &nativeStream{request: w, tag: tag, attempt: attempt, worker: worker, firstEvent: &first}
 	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
-		stats.recordFirstOutput(w.router.Tasks.Now().Sub(w.startedAt))
+		stats.recordFirstToken(w.router.Tasks.Now().Sub(w.startedAt))
 	})
 	w.ctx.SetStatusCode(200)
 	w.ctx.SetContentType("application/x-ndjson")
--- a/internal/router/overdue_worker.go
+++ b/internal/router/overdue_worker.go
@@ -25,12 +25,12 @@
 	return true
 }
 
-// awaitFirstEvent waits for the first event of an attempt. A worker that takes longer than is usual for the service is marked
-// down. A repeatable request is then cancelled there, if the retry budget and the time left allow another attempt
+// awaitFirstEvent waits for the first event of an attempt. A worker that takes longer than is usual for the service is
+// marked down. A repeatable request is then cancelled there, if the retry budget and the time left allow another attempt
 // (docs/design.md, section 8).
 func (w *nativeRequest) awaitFirstEvent(attempt *upstream.Attempt, service *config.Service, worker string) upstream.Event {
 	v := w.router
-	overdueAfter, known := v.firstOutputLatencyOf(service.Name).OverdueAfter()
+	overdueAfter, known := v.firstTokenLatencyOf(service.Name).OverdueAfter()
 	marked := !known
 	tick := time.NewTicker(overdueCheckInterval)
 	defer tick.Stop()
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/testutil"
 )
 
-// A request whose worker sends no output is retried on another worker once the first output is later than is usual for the service,
-// if the request is repeatable and the retry budget allows. A non-repeatable request is never dispatched again.
+// A request whose worker sends no output is retried on another worker once the first token is later than is usual for the
+// service, if the request is repeatable and the retry budget allows. A non-repeatable request is never dispatched again.
 func TestUnresponsiveWorker(t *testing.T) {
 	t.Parallel()
 	for _, path := range []string{"/chat", "/notice"} {
@@ -24,7 +24,7 @@
 			b, hb := startNativeWorker(t)
 			v := newTestRouter(t, a, b)
 			for range 40 {
-				v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond)
+				v.firstTokenLatencyOf("advice").Add(10 * time.Millisecond)
 				v.retryBudgetOf("advice").RecordFirstAttempt(v.Tasks.Now())
 			}
 			c := sendPrompt(t, v, path)
@@ -60,7 +60,7 @@
 	b, hb := startNativeWorker(t)
 	v := newTestRouter(t, a, b)
 	for range 40 {
-		v.firstOutputLatencyOf("advice").Add(10 * time.Millisecond) // and no retry in the budget
+		v.firstTokenLatencyOf("advice").Add(10 * time.Millisecond) // and no retry in the budget
 	}
 	c := sendPrompt(t, v, "/chat")
 	var h nativeWorkerConn
@@ -95,7 +95,8 @@
 	}
 }
 
-// A router that can reach no other known member reports that it is not ready. A router that never knew another member is ready.
+// A router that can reach no other known member reports that it is not ready. A router that never knew another member is
+// ready.
 func TestIsolatedRouterIsNotReady(t *testing.T) {
 	t.Parallel()
 	a, _ := startNativeWorker(t)
--- a/internal/router/overhead_test.go
+++ b/internal/router/overhead_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Measures the overhead of a router: the same prompts are sent to a worker directly and through a router, from one client and from
-// two. The direct ones are sent on kept connections and, as the router does towards workers, on a new connection each. Only the
-// rows of one run are comparable (docs/measurements.md).
+// Measures the overhead of a router: the same prompts are sent to a worker directly and through a router, from one client
+// and from two. The direct ones are sent on kept connections and, as the router does towards workers, on a new connection
+// each. Only the rows of one run are comparable (docs/measurements.md).
 func BenchmarkRouterOverhead(b *testing.B) {
 	worker := startInstantWorker(b)
 	v := newTestRouter(b, worker)
--- a/internal/router/pause_test.go
+++ b/internal/router/pause_test.go
@@ -16,8 +16,8 @@
 	return 0, false
 }
 
-// After a pause a router discards its coordinator's state, collects it again from all routers and lends permits again. The permit
-// that a running stream holds is counted again.
+// After a pause a router discards its coordinator's state, collects it again from all routers and lends permits again. The
+// permit that a running stream holds is counted again.
 func TestCoordinatorRestartsAfterPause(t *testing.T) {
 	t.Parallel()
 	a, conns := startNativeWorker(t)
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -16,8 +16,9 @@
 	"seamshunt/internal/units"
 )
 
-// relayRequest is the state of one request in an adapter's protocol (docs/design.md, section 11): its bytes go to a worker and
-// the worker's come back unchanged. Its ID belongs to a single attempt of a client, so no idempotency key is claimed for it.
+// relayRequest is the state of one request in an adapter's protocol (docs/design.md, section 11): its bytes go to a worker
+// and the worker's come back unchanged. Its ID belongs to a single attempt of a client, so no idempotency key is claimed
+// for it.
 type relayRequest struct {
 	router       *Router
 	ctx          *fasthttp.RequestCtx
@@ -38,7 +39,7 @@
 	failedWorker string // the worker whose answer broke last
 	reason       resultcode.Code
 	expectedWait time.Duration
-	urgency      uint8
+	priority     uint8
 	stream       *responseBody // nil unless the answer is streamed
 }
 
@@ -137,8 +138,8 @@
 // drainRetryAfter is the Retry-After of a draining node. It is short, since the client's retry reaches another node.
 const drainRetryAfter = 100 * time.Millisecond
 
-// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's. A draining node refuses a request that
-// might outlast it; applyTimeLimit reports whether it did.
+// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's. A draining node refuses a
+// request that might outlast it; applyTimeLimit reports whether it did.
 func (w *relayRequest) applyTimeLimit(limitMs int) bool {
 	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
 	if w.router.mayStart(w.router.Tasks.Now(), w.deadline, w.mapping) {
@@ -149,7 +150,8 @@
 	return true
 }
 
-// chooseService picks one of the services that share the mapping and tries it. The same attempt ID always picks the same one.
+// chooseService picks one of the services that share the mapping and tries it. The same attempt ID always picks the same
+// one.
 func (w *relayRequest) chooseService() bool {
 	s, ok := pickService(w.mapping.Split, w.id)
 	return ok && w.tryService(s)
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -56,22 +56,22 @@
 		if !w.takeAttempt(name, now) {
 			return false
 		}
-		verdict, tag := w.admit(now, service)
-		if verdict.Code == resultcode.NoWorker && w.dispatches == 0 && now.Sub(w.startedAt) < holdTimeout {
+		decision, tag := w.admit(now, service)
+		if decision.Code == resultcode.NoWorker && w.dispatches == 0 && now.Sub(w.startedAt) < holdTimeout {
 			// The workers' coordinators are changing; the new ones answer shortly (docs/design.md, section 11).
 			v.Tasks.Wait(w.client, coordinatorRetryInterval)
 			n--
 			continue
 		}
-		if verdict.Code != resultcode.OK {
-			w.reason, w.expectedWait = verdict.Code, verdict.ExpectedWait
+		if decision.Code != resultcode.OK {
+			w.reason, w.expectedWait = decision.Code, decision.ExpectedWait
 			return false
 		}
-		if v.Tasks.Now().Sub(verdict.decidedAt) > maxVerdictAge {
+		if v.Tasks.Now().Sub(decision.decidedAt) > maxDecisionAge {
 			v.release(tag, false)
 			continue
 		}
-		if response := w.dispatch(tag, verdict.Worker, service); response != nil {
+		if response := w.dispatch(tag, decision.Worker, service); response != nil {
 			w.respondFromWorker(response)
 			return true
 		}
@@ -96,32 +96,33 @@
 	return at
 }
 
-// admit requests admission and waits for the verdict or until the request is cancelled.
-func (w *relayRequest) admit(now units.Time, service *config.Service) (timedVerdict, uint64) {
+// admit requests admission and waits for the decision or until the request is cancelled.
+func (w *relayRequest) admit(now units.Time, service *config.Service) (timedDecision, uint64) {
 	v, tag := w.router, w.router.nextTag.Add(1)
 	w.stage = w.stageUnlessStreaming(stageAdmission)
-	query := admission.Request{Tag: tag, Policy: service.Allow, Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth), MaxCandidates: 3}
+	query := admission.Request{Tag: tag, Policy: service.Allow, Deadline: w.deadline, FirstTokenTime: service.First,
+		Worth: uint16(w.mapping.Promise.Worth), MaxCandidates: 3}
 	candidates, coordinators := v.placeRelay(now, service, w, &query)
 	query.Candidates, query.Coordinator = candidates, func(n string) units.NodeID { return coordinators[n] }
-	result := make(chan timedVerdict, 1)
+	result := make(chan timedDecision, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
 	out := v.queue.Submit(now, query)
-	v.deliverVerdicts(now)
+	v.deliverDecisions(now)
 	v.queueMu.Unlock()
 	v.Deliver(out)
 	select {
-	case verdict := <-result:
-		return verdict, tag
+	case decision := <-result:
+		return decision, tag
 	case <-w.client.Done():
 		v.releaseAborted(tag)
 		w.checkCancelled()
-		return timedVerdict{Decision: admission.Decision{Code: w.reason}}, tag
+		return timedDecision{Decision: admission.Decision{Code: w.reason}}, tag
 	}
 }
 
-// newWorkerRequest builds the request to the worker: the client's headers and body, and the time left, the expected worker, the
-// urgency and the last event ID.
+// newWorkerRequest builds the request to the worker: the client's headers and body, and the time left, the expected
+// worker, the priority and the last event ID.
 func (w *relayRequest) newWorkerRequest(worker string, left time.Duration) *fasthttp.Request {
 	n, r := &w.router.Adapter.Names, fasthttp.AcquireRequest()
 	w.ctx.Request.Header.CopyTo(&r.Header)
@@ -132,7 +133,7 @@
 	r.Header.SetNoDefaultContentType(true)
 	r.Header.Set(n.Left, strconv.Itoa(int(max(1, left/time.Millisecond))))
 	r.Header.Set(n.Expect, worker)
-	r.Header.Set(n.Urgency, strconv.Itoa(int(w.urgency)))
+	r.Header.Set(n.Urgency, strconv.Itoa(int(w.priority)))
 	if w.lastEventID != "" {
 		r.Header.Set(n.After, w.lastEventID)
 	}
@@ -157,8 +158,8 @@
 	now := v.Tasks.Now()
 	worker := name[len(service.Name)+1:]
 	req := w.newWorkerRequest(worker, w.deadline.Sub(now))
-	order := &upstream.Dispatch{Worker: worker, Addr: addr, ID: w.id, Request: req, Deadline: time.Now().Add(w.deadline.Sub(now)), SendOnce: w.mapping.Once,
-		MaxConns: v.connectionShare(service)}
+	order := &upstream.Dispatch{Worker: worker, Addr: addr, ID: w.id, Request: req,
+		Deadline: time.Now().Add(w.deadline.Sub(now)), SendOnce: w.mapping.Once, MaxConns: v.connectionShare(service)}
 	v.stats.countDispatch(zone, v.Settings.Zone, len(w.body))
 	if w.dispatches == 0 {
 		v.retryBudgetOf(service.Name).RecordFirstAttempt(now)
@@ -177,7 +178,7 @@
 			return nil
 		}
 		elapsed := v.Tasks.Now().Sub(now)
-		v.firstOutputLatencyOf(service.Name).Add(elapsed)
+		v.firstTokenLatencyOf(service.Name).Add(elapsed)
 		v.queueMu.Lock()
 		v.queue.RecordFirstToken(tag, elapsed)
 		v.queueMu.Unlock()
--- a/internal/router/relay_checker_test.go
+++ b/internal/router/relay_checker_test.go
@@ -48,10 +48,10 @@
 	n.runs[id] = append(n.runs[id], r)
 }
 
-func (n *relayHistory) recordResponse(asker string, a clientResponse) {
+func (n *relayHistory) recordResponse(requestID string, a clientResponse) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.responses = append(n.responses, observedResponse{asker, a})
+	n.responses = append(n.responses, observedResponse{requestID, a})
 }
 
 // Violations that the checker reports.
@@ -67,17 +67,17 @@
 
 // check returns all violations. Each text begins with one of the constants above.
 func (n *relayHistory) check() (violations []string) {
-	report := func(rule, id string, what any) {
-		violations = append(violations, fmt.Sprintf("%s: %s %+v", rule, id, what))
+	report := func(violation, id string, what any) {
+		violations = append(violations, fmt.Sprintf("%s: %s %+v", violation, id, what))
 	}
 	for id, runs := range n.runs {
-		ask, known := n.requests[id]
+		request, known := n.requests[id]
 		for _, r := range runs {
-			if !known || r.body != ask.body {
+			if !known || r.body != request.body {
 				report(violationUnrequestedRun, id, r)
 			}
 		}
-		if len(runs) > 1 && (ask.route == "effectful" || ask.route == "streaming") {
+		if len(runs) > 1 && (request.route == "effectful" || request.route == "streaming") {
 			report(violationRunTwice, id, runs)
 		}
 		if len(runs) > 2 {
@@ -126,8 +126,8 @@
 	return violationForeignResponse
 }
 
-// checkEvents checks that each event of a stream comes from one of this request's runs, that they are in order, and that none is
-// missing if the stream looks complete.
+// checkEvents checks that each event of a stream comes from one of this request's runs, that they are in order, and that
+// none is missing if the stream looks complete.
 func checkEvents(route string, a observedResponse, runs []observedRun) string {
 	runNames := map[string]bool{}
 	for _, r := range runs {
@@ -173,14 +173,14 @@
 
 // Each planted violation is reported as such and as no other.
 func TestRelayCheckerDetectsViolations(t *testing.T) {
-	stream := func(asker string, whole bool, of string, numbers ...int) clientResponse {
-		a := clientResponse{status: 200, id: asker, complete: whole}
+	stream := func(requestID string, complete bool, of string, numbers ...int) clientResponse {
+		a := clientResponse{status: 200, id: requestID, complete: complete}
 		for _, n := range numbers {
 			a.body += runEvent(n, of, of+".1")
 		}
 		return a
 	}
-	for rule, plants := range map[string][]func(n *relayHistory){
+	for violation, plants := range map[string][]func(n *relayHistory){
 		"": {func(*relayHistory) {}},
 		violationForeignResponse: {
 			func(n *relayHistory) {
@@ -227,12 +227,12 @@
 			plant(n)
 			violations := n.check()
 			for _, x := range violations {
-				if !strings.HasPrefix(x, rule+":") && !(rule == violationLostResponse || rule == violationUnrequestedRun) {
-					t.Errorf("%q, %d: also %s", rule, i, x)
+				if !strings.HasPrefix(x, violation+":") && !(violation == violationLostResponse || violation == violationUnrequestedRun) {
+					t.Errorf("%q, %d: also %s", violation, i, x)
 				}
 			}
-			if rule != "" && !strings.Contains(strings.Join(violations, "\n"), rule+":") || rule == "" && len(violations) > 0 {
-				t.Errorf("%q, %d: seen %v", rule, i, violations)
+			if violation != "" && !strings.Contains(strings.Join(violations, "\n"), violation+":") || violation == "" && len(violations) > 0 {
+				t.Errorf("%q, %d: seen %v", violation, i, violations)
 			}
 		}
 	}
--- a/internal/router/relay_client_test.go
+++ b/internal/router/relay_client_test.go
@@ -10,8 +10,8 @@
 	"seamshunt/internal/testutil"
 )
 
-// Two requests are sent in one segment, with the second split anywhere. Each reaches a worker as it was sent, one after the other,
-// and the responses arrive in the order of the requests.
+// Two requests are sent in one segment, with the second split anywhere. Each reaches a worker as it was sent, one after
+// the other, and the responses arrive in the order of the requests.
 func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	worker := newScriptedWorker(t, "i-1")
@@ -48,8 +48,8 @@
 	}
 }
 
-// A client sends a second request before the first is answered, and the first answer breaks. The second request is neither run nor
-// answered on that connection.
+// A client sends a second request before the first is answered, and the first answer breaks. The second request is neither
+// run nor answered on that connection.
 func TestPipelinedRequestAfterBrokenResponse(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
@@ -103,8 +103,8 @@
 	}
 }
 
-// A client closes its connection, or only its write side, while a worker runs its request. The run is aborted and not retried, and a
-// half-closed client is not told that the request did not run.
+// A client closes its connection, or only its write side, while a worker runs its request. The run is aborted and not
+// retried, and a half-closed client is not told that the request did not run.
 func TestClientDisconnectsWhileRequestRuns(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"effectful", "pure", "streaming", "resumable"} {
@@ -165,8 +165,8 @@
 	}
 }
 
-// A worker closes or resets a kept connection as the next request arrives on it. An effectful request is not retried and its outcome
-// is reported as unknown. A pure one is retried on a new connection.
+// A worker closes or resets a kept connection as the next request arrives on it. An effectful request is not retried and
+// its outcome is reported as unknown. A pure one is retried on a new connection.
 func TestKeepAliveConnectionEndsOnNextRequest(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*workerConn){"closed": closeConn, "reset": resetConn} {
@@ -200,8 +200,8 @@
 	}
 }
 
-// sendOnKeptConnection sends requests until one arrives on a kept connection, which it returns. On a busy machine a connection may
-// have been idle for too long to be used for a non-repeatable request.
+// sendOnKeptConnection sends requests until one arrives on a kept connection, which it returns. On a busy machine a
+// connection may have been idle for too long to be used for a non-repeatable request.
 func sendOnKeptConnection(c *workerConn, w *scriptedWorker, kept *workerConn, route string) *workerConn {
 	for n := 0; ; n++ {
 		id := fmt.Sprint("b", n)
@@ -223,8 +223,8 @@
 	}
 }
 
-// The protocol version of a worker's answer applies to its connection only. A client of HTTP/1.0, which can't read chunked responses,
-// is refused, since a broken response without chunks would look complete.
+// The protocol version of a worker's answer applies to its connection only. A client of HTTP/1.0, which can't read chunked
+// responses, is refused, since a broken response without chunks would look complete.
 func TestHTTPVersions(t *testing.T) {
 	t.Parallel()
 	w := newScriptedWorker(t, "i-1")
--- a/internal/router/relay_descriptors_test.go
+++ b/internal/router/relay_descriptors_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// isolatedProcessEnv is set in a separate test process, since a test that takes all descriptors would make parallel ones fail.
+// isolatedProcessEnv is set in a separate test process, since a test that takes all descriptors would make parallel ones
+// fail.
 const isolatedProcessEnv = "SEAMSHUNT_TEST_ALONE"
 
-// Without a free file descriptor a router refuses requests that it can't forward, as not run, and accepts connections again once
-// there are free descriptors.
+// Without a free file descriptor a router refuses requests that it can't forward, as not run, and accepts connections
+// again once there are free descriptors.
 func TestDescriptorExhaustion(t *testing.T) {
 	if os.Getenv(isolatedProcessEnv) == "" {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestDescriptorExhaustion$", "-test.v")
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -103,8 +103,8 @@
 // closedByRouter waits until the router has closed the connection.
 func (c *workerConn) closedByRouter() { _, _ = io.Copy(io.Discard, c.r) }
 
-// newRelayRouter starts a single router with the platform's adapter. It coordinates all workers itself, and its retry budget allows
-// retries.
+// newRelayRouter starts a single router with the platform's adapter. It coordinates all workers itself, and its retry
+// budget allows retries.
 func newRelayRouter(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
 	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1, RetryRatio: 1}}
--- a/internal/router/relay_placement_test.go
+++ b/internal/router/relay_placement_test.go
@@ -9,12 +9,12 @@
 	"seamshunt/internal/router/admission"
 )
 
-func TestUrgencyByReadTimeAndRank(t *testing.T) {
+func TestPriorityByPrefillTimeAndRank(t *testing.T) {
 	for _, x := range []struct {
 		read time.Duration
 		want uint8
-	}{{0, 1}, {topUrgencyReadTime, 1}, {topUrgencyReadTime + 1, 2}, {2 * topUrgencyReadTime, 2}, {5 * topUrgencyReadTime, 4}, {time.Second, 8}, {time.Hour, 9}} {
-		if got := urgencyOf(x.read); got != x.want {
+	}{{0, 1}, {topPriorityPrefillTime, 1}, {topPriorityPrefillTime + 1, 2}, {2 * topPriorityPrefillTime, 2}, {5 * topPriorityPrefillTime, 4}, {time.Second, 8}, {time.Hour, 9}} {
+		if got := priorityByPrefillTime(x.read); got != x.want {
 			t.Errorf("a prompt with read time %v has urgency %d, want %d", x.read, got, x.want)
 		}
 	}
@@ -22,7 +22,7 @@
 		rank int
 		want uint8
 	}{{0, 2}, {3, 5}, {20, 9}} {
-		if got := urgencyByRank(&config.Mapping{Rank: x.rank}); got != x.want {
+		if got := priorityByRank(&config.Mapping{Rank: x.rank}); got != x.want {
 			t.Errorf("without a size, rank %d has urgency %d, want %d", x.rank, got, x.want)
 		}
 	}
@@ -34,8 +34,8 @@
 	p := adapter.Prompt{In: 50000, Out: 1000, Parts: []adapter.Part{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
 	var q admission.Request
 	estimateCost(p, s, &q)
-	// With the prefix cached: 45,000 tokens at 75 per millisecond, and 45,000 x 27,500 attention pairs. Without it: 5,000 more tokens
-	// and all pairs.
+	// With the prefix cached: 45,000 tokens at 75 per millisecond, and 45,000 x 27,500 attention pairs. Without it: 5,000
+	// more tokens and all pairs.
 	cached, uncached := 600*time.Millisecond+269775*time.Microsecond, 666666*time.Microsecond+272500*time.Microsecond
 	if near := func(a, b time.Duration) bool { return (a - b).Abs() < time.Millisecond }; !near(q.PrefillTime, cached) || !near(q.FullPrefillTime, uncached) {
 		t.Errorf("read with the cached prefix in %v, want %v; without in %v, want %v", q.PrefillTime, cached, q.FullPrefillTime, uncached)
--- a/internal/router/relay_random_test.go
+++ b/internal/router/relay_random_test.go
@@ -15,9 +15,9 @@
 	randomRequests = 4 // per client
 )
 
-// Many concurrent clients, some of which pipeline requests, use workers that answer, close, delay, repeat, swap and corrupt
-// responses at random, by seed. No client gets the answer of another request, no non-repeatable request runs twice, no request that
-// ran is refused as not run, and no correct answer is lost.
+// Many concurrent clients, some of which pipeline requests, use workers that answer, close, delay, repeat, swap and
+// corrupt responses at random, by seed. No client gets the answer of another request, no non-repeatable request runs
+// twice, no request that ran is refused as not run, and no correct answer is lost.
 func TestRandomWorkersAndClients(t *testing.T) {
 	t.Parallel()
 	behaviors, statuses := map[workerBehavior]int{}, map[int]int{}
--- a/internal/router/relay_random_worker_test.go
+++ b/internal/router/relay_random_worker_test.go
@@ -127,7 +127,8 @@
 	return text + "0\r\n\r\n"
 }
 
-// writeResponse writes a response as changed by the behavior, in one write. It returns false if the connection has to be closed.
+// writeResponse writes a response as changed by the behavior, in one write. It returns false if the connection has to be
+// closed.
 func (k *connState) writeResponse(behavior workerBehavior, delayed, response, id, other string, rng *rand.Rand) bool {
 	write := func(s string) { _, _ = io.WriteString(k, delayed+s) }
 	head := strings.Index(response, "\r\n\r\n") + 4
--- a/internal/router/relay_response.go
+++ b/internal/router/relay_response.go
@@ -23,7 +23,7 @@
 		return
 	}
 	w.client.AnswerStarted()
-	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.recordFirstOutput(v.Tasks.Now().Sub(w.startedAt)) })
+	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.recordFirstToken(v.Tasks.Now().Sub(w.startedAt)) })
 	w.copyHeader(response)
 	body := &responseBody{request: w, workerResponse: response}
 	body.events.LastID = w.lastEventID
@@ -64,9 +64,9 @@
 	}
 }
 
-// responseBody is the body of a client's response. An error from Read makes the server close the connection without a final
-// chunk, so that a broken response never looks complete. A resumable stream continues on another worker after the last complete
-// event, under the header of its first worker (docs/design.md, section 11).
+// responseBody is the body of a client's response. An error from Read makes the server close the connection without a
+// final chunk, so that a broken response never looks complete. A resumable stream continues on another worker after the
+// last complete event, under the header of its first worker (docs/design.md, section 11).
 type responseBody struct {
 	request *relayRequest
 	*workerResponse
@@ -120,7 +120,8 @@
 	return n, nil
 }
 
-// readMore reads from the worker and appends complete events to pending. If the stream breaks, it resumes it on another worker.
+// readMore reads from the worker and appends complete events to pending. If the stream breaks, it resumes it on another
+// worker.
 func (r *responseBody) readMore() error {
 	if r.buf == nil {
 		r.buf = make([]byte, 4096)
@@ -173,11 +174,11 @@
 		if w.deadline.Sub(now) < r.service.First || !w.takeAttempt(r.service.Name, now) {
 			return false
 		}
-		verdict, tag := w.admit(now, r.service)
-		if verdict.Code != resultcode.OK {
+		decision, tag := w.admit(now, r.service)
+		if decision.Code != resultcode.OK {
 			return false
 		}
-		response := w.dispatch(tag, verdict.Worker, r.service)
+		response := w.dispatch(tag, decision.Worker, r.service)
 		if response == nil {
 			continue
 		}
--- a/internal/router/relay_streams_test.go
+++ b/internal/router/relay_streams_test.go
@@ -33,8 +33,8 @@
 	"no last line":      func(c *workerConn) { _, _ = c.Write([]byte("0\r\n")); c.Close() },
 }
 
-// A resumable stream continues on another worker, with each event once and in order. Any other stream ends there, does not look
-// complete and is not retried.
+// A resumable stream continues on another worker, with each event once and in order. Any other stream ends there, does not
+// look complete and is not retried.
 func TestEveryBreakOfAStream(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"resumable", "streaming"} {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A stream with a Content-Length may resume with a different length. The client's response is neither truncated at the first length
-// nor looks complete before its last event.
+// A stream with a Content-Length may resume with a different length. The client's response is neither truncated at the
+// first length nor looks complete before its last event.
 func TestResumedStreamOfKnownLength(t *testing.T) {
 	t.Parallel()
 	a, b := newScriptedWorker(t, "i-1"), newScriptedWorker(t, "i-2")
--- a/internal/router/relay_worker_failures_test.go
+++ b/internal/router/relay_worker_failures_test.go
@@ -28,38 +28,38 @@
 var workerFailures = []workerFailure{
 	{"closed without a byte", "", closeConn, 502, false},
 	{"reset without a byte", "", resetConn, 502, false},
-	{"closed in the head", "HTTP/1.1 200 OK\nAtt", closeConn, 502, false},
-	{"reset in the head", "HTTP/1.1 200 OK\nAtt", resetConn, 502, false},
-	{"closed behind the head", okHeader + "Content-Length: 9\n\n", closeConn, 502, false},
+	{"closed in the header", "HTTP/1.1 200 OK\nAtt", closeConn, 502, false},
+	{"reset in the header", "HTTP/1.1 200 OK\nAtt", resetConn, 502, false},
+	{"closed after the header", okHeader + "Content-Length: 9\n\n", closeConn, 502, false},
 	{"closed in the body", okHeader + "Content-Length: 9\n\nabc", closeConn, 502, false},
 	{"reset in the body", okHeader + "Content-Length: 9\n\nabc", resetConn, 502, false},
-	{"closed behind an interim answer", "HTTP/1.1 103 Early Hints\n\n", closeConn, 502, false},
+	{"closed after an interim answer", "HTTP/1.1 103 Early Hints\n\n", closeConn, 502, false},
 	{"nine interim answers", strings.Repeat("HTTP/1.1 100 Continue\n\n", 9) + okHeader + "Content-Length: 1\n\nx", keepOpen, 502, false},
 	{"switching protocols", "HTTP/1.1 101 Switching Protocols\n\n", keepOpen, 502, false},
 	{"bytes that are no answer", "\x16\x03\x01 no answer", keepOpen, 502, false},
-	{"no answer behind the mark", "HTTP/1.1 2x0 OK\n\n", keepOpen, 502, false},
+	{"invalid status code", "HTTP/1.1 2x0 OK\n\n", keepOpen, 502, false},
 	{"two lengths", okHeader + "Content-Length: 1\nContent-Length: 2\n\nxy", keepOpen, 502, false},
-	{"a length that is none", okHeader + "Content-Length: -4\n\nxy", keepOpen, 502, false},
+	{"an invalid length", okHeader + "Content-Length: -4\n\nxy", keepOpen, 502, false},
 	{"no length, ended by closing", okHeader + "\nabc", closeConn, 502, false},
 	{"no id", "HTTP/1.1 200 OK\nContent-Length: 1\n\nx", keepOpen, 502, false},
 	{"two ids", okHeader + "Attempt-Id: other\nContent-Length: 1\n\nx", keepOpen, 502, false},
 	{"another's answer alone", "HTTP/1.1 200 OK\nAttempt-Id: other\nContent-Length: 1\n\nx", closeConn, 502, false},
 	{"four answers of others", strings.Repeat("HTTP/1.1 200 OK\nAttempt-Id: other\nContent-Length: 1\n\nx", 4) + okHeader + "Content-Length: 1\n\ny", keepOpen, 502, false},
 	{"another's refusal", "HTTP/1.1 503 No\nAttempt-Id: other\nNot-Run: 1\nContent-Length: 0\n\n", closeConn, 502, false},
-	{"503 that promises nothing", "HTTP/1.1 503 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
-	{"429 that promises nothing", "HTTP/1.1 429 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
-	{"408 that promises nothing", "HTTP/1.1 408 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
+	{"503 without proof", "HTTP/1.1 503 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
+	{"429 without proof", "HTTP/1.1 429 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
+	{"408 without proof", "HTTP/1.1 408 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 502, false},
 	{"504 that says not run", "HTTP/1.1 504 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n", keepOpen, 504, false},
-	{"failure of its own", "HTTP/1.1 500 No\nAttempt-Id: ID\nContent-Length: 1\n\nx", keepOpen, 500, false},
+	{"internal error", "HTTP/1.1 500 No\nAttempt-Id: ID\nContent-Length: 1\n\nx", keepOpen, 500, false},
 	{"garbled last chunk of a small answer", okHeader + chunkedHeader + "1\nx\nzz\n", keepOpen, 200, false}, // incomplete, see check
 	{"refused with 503", "HTTP/1.1 503 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n", keepOpen, 200, true},
 	{"refused with 429", "HTTP/1.1 429 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n", keepOpen, 200, true},
-	{"refused with 503 and cut in its body", "HTTP/1.1 503 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 9\n\nabc", closeConn, 200, true},
-	{"another worker is there", "HTTP/1.1 421 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 200, true},
+	{"refused with 503 and truncated in its body", "HTTP/1.1 503 No\nAttempt-Id: ID\nNot-Run: 1\nContent-Length: 9\n\nabc", closeConn, 200, true},
+	{"misdirected to another worker", "HTTP/1.1 421 No\nAttempt-Id: ID\nContent-Length: 0\n\n", keepOpen, 200, true},
 }
 
-// failingWorkers are two workers that fail the first run of a request as its workerFailure says and answer a second one correctly.
-// They count arrivals by request ID.
+// failingWorkers are two workers that fail the first run of a request as its workerFailure says and answer a second one
+// correctly. They count arrivals by request ID.
 type failingWorkers struct {
 	mu       sync.Mutex
 	arrivals map[string]int
@@ -75,7 +75,7 @@
 				n, e := w.arrivals[q.id], w.failures[q.id]
 				w.mu.Unlock()
 				if n > 1 || e.closing == nil {
-					c.writeText("%s", responseText(q.id, "rightly"))
+					c.writeText("%s", responseText(q.id, "correct"))
 					continue
 				}
 				c.writeText("%s", strings.ReplaceAll(e.text, "ID", q.id))
@@ -91,8 +91,8 @@
 	return w.arrivals[id]
 }
 
-// However a worker ends a run, an effectful request is retried only if the worker has stated that it did not run, and is never
-// refused as not run. A pure request is retried on the other worker.
+// However a worker ends a run, an effectful request is retried only if the worker has stated that it did not run, and is
+// never refused as not run. A pure request is retried on the other worker.
 func TestWorkerFailures(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"effectful", "pure"} {
@@ -124,16 +124,16 @@
 	if failure.retried {
 		arrivals = 2
 	}
-	whole := true
+	complete := true
 	if strings.Contains(failure.text, chunkedHeader) {
-		whole = false // its header was forwarded before its end was known
+		complete = false // its header was forwarded before its end was known
 	} else if route == "pure" && status >= 500 && !strings.Contains(failure.text, "HTTP/1.1 4") {
 		status, arrivals = 200, 2
 	}
-	if got.status != status || got.complete != whole || w.arrivalsOf(id) != arrivals {
+	if got.status != status || got.complete != complete || w.arrivalsOf(id) != arrivals {
 		t.Errorf("%s, %s: answered %+v after %d arrivals, want %d after %d", route, failure.name, got, w.arrivalsOf(id), status, arrivals)
 	}
-	if got.status == 200 && got.complete && (got.id != id || got.body != "rightly") {
+	if got.status == 200 && got.complete && (got.id != id || got.body != "correct") {
 		t.Errorf("%s, %s: an answer that no worker gave: %+v", route, failure.name, got)
 	}
 }
--- a/internal/router/retries_test.go
+++ b/internal/router/retries_test.go
@@ -108,7 +108,7 @@
 		t.Errorf("after it ran: %d", status)
 	}
 	if len(ha) > 0 {
-		t.Error("it ran twice")
+		t.Error("the request ran twice")
 	}
 }
 
@@ -119,34 +119,34 @@
 	if b.AllowRetry(0, 0) {
 		t.Error("a retry without any first attempt")
 	}
-	type try struct {
+	type attempt struct {
 		at    units.Time
-		again bool
+		retry bool
 	}
-	var attempts []try
+	var attempts []attempt
 	for i := range 4000 {
 		now := units.Time(i) * 10_000_000 // 10 ms
 		if i%3 == 0 && (i/500)%2 == 0 {
 			b.RecordFirstAttempt(now)
-			attempts = append(attempts, try{now, false})
+			attempts = append(attempts, attempt{now, false})
 		}
 		if b.AllowRetry(now, 0) {
-			attempts = append(attempts, try{now, true})
+			attempts = append(attempts, attempt{now, true})
 		}
 	}
 	retries := 0
 	for i, x := range attempts {
-		if !x.again {
+		if !x.retry {
 			continue
 		}
 		retries++
 		// The budget counts in tenths of a second, so it may look 100 ms further back than ten seconds.
 		firstBefore, retriesBefore := 0, 0
 		for _, y := range attempts[:i+1] {
-			if y.at > x.at-10_100_000_000 && !y.again {
+			if y.at > x.at-10_100_000_000 && !y.retry {
 				firstBefore++
 			}
-			if y.at > x.at-9_900_000_000 && y.again {
+			if y.at > x.at-9_900_000_000 && y.retry {
 				retriesBefore++
 			}
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,8 +30,8 @@
 // MaxBodyBytes is the maximum size of a client's request body.
 const MaxBodyBytes = 4 << 20
 
-// timedVerdict is an admission verdict with the time at which it was passed to the waiting request.
-type timedVerdict struct {
+// timedDecision is an admission decision with the time at which it was passed to the waiting request.
+type timedDecision struct {
 	admission.Decision
 	decidedAt units.Time
 }
@@ -39,42 +39,43 @@
 // Router is one data-plane process.
 type Router struct {
 	*node.Base
-	activeConfig         atomic.Pointer[activeConfig]
-	viewMu               sync.Mutex
-	view                 clusterView
-	queueMu              sync.Mutex
-	queue                *admission.Queue
-	pendingAdmissions    map[uint64]chan timedVerdict
-	coordinatorMu        sync.Mutex
-	coordinator          *capacity.Ledger
-	claimantMu           sync.Mutex
-	claimant             *idempotency.Claimant
-	pendingClaims        map[uint64]chan resultcode.Code
-	placer               placement.Placer
-	retryBudgets         sync.Map // service name to *upstream.Budget
-	firstOutputLatencies sync.Map // service name to *upstream.Habit
-	mappingStats         statsByMapping
-	nextTag              atomic.Uint64
-	ready                atomic.Bool
-	drainWindow          atomic.Pointer[drainWindow] // nil unless draining
-	closing              atomic.Bool                 // no further request is accepted, however short
-	noControllerSince    atomic.Int64                // time since which no controller is reachable; 0 while one is
-	startedAt            units.Time
-	inFlight             atomic.Int64
-	server               *fasthttp.Server
-	readinessServer      *fasthttp.Server // serves readiness probes where they have their own address
-	Adapter              *adapter.Adapter // the platform's header names and formats; nil for the native API
-	pool                 *upstream.Pool
-	tickLoop             tasks.Loop
-	clientWatcher        *clientwatch.Watcher
-	clientPollLoop       tasks.Loop // checks for disconnected clients
-	stats                stats
+	activeConfig        atomic.Pointer[activeConfig]
+	viewMu              sync.Mutex
+	view                clusterView
+	queueMu             sync.Mutex
+	queue               *admission.Queue
+	pendingAdmissions   map[uint64]chan timedDecision
+	coordinatorMu       sync.Mutex
+	coordinator         *capacity.Ledger
+	claimantMu          sync.Mutex
+	claimant            *idempotency.Claimant
+	pendingClaims       map[uint64]chan resultcode.Code
+	placer              placement.Placer
+	retryBudgets        sync.Map // service name to *upstream.RetryBudget
+	firstTokenLatencies sync.Map // service name to *upstream.FirstTokenTimes
+	mappingStats        statsByMapping
+	nextTag             atomic.Uint64
+	ready               atomic.Bool
+	drainWindow         atomic.Pointer[drainWindow] // nil unless draining
+	closing             atomic.Bool                 // no further request is accepted, however short
+	noControllerSince   atomic.Int64                // time since which no controller is reachable; 0 while one is
+	startedAt           units.Time
+	inFlight            atomic.Int64
+	server              *fasthttp.Server
+	readinessServer     *fasthttp.Server // serves readiness probes where they have their own address
+	Adapter             *adapter.Adapter // the platform's header names and formats; nil for the native API
+	pool                *upstream.Pool
+	tickLoop            tasks.Loop
+	clientWatcher       *clientwatch.Watcher
+	clientPollLoop      tasks.Loop // checks for disconnected clients
+	stats               stats
 }
 
-// New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md, section 11).
+// New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md,
+// section 11).
 func New(b *boot.Boot, clientAdapter *adapter.Adapter) *Router {
 	v := &Router{Base: node.New(b, node.RandomID(), membership.Router),
-		pendingAdmissions: map[uint64]chan timedVerdict{}, pendingClaims: map[uint64]chan resultcode.Code{}}
+		pendingAdmissions: map[uint64]chan timedDecision{}, pendingClaims: map[uint64]chan resultcode.Code{}}
 	if v.Adapter = clientAdapter; clientAdapter != nil {
 		v.pool = upstream.NewPool(clientAdapter.Names)
 	}
@@ -133,7 +134,7 @@
 	if msg.Kind != capacity.Acquire && msg.Kind != capacity.Release && msg.Kind != capacity.Report {
 		v.queueMu.Lock()
 		out := v.queue.Step(now, msg)
-		v.deliverVerdicts(now)
+		v.deliverDecisions(now)
 		v.queueMu.Unlock()
 		v.Deliver(out)
 	}
@@ -149,12 +150,12 @@
 	}
 }
 
-// deliverVerdicts passes the queue's verdicts to the requests that wait for them. The caller holds queueMu.
-func (v *Router) deliverVerdicts(now units.Time) {
-	for _, verdict := range v.queue.Decisions {
-		if result := v.pendingAdmissions[verdict.Tag]; result != nil {
-			delete(v.pendingAdmissions, verdict.Tag)
-			result <- timedVerdict{verdict, now}
+// deliverDecisions passes the queue's decisions to the requests that wait for them. The caller holds queueMu.
+func (v *Router) deliverDecisions(now units.Time) {
+	for _, decision := range v.queue.Decisions {
+		if result := v.pendingAdmissions[decision.Tag]; result != nil {
+			delete(v.pendingAdmissions, decision.Tag)
+			result <- timedDecision{decision, now}
 		}
 	}
 	v.queue.Decisions = v.queue.Decisions[:0]
@@ -190,8 +191,8 @@
 	v.viewMu.Unlock()
 }
 
-func (v *Router) firstOutputLatencyOf(service string) *upstream.FirstTokenTimes {
-	latency, _ := v.firstOutputLatencies.LoadOrStore(service, &upstream.FirstTokenTimes{})
+func (v *Router) firstTokenLatencyOf(service string) *upstream.FirstTokenTimes {
+	latency, _ := v.firstTokenLatencies.LoadOrStore(service, &upstream.FirstTokenTimes{})
 	return latency.(*upstream.FirstTokenTimes)
 }
 
--- a/internal/router/routing_rules_test.go
+++ b/internal/router/routing_rules_test.go
@@ -40,8 +40,8 @@
 
 func codeField(c resultcode.Code) string { return fmt.Sprintf(`"code":%d,`, c) }
 
-// A mapping shared by two services uses both. Requests with the same key always use the same one, and those without a key a random
-// one.
+// A mapping shared by two services uses both. Requests with the same key always use the same one, and those without a key
+// a random one.
 func TestServiceSharesOfNativeAPI(t *testing.T) {
 	t.Parallel()
 	v, big, small := newRoutingTestRouter(t)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Host and longest path prefix select the mapping, the mapping's attempts and the limits are respected, and a mapping with single
-// claims no keys.
+// Host and longest path prefix select the mapping, the mapping's attempts and the limits are respected, and a mapping with
+// single claims no keys.
 func TestRoutingRulesOfNativeAPI(t *testing.T) {
 	t.Parallel()
 	v, big, small := newRoutingTestRouter(t)
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -21,9 +21,9 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// isolated reports whether this node can reach no other member that it knows. It is then not ready, so that the platform sends
-// clients to nodes that can still claim idempotency keys. The nodes of a partitioned zone stay ready while they reach each
-// other, since their clients may have no other node.
+// isolated reports whether this node can reach no other member that it knows. It is then not ready, so that the platform
+// sends clients to nodes that can still claim idempotency keys. The nodes of a partitioned zone stay ready while they
+// reach each other, since their clients may have no other node.
 func (v *Router) isolated() bool {
 	sawOthers := false
 	for _, m := range v.Members() {
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -17,7 +17,7 @@
 	busy := v.queue.Busy()
 	if busy {
 		out = v.queue.Tick(now)
-		v.deliverVerdicts(now)
+		v.deliverDecisions(now)
 	}
 	v.queueMu.Unlock()
 	v.coordinatorMu.Lock()
@@ -35,8 +35,8 @@
 	return node.IdleInterval
 }
 
-// tickInterval is the delay until the next tick while work is pending: waiting requests, coordinators that take over, changes of
-// the membership.
+// tickInterval is the delay until the next tick while work is pending: waiting requests, coordinators that take over,
+// changes of the membership.
 const tickInterval = 20 * time.Millisecond
 
 // scheduleTick makes the next tick run within tickInterval.
