--- a/internal/router/client_disconnect_test.go
+++ b/internal/router/client_disconnect_test.go
@@ -25,7 +25,7 @@
 }
 
 // Once a client has disconnected, its request is sent to no worker, whichever stage it was at.
-func TestNothingIsSentAfterTheClientLeft(t *testing.T) {
+func TestNothingIsSentAfterClientDisconnect(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range disconnectPoints {
 		for _, route := range relayRoutes {
--- a/internal/router/mapping_stats.go
+++ b/internal/router/mapping_stats.go
@@ -69,13 +69,13 @@
 }
 
 // durations returns the durations of a mapping's latest requests.
-func (t *statsByMapping) durations(now units.Time, m *config.Mapping) (seen requestDurations) {
+func (t *statsByMapping) durations(now units.Time, m *config.Mapping) (observed requestDurations) {
 	t.update(m, func(stats *mappingStats) {
-		if longest, measured := stats.durations.Quantile(1); measured >= minDurationSamples {
-			seen = requestDurations{longest: longest, observedFor: now.Sub(stats.firstRequestAt)}
+		if longest, samples := stats.durations.Quantile(1); samples >= minDurationSamples {
+			observed = requestDurations{longest: longest, observedFor: now.Sub(stats.firstRequestAt)}
 		}
 	})
-	return seen
+	return observed
 }
 
 func (x *mappingStats) countRequest(now units.Time) {
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// Without a retry left in the budget, the router keeps waiting for an overdue worker, which may still answer.
+// Without a retry left in the budget, or while the usual latency of the service is unknown, the router keeps waiting for
+// an overdue worker, which may still answer.
 func TestOverdueWorkerIsAwaited(t *testing.T) {
 	t.Parallel()
 	a, ha := startNativeWorker(t)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -87,7 +87,7 @@
 	v.view.peerWatch.ExcludeSuspects = clientAdapter != nil
 	v.nextTag.Store(uint64(node.RandomID()) >> 1)
 	v.OnResume = v.onResume
-	v.OnPeersEnded = v.onNodesRemoved
+	v.OnPeersEnded = v.onPeersEnded
 	v.OnChange = v.scheduleTick
 	v.MessageHandlers[message.KindCapacity] = v.stepCapacity
 	v.MessageHandlers[message.KindClaim] = func(now units.Time, msg message.Message) {
@@ -176,8 +176,8 @@
 	v.viewMu.Unlock()
 }
 
-// onNodesRemoved drops the state of processes that were found to have ended.
-func (v *Router) onNodesRemoved(now units.Time, nodes []units.NodeID) {
+// onPeersEnded drops the state of processes that were found to have ended.
+func (v *Router) onPeersEnded(now units.Time, nodes []units.NodeID) {
 	v.coordinatorMu.Lock()
 	for _, n := range nodes {
 		v.coordinator.ProcessEnded(now, n)
