--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -100,25 +100,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(v.Close)
-	var l []config.Worker
+	var list []config.Worker
 	for i, a := range workers {
-		l = append(l, config.Worker{ID: fmt.Sprintf("w%d", i+1), Addr: a, Zone: "z1", Age: time.Hour})
+		list = append(list, config.Worker{ID: fmt.Sprintf("w%d", i+1), Addr: a, Zone: "z1", Age: time.Hour})
 	}
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(configText)})
-	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.PackWorkers(l)})
+	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.PackWorkers(list)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		k := v.coordinator.Status(v.Tasks.Now())
-		for _, x := range k {
-			if !x.Open {
+		statuses := v.coordinator.Status(v.Tasks.Now())
+		for _, status := range statuses {
+			if !status.Open {
 				return false
 			}
 		}
-		return len(k) == len(workers)
+		return len(statuses) == len(workers)
 	})
 	testutil.Until(t, "the router takes part in claims", func() bool {
 		v.claimantMu.Lock()
--- a/internal/router/pause_test.go
+++ b/internal/router/pause_test.go
@@ -10,8 +10,8 @@
 func lentPermits(v *Router) (lent int, open bool) {
 	v.coordinatorMu.Lock()
 	defer v.coordinatorMu.Unlock()
-	for _, k := range v.coordinator.Status(v.Tasks.Now()) {
-		return k.InUse, k.Open
+	for _, status := range v.coordinator.Status(v.Tasks.Now()) {
+		return status.InUse, status.Open
 	}
 	return 0, false
 }
--- a/internal/router/relay_checker_test.go
+++ b/internal/router/relay_checker_test.go
@@ -67,8 +67,8 @@
 
 // check returns all violations. Each text begins with one of the constants above.
 func (n *relayHistory) check() (violations []string) {
-	report := func(violation, id string, what any) {
-		violations = append(violations, fmt.Sprintf("%s: %s %+v", violation, id, what))
+	report := func(violation, id string, found any) {
+		violations = append(violations, fmt.Sprintf("%s: %s %+v", violation, id, found))
 	}
 	for id, runs := range n.runs {
 		request, known := n.requests[id]
@@ -92,8 +92,8 @@
 				report(violationRanAfterRefusal, a.requestID, a)
 			}
 		case 200:
-			if what := checkSuccess(n.requests[a.requestID].route, a, runs); what != "" {
-				report(what, a.requestID, a)
+			if found := checkSuccess(n.requests[a.requestID].route, a, runs); found != "" {
+				report(found, a.requestID, a)
 			}
 		}
 		if a.status != 200 || !a.complete {
--- a/internal/router/relay_client_test.go
+++ b/internal/router/relay_client_test.go
@@ -56,11 +56,11 @@
 	v := newRelayRouter(t, w)
 	c := dialRelayClient(t, v)
 	_, _ = io.WriteString(c, requestText("streaming", "a", "one")+requestText("effectful", "b", "two"))
-	k := <-w.conns
-	k.request()
-	k.writeText(streamHead+chunkedHeader, "a")
-	k.writeChunk(event(1))
-	k.Close()
+	conn := <-w.conns
+	conn.request()
+	conn.writeText(streamHead+chunkedHeader, "a")
+	conn.writeChunk(event(1))
+	conn.Close()
 	if got := c.receive(); got.id != "a" || got.complete || got.body != event(1) {
 		t.Errorf("the broken response: %+v", got)
 	}
@@ -94,8 +94,8 @@
 	}
 	c := dialRelayClient(t, v)
 	_, _ = io.WriteString(c, inChunks)
-	k := <-w.conns
-	if q := k.request(); q.id != "a" || q.body != "prompt" {
+	conn := <-w.conns
+	if q := conn.request(); q.id != "a" || q.body != "prompt" {
 		t.Fatalf("the complete request: %+v", q)
 	}
 	if !noMoreConns(w) {
@@ -115,14 +115,14 @@
 				v := newRelayRouter(t, a, b)
 				c := dialRelayClient(t, v)
 				c.send(route, "s", "prompt")
-				k, _ := firstConn(a, b)
-				k.request()
+				conn, _ := firstConn(a, b)
+				conn.request()
 				if half {
 					_ = c.Conn.(*net.TCPConn).CloseWrite()
 				} else {
 					c.Close()
 				}
-				k.closedByRouter()
+				conn.closedByRouter()
 				if got := c.receive(); half && got.status != 502 && got.status != 499 && got.status != 0 {
 					t.Errorf("answered %+v", got)
 				}
@@ -142,24 +142,24 @@
 	v := newRelayRouter(t, w)
 	c := dialRelayClient(t, v)
 	c.send("effectful", "a", "prompt")
-	k := <-w.conns
-	k.request()
+	conn := <-w.conns
+	conn.request()
 	big := strings.Repeat("x", maxBufferedResponse+1)
-	k.writeText("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: %d\n\n%s", len(big), big[:len(big)/2])
+	conn.writeText("HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: %d\n\n%s", len(big), big[:len(big)/2])
 	if _, err := c.r.ReadString('x'); err != nil {
 		t.Fatal(err)
 	}
 	c.reset()
 	for err := error(nil); err == nil; { // until the router has closed the connection
-		_, err = io.WriteString(k, big)
+		_, err = io.WriteString(conn, big)
 	}
 	c = dialRelayClient(t, v)
 	c.send("effectful", "b", "prompt")
-	k2 := <-w.conns
-	if q := k2.request(); q.id != "b" {
+	nextConn := <-w.conns
+	if q := nextConn.request(); q.id != "b" {
 		t.Fatalf("%+v", q)
 	}
-	k2.writeText("%s", responseText("b", "2"))
+	nextConn.writeText("%s", responseText("b", "2"))
 	if got := c.receive(); got.id != "b" || got.body != "2" {
 		t.Errorf("%+v", got)
 	}
@@ -177,16 +177,16 @@
 				v := newRelayRouter(t, w)
 				c := dialRelayClient(t, v)
 				c.send(route, "a", "prompt")
-				k := <-w.conns
-				k.request()
-				k.writeText("%s", responseText("a", "1"))
+				conn := <-w.conns
+				conn.request()
+				conn.writeText("%s", responseText("a", "1"))
 				c.receive()
-				k = sendOnKeptConnection(c, w, k, route)
-				end(k)
+				conn = sendOnKeptConnection(c, w, conn, route)
+				end(conn)
 				if route == "pure" {
-					k = <-w.conns
-					q := k.request()
-					k.writeText("%s", responseText(q.id, "2"))
+					conn = <-w.conns
+					q := conn.request()
+					conn.writeText("%s", responseText(q.id, "2"))
 				}
 				got := c.receive()
 				if route == "pure" && got.body != "2" || route == "effectful" && got.status != 502 {
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -115,21 +115,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(v.Close)
-	var l []config.Worker
+	var list []config.Worker
 	for _, w := range workers {
-		l = append(l, config.Worker{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots})
+		list = append(list, config.Worker{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots})
 	}
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(relayConfig)})
-	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.PackWorkers(l)})
+	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.PackWorkers(list)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		open := 0
-		for _, k := range v.coordinator.Status(v.Tasks.Now()) {
-			if k.Open {
+		for _, status := range v.coordinator.Status(v.Tasks.Now()) {
+			if status.Open {
 				open++
 			}
 		}
--- a/internal/router/relay_streams_test.go
+++ b/internal/router/relay_streams_test.go
@@ -109,11 +109,11 @@
 	v := newRelayRouter(t, a, b)
 	c := dialRelayClient(t, v)
 	c.send("resumable", "s", "prompt")
-	k, _ := firstConn(a, b)
-	k.request()
-	k.writeText(streamHead+chunkedHeader, "s")
-	k.writeChunk(event(1) + "data: e2\n\n")
-	k.Close()
+	conn, _ := firstConn(a, b)
+	conn.request()
+	conn.writeText(streamHead+chunkedHeader, "s")
+	conn.writeChunk(event(1) + "data: e2\n\n")
+	conn.Close()
 	if got := c.receive(); got.complete || got.body != event(1)+"data: e2\n\n" {
 		t.Errorf("%+v", got)
 	}
--- a/internal/router/routing_rules_test.go
+++ b/internal/router/routing_rules_test.go
@@ -32,8 +32,8 @@
 	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
-		k := v.coordinator.Status(v.Tasks.Now())
-		return len(k) == 2 && k[0].Open && k[1].Open
+		statuses := v.coordinator.Status(v.Tasks.Now())
+		return len(statuses) == 2 && statuses[0].Open && statuses[1].Open
 	})
 	return v, big, small
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -54,21 +54,21 @@
 	}
 	versions := a.NewObject()
 	v.FeedMu.Lock()
-	for k, it := range v.Feed.Items {
-		versions.Set(k, a.NewNumberInt(int(it.Version)))
+	for key, item := range v.Feed.Items {
+		versions.Set(key, a.NewNumberInt(int(item.Version)))
 	}
 	v.FeedMu.Unlock()
 	o.Set("news", versions)
 	o.Set("in_force", v.activeState(&a))
 	coordinated := a.NewArray()
 	v.coordinatorMu.Lock()
-	for i, k := range v.coordinator.Status(now) {
+	for i, status := range v.coordinator.Status(now) {
 		x := a.NewObject()
-		x.Set("worker", a.NewString(k.Worker))
-		x.Set("open", jsonBool(&a, k.Open))
-		x.Set("lent", a.NewNumberInt(k.InUse))
-		x.Set("cap", a.NewNumberInt(k.Capacity))
-		x.Set("waiting", a.NewNumberInt(k.Waiting))
+		x.Set("worker", a.NewString(status.Worker))
+		x.Set("open", jsonBool(&a, status.Open))
+		x.Set("lent", a.NewNumberInt(status.InUse))
+		x.Set("cap", a.NewNumberInt(status.Capacity))
+		x.Set("waiting", a.NewNumberInt(status.Waiting))
 		coordinated.SetArrayItem(i, x)
 	}
 	v.coordinatorMu.Unlock()
@@ -100,19 +100,19 @@
 // activeState returns the version of the active configuration and the number of known workers as JSON.
 func (v *Router) activeState(a *fastjson.Arena) *fastjson.Value {
 	x := a.NewObject()
-	if r := v.activeConfig.Load(); r != nil {
-		x.Set("config", a.NewNumberInt(int(r.updateVersion)))
-		if r.Version > 0 {
-			x.Set("version", a.NewNumberInt(int(r.Version))) // the operator's own version, if the configuration has one
+	if active := v.activeConfig.Load(); active != nil {
+		x.Set("config", a.NewNumberInt(int(active.updateVersion)))
+		if active.Version > 0 {
+			x.Set("version", a.NewNumberInt(int(active.Version))) // the operator's own version, if the configuration has one
 		}
 	}
-	n := 0
+	workers := 0
 	v.viewMu.Lock()
 	for _, l := range v.view.workersByPool {
-		n += len(l)
+		workers += len(l)
 	}
 	v.viewMu.Unlock()
-	x.Set("workers", a.NewNumberInt(n))
+	x.Set("workers", a.NewNumberInt(workers))
 	return x
 }
 
