--- a/cmd/controller/verify.go
+++ b/cmd/controller/verify.go
@@ -35,7 +35,7 @@
 		}
 		n, err := changelog.Verify(dir, strings.TrimSpace(string(k)), old)
 		if err != nil {
-			return fmt.Errorf("%w: %w", console.ErrPromise, err)
+			return fmt.Errorf("%w: %w", console.ErrCheckFailed, err)
 		}
 		fmt.Printf("good: %d entries\n", n)
 		return nil
--- a/internal/cluster/discovery/cold_test.go
+++ b/internal/cluster/discovery/cold_test.go
@@ -30,7 +30,7 @@
 		return news
 	}
 	cold := func(d time.Duration) config.Worker {
-		return config.Worker{Service: "s", Slots: 4, Cold: d}
+		return config.Worker{Service: "s", Slots: 4, WarmingUpFor: d}
 	}
 	for i, x := range []struct {
 		at   units.Time
@@ -48,13 +48,13 @@
 		{62500 * ms, cold(2400 * time.Millisecond), true, 8},
 		{70000 * ms, config.Worker{Service: "r", Slots: 4}, true, 9},
 		{71000 * ms, config.Worker{Service: "r", Slots: 5}, true, 9},
-		{72000 * ms, config.Worker{Service: "r", Slots: 5, Leaving: true}, true, 9},
-		{73000 * ms, config.Worker{Service: "r", Slots: 5, Leaving: true}, false, 9},
+		{72000 * ms, config.Worker{Service: "r", Slots: 5, Draining: true}, true, 9},
+		{73000 * ms, config.Worker{Service: "r", Slots: 5, Draining: true}, false, 9},
 	} {
 		news := see(x.at, x.w)
 		w := n.List("*")[0]
-		if news != x.news || w.Life != x.life {
-			t.Errorf("look %d: news %v, life %d; %v and %d wanted", i, news, w.Life, x.news, x.life)
+		if news != x.news || w.Incarnation != x.life {
+			t.Errorf("look %d: news %v, life %d; %v and %d wanted", i, news, w.Incarnation, x.news, x.life)
 		}
 		if w.Service != x.w.Service || w.Slots != x.w.Slots {
 			t.Errorf("look %d: listed as %+v", i, w)
--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -52,7 +52,7 @@
 // Apply takes a sighting from the news, and gives the pool that it is of.
 func (n *Catalog) Apply(now units.Time, key string, num units.Version, data []byte) (string, error) {
 	pool, asker, _ := strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
-	l, err := config.ReadWorkers(data)
+	l, err := config.ParseWorkers(data)
 	if err != nil {
 		return pool, err
 	}
@@ -73,8 +73,8 @@
 	}
 	by[asker] = s
 	for _, w := range n.List(pool) {
-		if _, ok := n.start[w.ID]; !ok || w.Life > n.life[w.ID] {
-			n.start[w.ID], n.life[w.ID], n.cold[w.ID] = now.Add(-w.Age), w.Life, now.Add(w.Cold)
+		if _, ok := n.start[w.ID]; !ok || w.Incarnation > n.life[w.ID] {
+			n.start[w.ID], n.life[w.ID], n.cold[w.ID] = now.Add(-w.Age), w.Incarnation, now.Add(w.WarmingUpFor)
 		}
 	}
 	return pool, nil
@@ -95,11 +95,11 @@
 		for _, w := range s.list {
 			x, ok := got[w.ID]
 			if ok {
-				leaving := x.Leaving || w.Leaving
-				if x.Life >= w.Life {
+				leaving := x.Draining || w.Draining
+				if x.Incarnation >= w.Incarnation {
 					w = x
 				}
-				w.Leaving = leaving
+				w.Draining = leaving
 			}
 			got[w.ID] = w
 		}
@@ -148,10 +148,10 @@
 		w := &l[i]
 		k, ok := known[w.ID]
 		again := !ok || k.Addr != w.Addr || k.Service != w.Service || n.younger(a.StartedAt, w)
-		if w.Life = k.Life; again {
-			w.Life = uint64(a.Version) // started, or started again: it warms anew
+		if w.Incarnation = k.Incarnation; again {
+			w.Incarnation = uint64(a.Version) // started, or started again: it warms anew
 		}
-		fresh = fresh || again || k.Zone != w.Zone || k.Leaving != w.Leaving || k.Slots != w.Slots
+		fresh = fresh || again || k.Zone != w.Zone || k.Draining != w.Draining || k.Slots != w.Slots
 	}
 	if !fresh {
 		return nil, false
@@ -169,7 +169,7 @@
 // name a worker's service tell how much longer it is cold, others how old it is (design 13).
 func (n *Catalog) younger(now units.Time, w *config.Worker) bool {
 	if w.Service != "" {
-		return w.Cold > 0 && now.Add(w.Cold).Sub(n.cold[w.ID]) > coldSlack
+		return w.WarmingUpFor > 0 && now.Add(w.WarmingUpFor).Sub(n.cold[w.ID]) > coldSlack
 	}
 	return now.Add(-w.Age).Sub(n.start[w.ID]) > slack
 }
--- a/internal/cluster/transport/engine.go
+++ b/internal/cluster/transport/engine.go
@@ -114,7 +114,7 @@
 		return
 	}
 	_ = tcp.SetKeepAliveConfig(probes)
-	socket.GiveUpAfter(tcp, silentFor)
+	socket.SetUserTimeout(tcp, silentFor)
 }
 
 // OnOpen tells a link that it may be written to.
--- a/internal/control/controller/adapter_calls.go
+++ b/internal/control/controller/adapter_calls.go
@@ -20,7 +20,7 @@
 
 // Control is what an adapter's door does (design 13).
 func (c *Controller) Control() adapter.Control {
-	return adapter.Control{Read: c.newest, Put: c.put, Change: c.alter, Zone: c.evacuate}
+	return adapter.Control{Read: c.newest, Put: c.put, Change: c.alter, EvacuateZone: c.evacuate}
 }
 
 // compile reads a configuration in the format of the outside world.
@@ -28,7 +28,7 @@
 	if c.adapter != nil {
 		return c.adapter.Config(data)
 	}
-	return config.Read(data)
+	return config.Parse(data)
 }
 
 // versions remembers what the newest number that was looked at holds, so that it is compiled once.
@@ -61,7 +61,7 @@
 func (t *versions) note(num units.Version, x *config.Config) (uint64, map[string]time.Duration) {
 	warm := make(map[string]time.Duration, len(x.Services))
 	for n, s := range x.Services {
-		warm[n] = s.Warm
+		warm[n] = s.WarmUp
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/controller/adapter_calls_test.go
+++ b/internal/control/controller/adapter_calls_test.go
@@ -11,9 +11,9 @@
 	"github.com/valyala/fastjson"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/config"
 	"seamshunt/internal/resultcode"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -33,7 +33,7 @@
 			if len(fs) > 0 {
 				return nil, fs
 			}
-			return &config.Config{Version: v, Services: map[string]*config.Service{"s": {Name: "s", Warm: 3 * time.Second}}}, nil
+			return &config.Config{Version: v, Services: map[string]*config.Service{"s": {Name: "s", WarmUp: 3 * time.Second}}}, nil
 		},
 		Change: func(old, change []byte) ([]byte, []*resultcode.Fault) {
 			_, was, _ := read(old)
@@ -49,11 +49,11 @@
 // grownCore starts n controllers that are founded from seeds.
 func grownCore(t *testing.T, n int, book *adapter.Adapter) []*Controller {
 	t.Helper()
-	var bs []*boot.Boot
+	var bs []*settings.Settings
 	var seeds []string
 	for i := range n {
-		b := &boot.Boot{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: t.TempDir(), Platform: testutil.Addr(t),
-			PollMs: 500, Reserve: 64 << 10, Grow: true, First: true, Counts: true, Zones: []string{"z0", "z9"}, LostMachines: (n - 1) / 2}
+		b := &settings.Settings{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: t.TempDir(), Platform: testutil.Addr(t),
+			PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true, Zones: []string{"z0", "z9"}, MaxLostMachines: (n - 1) / 2}
 		bs = append(bs, b)
 		if len(seeds) < 3 {
 			seeds = append(seeds, b.Addr)
@@ -220,12 +220,14 @@
 	t.Parallel()
 	cs := grownCore(t, 3, toyBook())
 	for i, out := range []bool{true, true, false, false, true, false} {
-		code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return cs[i%3].Control().Zone(nil, "z9", out), nil })
+		code := sure(t, func() (resultcode.Code, []*resultcode.Fault) {
+			return cs[i%3].Control().EvacuateZone(nil, "z9", out), nil
+		})
 		if _, b := call(t, cs[(i+1)%3], "GET", "/v1/zones/z9", ""); code != resultcode.OK || string(b) != fmt.Sprintf(`{"evacuated":%v}`, out) {
 			t.Errorf("set to %v: %d, read back %s", out, code, b)
 		}
 	}
-	if code := cs[0].Control().Zone(nil, "z1", true); code != resultcode.UnknownZone {
+	if code := cs[0].Control().EvacuateZone(nil, "z1", true); code != resultcode.UnknownZone {
 		t.Errorf("a zone that the boot file doesn't name: %d", code)
 	}
 }
--- a/internal/control/controller/audit.go
+++ b/internal/control/controller/audit.go
@@ -49,10 +49,10 @@
 		case e := <-c.audit:
 			var err error
 			if l == nil {
-				l, err = changelog.Open(c.Settings.Data, c.Settings.Name)
+				l, err = changelog.Open(c.Settings.DataDir, c.Settings.Name)
 			}
 			if err == nil {
-				err = l.Add(e.leaf)
+				err = l.Append(e.leaf)
 			}
 			if err != nil {
 				if l != nil { // a failed sync is final for its file: the next entry opens it anew
--- a/internal/control/controller/caller.go
+++ b/internal/control/controller/caller.go
@@ -65,7 +65,7 @@
 // abandoned says whether a call would change something for a caller that has left, and answers it then: that caller has gone
 // on, and nobody would learn of the change.
 func (c *Controller) abandoned(ctx *fasthttp.RequestCtx) bool {
-	if ctx.IsGet() || ctx.IsHead() || !socket.HungUp(ctx.Conn()) {
+	if ctx.IsGet() || ctx.IsHead() || !socket.PeerClosed(ctx.Conn()) {
 		return false
 	}
 	c.abandonedOrders.Add(1)
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -12,7 +12,6 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/discovery"
 	"seamshunt/internal/cluster/membership"
@@ -23,6 +22,7 @@
 	"seamshunt/internal/listener"
 	"seamshunt/internal/node"
 	"seamshunt/internal/router/idempotency"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/units"
 )
 
@@ -62,7 +62,7 @@
 }
 
 // New opens the disk, and with it learns who it is. The book, if any, is the outside world that it speaks with.
-func New(b *boot.Boot, book *adapter.Adapter) (*Controller, error) {
+func New(b *settings.Settings, book *adapter.Adapter) (*Controller, error) {
 	o, err := openDisk(b)
 	if err != nil {
 		return nil, err
@@ -73,17 +73,17 @@
 	c.disk.file = a
 	c.disk.wake = make(chan struct{}, 1)
 	c.replica = register.New(self, node.RandomID())
-	if err := c.replica.Load(a.Live()); err != nil {
+	if err := c.replica.Load(a.Records()); err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
 	c.polled.stoodStill = c.WasPausedSince
-	c.seeds, c.born = founding(b, a.Live()), born(a.Live())
-	c.SetFlag(membership.MayVote, b.Counts || !b.Grow)
-	c.SetFlag(membership.Bootstrap, b.Grow && c.seeds.Participates)
+	c.seeds, c.born = founding(b, a.Records()), born(a.Records())
+	c.SetFlag(membership.MayVote, b.MayVote || !b.GrowVoters)
+	c.SetFlag(membership.Bootstrap, b.GrowVoters && c.seeds.Participates)
 	if book != nil && book.Control != nil {
 		c.door = book.Control(c.Control())
 	}
-	c.claims = idempotency.LoadRegistry(self, c.Tasks.Now(), a.Live())
+	c.claims = idempotency.LoadRegistry(self, c.Tasks.Now(), a.Records())
 	if o.damage != nil {
 		c.sayDamage(o.damage)
 	}
@@ -105,7 +105,7 @@
 		c.leaseMu.Unlock()
 		c.replicaMu.Lock()
 		c.replica.Resume(now)
-		c.syncer.CatchUp()
+		c.syncer.StartCatchUp()
 		c.replicaMu.Unlock()
 	}
 	c.OnPeersEnded = func(now units.Time, l []units.NodeID) {
@@ -137,7 +137,7 @@
 
 // Start opens everything and returns.
 func (c *Controller) Start() error {
-	ln, err := listener.Listen(c.Settings.Web)
+	ln, err := listener.Listen(c.Settings.HTTPAddr)
 	if err != nil {
 		return fmt.Errorf("controller: %w", err)
 	}
--- a/internal/control/controller/disk.go
+++ b/internal/control/controller/disk.go
@@ -73,7 +73,7 @@
 			err = d.file.Append(rs)
 		}
 		d.mu.Lock()
-		d.low = d.file.Low()
+		d.low = d.file.DiskFull()
 		d.slow = c.Tasks.Now().Sub(d.since)
 		d.since = 0
 		d.sick = d.sick || err != nil && !errors.Is(err, wal.ErrFull)
@@ -106,7 +106,7 @@
 		c.sayDamage(o.damage)
 	}
 	if err == nil && !o.blank {
-		err = o.log.Renew()
+		err = o.log.Rewrite()
 	}
 	if err != nil || o.blank {
 		c.Log.Error("the disk can't be opened again: this node stops voting")
--- a/internal/control/controller/disk_test.go
+++ b/internal/control/controller/disk_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/control/changelog"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/storage/wal"
 	"seamshunt/internal/testutil"
 )
@@ -23,7 +23,7 @@
 // alone starts a core of one disk; edit may change it before it runs.
 func alone(t *testing.T, dir string, edit ...func(*Controller)) *Controller {
 	t.Helper()
-	b := &boot.Boot{Name: "c", Zone: "z", Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: dir, Founders: 1, Platform: testutil.Addr(t), Pools: []string{"main"}, PollMs: 500, Reserve: 64 << 10}
+	b := &settings.Settings{Name: "c", Zone: "z", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: dir, BootstrapDisks: 1, Platform: testutil.Addr(t), Pools: []string{"main"}, PollMs: 500, ReserveBytes: 64 << 10}
 	b.Seeds = []string{b.Addr}
 	c, err := New(b, nil)
 	if err != nil {
@@ -41,7 +41,7 @@
 func call(t *testing.T, c *Controller, method, path, body string) (int, []byte) {
 	t.Helper()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	req.SetRequestURI("http://" + c.Settings.Web + path)
+	req.SetRequestURI("http://" + c.Settings.HTTPAddr + path)
 	req.Header.SetMethod(method)
 	req.SetBodyString(body)
 	if err := fasthttp.DoTimeout(req, resp, 10*time.Second); err != nil {
@@ -113,12 +113,12 @@
 // A damaged disk starts blank under another identity, and the damaged file is kept aside.
 func TestDamagedDiskIsBlank(t *testing.T) {
 	dir := t.TempDir()
-	b := &boot.Boot{Data: dir}
+	b := &settings.Settings{DataDir: dir}
 	o, err := openDisk(b)
 	if err != nil || !o.blank || o.damage != nil {
 		t.Fatal(o.blank, o.damage, err)
 	}
-	if err := o.log.Append(o.log.Live()); err != nil {
+	if err := o.log.Append(o.log.Records()); err != nil {
 		t.Fatal(err)
 	}
 	o.log.Close()
--- a/internal/control/controller/grow_test.go
+++ b/internal/control/controller/grow_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -20,33 +20,33 @@
 // still takes part; a disk that was blank later never does.
 func TestDiskOfTheFirstStart(t *testing.T) {
 	dir := t.TempDir()
-	look := func(b *boot.Boot) (bool, []string) {
+	look := func(b *settings.Settings) (bool, []string) {
 		o, err := openDisk(b)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer o.log.Close()
-		f := founding(b, o.log.Live())
+		f := founding(b, o.log.Records())
 		return f.Participates, f.SeedAddrs
 	}
 	first := []string{"a", "b", "c"}
-	if ok, l := look(&boot.Boot{Data: dir, Grow: true, First: true, Counts: true, Seeds: first}); !ok || !slices.Equal(l, first) {
+	if ok, l := look(&settings.Settings{DataDir: dir, GrowVoters: true, Bootstrap: true, MayVote: true, Seeds: first}); !ok || !slices.Equal(l, first) {
 		t.Error(ok, l)
 	}
-	if ok, l := look(&boot.Boot{Data: dir, Grow: true, Counts: true, Seeds: []string{"x"}}); !ok || !slices.Equal(l, first) {
+	if ok, l := look(&settings.Settings{DataDir: dir, GrowVoters: true, MayVote: true, Seeds: []string{"x"}}); !ok || !slices.Equal(l, first) {
 		t.Error(ok, l)
 	}
-	for name, b := range map[string]*boot.Boot{
-		"a later blank disk":         {Grow: true, Counts: true, Seeds: first},
-		"one that counts founders":   {First: true, Counts: true, Seeds: first},
-		"a later one without a disk": {Grow: true, Seeds: first},
+	for name, b := range map[string]*settings.Settings{
+		"a later blank disk":         {GrowVoters: true, MayVote: true, Seeds: first},
+		"one that counts founders":   {Bootstrap: true, MayVote: true, Seeds: first},
+		"a later one without a disk": {GrowVoters: true, Seeds: first},
 	} {
-		b.Data = t.TempDir()
+		b.DataDir = t.TempDir()
 		if ok, _ := look(b); ok {
 			t.Errorf("%s takes part in a founding", name)
 		}
 	}
-	if ok, _ := look(&boot.Boot{Data: t.TempDir(), Grow: true, First: true, Seeds: first}); !ok {
+	if ok, _ := look(&settings.Settings{DataDir: t.TempDir(), GrowVoters: true, Bootstrap: true, Seeds: first}); !ok {
 		t.Error("without a disk that counts, a process of the first start may still propose")
 	}
 }
@@ -54,13 +54,13 @@
 // Real processes: one of three seeds is ended before the last comes up, and starts again as a later start would.
 func TestFoundedAfterARestart(t *testing.T) {
 	t.Parallel()
-	var bs []*boot.Boot
+	var bs []*settings.Settings
 	var seeds []string
 	for i := range 3 {
-		b := &boot.Boot{Name: fmt.Sprint("c", i), Zone: "z", Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: t.TempDir(), Platform: testutil.Addr(t), PollMs: 500, Reserve: 64 << 10, Grow: true, First: true, Counts: true}
+		b := &settings.Settings{Name: fmt.Sprint("c", i), Zone: "z", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: t.TempDir(), Platform: testutil.Addr(t), PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true}
 		bs, seeds = append(bs, b), append(seeds, b.Addr)
 	}
-	start := func(b *boot.Boot) *Controller {
+	start := func(b *settings.Settings) *Controller {
 		c, err := New(b, nil)
 		if err == nil {
 			err = c.Start()
@@ -81,7 +81,7 @@
 	})
 	id := one.Self
 	one.Drain()
-	bs[0].First, bs[0].Seeds = false, []string{bs[1].Addr}
+	bs[0].Bootstrap, bs[0].Seeds = false, []string{bs[1].Addr}
 	one = start(bs[0])
 	t.Cleanup(one.Drain)
 	three := start(bs[2])
@@ -133,7 +133,7 @@
 				var w config.Worker
 				var ms int
 				if k, _ := fmt.Sscan(s, &w.ID, &w.Service, &ms); k == 3 {
-					w.Addr, w.Cold = "a:"+w.ID, time.Duration(ms)*time.Millisecond
+					w.Addr, w.WarmingUpFor = "a:"+w.ID, time.Duration(ms)*time.Millisecond
 					l = append(l, w)
 				}
 			}
--- a/internal/control/controller/late_connection_test.go
+++ b/internal/control/controller/late_connection_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	cs := grownCore(t, 3, book)
-	conn, err := net.Dial("tcp", cs[0].Settings.Web)
+	conn, err := net.Dial("tcp", cs[0].Settings.HTTPAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/controller/late_order_test.go
+++ b/internal/control/controller/late_order_test.go
@@ -34,7 +34,7 @@
 			if ctx.IsGet() {
 				return
 			}
-			if control.Zone(ctx.Conn(), lateZone, ctx.IsPost()) != resultcode.OK {
+			if control.EvacuateZone(ctx.Conn(), lateZone, ctx.IsPost()) != resultcode.OK {
 				ctx.SetStatusCode(503)
 			}
 		}
@@ -48,7 +48,9 @@
 // setZone has a controller set the zone, as callers do until an answer is clear.
 func setZone(t *testing.T, c *Controller, out bool) {
 	t.Helper()
-	if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Zone(nil, lateZone, out), nil }); code != resultcode.OK {
+	if code := sure(t, func() (resultcode.Code, []*resultcode.Fault) {
+		return c.Control().EvacuateZone(nil, lateZone, out), nil
+	}); code != resultcode.OK {
 		t.Fatalf("set to %v: %d", out, code)
 	}
 }
@@ -204,7 +206,7 @@
 	cs := grownCore(t, 3, zoneBook())
 	for _, first := range []string{"", readRequest} {
 		t.Run(fmt.Sprintf("behind %d bytes", len(first)), func(t *testing.T) {
-			conn, err := net.Dial("tcp", cs[0].Settings.Web)
+			conn, err := net.Dial("tcp", cs[0].Settings.HTTPAddr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -213,7 +215,7 @@
 			if first != "" {
 				exchange(t, conn, answers, first)
 			}
-			probe(t, cs[0].Settings.Web) // it has been accepted
+			probe(t, cs[0].Settings.HTTPAddr) // it has been accepted
 			newest := turnTwice(t, cs[1], cs[0], true)
 			if status := exchange(t, conn, answers, withdrawal); status != 503 {
 				t.Errorf("answered %d", status)
--- a/internal/control/controller/linear_test.go
+++ b/internal/control/controller/linear_test.go
@@ -110,7 +110,7 @@
 	t.Parallel()
 	cores := grownCore(t, 3, toyBook())
 	set := func(c *Controller, out bool) resultcode.Code {
-		return sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Zone(nil, "z9", out), nil })
+		return sure(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().EvacuateZone(nil, "z9", out), nil })
 	}
 	if a, b := set(cores[0], true), set(cores[1], false); a != resultcode.OK || b != resultcode.OK {
 		t.Fatalf("set and withdrawn: %d, %d", a, b)
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -3,10 +3,10 @@
 import (
 	"errors"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/storage/wal"
 	"seamshunt/internal/units"
 )
@@ -21,19 +21,19 @@
 }
 
 // openDisk reads the wal; a blank or damaged one begins a new identity, which has no vote (design 2, 3).
-func openDisk(b *boot.Boot) (o openedDisk, err error) {
-	o.log, err = wal.Open(b.Data, int64(b.Reserve))
+func openDisk(b *settings.Settings) (o openedDisk, err error) {
+	o.log, err = wal.Open(b.DataDir, int64(b.ReserveBytes))
 	if errors.Is(err, wal.ErrDamaged) {
 		o.damage = err
-		if err = wal.SetAside(b.Data); err == nil {
-			o.log, err = wal.Open(b.Data, int64(b.Reserve))
+		if err = wal.SetAside(b.DataDir); err == nil {
+			o.log, err = wal.Open(b.DataDir, int64(b.ReserveBytes))
 		}
 	}
 	if err != nil {
 		return openedDisk{damage: o.damage}, err
 	}
-	o.heir = wal.HasSetAside(b.Data)
-	for _, r := range o.log.Live() {
+	o.heir = wal.HasSetAside(b.DataDir)
+	for _, r := range o.log.Records() {
 		var h idHead
 		if r.Kind == recSelf && (message.Unpack(r.Data, &h, new([]byte)) == nil || message.Unpack(r.Data, &h) == nil) {
 			o.self = units.NodeID(h.ID)
@@ -42,7 +42,7 @@
 	}
 	o.self, o.blank = node.RandomID(), true
 	var seeds []string
-	if b.Grow && b.First && b.Counts && !o.heir {
+	if b.GrowVoters && b.Bootstrap && b.MayVote && !o.heir {
 		seeds = b.Seeds
 	}
 	return o, o.log.Append([]message.Record{self(o.self, seeds)})
@@ -86,10 +86,10 @@
 
 // founding says how this node takes part in a founding from seeds. Without a disk that counts only this very process
 // can be of the first start.
-func founding(b *boot.Boot, rs []message.Record) register.SeedBootstrap {
+func founding(b *settings.Settings, rs []message.Record) register.SeedBootstrap {
 	s := register.SeedBootstrap{Addr: b.Addr, SeedAddrs: born(rs), Participates: len(born(rs)) > 0}
-	if !b.Counts {
-		s.SeedAddrs, s.Participates = b.Seeds, b.First
+	if !b.MayVote {
+		s.SeedAddrs, s.Participates = b.Seeds, b.Bootstrap
 	}
 	return s
 }
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -65,7 +65,7 @@
 		}
 		d = config.Compare(old, next, c.known)
 		m, _, _ := c.seen(within)
-		d.Foresee(old, next, c.known, m)
+		d.AddForecast(old, next, c.known, m)
 	} else {
 		d = c.compareZone(within, strings.TrimPrefix(p.key, "zone/"), r.Data, body)
 	}
@@ -105,7 +105,7 @@
 func (c *Controller) known(pool string) int {
 	k := 0
 	for _, w := range c.listed(pool) {
-		if !w.Leaving {
+		if !w.Draining {
 			k++
 		}
 	}
@@ -126,7 +126,7 @@
 	in, all := 0, 0
 	for _, p := range c.Settings.Pools {
 		for _, w := range c.listed(p) {
-			if w.Leaving || c.evacuated(w.Zone) && w.Zone != zone {
+			if w.Draining || c.evacuated(w.Zone) && w.Zone != zone {
 				continue
 			}
 			all++
@@ -137,9 +137,9 @@
 	}
 	if cfg := c.config(); is && cfg != nil {
 		m, _, _ := c.seen(within)
-		d.Foresee(cfg, cfg, func(pool string) (n int) {
+		d.AddForecast(cfg, cfg, func(pool string) (n int) {
 			for _, w := range c.listed(pool) {
-				if !w.Leaving && w.Zone != zone && !c.evacuated(w.Zone) {
+				if !w.Draining && w.Zone != zone && !c.evacuated(w.Zone) {
 					n++
 				}
 			}
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -19,14 +19,14 @@
 // reload rebuilds the machine from what the disk holds, and drops what the old one still wanted to say.
 func (c *Controller) reload(a *wal.Log) {
 	b := register.New(c.Self, node.RandomID())
-	if err := b.Load(a.Live()); err != nil {
+	if err := b.Load(a.Records()); err != nil {
 		c.Log.WithError(err).Error("the disk's records can't be read")
 		return
 	}
 	c.replicaMu.Lock()
 	defer c.replicaMu.Unlock()
-	c.replica, c.claims = b, idempotency.LoadRegistry(c.Self, c.Tasks.Now(), a.Live())
-	c.syncer.CatchUp()
+	c.replica, c.claims = b, idempotency.LoadRegistry(c.Self, c.Tasks.Now(), a.Records())
+	c.syncer.StartCatchUp()
 	c.disk.mu.Lock()
 	c.disk.queue = nil // what the old machine said rests on writes that the disk has not
 	c.disk.mu.Unlock()
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -20,8 +20,8 @@
 
 // seen asks every live router how it kept its promises, all at once, while the call has time left; it gives the sums and
 // how many answered.
-func (c *Controller) seen(ctx context.Context) (m map[string]config.Seen, asked, answered int) {
-	type answer map[string]config.Seen
+func (c *Controller) seen(ctx context.Context) (m map[string]config.PromiseStats, asked, answered int) {
+	type answer map[string]config.PromiseStats
 	var webs []string
 	for _, x := range c.Members() {
 		if x.Role == membership.Router && x.State <= membership.Suspect {
@@ -43,7 +43,7 @@
 			ch <- readSeen(b)
 		})
 	}
-	m = map[string]config.Seen{}
+	m = map[string]config.PromiseStats{}
 	for range webs {
 		a := <-ch
 		if a == nil {
@@ -59,12 +59,12 @@
 	return m, len(webs), answered
 }
 
-func readSeen(b []byte) map[string]config.Seen {
+func readSeen(b []byte) map[string]config.PromiseStats {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
 		return nil
 	}
-	m := map[string]config.Seen{}
+	m := map[string]config.PromiseStats{}
 	o := v.GetObject("promises")
 	if o == nil {
 		return m
@@ -73,10 +73,10 @@
 		return time.Duration(x.GetInt64(name)) * time.Millisecond
 	}
 	o.Visit(func(k []byte, x *fastjson.Value) {
-		m[string(k)] = config.Seen{Promise: string(x.GetStringBytes("promise")), Service: string(x.GetStringBytes("service")),
-			Asked: x.GetInt("asked"), Kept: x.GetInt("first_kept"), Missed: x.GetInt("first_missed"), OnTime: x.GetInt("on_time"),
-			Refused: x.GetInt("refused"), Again: x.GetInt("again"), Ended: x.GetInt("ended"), PerSecond: x.GetFloat64("per_second"),
-			Waited: span(x, "refused_after_ms"), Held: span(x, "held_ms"), First95: span(x, "first_ms_95th")}
+		m[string(k)] = config.PromiseStats{Promise: string(x.GetStringBytes("promise")), Service: string(x.GetStringBytes("service")),
+			Requests: x.GetInt("asked"), FirstTokenKept: x.GetInt("first_kept"), FirstTokenMissed: x.GetInt("first_missed"), OnTime: x.GetInt("on_time"),
+			Refused: x.GetInt("refused"), Retries: x.GetInt("again"), Finished: x.GetInt("ended"), RequestRate: x.GetFloat64("per_second"),
+			RefusalWait: span(x, "refused_after_ms"), SlotTime: span(x, "held_ms"), FirstTokenP95: span(x, "first_ms_95th")}
 	})
 	return m
 }
@@ -95,14 +95,14 @@
 		s := m[k]
 		x := a.NewObject()
 		x.Set("promise", a.NewString(s.Promise))
-		x.Set("asked", a.NewNumberInt(s.Asked))
-		x.Set("per_second", a.NewNumberFloat64(s.PerSecond))
-		x.Set("first_words_kept_percent", a.NewNumberFloat64(config.Share(s.Kept, s.Kept+s.Missed)))
-		x.Set("first_ms_95th", a.NewNumberInt(int(s.First95.Milliseconds())))
-		x.Set("on_time_percent", a.NewNumberFloat64(config.Share(s.OnTime, s.Asked)))
+		x.Set("asked", a.NewNumberInt(s.Requests))
+		x.Set("per_second", a.NewNumberFloat64(s.RequestRate))
+		x.Set("first_words_kept_percent", a.NewNumberFloat64(config.Percent(s.FirstTokenKept, s.FirstTokenKept+s.FirstTokenMissed)))
+		x.Set("first_ms_95th", a.NewNumberInt(int(s.FirstTokenP95.Milliseconds())))
+		x.Set("on_time_percent", a.NewNumberFloat64(config.Percent(s.OnTime, s.Requests)))
 		x.Set("refused", a.NewNumberInt(s.Refused))
-		x.Set("refused_after_ms", a.NewNumberInt(int(s.Waited.Milliseconds())))
-		x.Set("further_tries_percent", a.NewNumberFloat64(100*float64(s.Again)/float64(max(1, s.Asked))))
+		x.Set("refused_after_ms", a.NewNumberInt(int(s.RefusalWait.Milliseconds())))
+		x.Set("further_tries_percent", a.NewNumberFloat64(100*float64(s.Retries)/float64(max(1, s.Requests))))
 		l.Set(k, x)
 	}
 	o.Set("mappings", l)
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -3,18 +3,18 @@
 import (
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/units"
 )
 
 // voting founds the first set of voters, and has it changed when it should be another; replicaMu is held.
 func (c *Controller) voting(now units.Time, look register.ControllerView) {
-	if c.Settings.Grow {
+	if c.Settings.GrowVoters {
 		c.replica.BootstrapFromSeeds(c.seeds.Proposal(now, look))
 	} else {
 		look.FleetExists = look.FleetExists || c.heir
-		c.replica.BootstrapFixed(c.Settings.Founders, look)
+		c.replica.BootstrapFixed(c.Settings.BootstrapDisks, look)
 	}
 	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
 	c.checkTolerance(now, look)
@@ -33,7 +33,7 @@
 // checkTolerance notes what the set does not bear, and logs it once it has stood for a while. Such a set is served all the
 // same. replicaMu is held.
 func (c *Controller) checkTolerance(now units.Time, look register.ControllerView) {
-	wanted := register.Tolerance{Machines: c.Settings.LostMachines, Zones: c.Settings.LostZones}
+	wanted := register.Tolerance{Machines: c.Settings.MaxLostMachines, Zones: c.Settings.MaxLostZones}
 	text := wanted.Shortfall(c.replica.Quorum(), look)
 	if text != c.shortfall.text {
 		c.shortfall = shortfall{text: text, since: now}
@@ -45,9 +45,9 @@
 }
 
 // newPlanner gives the planner of the quorum set that a boot file asks for.
-func newPlanner(b *boot.Boot) register.Planner {
-	if !b.Grow {
-		return register.Planner{FixedSize: b.Founders, ReplaceAfter: register.ReplaceFixedAfter}
+func newPlanner(b *settings.Settings) register.Planner {
+	if !b.GrowVoters {
+		return register.Planner{FixedSize: b.BootstrapDisks, ReplaceAfter: register.ReplaceFixedAfter}
 	}
-	return register.Planner{MinSize: 2*b.LostMachines + 1, ReplaceAfter: register.ReplaceAfter}
+	return register.Planner{MinSize: 2*b.MaxLostMachines + 1, ReplaceAfter: register.ReplaceAfter}
 }
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -21,8 +21,8 @@
 	dir := t.TempDir()
 	var full atomic.Bool
 	fill := func(c *Controller) {
-		room := c.disk.file.Room
-		c.disk.file.Room = func(f *os.File, off, n int64) error {
+		room := c.disk.file.Allocate
+		c.disk.file.Allocate = func(f *os.File, off, n int64) error {
 			if full.Load() {
 				return syscall.ENOSPC
 			}
@@ -77,7 +77,7 @@
 	var seed string
 	start := func(dir string) *Controller {
 		return alone(t, dir, func(c *Controller) {
-			c.Settings.Founders, c.planner.FixedSize = 2, 2
+			c.Settings.BootstrapDisks, c.planner.FixedSize = 2, 2
 			if seed == "" {
 				seed = c.Settings.Addr
 			}
@@ -96,8 +96,8 @@
 		t.Errorf("a change before the founding: %d %s", code, b)
 	}
 	late := alone(t, t.TempDir(), func(x *Controller) {
-		x.Settings.Founders, x.planner.FixedSize = 2, 2
-		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
+		x.Settings.BootstrapDisks, x.planner.FixedSize = 2, 2
+		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.HTTPAddr, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
 	testutil.Until(t, "both are voters", says(`"state":"voter"`))
--- a/internal/control/controller/shortfall_test.go
+++ b/internal/control/controller/shortfall_test.go
@@ -10,7 +10,7 @@
 // Settings that ask for more than the disks there are can bear are served all the same, and said in status and metrics.
 func TestShortfallIsSaid(t *testing.T) {
 	t.Parallel()
-	c := alone(t, t.TempDir(), func(c *Controller) { c.Settings.LostMachines = 1 })
+	c := alone(t, t.TempDir(), func(c *Controller) { c.Settings.MaxLostMachines = 1 })
 	t.Cleanup(c.Drain)
 	testutil.Until(t, "the first is taken", func() bool { code, _ := call(t, c, "PUT", "/v1/config?number=0", configText); return code == 200 })
 	says := func(path, text string) func() bool {
--- a/internal/control/controller/stall_test.go
+++ b/internal/control/controller/stall_test.go
@@ -65,7 +65,7 @@
 		c.disk.mu.Lock()
 		c.disk.fault = nil // once
 		c.disk.mu.Unlock()
-		return fmt.Errorf("%w: planted", wal.ErrSick)
+		return fmt.Errorf("%w: planted", wal.ErrFailed)
 	}
 	c.disk.mu.Unlock()
 	code, _ := call(t, c, "PUT", "/v1/config?number=1", configText+"   ")
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -113,20 +113,20 @@
 	switch {
 	case v.Has(c.Self):
 		return "voter"
-	case c.Settings.Grow:
+	case c.Settings.GrowVoters:
 		return c.grows(v, look)
 	case v.Version > 0 || look.FleetExists || c.heir:
 		return "learner: it joins once a voter has been gone for 5 s, or one is missing"
-	case len(look.Uninitialized) > c.Settings.Founders:
-		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Uninitialized), c.Settings.Founders)
+	case len(look.Uninitialized) > c.Settings.BootstrapDisks:
+		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(look.Uninitialized), c.Settings.BootstrapDisks)
 	}
-	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Uninitialized), c.Settings.Founders)
+	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(look.Uninitialized), c.Settings.BootstrapDisks)
 }
 
 // grows is the same where voters are founded from seeds (design 13).
 func (c *Controller) grows(v register.QuorumSet, look register.ControllerView) string {
 	switch {
-	case !c.Settings.Counts:
+	case !c.Settings.MayVote:
 		return "its disk does not count: it never votes"
 	case v.Version > 0 || look.FleetExists:
 		return "learner: it joins the voters"
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -65,7 +65,7 @@
 // leaveQuorum waits until this node is out of the quorum set, where the set can do without it: what only this disk and few
 // others hold is on a majority of the next set before this one ends.
 func (c *Controller) leaveQuorum() {
-	until := c.Tasks.Now().Add(min(leaveWithin, c.Settings.Bounds.Grace/2))
+	until := c.Tasks.Now().Add(min(leaveWithin, c.Settings.Bounds.GracePeriod/2))
 	for c.Tasks.Now() < until && c.givesUpSeat() {
 		c.Tasks.Sleep(leaveLookEach)
 	}
@@ -102,7 +102,7 @@
 	r := c.Submit(ctx, a)
 	if r.Code == resultcode.OK {
 		sum := sha256.Sum256(a.Data)
-		c.note(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: a.Key, Number: uint64(r.Version), Plan: a.RequestID, SHA256: hex.EncodeToString(sum[:])})
+		c.note(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: a.Key, Version: uint64(r.Version), Plan: a.RequestID, SHA256: hex.EncodeToString(sum[:])})
 	}
 	return r
 }
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -35,7 +35,7 @@
 	if code != 200 {
 		return nil, fmt.Errorf("status %d", code)
 	}
-	l, err := config.ReadWorkers(b)
+	l, err := config.ParseWorkers(b)
 	if err == nil && len(l) == 0 {
 		err = errors.New("an empty list is not believed")
 	}
@@ -57,12 +57,12 @@
 	var warm map[string]time.Duration
 	for i := range l {
 		w := &l[i]
-		if w.Age = longAgo; w.Cold > 0 {
+		if w.Age = longAgo; w.WarmingUpFor > 0 {
 			if warm == nil {
 				num, data := c.heardOf(keyConfig)
 				_, warm = c.versionOf(num, data)
 			}
-			w.Age = max(0, warm[w.Service]-w.Cold)
+			w.Age = max(0, warm[w.Service]-w.WarmingUpFor)
 		}
 	}
 	return l, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,12 +14,12 @@
 	"github.com/apex/log"
 	"github.com/jonboulle/clockwork"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/cluster/transport"
 	"seamshunt/internal/logring"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/tasks"
 	"seamshunt/internal/units"
 )
@@ -27,7 +27,7 @@
 // Base holds the shared tables. Lock order: membership, configpush, control state, rules, admission queue, capacity ledger,
 // idempotency claimant, disk queue, wires.
 type Base struct {
-	Settings  *boot.Boot
+	Settings  *settings.Settings
 	Self      units.NodeID
 	Tasks     *tasks.Group
 	Transport *transport.Transport
@@ -62,11 +62,11 @@
 }
 
 // New builds the tables; Start brings them to life.
-func New(b *boot.Boot, self units.NodeID, role membership.Role) *Base {
+func New(b *settings.Settings, self units.NodeID, role membership.Role) *Base {
 	t := &Base{Settings: b, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
-	me := membership.Member{Node: self, Incarnation: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, HTTPAddr: b.Web, Zone: b.Zone}
+	me := membership.Member{Node: self, Incarnation: uint64(time.Now().UnixMilli()), Role: role, Addr: b.Addr, HTTPAddr: b.HTTPAddr, Zone: b.Zone}
 	t.Gossip = membership.New(me, b.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
 	return t
 }
@@ -183,7 +183,7 @@
 }
 
 // Reload takes a boot file that has changed: only the seeds may be others.
-func (t *Base) Reload(b *boot.Boot) {
+func (t *Base) Reload(b *settings.Settings) {
 	t.GossipMu.Lock()
 	t.Gossip.SetSeeds(b.Seeds)
 	t.GossipMu.Unlock()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -43,8 +43,8 @@
 // MaxClientConnections gives how many connections callers may hold: half of the descriptors. The rest is for other nodes, workers, the
 // platform and files; without them a process would neither hear of changes nor reach a worker.
 func (t *Base) MaxClientConnections() int {
-	if t.Settings.Files == 0 {
+	if t.Settings.MaxDescriptors == 0 {
 		return connectionsUnbounded
 	}
-	return max(1, t.Settings.Files/2)
+	return max(1, t.Settings.MaxDescriptors/2)
 }
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -4,14 +4,14 @@
 	"strings"
 	"testing"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/membership"
+	"seamshunt/internal/settings"
 )
 
 // The metrics tell each zone's state with its number, and no other value's.
 func TestZoneMetrics(t *testing.T) {
-	b := New(&boot.Boot{Name: "n"}, 1, membership.Router)
+	b := New(&settings.Settings{Name: "n"}, 1, membership.Router)
 	b.Feed.Apply(configpush.Item{Key: "config", Version: 3, Data: []byte(`{}`)})
 	b.Feed.Apply(configpush.Item{Key: ZonePrefix + "z1", Version: 4, Data: []byte(`{"evacuated":true}`)})
 	b.Feed.Apply(configpush.Item{Key: ZonePrefix + "z2", Version: 2, Data: []byte(`{"evacuated":false}`)})
--- a/internal/router/adapter.go
+++ b/internal/router/adapter.go
@@ -61,10 +61,10 @@
 
 // serveReadiness serves readiness probes, status and metrics at their own address, if there is one.
 func (v *Router) serveReadiness() error {
-	if v.Settings.Ready == "" {
+	if v.Settings.ReadyAddr == "" {
 		return nil
 	}
-	ln, err := listener.Listen(v.Settings.Ready)
+	ln, err := listener.Listen(v.Settings.ReadyAddr)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
@@ -80,7 +80,7 @@
 		v.status(ctx)
 	case "/metrics":
 		v.metrics(ctx)
-	case v.Adapter.Ready:
+	case v.Adapter.ReadyPath:
 		if !v.ready.Load() || v.draining() || v.isolated() {
 			ctx.SetStatusCode(503)
 			return
@@ -96,5 +96,5 @@
 	if v.Adapter != nil {
 		return v.Adapter.Config(b)
 	}
-	return config.Read(b)
+	return config.Parse(b)
 }
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -11,13 +11,13 @@
 
 // candidates returns the workers in the order of the placement policy, and each one's coordinator.
 func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
-	query := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: service.Spread}
+	query := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: service.PreferredCount}
 	coordinators := map[string]units.NodeID{}
 	var fallbacks []placement.Candidate // workers in an outage, used only if there is no other
 	v.viewMu.Lock()
 	for _, worker := range v.view.workersByPool[service.Pool] {
 		name := service.Name + "/" + worker.ID
-		if worker.Leaving || v.view.evacuatedZones[worker.Zone] || worker.Service != "" && worker.Service != service.Name {
+		if worker.Draining || v.view.evacuatedZones[worker.Zone] || worker.Service != "" && worker.Service != service.Name {
 			continue
 		}
 		coordinators[name] = capacity.Coordinator(v.view.peers, name, worker.Zone)
@@ -39,7 +39,7 @@
 		}
 	}
 	v.queueMu.Unlock()
-	return v.placer.Rank(service.Place, query), coordinators
+	return v.placer.Rank(service.PlacementPolicy, query), coordinators
 }
 
 // releaseAborted returns the permit of a run that this node aborted, or withdraws its admission request.
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -30,7 +30,7 @@
 func (v *Router) tickClaimant(now units.Time) {
 	var longest time.Duration
 	if r := v.activeConfig.Load(); r != nil {
-		longest = max(time.Second, r.Longest(true))
+		longest = max(time.Second, r.MaxDeadline(true))
 	}
 	var peers []units.NodeID
 	for _, member := range v.Members() {
--- a/internal/router/client_disconnect_test.go
+++ b/internal/router/client_disconnect_test.go
@@ -89,7 +89,7 @@
 	awaitInFlight(t, v)
 	c.disconnect(t)
 	list := []config.Worker{{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots}}
-	applyUpdates(t, v, configpush.Item{Key: "workers/" + platform.Pool, Version: 2, Data: config.PackWorkers(list)})
+	applyUpdates(t, v, configpush.Item{Key: "workers/" + platform.Pool, Version: 2, Data: config.MarshalWorkers(list)})
 	awaitIdle(t, v)
 	v.pool.CloseIdle(w.id)
 	return w
--- a/internal/router/cluster_view.go
+++ b/internal/router/cluster_view.go
@@ -63,11 +63,11 @@
 	if active == nil {
 		return
 	}
-	workers := active.Keep(view.workersByPool, view.catalog.StartTimes(), view.evacuatedZones)
+	workers := active.CapacityWorkers(view.workersByPool, view.catalog.StartTimes(), view.evacuatedZones)
 	v.coordinatorMu.Lock()
 	v.coordinator.SetWorkers(workers)
-	v.coordinator.SetRateLimits(v.Settings.Bounds.WarmExcess, v.Settings.Bounds.WarmSlack, view.peerWatch.RateShare(now, len(peers)))
-	v.coordinator.SetRouters(peers, view.peerWatch.RunDeadlines(active.Longest(false)))
+	v.coordinator.SetRateLimits(v.Settings.Bounds.WarmUpFactor, v.Settings.Bounds.WarmUpSlack, view.peerWatch.RateShare(now, len(peers)))
+	v.coordinator.SetRouters(peers, view.peerWatch.RunDeadlines(active.MaxDeadline(false)))
 	v.coordinatorMu.Unlock()
 }
 
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -51,7 +51,7 @@
 	b, small := startNativeWorker(t)
 	v := newTestRouter(t, a)
 	applyUpdates(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(fallbackConfig)},
-		configpush.Item{Key: "workers/side", Version: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
+		configpush.Item{Key: "workers/side", Version: 1, Data: config.MarshalWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
 	testutil.Until(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
@@ -146,7 +146,7 @@
 	if len(coordinated) != 1 || coordinated[0].InUse != 0 {
 		t.Errorf("coordinated workers: %+v", coordinated)
 	}
-	if _, b, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
+	if _, b, err := fasthttp.Get(nil, "http://"+v.Settings.HTTPAddr+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
 		t.Errorf("%v %s", err, b)
 	}
 }
--- a/internal/router/drain_random_test.go
+++ b/internal/router/drain_random_test.go
@@ -74,7 +74,7 @@
 	var c *workerConn
 	for n := 0; ; n++ {
 		if c == nil {
-			nc, err := net.Dial("tcp", v.Settings.Web)
+			nc, err := net.Dial("tcp", v.Settings.HTTPAddr)
 			if err != nil {
 				return
 			}
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -92,7 +92,7 @@
 // newTestRouterWithConfig is newTestRouter with another configuration.
 func newTestRouterWithConfig(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
-	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1}}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, nil)
 	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
@@ -106,7 +106,7 @@
 	}
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(configText)})
-	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.PackWorkers(list)})
+	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.MarshalWorkers(list)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router coordinates its workers", func() bool {
@@ -136,7 +136,7 @@
 
 func dialClient(t *testing.T, v *Router) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Settings.Web)
+	c, err := net.Dial("tcp", v.Settings.HTTPAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/mapping_stats.go
+++ b/internal/router/mapping_stats.go
@@ -54,7 +54,7 @@
 		}
 		t.byMapping[m.Name] = stats
 	}
-	stats.promise, stats.service, stats.target = m.Promise.Name, m.To[0], m.Promise.First
+	stats.promise, stats.service, stats.target = m.Promise.Name, m.Services[0], m.Promise.MaxFirstTokenTime
 	change(stats)
 }
 
--- a/internal/router/native_api.go
+++ b/internal/router/native_api.go
@@ -85,7 +85,7 @@
 	if !w.readRequest() {
 		return
 	}
-	actions, ok := w.config.Program.Find(routing.Ask{Host: requestHost(ctx), Path: path, Header: func(n string) string {
+	actions, ok := w.config.Program.Find(routing.Request{Host: requestHost(ctx), Path: path, Header: func(n string) string {
 		return string(ctx.Request.Header.Peek(n))
 	}})
 	if !ok {
@@ -94,8 +94,8 @@
 	}
 	w.mapping = w.config.Mappings[actions[0].Mapping]
 	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.countRequest(w.startedAt) })
-	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: w.claimKey, Share: w.chooseService,
-		Try: w.tryService, Refuse: w.refuse})
+	routing.Run(actions, routing.Handlers{Deadline: w.applyTimeLimit, Claim: w.claimKey, Split: w.chooseService,
+		Dispatch: w.tryService, Refuse: w.refuse})
 }
 
 // readRequest reads and checks the method, headers and body of a prompt. It refuses an invalid one and returns false.
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -67,19 +67,19 @@
 
 // attemptsLeft reports whether the mapping allows another attempt besides the pending ones.
 func (w *nativeRequest) attemptsLeft(pending int) bool {
-	return w.mapping.Tries == 0 || w.dispatches+pending < w.mapping.Tries
+	return w.mapping.MaxWorkers == 0 || w.dispatches+pending < w.mapping.MaxWorkers
 }
 
 // tryService attempts the request on one service. It reports whether the request has been answered.
 func (w *nativeRequest) tryService(name string) bool {
 	service := w.config.Services[name]
 	v := w.router
-	for range max(defaultMaxAttempts, w.mapping.Tries) {
+	for range max(defaultMaxAttempts, w.mapping.MaxWorkers) {
 		now := v.Tasks.Now()
 		if w.checkCancelled() {
 			return w.endWithRefusal()
 		}
-		if w.deadline.Sub(now) < service.First {
+		if w.deadline.Sub(now) < service.FirstTokenTime {
 			w.reason = resultcode.DeadlineExceeded
 			return w.dispatches > 0 && w.endWithRefusal()
 		}
@@ -114,12 +114,12 @@
 func (w *nativeRequest) admit(now units.Time, tag uint64, service *config.Service) timedDecision {
 	v := w.router
 	w.stage = stageAdmission
-	candidates, coordinators := v.candidates(now, service, placement.Fingerprint(w.prompt, service.Prefix))
+	candidates, coordinators := v.candidates(now, service, placement.Fingerprint(w.prompt, service.PrefixBytes))
 	result := make(chan timedDecision, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
-	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.Allow, Candidates: candidates, MaxCandidates: service.Spread + 4,
-		Deadline: w.deadline, FirstTokenTime: service.First, Worth: uint16(w.mapping.Promise.Worth),
+	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Candidates: candidates, MaxCandidates: service.PreferredCount + 4,
+		Deadline: w.deadline, FirstTokenTime: service.FirstTokenTime, Worth: uint16(w.mapping.Promise.Worth),
 		Coordinator: func(n string) units.NodeID { return coordinators[n] }})
 	v.deliverDecisions(now)
 	v.queueMu.Unlock()
@@ -140,7 +140,7 @@
 	defer v.viewMu.Unlock()
 	for _, worker := range v.view.workersByPool[service.Pool] {
 		if service.Name+"/"+worker.ID == name {
-			return worker.Addr, worker.Zone, !worker.Leaving && !v.view.evacuatedZones[worker.Zone]
+			return worker.Addr, worker.Zone, !worker.Draining && !v.view.evacuatedZones[worker.Zone]
 		}
 	}
 	return "", "", false
@@ -151,7 +151,7 @@
 func (w *nativeRequest) dispatch(tag uint64, worker string, service *config.Service) bool {
 	v := w.router
 	addr, zone, ok := v.workerAddress(worker, service)
-	if !ok || !w.mapping.Reaches(service.Name) {
+	if !ok || !w.mapping.MayReach(service.Name) {
 		v.release(tag, false)
 		w.reason = resultcode.NoWorker
 		return false
--- a/internal/router/native_stream.go
+++ b/internal/router/native_stream.go
@@ -37,8 +37,8 @@
 		stats.refused++
 		stats.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
 	})
-	s := w.config.Services[w.mapping.To[0]]
-	w.router.refuse(w.ctx, c, refusalTexts[c], true, retryAfter(s.RetryAfter, s.Jitter, w.expectedWait))
+	s := w.config.Services[w.mapping.Services[0]]
+	w.router.refuse(w.ctx, c, refusalTexts[c], true, retryAfter(s.RetryAfter, s.RetryJitter, w.expectedWait))
 }
 
 var refusalTexts = map[resultcode.Code]string{
--- a/internal/router/overdue_worker.go
+++ b/internal/router/overdue_worker.go
@@ -57,7 +57,7 @@
 			marked = true
 			v.markDown(worker)
 		}
-		if !w.mapping.Once && w.attemptsLeft(1) && w.deadline.Sub(now) > 2*service.First &&
+		if !w.mapping.Once && w.attemptsLeft(1) && w.deadline.Sub(now) > 2*service.FirstTokenTime &&
 			!w.retryReserved && w.takeRetry(service.Name, now) {
 			w.retryReserved = true
 			attempt.Cancel()
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -83,7 +83,7 @@
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 0
 	})
-	_, body, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/status")
+	_, body, err := fasthttp.Get(nil, "http://"+v.Settings.HTTPAddr+"/status")
 	var x struct {
 		Promises map[string]struct {
 			Asked  int `json:"asked"`
@@ -103,7 +103,7 @@
 	a, _ := startNativeWorker(t)
 	v := newTestRouter(t, a)
 	ready := func() bool {
-		code, _, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/healthz")
+		code, _, err := fasthttp.Get(nil, "http://"+v.Settings.HTTPAddr+"/healthz")
 		return err == nil && code == 200
 	}
 	if !ready() {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -78,7 +78,7 @@
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	actions, ok := w.config.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string {
+	actions, ok := w.config.Program.Find(routing.Request{Host: host, Path: string(path), Header: func(n string) string {
 		return string(ctx.Request.Header.Peek(n))
 	}})
 	if !ok {
@@ -93,8 +93,8 @@
 	}
 	w.readHeaders()
 	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.countRequest(w.startedAt) })
-	routing.Run(actions, routing.Hands{Limit: w.applyTimeLimit, Claim: func() bool { return false }, Share: w.chooseService,
-		Try: w.tryService, Refuse: w.refuse})
+	routing.Run(actions, routing.Handlers{Deadline: w.applyTimeLimit, Claim: func() bool { return false }, Split: w.chooseService,
+		Dispatch: w.tryService, Refuse: w.refuse})
 }
 
 // finish releases the client. No work for the request may be left.
@@ -122,11 +122,11 @@
 
 // readHeaders reads the request's ID, last event ID, time left and prompt size from its headers, and copies its body.
 func (w *relayRequest) readHeaders() {
-	n, h := &w.router.Adapter.Names, &w.ctx.Request.Header
-	w.id = string(h.Peek(n.Try))
-	w.lastEventID = string(h.Peek(n.After))
-	w.timeLeft = w.mapping.Promise.Longest
-	if ms, err := strconv.ParseFloat(string(h.Peek(n.Left)), 64); err == nil && ms >= 0 && ms < 1e9 {
+	n, h := &w.router.Adapter.Headers, &w.ctx.Request.Header
+	w.id = string(h.Peek(n.AttemptID))
+	w.lastEventID = string(h.Peek(n.LastEventID))
+	w.timeLeft = w.mapping.Promise.Deadline
+	if ms, err := strconv.ParseFloat(string(h.Peek(n.TimeLeft)), 64); err == nil && ms >= 0 && ms < 1e9 {
 		w.timeLeft = time.Duration(ms * float64(time.Millisecond))
 	}
 	w.body = bytes.Clone(w.ctx.PostBody()) // the body is used after the handler has returned
@@ -174,7 +174,7 @@
 
 // exceedsLimits reports whether a request's body or header is larger than the configured limits.
 func exceedsLimits(ctx *fasthttp.RequestCtx, l config.Limits) bool {
-	return l.Body > 0 && len(ctx.PostBody()) > l.Body || l.Head > 0 && len(ctx.Request.Header.RawHeaders()) > l.Head
+	return l.BodyBytes > 0 && len(ctx.PostBody()) > l.BodyBytes || l.HeaderBytes > 0 && len(ctx.Request.Header.RawHeaders()) > l.HeaderBytes
 }
 
 // refuse sends the final answer of a request that no service has answered, with Retry-After if it has not run.
@@ -197,8 +197,8 @@
 	case code == resultcode.ClientDisconnected:
 		w.respond(code, 0)
 	default:
-		s := w.config.Services[w.mapping.To[0]]
-		w.respond(code, retryAfter(s.RetryAfter, s.Jitter, w.expectedWait))
+		s := w.config.Services[w.mapping.Services[0]]
+		w.respond(code, retryAfter(s.RetryAfter, s.RetryJitter, w.expectedWait))
 	}
 }
 
--- a/internal/router/relay_attempt.go
+++ b/internal/router/relay_attempt.go
@@ -15,8 +15,8 @@
 
 // maxAttempts returns the maximum number of workers that the request may be sent to.
 func (w *relayRequest) maxAttempts() int {
-	if w.mapping.Tries > 0 {
-		return w.mapping.Tries
+	if w.mapping.MaxWorkers > 0 {
+		return w.mapping.MaxWorkers
 	}
 	return defaultMaxAttempts
 }
@@ -49,7 +49,7 @@
 	service, v := w.config.Services[name], w.router
 	for n := 0; n < defaultMaxAttempts+2; n++ { // attempts that never left this node may be repeated as well
 		now := v.Tasks.Now()
-		if w.deadline.Sub(now) < service.First {
+		if w.deadline.Sub(now) < service.FirstTokenTime {
 			w.reason = resultcode.DeadlineExceeded
 			return false
 		}
@@ -100,7 +100,7 @@
 func (w *relayRequest) admit(now units.Time, service *config.Service) (timedDecision, uint64) {
 	v, tag := w.router, w.router.nextTag.Add(1)
 	w.stage = w.stageUnlessStreaming(stageAdmission)
-	query := admission.Request{Tag: tag, Policy: service.Allow, Deadline: w.deadline, FirstTokenTime: service.First,
+	query := admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Deadline: w.deadline, FirstTokenTime: service.FirstTokenTime,
 		Worth: uint16(w.mapping.Promise.Worth), MaxCandidates: 3}
 	candidates, coordinators := v.placeRelay(now, service, w, &query)
 	query.Candidates, query.Coordinator = candidates, func(n string) units.NodeID { return coordinators[n] }
@@ -124,18 +124,18 @@
 // newWorkerRequest builds the request to the worker: the client's headers and body, and the time left, the expected
 // worker, the priority and the last event ID.
 func (w *relayRequest) newWorkerRequest(worker string, left time.Duration) *fasthttp.Request {
-	n, r := &w.router.Adapter.Names, fasthttp.AcquireRequest()
+	n, r := &w.router.Adapter.Headers, fasthttp.AcquireRequest()
 	w.ctx.Request.Header.CopyTo(&r.Header)
 	for _, h := range hopByHopHeaders {
 		r.Header.Del(h)
 	}
 	r.Header.ResetConnectionClose()
 	r.Header.SetNoDefaultContentType(true)
-	r.Header.Set(n.Left, strconv.Itoa(int(max(1, left/time.Millisecond))))
-	r.Header.Set(n.Expect, worker)
+	r.Header.Set(n.TimeLeft, strconv.Itoa(int(max(1, left/time.Millisecond))))
+	r.Header.Set(n.ExpectedWorker, worker)
 	r.Header.Set(n.Urgency, strconv.Itoa(int(w.priority)))
 	if w.lastEventID != "" {
-		r.Header.Set(n.After, w.lastEventID)
+		r.Header.Set(n.LastEventID, w.lastEventID)
 	}
 	r.SetBodyRaw(w.body)
 	return r
@@ -150,7 +150,7 @@
 func (w *relayRequest) dispatch(tag uint64, name string, service *config.Service) *workerResponse {
 	v := w.router
 	addr, zone, ok := v.workerAddress(name, service)
-	if !ok || !w.mapping.Reaches(service.Name) {
+	if !ok || !w.mapping.MayReach(service.Name) {
 		v.release(tag, false)
 		w.reason = resultcode.NoWorker
 		return nil
@@ -224,5 +224,5 @@
 // shouldRetryStatus reports whether a worker's error status is retried on another worker. Only repeatable requests are.
 func (w *relayRequest) shouldRetryStatus(status int) bool {
 	return status >= 500 && !w.mapping.Once && w.dispatches < w.maxAttempts() &&
-		w.router.Tasks.Now().Add(w.mapping.Promise.First/4) < w.deadline
+		w.router.Tasks.Now().Add(w.mapping.Promise.MaxFirstTokenTime/4) < w.deadline
 }
--- a/internal/router/relay_descriptors_test.go
+++ b/internal/router/relay_descriptors_test.go
@@ -43,7 +43,7 @@
 		held = held[:len(held)-1]
 	}
 	releaseOne()
-	pending, err := net.Dial("tcp", v.Settings.Web) // takes the last descriptor, so the router can't accept it
+	pending, err := net.Dial("tcp", v.Settings.HTTPAddr) // takes the last descriptor, so the router can't accept it
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 	"seamshunt/platform"
 )
@@ -107,7 +107,7 @@
 // budget allows retries.
 func newRelayRouter(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
-	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1, RetryRatio: 1}}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, platform.New("", "router"))
 	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
@@ -121,7 +121,7 @@
 	}
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(relayConfig)})
-	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.PackWorkers(list)})
+	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.MarshalWorkers(list)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router coordinates its workers", func() bool {
@@ -149,7 +149,7 @@
 // dialRelayClient connects a client to the router.
 func dialRelayClient(t testing.TB, v *Router) *workerConn {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Settings.Web)
+	c, err := net.Dial("tcp", v.Settings.HTTPAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/relay_placement.go
+++ b/internal/router/relay_placement.go
@@ -14,11 +14,11 @@
 func (v *Router) placeRelay(now units.Time, service *config.Service, request *relayRequest, query *admission.Request) (
 	[]string, map[string]units.NodeID) {
 	request.priority = priorityByRank(request.mapping)
-	if request.hasSize && service.Memory > 0 {
+	if request.hasSize && service.MemoryTokens > 0 {
 		estimateCost(request.prompt, service, query)
 		request.priority = priorityByPrefillTime(query.PrefillTime)
-		if target := request.mapping.Promise.First * firstTokenTargetPercent / 100; query.PrefillTime < target {
-			query.MaxFirstTokenTime = max(0, target-now.Sub(request.startedAt)-service.First)
+		if target := request.mapping.Promise.MaxFirstTokenTime * firstTokenTargetPercent / 100; query.PrefillTime < target {
+			query.MaxFirstTokenTime = max(0, target-now.Sub(request.startedAt)-service.FirstTokenTime)
 		}
 	}
 	query.Priority = request.priority
@@ -44,7 +44,7 @@
 // prefillTime estimates how long a typical worker takes to read newTokens that follow cachedTokens.
 func prefillTime(s *config.Service, newTokens, cachedTokens int) time.Duration {
 	n, cached := float64(newTokens), float64(cachedTokens)
-	return time.Duration((n/s.Reads + s.Pairs*n*(cached+n/2)/1e6) * float64(time.Millisecond))
+	return time.Duration((n/s.PrefillRate + s.AttentionCost*n*(cached+n/2)/1e6) * float64(time.Millisecond))
 }
 
 // estimateCost sets the cost of a prompt for a worker that has cached its shared prefix and for one that has not
@@ -56,9 +56,9 @@
 			shared += x.Tokens
 		}
 	}
-	shared = min(shared, p.In)
-	query.PreferredCount, query.FullPrefillTime, query.PrefillTime = 1, prefillTime(service, p.In, 0), prefillTime(service, p.In-shared, shared)
-	query.MemoryTokens = uint32(p.In - shared + p.Out)
+	shared = min(shared, p.InputTokens)
+	query.PreferredCount, query.FullPrefillTime, query.PrefillTime = 1, prefillTime(service, p.InputTokens, 0), prefillTime(service, p.InputTokens-shared, shared)
+	query.MemoryTokens = uint32(p.InputTokens - shared + p.MaxOutputTokens)
 	query.NonPreferredPenalty = 4*(query.FullPrefillTime-query.PrefillTime) + 1
 }
 
@@ -82,11 +82,11 @@
 // connectionShare returns this node's share of the connections that a worker accepts from all nodes together, or 0 if the
 // service sets no limit.
 func (v *Router) connectionShare(s *config.Service) int {
-	if s.Conns == 0 {
+	if s.MaxConns == 0 {
 		return 0
 	}
 	v.viewMu.Lock()
 	n := len(v.view.peers)
 	v.viewMu.Unlock()
-	return max(2, s.Conns*8/10/max(1, n))
+	return max(2, s.MaxConns*8/10/max(1, n))
 }
--- a/internal/router/relay_placement_test.go
+++ b/internal/router/relay_placement_test.go
@@ -29,9 +29,9 @@
 }
 
 func TestCostCountsAttentionAndCachedPrefix(t *testing.T) {
-	s := &config.Service{Memory: 600000}
-	config.Defaults(s)
-	p := adapter.Prompt{In: 50000, Out: 1000, Parts: []adapter.Part{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
+	s := &config.Service{MemoryTokens: 600000}
+	config.SetDefaults(s)
+	p := adapter.Prompt{InputTokens: 50000, MaxOutputTokens: 1000, Parts: []adapter.PromptPart{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
 	var q admission.Request
 	estimateCost(p, s, &q)
 	// With the prefix cached: 45,000 tokens at 75 per millisecond, and 45,000 x 27,500 attention pairs. Without it: 5,000
@@ -43,7 +43,7 @@
 	if q.MemoryTokens != 46000 || q.PreferredCount != 1 || q.NonPreferredPenalty <= q.FullPrefillTime-q.PrefillTime {
 		t.Errorf("%+v", q)
 	}
-	p.In = 100 // the parts add up to more than the whole prompt
+	p.InputTokens = 100 // the parts add up to more than the whole prompt
 	if estimateCost(p, s, &q); q.PrefillTime != 0 || q.MemoryTokens != 1000 || q.FullPrefillTime <= 0 {
 		t.Errorf("%+v", q)
 	}
--- a/internal/router/relay_response.go
+++ b/internal/router/relay_response.go
@@ -171,7 +171,7 @@
 	r.workerResponse.tag = 0
 	for {
 		now := w.router.Tasks.Now()
-		if w.deadline.Sub(now) < r.service.First || !w.takeAttempt(r.service.Name, now) {
+		if w.deadline.Sub(now) < r.service.FirstTokenTime || !w.takeAttempt(r.service.Name, now) {
 			return false
 		}
 		decision, tag := w.admit(now, r.service)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -11,7 +11,6 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/listener"
@@ -23,6 +22,7 @@
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/router/placement"
 	"seamshunt/internal/router/upstream"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/tasks"
 	"seamshunt/internal/units"
 )
@@ -73,11 +73,11 @@
 
 // New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md,
 // section 11).
-func New(b *boot.Boot, clientAdapter *adapter.Adapter) *Router {
+func New(b *settings.Settings, clientAdapter *adapter.Adapter) *Router {
 	v := &Router{Base: node.New(b, node.RandomID(), membership.Router),
 		pendingAdmissions: map[uint64]chan timedDecision{}, pendingClaims: map[uint64]chan resultcode.Code{}}
 	if v.Adapter = clientAdapter; clientAdapter != nil {
-		v.pool = upstream.NewPool(clientAdapter.Names)
+		v.pool = upstream.NewPool(clientAdapter.Headers)
 	}
 	v.clientWatcher = clientwatch.New(v.clientPollLoop.By)
 	v.queue = admission.New(v.Self)
@@ -98,7 +98,7 @@
 
 // Start opens the listeners, starts the background loops and returns.
 func (v *Router) Start() error {
-	ln, err := listener.Listen(v.Settings.Web)
+	ln, err := listener.Listen(v.Settings.HTTPAddr)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
