--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -12,15 +12,15 @@
 
 func main() {
 	const name = "router"
-	dump := func(d console.Daemon) { d.(*router.Router).LogRing.Dump() }
+	dump := func(daemon console.Daemon) { daemon.(*router.Router).LogRing.Dump() }
 	root := console.NewRootCommand(name, "the data plane: takes prompts, admits, places and streams")
 	root.AddCommand(
-		console.NewRunCommand(name, func(b *settings.Settings) (console.Daemon, error) { return router.New(b, nil), nil }, dump),
+		console.NewRunCommand(name, func(s *settings.Settings) (console.Daemon, error) { return router.New(s, nil), nil }, dump),
 		console.NewServeCommand(func() (*settings.Settings, error) { return platform.Boot(os.Getenv(platform.SettingsEnv), name) },
-			func(b *settings.Settings) (console.Daemon, error) {
-				return router.New(b, platform.New(os.Getenv(platform.SettingsEnv), name)), nil
+			func(s *settings.Settings) (console.Daemon, error) {
+				return router.New(s, platform.New(os.Getenv(platform.SettingsEnv), name)), nil
 			},
-			func(d console.Daemon, b *settings.Settings) { d.(*router.Router).Reload(b) }, dump),
+			func(daemon console.Daemon, s *settings.Settings) { daemon.(*router.Router).Reload(s) }, dump),
 		console.NewCheckCommand(name, &console.FileCheck{Flag: "settings", Usage: "a settings file", Check: func(path string) error {
 			_, err := platform.Boot(path, name)
 			return err
--- a/internal/router/connection_limit_test.go
+++ b/internal/router/connection_limit_test.go
@@ -18,8 +18,8 @@
 // room.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	const files = 8
-	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, MaxDescriptors: files}
-	v := New(b, nil)
+	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, MaxDescriptors: files}
+	v := New(s, nil)
 	v.OnResume = nil
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	t.Cleanup(v.Close)
 	connect := func() net.Conn {
 		t.Helper()
-		c, err := net.Dial("tcp", b.HTTPAddr)
+		c, err := net.Dial("tcp", s.HTTPAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -92,9 +92,9 @@
 // newTestRouterWithConfig is newTestRouter with another configuration.
 func newTestRouterWithConfig(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
-	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
-	b.Seeds = []string{b.Addr}
-	v := New(b, nil)
+	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
+	s.Seeds = []string{s.Addr}
+	v := New(s, nil)
 	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -118,7 +118,8 @@
 	result := make(chan timedDecision, 1)
 	v.queueMu.Lock()
 	v.pendingAdmissions[tag] = result
-	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Candidates: candidates, MaxCandidates: service.PreferredCount + 4,
+	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Candidates: candidates,
+		MaxCandidates: service.PreferredCount + 4,
 		Deadline: w.deadline, FirstTokenTime: service.FirstTokenTime, Worth: uint16(w.mapping.Promise.Worth),
 		Coordinator: func(n string) units.NodeID { return coordinators[n] }})
 	v.deliverDecisions(now)
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -107,9 +107,9 @@
 // budget allows retries.
 func newRelayRouter(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
-	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
-	b.Seeds = []string{b.Addr}
-	v := New(b, platform.New("", "router"))
+	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
+	s.Seeds = []string{s.Addr}
+	v := New(s, platform.New("", "router"))
 	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
 	if err := v.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -73,8 +73,8 @@
 
 // New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md,
 // section 11).
-func New(b *settings.Settings, clientAdapter *adapter.Adapter) *Router {
-	v := &Router{Base: node.New(b, node.RandomID(), membership.Router),
+func New(s *settings.Settings, clientAdapter *adapter.Adapter) *Router {
+	v := &Router{Base: node.New(s, node.RandomID(), membership.Router),
 		pendingAdmissions: map[uint64]chan timedDecision{}, pendingClaims: map[uint64]chan resultcode.Code{}}
 	if v.Adapter = clientAdapter; clientAdapter != nil {
 		v.pool = upstream.NewPool(clientAdapter.Headers)
