--- a/internal/control/controller/late_connection_test.go
+++ b/internal/control/controller/late_connection_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 )
 
 // EVAC: a withdrawal waited for a controller that was slow to accept its connection, though it never stood still for long. Its caller
--- a/internal/control/controller/linear_test.go
+++ b/internal/control/controller/linear_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"seamshunt/internal/linearizability"
 	"seamshunt/internal/resultcode"
-	"seamshunt/internal/rig/linearizability"
 )
 
 // door is one operator at an adapter's calls, with a chance for each answer to be lost.
@@ -41,7 +41,7 @@
 		from := d.now()
 		data, version, code := d.at().Control().Read()
 		if code == resultcode.OK || code == resultcode.NotFound {
-			d.keep(linearizability.Call{From: from, To: d.now(), Position: version, Data: string(data), Outcome: linearizability.Done})
+			d.keep(linearizability.Call{CalledAt: from, ReturnedAt: d.now(), Version: version, Data: string(data), Outcome: linearizability.Succeeded})
 			return version
 		}
 	}
@@ -55,15 +55,15 @@
 	builds := d.version()
 	next := builds + 1 + uint64(d.rng.IntN(3))
 	text := fmt.Sprint(serial)
-	c := linearizability.Call{Kind: linearizability.Write, From: d.now(), Builds: builds, Position: next, Data: fmt.Sprintf(`{"v":%d,"x":%q}`, next, text)}
+	c := linearizability.Call{Kind: linearizability.Write, CalledAt: d.now(), ExpectedVersion: builds, Version: next, Data: fmt.Sprintf(`{"v":%d,"x":%q}`, next, text)}
 	taken, refused := false, false
 	for range 30 {
 		code, _ := d.at().Control().Put(builds, []byte(c.Data))
 		taken, refused = taken || code == resultcode.OK, refused || code == resultcode.VersionConflict
 		if isClear := code == resultcode.OK || code == resultcode.VersionConflict; isClear && d.rng.Float64() >= d.lost {
-			c.To, c.Outcome = d.now(), linearizability.Refused
+			c.ReturnedAt, c.Outcome = d.now(), linearizability.Rejected
 			if code == resultcode.OK {
-				c.Outcome = linearizability.Done
+				c.Outcome = linearizability.Succeeded
 			}
 			break
 		}
@@ -94,7 +94,7 @@
 	wg.Wait()
 	done := 0
 	for _, c := range calls {
-		if c.Kind == linearizability.Write && c.Outcome == linearizability.Done {
+		if c.Kind == linearizability.Write && c.Outcome == linearizability.Succeeded {
 			done++
 		}
 	}
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -120,7 +120,7 @@
 	v.pendingAdmissions[tag] = result
 	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Candidates: candidates,
 		MaxCandidates: service.PreferredCount + 4,
-		Deadline: w.deadline, FirstTokenTime: service.FirstTokenTime, Worth: uint16(w.mapping.Promise.Worth),
+		Deadline:      w.deadline, FirstTokenTime: service.FirstTokenTime, Worth: uint16(w.mapping.Promise.Worth),
 		Coordinator: func(n string) units.NodeID { return coordinators[n] }})
 	v.deliverDecisions(now)
 	v.queueMu.Unlock()
