--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -16,16 +16,18 @@
 	root := console.NewRootCommand(name, "the control plane: state on disk, operators, the platform, news")
 	root.AddCommand(
 		console.NewRunCommand(name, func(b *settings.Settings) (console.Daemon, error) { return controller.New(b, nil) }, dump),
-		console.NewServeCommand(func() (*settings.Settings, error) { return platform.Boot(os.Getenv(platform.SettingsEnv), name) },
+		console.NewServeCommand(func() (*settings.Settings, error) {
+			return platform.ReadProgramSettings(os.Getenv(platform.SettingsEnv), name)
+		},
 			func(b *settings.Settings) (console.Daemon, error) {
 				return controller.New(b, platform.New(os.Getenv(platform.SettingsEnv), name))
 			},
 			func(d console.Daemon, b *settings.Settings) { d.(*controller.Controller).Reload(b) }, dump),
 		console.NewCheckCommand(name, &console.FileCheck{Flag: "settings", Usage: "a settings file", Check: func(path string) error {
-			_, err := platform.Boot(path, name)
+			_, err := platform.ReadProgramSettings(path, name)
 			return err
 		}},
-			&console.FileCheck{Flag: "deploy", Usage: "a deploy file", Check: platform.Deploy}))
+			&console.FileCheck{Flag: "deploy", Usage: "a deploy file", Check: platform.CheckDeploy}))
 	root.AddCommand(calls()...)
 	console.Execute(root)
 }
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -16,13 +16,15 @@
 	root := console.NewRootCommand(name, "the data plane: takes prompts, admits, places and streams")
 	root.AddCommand(
 		console.NewRunCommand(name, func(s *settings.Settings) (console.Daemon, error) { return router.New(s, nil), nil }, dump),
-		console.NewServeCommand(func() (*settings.Settings, error) { return platform.Boot(os.Getenv(platform.SettingsEnv), name) },
+		console.NewServeCommand(func() (*settings.Settings, error) {
+			return platform.ReadProgramSettings(os.Getenv(platform.SettingsEnv), name)
+		},
 			func(s *settings.Settings) (console.Daemon, error) {
 				return router.New(s, platform.New(os.Getenv(platform.SettingsEnv), name)), nil
 			},
 			func(daemon console.Daemon, s *settings.Settings) { daemon.(*router.Router).Reload(s) }, dump),
 		console.NewCheckCommand(name, &console.FileCheck{Flag: "settings", Usage: "a settings file", Check: func(path string) error {
-			_, err := platform.Boot(path, name)
+			_, err := platform.ReadProgramSettings(path, name)
 			return err
 		}}))
 	console.Execute(root)
