--- a/internal/router/relay_placement.go
+++ b/internal/router/relay_placement.go
@@ -57,7 +57,8 @@
 		}
 	}
 	shared = min(shared, p.InputTokens)
-	query.PreferredCount, query.FullPrefillTime, query.PrefillTime = 1, prefillTime(service, p.InputTokens, 0), prefillTime(service, p.InputTokens-shared, shared)
+	query.PreferredCount, query.FullPrefillTime, query.PrefillTime = 1, prefillTime(service, p.InputTokens, 0),
+		prefillTime(service, p.InputTokens-shared, shared)
 	query.MemoryTokens = uint32(p.InputTokens - shared + p.MaxOutputTokens)
 	query.NonPreferredPenalty = 4*(query.FullPrefillTime-query.PrefillTime) + 1
 }
