--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -16,13 +16,13 @@
 var uncancellable = []string{
 	"context.Background", "context.TODO", "context.WithoutCancel",
 	"net.Dial", "net.DialTimeout", "shield.Dial",
-	"time.Sleep", "Tasks.Sleep", "socket.HungUp",
+	"time.Sleep", "Tasks.Sleep", "socket.PeerClosed",
 }
 
 // exemptions lists, by file, the uncancellable calls made on behalf of the process itself rather than of a request.
 var exemptions = map[string][]string{
-	"clientwatch/clientwatch.go": {"context.Background", "socket.HungUp"}, // creates the requests' contexts
-	"drain.go":                   {"context.Background", "Tasks.Sleep"},   // shuts the process down
+	"clientwatch/clientwatch.go": {"context.Background", "socket.PeerClosed"}, // creates the requests' contexts
+	"drain.go":                   {"context.Background", "Tasks.Sleep"},       // shuts the process down
 }
 
 // calledName returns the last two names of a call such as v.Tasks.Sleep or net.Dial.
