--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -11,22 +11,22 @@
 	"testing"
 )
 
-// uncancellable are calls that would let work for a request outlast its client: contexts of one's own, connections and waits
-// without a context, and looks at the client of one's own.
+// uncancellable lists calls with which work for a request could outlast its client: contexts not derived from the request's,
+// dials and waits without a context, and direct checks of the client's connection.
 var uncancellable = []string{
 	"context.Background", "context.TODO", "context.WithoutCancel",
 	"net.Dial", "net.DialTimeout", "shield.Dial",
-	"time.Sleep", "Tasks.Sleep", "socket.HungUp",
+	"time.Sleep", "Tasks.Sleep", "socket.PeerClosed",
 }
 
-// ownTime are the files that do something for the process itself rather than for a request, with what they may call.
-var ownTime = map[string][]string{
-	"clientwatch/clientwatch.go": {"context.Background", "socket.HungUp"}, // where the contexts come from
-	"leave.go":                   {"context.Background", "Tasks.Sleep"},   // the end of the process
+// exemptions lists, by file, the uncancellable calls made on behalf of the process itself rather than of a request.
+var exemptions = map[string][]string{
+	"clientwatch/clientwatch.go": {"context.Background", "socket.PeerClosed"}, // creates the requests' contexts
+	"drain.go":                   {"context.Background", "Tasks.Sleep"},       // shuts the process down
 }
 
-// selector gives the last two names of a call like v.Tasks.Sleep or net.Dial.
-func selector(call *ast.CallExpr) string {
+// calledName returns the last two names of a call such as v.Tasks.Sleep or net.Dial.
+func calledName(call *ast.CallExpr) string {
 	s, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return ""
@@ -40,9 +40,10 @@
 	return ""
 }
 
-// Nothing in the data plane can work on a request without its context: what would is called nowhere else.
-func TestNothingOutlastsItsClientUnseen(t *testing.T) {
-	used := map[string]bool{}
+// Work on a request is always bound to the request's context: no file in the data plane makes an uncancellable call unless
+// it is exempt.
+func TestRequestWorkIsCancellable(t *testing.T) {
+	usedExemptions := map[string]bool{}
 	visit := func(file string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(file) != ".go" || strings.HasSuffix(file, "_test.go") {
 			return err
@@ -56,14 +57,14 @@
 			if !ok {
 				return true
 			}
-			name := selector(call)
+			name := calledName(call)
 			if !slices.Contains(uncancellable, name) {
 				return true
 			}
-			if !slices.Contains(ownTime[filepath.ToSlash(file)], name) {
-				t.Errorf("%s calls %s: take the request's context, or say here why it needs none", file, name)
+			if !slices.Contains(exemptions[filepath.ToSlash(file)], name) {
+				t.Errorf("%s calls %s: use the request's context, or add an exemption here with the reason", file, name)
 			}
-			used[filepath.ToSlash(file)+" "+name] = true
+			usedExemptions[filepath.ToSlash(file)+" "+name] = true
 			return true
 		})
 		return nil
@@ -71,10 +72,10 @@
 	if err := filepath.WalkDir(".", visit); err != nil {
 		t.Fatal(err)
 	}
-	for file, names := range ownTime {
+	for file, names := range exemptions {
 		for _, name := range names {
-			if !used[file+" "+name] {
-				t.Errorf("%s calls %s no more: take it out of the list", file, name)
+			if !usedExemptions[file+" "+name] {
+				t.Errorf("%s no longer calls %s: remove the exemption", file, name)
 			}
 		}
 	}
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -9,53 +9,55 @@
 	"seamshunt/internal/units"
 )
 
-// candidates asks the placement policy for the workers' order, and finds each one's keeper.
-func (v *Router) candidates(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
-	q := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: s.PreferredCount}
-	keepers := map[string]units.NodeID{}
-	var over []placement.Candidate // passed over, but better than none
-	v.tableMu.Lock()
-	for _, x := range v.table.pools[s.Pool] {
-		name := s.Name + "/" + x.ID
-		if x.Draining || v.table.evacuated[x.Zone] || x.Service != "" && x.Service != s.Name {
+// candidates returns the workers in the order of the placement policy, and each one's coordinator.
+func (v *Router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
+	query := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: service.PreferredCount}
+	coordinators := map[string]units.NodeID{}
+	var fallbacks []placement.Candidate // workers in an outage, used only if there is no other
+	v.viewMu.Lock()
+	for _, worker := range v.view.workersByPool[service.Pool] {
+		name := service.Name + "/" + worker.ID
+		if worker.Draining || v.view.evacuatedZones[worker.Zone] || worker.Service != "" && worker.Service != service.Name {
 			continue
 		}
-		keepers[name] = capacity.Coordinator(v.table.peers, name, x.Zone)
-		if spot := (placement.Candidate{Name: name, Zone: x.Zone}); now < v.table.down[name].until {
-			over = append(over, spot)
+		coordinators[name] = capacity.Coordinator(v.view.peers, name, worker.Zone)
+		if spot := (placement.Candidate{Name: name, Zone: worker.Zone}); now < v.view.outages[name].until {
+			fallbacks = append(fallbacks, spot)
 		} else {
-			q.Candidates = append(q.Candidates, spot)
+			query.Candidates = append(query.Candidates, spot)
 		}
 	}
-	v.tableMu.Unlock()
-	if len(q.Candidates) == 0 {
-		q.Candidates = over
+	v.viewMu.Unlock()
+	if len(query.Candidates) == 0 {
+		query.Candidates = fallbacks
 	}
 	v.queueMu.Lock()
-	for i := range q.Candidates {
-		if l, ok := v.queue.Loads[q.Candidates[i].Name]; ok && now.Sub(l.UpdatedAt) < 2*time.Second {
-			q.Candidates[i].Load = float64(l.InUse+l.Waiting)/float64(l.Capacity) + float64(max(0, l.PrefillBacklog-now.Sub(l.UpdatedAt)))/float64(time.Second)
+	for i := range query.Candidates {
+		if load, ok := v.queue.Loads[query.Candidates[i].Name]; ok && now.Sub(load.UpdatedAt) < 2*time.Second {
+			query.Candidates[i].Load = float64(load.InUse+load.Waiting)/float64(load.Capacity) +
+				float64(max(0, load.PrefillBacklog-now.Sub(load.UpdatedAt)))/float64(time.Second)
 		}
 	}
 	v.queueMu.Unlock()
-	return v.placer.Rank(s.PlacementPolicy, q), keepers
+	return v.placer.Rank(service.PlacementPolicy, query), coordinators
 }
 
-// cut gives a permit back whose run this node broke off.
-func (v *Router) cut(tag uint64) {
+// releaseAborted returns the permit of a run that this node aborted, or withdraws its admission request.
+func (v *Router) releaseAborted(tag uint64) {
 	v.queueMu.Lock()
-	delete(v.waiting, tag)
+	delete(v.pendingAdmissions, tag)
 	out := v.queue.Abort(v.Tasks.Now(), tag)
-	v.deliverVerdicts(v.Tasks.Now())
+	v.deliverDecisions(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
 }
 
-func (v *Router) done(tag uint64, unsure bool) {
+// release returns the permit of an attempt that has ended. If the outcome is unknown, the worker may still be running it.
+func (v *Router) release(tag uint64, outcomeUnknown bool) {
 	v.queueMu.Lock()
-	delete(v.waiting, tag)
-	out := v.queue.Done(v.Tasks.Now(), tag, unsure)
-	v.deliverVerdicts(v.Tasks.Now())
+	delete(v.pendingAdmissions, tag)
+	out := v.queue.Done(v.Tasks.Now(), tag, outcomeUnknown)
+	v.deliverDecisions(v.Tasks.Now())
 	v.queueMu.Unlock()
 	v.Deliver(out)
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -10,14 +10,14 @@
 	"seamshunt/internal/units"
 )
 
-// screened does a thing under the claimant's lock, and passes results to those who wait.
-func (v *Router) screened(f func() message.Effects) {
+// withClaimant runs step under the claimant's lock and passes the claims' results to the requests that wait for them.
+func (v *Router) withClaimant(step func() message.Effects) {
 	v.claimantMu.Lock()
-	out := f()
-	for _, r := range v.claimant.Results {
-		if c := v.claims[r.Token]; c != nil {
-			delete(v.claims, r.Token)
-			c <- r.Code
+	out := step()
+	for _, result := range v.claimant.Results {
+		if waiter := v.pendingClaims[result.Token]; waiter != nil {
+			delete(v.pendingClaims, result.Token)
+			waiter <- result.Code
 		}
 	}
 	v.claimant.Results = nil
@@ -25,74 +25,77 @@
 	v.Deliver(out)
 }
 
-// screenTick moves claims on; the longest time left of what may not repeat is how long a start abstains at most.
-func (v *Router) screenTick(now units.Time) {
+// tickClaimant advances the claims. The longest deadline of the non-repeatable mappings bounds how long a starting node
+// abstains from granting claims.
+func (v *Router) tickClaimant(now units.Time) {
 	var longest time.Duration
-	if r := v.rules.Load(); r != nil {
+	if r := v.activeConfig.Load(); r != nil {
 		longest = max(time.Second, r.MaxDeadline(true))
 	}
 	var peers []units.NodeID
-	for _, m := range v.Members() {
-		if m.Role == membership.Router && m.State <= membership.Suspect && m.Node != v.Self {
-			peers = append(peers, m.Node)
+	for _, member := range v.Members() {
+		if member.Role == membership.Router && member.State <= membership.Suspect && member.Node != v.Self {
+			peers = append(peers, member.Node)
 		}
 	}
-	v.tableMu.Lock()
-	core := v.table.voters
-	v.tableMu.Unlock()
-	v.screened(func() message.Effects {
-		v.claimant.SetVoters(core)
+	v.viewMu.Lock()
+	voters := v.view.voters
+	v.viewMu.Unlock()
+	v.withClaimant(func() message.Effects {
+		v.claimant.SetVoters(voters)
 		return v.claimant.Tick(now, peers, longest)
 	})
 }
 
-// claim takes the caller's key for a mapping that may not repeat, before anything is handed over (design 8).
-func (w *ownRequest) claim() bool {
+// claimKey claims the client's idempotency key for a non-repeatable mapping, before anything is dispatched
+// (docs/design.md, section 8). It reports whether the request has been answered.
+func (w *nativeRequest) claimKey() bool {
 	if w.key == "" {
 		return false
 	}
-	v := w.v
-	key := w.m.Name + "/" + w.key
-	token := v.tag.Add(1)<<8 ^ uint64(v.Self)
-	c := make(chan resultcode.Code, 1)
+	v := w.router
+	key := w.mapping.Name + "/" + w.key
+	token := v.nextTag.Add(1)<<8 ^ uint64(v.Self)
+	result := make(chan resultcode.Code, 1)
 	holders := idempotency.Holders(v.Members(), key)
-	v.screened(func() message.Effects {
-		v.claims[token] = c
+	v.withClaimant(func() message.Effects {
+		v.pendingClaims[token] = result
 		return v.claimant.Claim(v.Tasks.Now(), token, key, holders)
 	})
 	select {
-	case code := <-c:
+	case code := <-result:
 		if code == resultcode.OK {
-			w.claimed, w.holders = key, holders
+			w.claimedKey, w.holders = key, holders
 		}
-		return w.claimedAs(code)
+		return w.handleClaimResult(code)
 	case <-w.client.Done():
 		v.claimantMu.Lock()
-		delete(v.claims, token)
+		delete(v.pendingClaims, token)
 		v.claimantMu.Unlock()
-		w.cancelled()
-		w.sure = false // the claim may stand, so nothing is promised for the key
-		return w.end()
+		w.checkCancelled()
+		w.knownNotRun = false // the claim may have been granted, so the answer must not say "not run"
+		return w.endWithRefusal()
 	}
 }
 
-func (w *ownRequest) claimedAs(c resultcode.Code) bool {
-	switch c {
+// handleClaimResult refuses the request unless its claim was granted. It reports whether it did.
+func (w *nativeRequest) handleClaimResult(code resultcode.Code) bool {
+	switch code {
 	case resultcode.OK:
 		return false
 	case resultcode.KeyClaimed:
-		w.v.refuse(w.ctx, c, "the key is claimed already: its request ran, or may run", false, 0)
+		w.router.refuse(w.ctx, code, "the key is claimed already: its request ran, or may run", false, 0)
 	case resultcode.KeySpent:
-		w.v.refuse(w.ctx, c, "the key's request was said not to run, and it never will: take a new key", true, 0)
+		w.router.refuse(w.ctx, code, "the key's request was said not to run, and it never will: take a new key", true, 0)
 	default:
-		w.v.refuse(w.ctx, c, "the key could not be claimed: a copy of the request may run elsewhere", false, time.Second)
+		w.router.refuse(w.ctx, code, "the key could not be claimed: a copy of the request may run elsewhere", false, time.Second)
 	}
 	return true
 }
 
-// burn keeps "not run" true for a key whose copy may still be on its way.
-func (w *ownRequest) burn() {
-	if w.claimed != "" {
-		w.v.screened(func() message.Effects { return w.v.claimant.Spend(w.claimed, w.holders) })
+// spendKey marks the key as spent, so that "not run" stays true although a copy of the request may still be in transit.
+func (w *nativeRequest) spendKey() {
+	if w.claimedKey != "" {
+		w.router.withClaimant(func() message.Effects { return w.router.claimant.Spend(w.claimedKey, w.holders) })
 	}
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -14,38 +14,40 @@
 	"seamshunt/internal/resultcode"
 )
 
-// stats counts results and hand-overs.
+// stats counts results and dispatches.
 type stats struct {
-	mu    sync.Mutex
-	codes map[resultcode.Code]uint64
-	hands map[string]uint64 // hand-overs by the worker's zone
-	cross uint64            // bytes of prompts handed over to another zone
-	left  [stages]uint64    // requests whose client left, by where they stood
+	mu             sync.Mutex
+	codes          map[resultcode.Code]uint64
+	dispatches     map[string]uint64  // dispatches by the worker's zone
+	crossZoneBytes uint64             // bytes of prompts dispatched to another zone
+	disconnects    [stageCount]uint64 // requests whose client disconnected, by stage
 }
 
-// stage is where a request stands at a router.
+// stage is the phase of handling that a request is in.
 type stage uint8
 
 const (
-	stageClaim     stage = iota // its key is claimed
-	stageAdmission              // it waits for a worker
-	stageAnswer                 // a worker has it, and no answer has begun
-	stageStream                 // its answer goes on
-	stages
+	stageClaim     stage = iota // claiming its idempotency key
+	stageAdmission              // waiting for a worker's permit
+	stageAnswer                 // dispatched to a worker, no answer yet
+	stageStream                 // streaming its answer
+	stageCount
 )
 
-func (s stage) String() string { return [stages]string{"claim", "admission", "answer", "stream"}[s] }
+func (s stage) String() string {
+	return [stageCount]string{"claim", "admission", "answer", "stream"}[s]
+}
 
-// clientLeft counts and logs a request whose client left while it stood at a stage, and how long it had stood there.
-func (v *Router) clientLeft(at stage, after time.Duration) {
-	v.stats.count(resultcode.ClientDisconnected)
+// recordDisconnect counts and logs a request whose client disconnected at a stage, with the time since the request arrived.
+func (v *Router) recordDisconnect(at stage, elapsed time.Duration) {
+	v.stats.countResult(resultcode.ClientDisconnected)
 	v.stats.mu.Lock()
-	v.stats.left[at]++
+	v.stats.disconnects[at]++
 	v.stats.mu.Unlock()
-	v.Log.WithField("stage", at.String()).WithField("after", after).Info("a client left")
+	v.Log.WithField("stage", at.String()).WithField("after", elapsed).Info("client disconnected")
 }
 
-func (s *stats) count(c resultcode.Code) {
+func (s *stats) countResult(c resultcode.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.codes == nil {
@@ -54,19 +56,19 @@
 	s.codes[c]++
 }
 
-func (s *stats) hand(zone, own string, n int) {
+func (s *stats) countDispatch(zone, own string, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hands == nil {
-		s.hands = map[string]uint64{}
+	if s.dispatches == nil {
+		s.dispatches = map[string]uint64{}
 	}
-	s.hands[zone]++
+	s.dispatches[zone]++
 	if zone != own {
-		s.cross += uint64(n)
+		s.crossZoneBytes += uint64(bytes)
 	}
 }
 
-// metrics writes Prometheus text.
+// metrics serves the metrics as Prometheus text.
 func (v *Router) metrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain; version=0.0.4")
 	s := &v.stats
@@ -75,25 +77,25 @@
 	for _, c := range slices.Sorted(maps.Keys(s.codes)) {
 		fmt.Fprintf(ctx, "seamshunt_results_total{code=\"%d\"} %d\n", c, s.codes[c])
 	}
-	for at := range stages {
-		fmt.Fprintf(ctx, "seamshunt_client_left_total{stage=%q} %d\n", at, s.left[at])
+	for at := range stageCount {
+		fmt.Fprintf(ctx, "seamshunt_client_left_total{stage=%q} %d\n", at, s.disconnects[at])
 	}
-	v.tallies.metrics(ctx)
+	v.mappingStats.writeMetrics(ctx)
 	v.WriteZoneMetrics(ctx)
 	v.upstreamMetrics(ctx)
-	fmt.Fprintf(ctx, "seamshunt_cross_zone_prompt_bytes_total %d\n", s.cross)
+	fmt.Fprintf(ctx, "seamshunt_cross_zone_prompt_bytes_total %d\n", s.crossZoneBytes)
 	fmt.Fprintf(ctx, "seamshunt_wire_bytes_total %d\n", v.Transport.BytesOut.Load())
 	fmt.Fprintf(ctx, "seamshunt_in_flight %d\n", v.inFlight.Load())
 	fmt.Fprintf(ctx, "seamshunt_bad_frames_total %d\nseamshunt_bad_notes_total %d\n", v.Transport.BadFrames.Load(), v.Errors.Load())
 	fmt.Fprintf(ctx, "seamshunt_dropped_notes_total %d\n", v.DroppedMessages.Load())
 	age := 0.0
-	if t := v.static.Load(); t > 0 {
-		age = v.Tasks.Now().Sub(v.began).Seconds() - (time.Duration(t) - time.Duration(v.began)).Seconds()
+	if t := v.noControllerSince.Load(); t > 0 {
+		age = v.Tasks.Now().Sub(v.startedAt).Seconds() - (time.Duration(t) - time.Duration(v.startedAt)).Seconds()
 	}
 	fmt.Fprintf(ctx, "seamshunt_cut_from_control_seconds %g\n", age)
 }
 
-// upstreamMetrics writes what became of connections to workers.
+// upstreamMetrics writes the outcomes of dials to workers and the number of abandoned requests.
 func (v *Router) upstreamMetrics(w io.Writer) {
 	if v.pool == nil {
 		return
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -16,97 +16,103 @@
 	"seamshunt/internal/units"
 )
 
-// relay is one request on its way through this node in an adapter's words (design 11): its bytes go to a worker and the
-// worker's come back unchanged. Its id belongs to one try of a client, so nothing is claimed for it.
-type relay struct {
-	v      *Router
-	ctx    *fasthttp.RequestCtx
-	rules  *rules
-	m      *config.Mapping
-	id     string
-	body   []byte
-	begun  units.Time
-	until  units.Time
-	left   time.Duration
-	prompt adapter.Prompt
-	sized  bool   // the prompt's size is known
-	last   string // the id of the last whole event that the client has
-	sent   int    // workers that the request was sent to
-	ran    bool   // it may have run
-	client *clientwatch.Request
-	at     stage  // where it stands
-	broke  string // the worker that broke off last
-	why    resultcode.Code
-	due    time.Duration
-	urge   uint8
-	reply  *reply // while a stream goes on
+// relayRequest is the state of one request in an adapter's protocol (docs/design.md, section 11): its bytes go to a worker
+// and the worker's come back unchanged. Its ID belongs to a single attempt of a client, so no idempotency key is claimed
+// for it.
+type relayRequest struct {
+	router       *Router
+	ctx          *fasthttp.RequestCtx
+	config       *activeConfig
+	mapping      *config.Mapping
+	id           string
+	body         []byte
+	startedAt    units.Time
+	deadline     units.Time
+	timeLeft     time.Duration
+	prompt       adapter.Prompt
+	hasSize      bool   // whether the prompt's size is known
+	lastEventID  string // ID of the last complete event that the client has
+	dispatches   int    // workers that the request was sent to
+	mayHaveRun   bool
+	client       *clientwatch.Request
+	stage        stage
+	failedWorker string // the worker whose answer broke last
+	reason       resultcode.Code
+	expectedWait time.Duration
+	priority     uint8
+	stream       *responseBody // nil unless the answer is streamed
 }
 
-// holdFor is how long a request waits for a node that has started or woken and asks whether its news still stands: as a
-// rule that takes less. It is not given up meanwhile; one that is gets its answer at once (design 11).
-const holdFor = 700 * time.Millisecond
+// holdTimeout is how long a request is held while a started or resumed node confirms that its configuration is up to date,
+// which usually takes less. It is refused only after this timeout or when it is cancelled, and then at once (docs/design.md,
+// section 11).
+const holdTimeout = 700 * time.Millisecond
 
-// relay takes one request its way.
-func (v *Router) relay(ctx *fasthttp.RequestCtx) {
+// handleRelay handles one request in the adapter's protocol.
+func (v *Router) handleRelay(ctx *fasthttp.RequestCtx) {
 	v.inFlight.Add(1)
-	w := &relay{v: v, ctx: ctx, begun: v.Tasks.Now(), client: v.clients.Watch(ctx.Conn()), at: stageAdmission}
+	w := &relayRequest{router: v, ctx: ctx, startedAt: v.Tasks.Now(), client: v.clientWatcher.Watch(ctx.Conn()),
+		stage: stageAdmission}
 	defer func() {
-		if w.reply == nil {
-			w.over()
+		if w.stream == nil {
+			w.finish()
 		}
 	}()
-	if !proper(&ctx.Request.Header) {
-		w.end(resultcode.InvalidBody, 0)
+	if !acceptableRequest(&ctx.Request.Header) {
+		w.respond(resultcode.InvalidBody, 0)
 		ctx.SetConnectionClose()
 		return
 	}
-	if v.leaving() {
+	if v.draining() {
 		ctx.SetConnectionClose()
 	}
-	for end := w.begun.Add(holdFor); !v.ready.Load() && v.Tasks.Now() < end && w.client.Err() == nil; {
+	for end := w.startedAt.Add(holdTimeout); !v.ready.Load() && v.Tasks.Now() < end && w.client.Err() == nil; {
 		v.Tasks.Wait(w.client, 5*time.Millisecond)
 	}
-	w.rules = v.rules.Load()
-	if w.rules == nil || !v.ready.Load() {
-		w.end(resultcode.NotReady, 200*time.Millisecond)
+	w.config = v.activeConfig.Load()
+	if w.config == nil || !v.ready.Load() {
+		w.respond(resultcode.NotReady, 200*time.Millisecond)
 		return
 	}
-	path, host := ctx.Request.Header.RequestURI(), hostOf(ctx)
+	path, host := ctx.Request.Header.RequestURI(), requestHost(ctx)
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	do, ok := w.rules.Program.Find(routing.Request{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	actions, ok := w.config.Program.Find(routing.Request{Host: host, Path: string(path), Header: func(n string) string {
+		return string(ctx.Request.Header.Peek(n))
+	}})
 	if !ok {
-		w.end(resultcode.NoMapping, 0)
+		w.respond(resultcode.NoMapping, 0)
 		return
 	}
-	w.m = w.rules.Mappings[do[0].Mapping]
-	if over(ctx, w.rules.Limits) {
-		w.end(resultcode.RequestTooLarge, 0)
+	w.mapping = w.config.Mappings[actions[0].Mapping]
+	if exceedsLimits(ctx, w.config.Limits) {
+		w.respond(resultcode.RequestTooLarge, 0)
 		ctx.SetConnectionClose()
 		return
 	}
-	w.read()
-	v.tallies.count(w.m, func(t *tally) { t.ask(w.begun) })
-	routing.Run(do, routing.Handlers{Deadline: w.limit, Claim: func() bool { return false }, Split: w.share, Dispatch: w.try, Refuse: w.refuse})
+	w.readHeaders()
+	v.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.countRequest(w.startedAt) })
+	routing.Run(actions, routing.Handlers{Deadline: w.applyTimeLimit, Claim: func() bool { return false }, Split: w.chooseService,
+		Dispatch: w.tryService, Refuse: w.refuse})
 }
 
-// over lets go of the client; nothing may be under way for it any more.
-func (w *relay) over() {
-	w.v.over(w.client, w.at, w.begun, w.reply != nil && w.reply.ended)
+// finish releases the client. No work for the request may be left.
+func (w *relayRequest) finish() {
+	w.router.finishRequest(w.client, w.stage, w.startedAt, w.stream != nil && w.stream.complete)
 }
 
-// cancelled looks whether the request is cancelled, and notes why.
-func (w *relay) cancelled() bool {
-	why := cancelledAs(w.client)
-	if why != 0 {
-		w.why = why
+// checkCancelled reports whether the request is cancelled, and sets the reason if so.
+func (w *relayRequest) checkCancelled() bool {
+	reason := cancellationCode(w.client)
+	if reason != 0 {
+		w.reason = reason
 	}
-	return why != 0
+	return reason != 0
 }
 
-// hostOf is the host that the client names, without a port.
-func hostOf(ctx *fasthttp.RequestCtx) string {
+// requestHost returns the lower-case host of the request's Host header, without a port.
+func requestHost(ctx *fasthttp.RequestCtx) string {
 	h := strings.ToLower(string(ctx.Request.Header.Host()))
 	if i := strings.LastIndexByte(h, ':'); i > 0 && !strings.HasSuffix(h, "]") {
 		h = h[:i]
@@ -114,105 +120,107 @@
 	return h
 }
 
-// read takes what the headers tell.
-func (w *relay) read() {
-	n, h := &w.v.Adapter.Headers, &w.ctx.Request.Header
+// readHeaders reads the request's ID, last event ID, time left and prompt size from its headers, and copies its body.
+func (w *relayRequest) readHeaders() {
+	n, h := &w.router.Adapter.Headers, &w.ctx.Request.Header
 	w.id = string(h.Peek(n.AttemptID))
-	w.last = string(h.Peek(n.LastEventID))
-	w.left = w.m.Promise.Deadline
+	w.lastEventID = string(h.Peek(n.LastEventID))
+	w.timeLeft = w.mapping.Promise.Deadline
 	if ms, err := strconv.ParseFloat(string(h.Peek(n.TimeLeft)), 64); err == nil && ms >= 0 && ms < 1e9 {
-		w.left = time.Duration(ms * float64(time.Millisecond))
+		w.timeLeft = time.Duration(ms * float64(time.Millisecond))
 	}
-	w.body = bytes.Clone(w.ctx.PostBody()) // outlives the handler
-	if w.v.Adapter.Prompt != nil {
-		w.prompt, w.sized = w.v.Adapter.Prompt(h)
+	w.body = bytes.Clone(w.ctx.PostBody()) // the body is used after the handler has returned
+	if w.router.Adapter.Prompt != nil {
+		w.prompt, w.hasSize = w.router.Adapter.Prompt(h)
 	}
 }
 
-// leaveBack is when a client that a leaving node refuses may come again: at once, as it comes to another.
-const leaveBack = 100 * time.Millisecond
+// drainRetryAfter is the Retry-After of a draining node. It is short, since the client's retry reaches another node.
+const drainRetryAfter = 100 * time.Millisecond
 
-// limit bounds the client's time left by the mapping's. A leaving node ends the way of what might outlast it.
-func (w *relay) limit(ms int) bool {
-	w.until = w.begun.Add(min(w.left, time.Duration(ms)*time.Millisecond))
-	if w.v.begins(w.v.Tasks.Now(), w.until, w.m) {
+// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's. A draining node refuses a
+// request that might outlast it; applyTimeLimit reports whether it did.
+func (w *relayRequest) applyTimeLimit(limitMs int) bool {
+	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
+	if w.router.mayStart(w.router.Tasks.Now(), w.deadline, w.mapping) {
 		return false
 	}
-	w.v.tallies.count(w.m, func(t *tally) { t.refused++ })
-	w.end(resultcode.Draining, leaveBack)
+	w.router.mappingStats.update(w.mapping, func(stats *mappingStats) { stats.refused++ })
+	w.respond(resultcode.Draining, drainRetryAfter)
 	return true
 }
 
-// share draws the service among those that share the mapping; the same try always draws the same.
-func (w *relay) share() bool {
-	s, ok := draw(w.m.Split, w.id)
-	return ok && w.try(s)
+// chooseService picks one of the services that share the mapping and tries it. The same attempt ID always picks the same
+// one.
+func (w *relayRequest) chooseService() bool {
+	s, ok := pickService(w.mapping.Split, w.id)
+	return ok && w.tryService(s)
 }
 
-// draw gives the service that an id falls to, by the shares.
-func draw(split []config.Target, id string) (string, bool) {
+// pickService returns the service that id hashes to, weighted by the targets' shares.
+func pickService(split []config.Target, id string) (string, bool) {
 	sum := 0
-	for _, t := range split {
-		sum += t.Share
+	for _, target := range split {
+		sum += target.Share
 	}
-	x := int(units.Mix("share", id) % uint64(max(1, sum)))
-	for _, t := range split {
-		if x -= t.Share; x < 0 {
-			return t.Service, true
+	remaining := int(units.Mix("share", id) % uint64(max(1, sum)))
+	for _, target := range split {
+		if remaining -= target.Share; remaining < 0 {
+			return target.Service, true
 		}
 	}
 	return "", false
 }
 
-// over says whether a request is larger than the limits in force allow.
-func over(ctx *fasthttp.RequestCtx, l config.Limits) bool {
+// exceedsLimits reports whether a request's body or header is larger than the configured limits.
+func exceedsLimits(ctx *fasthttp.RequestCtx, l config.Limits) bool {
 	return l.BodyBytes > 0 && len(ctx.PostBody()) > l.BodyBytes || l.HeaderBytes > 0 && len(ctx.Request.Header.RawHeaders()) > l.HeaderBytes
 }
 
-// refuse is the last step of every way: the final answer, at once, with when to come back if it has not run.
-func (w *relay) refuse() {
-	c := w.why
-	if c == 0 {
-		c = resultcode.NoWorker
+// refuse sends the final answer of a request that no service has answered, with Retry-After if it has not run.
+func (w *relayRequest) refuse() {
+	code := w.reason
+	if code == 0 {
+		code = resultcode.NoWorker
 	}
-	if c == resultcode.ClientDisconnected {
+	if code == resultcode.ClientDisconnected {
 		w.ctx.SetConnectionClose()
 	} else {
-		w.v.tallies.count(w.m, func(t *tally) {
-			t.refused++
-			t.waited += w.v.Tasks.Now().Sub(w.begun)
+		w.router.mappingStats.update(w.mapping, func(stats *mappingStats) {
+			stats.refused++
+			stats.refusalTime += w.router.Tasks.Now().Sub(w.startedAt)
 		})
 	}
 	switch {
-	case w.ran:
-		w.end(resultcode.OutcomeUnknown, 0)
-	case c == resultcode.ClientDisconnected:
-		w.end(c, 0)
+	case w.mayHaveRun:
+		w.respond(resultcode.OutcomeUnknown, 0)
+	case code == resultcode.ClientDisconnected:
+		w.respond(code, 0)
 	default:
-		s := w.rules.Services[w.m.Services[0]]
-		w.end(c, back(s.RetryAfter, s.RetryJitter, w.due))
+		s := w.config.Services[w.mapping.Services[0]]
+		w.respond(code, retryAfter(s.RetryAfter, s.RetryJitter, w.expectedWait))
 	}
 }
 
-// end answers with a code of our own. A client is told when to come back only where the request did not run.
-func (w *relay) end(c resultcode.Code, after time.Duration) {
-	if c != resultcode.ClientDisconnected { // counted as the client left
-		w.v.stats.count(c)
+// respond answers with one of the router's own codes. Retry-After is sent only if the request did not run.
+func (w *relayRequest) respond(code resultcode.Code, retryAfter time.Duration) {
+	if code != resultcode.ClientDisconnected { // recordDisconnect counts it
+		w.router.stats.countResult(code)
 	}
 	r := &w.ctx.Response
 	r.Reset()
-	if w.v.leaving() {
+	if w.router.draining() {
 		w.ctx.SetConnectionClose()
 	}
-	if after > 0 {
-		r.Header.Set("Retry-After", strings.TrimRight(strconv.FormatFloat(after.Seconds(), 'f', 3, 64), "0"))
+	if retryAfter > 0 {
+		r.Header.Set("Retry-After", strings.TrimRight(strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64), "0"))
 	}
-	r.SetStatusCode(c.Status())
+	r.SetStatusCode(code.Status())
 	r.Header.SetContentType("application/json")
-	r.SetBodyString(`{"code":` + strconv.Itoa(int(c)) + `,"text":"` + reasonOf(c) + "\"}\n")
+	r.SetBodyString(`{"code":` + strconv.Itoa(int(code)) + `,"text":"` + refusalText(code) + "\"}\n")
 }
 
-func reasonOf(c resultcode.Code) string {
+func refusalText(c resultcode.Code) string {
 	switch c {
 	case resultcode.NoMapping:
 		return "no mapping takes this request"
@@ -225,5 +233,5 @@
 	case resultcode.RequestTooLarge:
 		return "the request is over the limits"
 	}
-	return reasons[c]
+	return refusalTexts[c]
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,5 @@
-// Package router is the data plane: callers' prompts in, workers' streams out (design 1, 4, 6, 8).
+// Package router implements the data plane: it admits clients' prompts, places them on workers and streams the workers'
+// answers back (docs/design.md, sections 1, 4, 6, 8).
 package router
 
 import (
@@ -26,73 +27,76 @@
 	"seamshunt/internal/units"
 )
 
-// MaxBodyBytes bounds a caller's body.
+// MaxBodyBytes is the maximum size of a client's request body.
 const MaxBodyBytes = 4 << 20
 
-type verdict struct {
+// timedDecision is an admission decision with the time at which it was passed to the waiting request.
+type timedDecision struct {
 	admission.Decision
-	at units.Time
+	decidedAt units.Time
 }
 
-// Router is one process of the data plane.
+// Router is one data-plane process.
 type Router struct {
 	*node.Base
-	rules           atomic.Pointer[rules]
-	tableMu         sync.Mutex
-	table           table
-	queueMu         sync.Mutex
-	queue           *admission.Queue
-	waiting         map[uint64]chan verdict
-	ledgerMu        sync.Mutex
-	ledger          *capacity.Ledger
-	claimantMu      sync.Mutex
-	claimant        *idempotency.Claimant
-	claims          map[uint64]chan resultcode.Code
-	placer          placement.Placer
-	budget          sync.Map // service to *upstream.Budget
-	habits          sync.Map // service to *upstream.Habit
-	tallies         tallies
-	tag             atomic.Uint64
-	ready           atomic.Bool
-	departure       atomic.Pointer[departure] // nil: this node stays
-	closing         atomic.Bool               // nothing more is taken, however short
-	static          atomic.Int64              // since when no controller has been heard, zero while one is
-	began           units.Time
-	inFlight        atomic.Int64
-	server          *fasthttp.Server
-	readinessServer *fasthttp.Server // answers whether this node is ready, where that has an address of its own
-	Adapter         *adapter.Adapter // the outside world's words and formats; nil: the product's own interface
-	pool            *upstream.Pool
-	ticks           tasks.Loop
-	clients         *clientwatch.Watcher
-	clientLooks     tasks.Loop // at the clients
-	stats           stats
+	activeConfig        atomic.Pointer[activeConfig]
+	viewMu              sync.Mutex
+	view                clusterView
+	queueMu             sync.Mutex
+	queue               *admission.Queue
+	pendingAdmissions   map[uint64]chan timedDecision
+	coordinatorMu       sync.Mutex
+	coordinator         *capacity.Ledger
+	claimantMu          sync.Mutex
+	claimant            *idempotency.Claimant
+	pendingClaims       map[uint64]chan resultcode.Code
+	placer              placement.Placer
+	retryBudgets        sync.Map // service name to *upstream.RetryBudget
+	firstTokenLatencies sync.Map // service name to *upstream.FirstTokenTimes
+	mappingStats        statsByMapping
+	nextTag             atomic.Uint64
+	ready               atomic.Bool
+	drainWindow         atomic.Pointer[drainWindow] // nil unless draining
+	closing             atomic.Bool                 // no further request is accepted, however short
+	noControllerSince   atomic.Int64                // time since which no controller is reachable; 0 while one is
+	startedAt           units.Time
+	inFlight            atomic.Int64
+	server              *fasthttp.Server
+	readinessServer     *fasthttp.Server // serves readiness probes where they have their own address
+	Adapter             *adapter.Adapter // the platform's header names and formats; nil for the native API
+	pool                *upstream.Pool
+	tickLoop            tasks.Loop
+	clientWatcher       *clientwatch.Watcher
+	clientPollLoop      tasks.Loop // checks for disconnected clients
+	stats               stats
 }
 
-// New builds a router; with an adapter it speaks that world's words to clients and workers (design 11).
-func New(b *settings.Settings, outside *adapter.Adapter) *Router {
-	v := &Router{Base: node.New(b, node.RandomID(), membership.Router), waiting: map[uint64]chan verdict{}, claims: map[uint64]chan resultcode.Code{}}
-	if v.Adapter = outside; outside != nil {
-		v.pool = upstream.NewPool(outside.Headers)
+// New creates a router. With an adapter it uses that platform's protocol towards clients and workers (docs/design.md,
+// section 11).
+func New(s *settings.Settings, clientAdapter *adapter.Adapter) *Router {
+	v := &Router{Base: node.New(s, node.RandomID(), membership.Router),
+		pendingAdmissions: map[uint64]chan timedDecision{}, pendingClaims: map[uint64]chan resultcode.Code{}}
+	if v.Adapter = clientAdapter; clientAdapter != nil {
+		v.pool = upstream.NewPool(clientAdapter.Headers)
 	}
-	v.clients = clientwatch.New(v.clientLooks.By)
+	v.clientWatcher = clientwatch.New(v.clientPollLoop.By)
 	v.queue = admission.New(v.Self)
-	v.ledger = capacity.New(v.Self)
+	v.coordinator = capacity.New(v.Self)
 	v.claimant = idempotency.New(v.Self, v.Tasks.Now())
-	v.table = newTable()
-	v.table.watch.ExcludeSuspects = outside != nil
-	v.tag.Store(uint64(node.RandomID()) >> 1)
-	v.OnResume = v.woke
-	v.OnPeersEnded = v.gone
-	v.OnChange = v.tickSoon
-	v.MessageHandlers[message.KindCapacity] = v.permits
-	v.MessageHandlers[message.KindClaim] = func(now units.Time, n message.Message) {
-		v.screened(func() message.Effects { return v.claimant.Step(now, n) })
+	v.view = newClusterView()
+	v.view.peerWatch.ExcludeSuspects = clientAdapter != nil
+	v.nextTag.Store(uint64(node.RandomID()) >> 1)
+	v.OnResume = v.onResume
+	v.OnPeersEnded = v.onPeersEnded
+	v.OnChange = v.scheduleTick
+	v.MessageHandlers[message.KindCapacity] = v.stepCapacity
+	v.MessageHandlers[message.KindClaim] = func(now units.Time, msg message.Message) {
+		v.withClaimant(func() message.Effects { return v.claimant.Step(now, msg) })
 	}
 	return v
 }
 
-// Start opens everything and returns.
+// Start opens the listeners, starts the background loops and returns.
 func (v *Router) Start() error {
 	ln, err := listener.Listen(v.Settings.HTTPAddr)
 	if err != nil {
@@ -102,114 +106,119 @@
 		ln.Close()
 		return err
 	}
-	v.began = v.Tasks.Now()
+	v.startedAt = v.Tasks.Now()
 	v.server = &fasthttp.Server{Handler: v.serve, Name: "router", MaxRequestBodySize: MaxBodyBytes, NoDefaultDate: true,
-		ReadTimeout: 30 * time.Second, Logger: quiet{}, ErrorHandler: v.malformed, Concurrency: v.MaxClientConnections()}
+		ReadTimeout: 30 * time.Second, Logger: discardLogger{}, ErrorHandler: v.malformed, Concurrency: v.MaxClientConnections()}
 	if v.Adapter != nil {
-		v.useAdapter()
+		v.configureForAdapter()
 	}
 	if err := v.serveReadiness(); err != nil {
 		ln.Close()
 		return err
 	}
-	v.clientLooks.Start(v.Tasks, clientwatch.CheckInterval, func(units.Time) time.Duration { return v.clients.CheckAll(v.ending()) })
+	v.clientPollLoop.Start(v.Tasks, clientwatch.CheckInterval, func(units.Time) time.Duration {
+		return v.clientWatcher.CheckAll(v.nearDrainDeadline())
+	})
 	v.Serve("clients", ln, v.server.Serve)
-	v.ticks.Start(v.Tasks, tickGap, v.tick)
+	v.tickLoop.Start(v.Tasks, tickInterval, v.tick)
 	return nil
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// permits goes to the asking side and to the keeping side.
-func (v *Router) permits(now units.Time, n message.Message) {
-	if n.Kind != capacity.Acquire && n.Kind != capacity.Release && n.Kind != capacity.Report {
+// stepCapacity passes a capacity message to the admission queue, which borrows permits, or to the coordinator, which lends
+// them, or to both.
+func (v *Router) stepCapacity(now units.Time, msg message.Message) {
+	if msg.Kind != capacity.Acquire && msg.Kind != capacity.Release && msg.Kind != capacity.Report {
 		v.queueMu.Lock()
-		out := v.queue.Step(now, n)
-		v.deliverVerdicts(now)
+		out := v.queue.Step(now, msg)
+		v.deliverDecisions(now)
 		v.queueMu.Unlock()
 		v.Deliver(out)
 	}
-	if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
-		v.ledgerMu.Lock()
-		out := v.ledger.Step(now, n)
-		busy := v.ledger.Busy()
-		v.ledgerMu.Unlock()
+	if msg.Kind == capacity.Acquire || msg.Kind == capacity.Release || msg.Kind == capacity.Report || msg.Kind == capacity.ReportRequest {
+		v.coordinatorMu.Lock()
+		out := v.coordinator.Step(now, msg)
+		busy := v.coordinator.Busy()
+		v.coordinatorMu.Unlock()
 		v.Deliver(out)
 		if busy {
-			v.tickSoon()
+			v.scheduleTick()
 		}
 	}
 }
 
-// deliverVerdicts passes verdicts to the prompts that wait for them; the queue's lock is held.
-func (v *Router) deliverVerdicts(now units.Time) {
-	for _, x := range v.queue.Decisions {
-		if c := v.waiting[x.Tag]; c != nil {
-			delete(v.waiting, x.Tag)
-			c <- verdict{x, now}
+// deliverDecisions passes the queue's decisions to the requests that wait for them. The caller holds queueMu.
+func (v *Router) deliverDecisions(now units.Time) {
+	for _, decision := range v.queue.Decisions {
+		if result := v.pendingAdmissions[decision.Tag]; result != nil {
+			delete(v.pendingAdmissions, decision.Tag)
+			result <- timedDecision{decision, now}
 		}
 	}
 	v.queue.Decisions = v.queue.Decisions[:0]
 }
 
-// woke after a freeze: waiting prompts ask anew, and nothing new is taken before the news is confirmed.
-func (v *Router) woke(now units.Time) {
-	v.unready()
+// onResume runs after the process was paused: waiting requests ask for permits again, and no new request is accepted until
+// the configuration is confirmed to be up to date.
+func (v *Router) onResume(now units.Time) {
+	v.markNotReady()
 	v.queueMu.Lock()
 	v.queue.ProcessResumed(now)
 	v.queueMu.Unlock()
-	v.tableMu.Lock()
-	v.table.fresh = true // the new keeper is told of all workers and routers
-	v.ledgerMu.Lock()
-	v.ledger = capacity.New(v.Self)
-	v.ledgerMu.Unlock()
-	v.tableMu.Unlock()
+	v.viewMu.Lock()
+	v.view.changed = true // the new coordinator receives all workers and routers
+	v.coordinatorMu.Lock()
+	v.coordinator = capacity.New(v.Self)
+	v.coordinatorMu.Unlock()
+	v.viewMu.Unlock()
 }
 
-func (v *Router) gone(now units.Time, l []units.NodeID) {
-	v.ledgerMu.Lock()
-	for _, n := range l {
-		v.ledger.ProcessEnded(now, n)
+// onPeersEnded drops the state of processes that were found to have ended.
+func (v *Router) onPeersEnded(now units.Time, nodes []units.NodeID) {
+	v.coordinatorMu.Lock()
+	for _, n := range nodes {
+		v.coordinator.ProcessEnded(now, n)
 	}
-	v.ledgerMu.Unlock()
-	v.tableMu.Lock()
-	for _, n := range l {
-		v.table.watch.ProcessEnded(now, n)
-		v.table.fresh = true
+	v.coordinatorMu.Unlock()
+	v.viewMu.Lock()
+	for _, n := range nodes {
+		v.view.peerWatch.ProcessEnded(now, n)
+		v.view.changed = true
 	}
-	v.tableMu.Unlock()
+	v.viewMu.Unlock()
 }
 
-func (v *Router) habitOf(service string) *upstream.FirstTokenTimes {
-	h, _ := v.habits.LoadOrStore(service, &upstream.FirstTokenTimes{})
-	return h.(*upstream.FirstTokenTimes)
+func (v *Router) firstTokenLatencyOf(service string) *upstream.FirstTokenTimes {
+	latency, _ := v.firstTokenLatencies.LoadOrStore(service, &upstream.FirstTokenTimes{})
+	return latency.(*upstream.FirstTokenTimes)
 }
 
-func (v *Router) budgetOf(service string) *upstream.RetryBudget {
-	x, ok := v.budget.Load(service)
+func (v *Router) retryBudgetOf(service string) *upstream.RetryBudget {
+	budget, ok := v.retryBudgets.Load(service)
 	if !ok {
 		ratio := v.Settings.Bounds.RetryRatio
 		if v.Adapter != nil {
-			ratio *= retryPart
+			ratio *= adapterRetryShare
 		}
-		x, _ = v.budget.LoadOrStore(service, &upstream.RetryBudget{Ratio: ratio})
+		budget, _ = v.retryBudgets.LoadOrStore(service, &upstream.RetryBudget{Ratio: ratio})
 	}
-	return x.(*upstream.RetryBudget)
+	return budget.(*upstream.RetryBudget)
 }
 
-// retryPart leaves some of the budget for what nodes that don't see each other count differently.
-const retryPart = 0.9
+// adapterRetryShare keeps part of the retry budget in reserve, since nodes that don't see each other count differently.
+const adapterRetryShare = 0.9
 
-// slack is this node's part of the further tries that are allowed on top of the share: never more than two, since a node
-// that has just started may know few of the others.
-func (v *Router) slack() int {
+// retrySlack returns this node's part of the retries that are allowed on top of the budget's ratio. It is at most 2, since a
+// node that has just started may know few of the other nodes.
+func (v *Router) retrySlack() int {
 	if v.Settings.Bounds.RetrySlack == 0 {
 		return 0
 	}
-	v.tableMu.Lock()
-	n := len(v.table.peers)
-	v.tableMu.Unlock()
-	return min(2, v.Settings.Bounds.RetrySlack/(2*max(1, n)))
+	v.viewMu.Lock()
+	routers := len(v.view.peers)
+	v.viewMu.Unlock()
+	return min(2, v.Settings.Bounds.RetrySlack/(2*max(1, routers)))
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -10,10 +10,10 @@
 )
 
 func (v *Router) health(ctx *fasthttp.RequestCtx) {
-	v.tableMu.Lock()
-	out := v.table.evacuated[v.Settings.Zone]
-	v.tableMu.Unlock()
-	if !v.ready.Load() || v.leaving() || out || v.alone() {
+	v.viewMu.Lock()
+	evacuated := v.view.evacuatedZones[v.Settings.Zone]
+	v.viewMu.Unlock()
+	if !v.ready.Load() || v.draining() || evacuated || v.isolated() {
 		ctx.SetStatusCode(503)
 		ctx.SetBodyString("not ready\n")
 		return
@@ -21,10 +21,11 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// alone says whether this node has lost sight of everybody else: the platform should hand callers to others, which can
-// still claim what may not repeat. A zone that is cut off as a whole stays ready, since its callers may have no other.
-func (v *Router) alone() bool {
-	gone := false
+// isolated reports whether this node can reach no other member that it knows. It is then not ready, so that the platform
+// sends clients to nodes that can still claim idempotency keys. The nodes of a partitioned zone stay ready while they
+// reach each other, since their clients may have no other node.
+func (v *Router) isolated() bool {
+	sawOthers := false
 	for _, m := range v.Members() {
 		if m.Node == v.Self || m.State == membership.Left {
 			continue
@@ -32,12 +33,12 @@
 		if m.State <= membership.Suspect {
 			return false
 		}
-		gone = true
+		sawOthers = true
 	}
-	return gone
+	return sawOthers
 }
 
-// status tells operators all there is to know of this node.
+// status serves the state of this node to operators as JSON.
 func (v *Router) status(ctx *fasthttp.RequestCtx) {
 	now := v.Tasks.Now()
 	var a fastjson.Arena
@@ -45,48 +46,48 @@
 	o.Set("node", a.NewString(v.Self.String()))
 	o.Set("name", a.NewString(v.Settings.Name))
 	o.Set("zone", a.NewString(v.Settings.Zone))
-	o.Set("ready", flag(&a, v.ready.Load()))
-	o.Set("leaving", flag(&a, v.leaving()))
+	o.Set("ready", jsonBool(&a, v.ready.Load()))
+	o.Set("leaving", jsonBool(&a, v.draining()))
 	o.Set("in_flight", a.NewNumberInt(int(v.inFlight.Load())))
-	if t := v.static.Load(); t > 0 {
+	if t := v.noControllerSince.Load(); t > 0 {
 		o.Set("cut_from_control_ms", a.NewNumberInt(int((int64(now)-t)/int64(time.Millisecond))))
 	}
-	news := a.NewObject()
+	versions := a.NewObject()
 	v.FeedMu.Lock()
-	for k, it := range v.Feed.Items {
-		news.Set(k, a.NewNumberInt(int(it.Version)))
+	for key, item := range v.Feed.Items {
+		versions.Set(key, a.NewNumberInt(int(item.Version)))
 	}
 	v.FeedMu.Unlock()
-	o.Set("news", news)
-	o.Set("in_force", v.inForce(&a))
-	kept := a.NewArray()
-	v.ledgerMu.Lock()
-	for i, k := range v.ledger.Status(now) {
+	o.Set("news", versions)
+	o.Set("in_force", v.activeState(&a))
+	coordinated := a.NewArray()
+	v.coordinatorMu.Lock()
+	for i, status := range v.coordinator.Status(now) {
 		x := a.NewObject()
-		x.Set("worker", a.NewString(k.Worker))
-		x.Set("open", flag(&a, k.Open))
-		x.Set("lent", a.NewNumberInt(k.InUse))
-		x.Set("cap", a.NewNumberInt(k.Capacity))
-		x.Set("waiting", a.NewNumberInt(k.Waiting))
-		kept.SetArrayItem(i, x)
+		x.Set("worker", a.NewString(status.Worker))
+		x.Set("open", jsonBool(&a, status.Open))
+		x.Set("lent", a.NewNumberInt(status.InUse))
+		x.Set("cap", a.NewNumberInt(status.Capacity))
+		x.Set("waiting", a.NewNumberInt(status.Waiting))
+		coordinated.SetArrayItem(i, x)
 	}
-	v.ledgerMu.Unlock()
-	o.Set("keeps", kept)
-	flight := a.NewObject()
+	v.coordinatorMu.Unlock()
+	o.Set("keeps", coordinated)
+	inFlight := a.NewObject()
 	v.queueMu.Lock()
 	for w, n := range v.queue.InFlight {
-		flight.Set(w, a.NewNumberInt(n))
+		inFlight.Set(w, a.NewNumberInt(n))
 	}
 	v.queueMu.Unlock()
-	o.Set("flight", flight)
-	handed := a.NewObject()
+	o.Set("flight", inFlight)
+	dispatched := a.NewObject()
 	v.stats.mu.Lock()
-	for z, n := range v.stats.hands {
-		handed.Set(z, a.NewNumberInt(int(n)))
+	for z, n := range v.stats.dispatches {
+		dispatched.Set(z, a.NewNumberInt(int(n)))
 	}
 	v.stats.mu.Unlock()
-	o.Set("handed_over", handed)
-	o.Set("promises", v.tallies.value(&a, now))
+	o.Set("handed_over", dispatched)
+	o.Set("promises", v.mappingStats.statusValue(&a, now))
 	members := a.NewArray()
 	for i, m := range v.Members() {
 		members.SetArrayItem(i, MemberJSON(&a, m))
@@ -96,26 +97,26 @@
 	ctx.SetBody(append(o.MarshalTo(nil), '\n'))
 }
 
-// inForce is what requests are handled by here: the number of the configuration, and how many workers are known.
-func (v *Router) inForce(a *fastjson.Arena) *fastjson.Value {
+// activeState returns the version of the active configuration and the number of known workers as JSON.
+func (v *Router) activeState(a *fastjson.Arena) *fastjson.Value {
 	x := a.NewObject()
-	if r := v.rules.Load(); r != nil {
-		x.Set("config", a.NewNumberInt(int(r.num)))
-		if r.Version > 0 {
-			x.Set("version", a.NewNumberInt(int(r.Version))) // the operator's own, where the outside world has one
+	if active := v.activeConfig.Load(); active != nil {
+		x.Set("config", a.NewNumberInt(int(active.updateVersion)))
+		if active.Version > 0 {
+			x.Set("version", a.NewNumberInt(int(active.Version))) // the operator's own version, if the configuration has one
 		}
 	}
-	n := 0
-	v.tableMu.Lock()
-	for _, l := range v.table.pools {
-		n += len(l)
+	workers := 0
+	v.viewMu.Lock()
+	for _, l := range v.view.workersByPool {
+		workers += len(l)
 	}
-	v.tableMu.Unlock()
-	x.Set("workers", a.NewNumberInt(n))
+	v.viewMu.Unlock()
+	x.Set("workers", a.NewNumberInt(workers))
 	return x
 }
 
-// MemberJSON lays a member out for status pages.
+// MemberJSON returns a member as JSON for /status.
 func MemberJSON(a *fastjson.Arena, m membership.Member) *fastjson.Value {
 	x := a.NewObject()
 	x.Set("node", a.NewString(m.Node.String()))
@@ -124,13 +125,13 @@
 	x.Set("addr", a.NewString(m.Addr))
 	x.Set("web", a.NewString(m.HTTPAddr))
 	x.Set("state", a.NewString([]string{"alive", "suspect", "dead", "left"}[m.State%4]))
-	x.Set("draining", flag(a, m.Flags&membership.Draining != 0))
-	x.Set("unfit", flag(a, m.Flags&membership.DiskUnfit != 0))
-	x.Set("ready", flag(a, m.Flags&membership.Ready != 0))
+	x.Set("draining", jsonBool(a, m.Flags&membership.Draining != 0))
+	x.Set("unfit", jsonBool(a, m.Flags&membership.DiskUnfit != 0))
+	x.Set("ready", jsonBool(a, m.Flags&membership.Ready != 0))
 	return x
 }
 
-func flag(a *fastjson.Arena, b bool) *fastjson.Value {
+func jsonBool(a *fastjson.Arena, b bool) *fastjson.Value {
 	if b {
 		return a.NewTrue()
 	}
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -8,7 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// tick works out the difference between what is wanted and what is; it gives how long the next may wait.
+// tick applies updates and advances the admission queue, the coordinator, the claims and the readiness. It returns the delay
+// until the next tick.
 func (v *Router) tick(now units.Time) time.Duration {
 	v.refresh(now)
 	v.queueMu.Lock()
@@ -16,26 +17,27 @@
 	busy := v.queue.Busy()
 	if busy {
 		out = v.queue.Tick(now)
-		v.deliverVerdicts(now)
+		v.deliverDecisions(now)
 	}
 	v.queueMu.Unlock()
-	v.ledgerMu.Lock()
-	out.Append(v.ledger.Tick(now))
-	busy = busy || v.ledger.Busy()
-	v.ledgerMu.Unlock()
+	v.coordinatorMu.Lock()
+	out.Append(v.coordinator.Tick(now))
+	busy = busy || v.coordinator.Busy()
+	v.coordinatorMu.Unlock()
 	v.Deliver(out)
 	if v.Adapter == nil {
-		v.screenTick(now) // an adapter's requests claim nothing
+		v.tickClaimant(now) // an adapter's requests claim no keys
 	}
-	v.confirm(now)
+	v.confirmUpToDate(now)
 	if busy || v.Adapter == nil || !v.ready.Load() || !v.MembershipStable(now) {
-		return tickGap
+		return tickInterval
 	}
 	return node.IdleInterval
 }
 
-// tickGap is how long the next tick waits while something is due: prompts that wait, keepers that take over, a fleet that moves.
-const tickGap = 20 * time.Millisecond
+// tickInterval is the delay until the next tick while work is pending: waiting requests, coordinators that take over,
+// changes of the membership.
+const tickInterval = 20 * time.Millisecond
 
-// tickSoon has the next tick come soon.
-func (v *Router) tickSoon() { v.ticks.By(tickGap) }
+// scheduleTick makes the next tick run within tickInterval.
+func (v *Router) scheduleTick() { v.tickLoop.By(tickInterval) }
