--- a/internal/cluster/discovery/warmup_test.go
+++ b/internal/cluster/discovery/warmup_test.go
@@ -8,8 +8,8 @@
 	"seamshunt/internal/units"
 )
 
-// Lists that name services contain each worker's remaining warm-up time. If that rises or the service changes, the worker
-// warms up again under a higher generation. That it falls as time passes is no change.
+// Worker lists that include services also contain each worker's remaining warm-up time. If that rises or the service changes, the worker
+// warms up again under a higher generation. A remaining time that falls as time passes is no change.
 func TestWorkerWarmsUpAgain(t *testing.T) {
 	const ms = units.Time(time.Millisecond)
 	c := New()
@@ -62,24 +62,24 @@
 	}
 }
 
-// A poller that sleeps as long as Next says sends no more queries than its share allows and hardly fewer. Apart from its
-// queries it wakes up at most once per interval.
+// A poller that sleeps for the duration that Next returns sends at most as many queries as its share allows, and nearly as
+// many. Apart from its queries it wakes up at most once per interval.
 func TestScheduleWakeups(t *testing.T) {
 	const interval = 500 * time.Millisecond
 	for _, share := range []float64{1, 0.5, 1.0 / 3, 0} {
 		schedule := Schedule{}
 		now := units.Time(interval)
-		asked, woke := 0, 0
+		queries, wakeUps := 0, 0
 		for now < units.Time(100*time.Second) {
-			woke++
+			wakeUps++
 			if schedule.Due(now, share, interval) {
-				asked++
+				queries++
 			}
 			now = now.Add(schedule.Next(now, share, interval))
 		}
 		want := share * float64(100*time.Second/interval)
-		if float64(asked) > want+1 || float64(asked) < want*0.97-2 || woke > 2*int(100*time.Second/interval)+2 {
-			t.Errorf("share %.2f: %d queries in 100 s, %.0f allowed; %d wake-ups", share, asked, want, woke)
+		if float64(queries) > want+1 || float64(queries) < want*0.97-2 || wakeUps > 2*int(100*time.Second/interval)+2 {
+			t.Errorf("share %.2f: %d queries in 100 s, %.0f allowed; %d wake-ups", share, queries, want, wakeUps)
 		}
 	}
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -36,7 +36,7 @@
 	Draining  uint16 = 1 << iota
 	DiskUnfit        // a controller whose disk is currently not fit for ownership of a key
 	Ready            // a router that serves requests
-	Voter            // a controller that believes it is in the quorum set
+	Voter            // a controller that is in the newest quorum set it knows
 	DiskFull         // a controller whose disk is full
 	MayVote          // a controller whose disk may vote (docs/design.md, section 13)
 	Bootstrap        // a controller of the system's first start, according to its settings file or its disk
--- a/internal/cluster/membership/messages.go
+++ b/internal/cluster/membership/messages.go
@@ -30,7 +30,7 @@
 	Role        uint8
 }
 
-// encode returns the body of a message that carries this node and the members that changed lately, or the full table.
+// encode returns the body of a message that carries this node and the recently changed members, or the full table.
 func (m *Gossip) encode(seq uint64, target units.NodeID, fullTable bool) []byte {
 	var items [][]byte
 	for _, n := range m.nodeIDs() {
@@ -48,7 +48,7 @@
 
 // encodeIntro returns the body of a first message to an address. It carries this node and the members known at that
 // address, so that the process there can refute a wrong state. The reply carries the full table, and its digest shows
-// whether this node's full table has to be sent in return. Sending the full table here would mostly be in vain: during a
+// whether this node's full table has to be sent in return. Sending the full table here would mostly be wasted: during a
 // network partition it would be sent four times a second to addresses that can't receive it (docs/CAPACITY.md).
 func (m *Gossip) encodeIntro(addr string) []byte {
 	items := [][]byte{m.members[m.Self].encode()}
@@ -70,8 +70,8 @@
 	return message.Pack(h, []byte(x.Addr), []byte(x.HTTPAddr), []byte(x.Zone))
 }
 
-// broadcast adds a changed member to the next messages, to so many that usually all nodes receive it. Where one doesn't,
-// the digests differ.
+// broadcast adds a changed member to the next messages, enough of them that usually all nodes receive it. If a node
+// doesn't, its digest differs and it receives the full table.
 func (m *Gossip) broadcast(n units.NodeID) { m.broadcastsLeft[n] = bits.Len(uint(len(m.members))) + 4 }
 
 // fullTableDue reports whether to send the full table because the peer's digest differs: at most once per
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -28,7 +28,7 @@
 }
 
 // All returns every member that isn't removed yet, in order of id. Calls return the same slice until something changes;
-// nobody may modify it.
+// callers must not modify it.
 func (m *Gossip) All() []Member {
 	if m.snapshot == nil {
 		m.snapshot = make([]Member, 0, len(m.members))
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -16,7 +16,7 @@
 const MaxBody = 16 << 20
 
 // The marks of plain and of compressed frames. A body of minCompressSize bytes or more is compressed if that makes it
-// shorter: lists of members and workers and configurations are highly repetitive, and each is sent to every node
+// shorter: member lists, worker lists and configurations are highly repetitive, and each is sent to every node
 // (docs/design.md, sections 4 and 5).
 const (
 	plainMark       = 0x5353
--- a/internal/control/controller/audit.go
+++ b/internal/control/controller/audit.go
@@ -13,12 +13,12 @@
 	done   chan struct{}
 }
 
-// auditWait is how long an acknowledgement waits for its audit entry: a stalled disk must not hold up a change that a
+// auditWait is how long an acknowledgement waits for its audit entry: a stalled disk must not delay a change that a
 // majority has stored. The entry is still written, in order, when the disk recovers (docs/design.md, section 10).
 const auditWait = 150 * time.Millisecond
 
-// appendAudit queues an entry and waits for auditWait at most. An entry that can't be recorded is counted; it doesn't
-// change the result of the change, which is in force already.
+// appendAudit queues an entry and waits for auditWait at most. An entry that can't be recorded is counted. The
+// operator's result stays the same, since the change is in force already.
 func (c *Controller) appendAudit(ctx context.Context, record changelog.Entry) {
 	entry := auditEntry{record: record, done: make(chan struct{})}
 	select {
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -166,10 +166,10 @@
 	return c.replica.Quorum()
 }
 
-// handleRegisterMessage holds replicaMu until its effects are queued, so that the disk sees them in the replica's order.
-func (c *Controller) handleRegisterMessage(now units.Time, n message.Message) {
+// handleRegisterMessage holds replicaMu until its effects are queued, so that the disk receives them in the replica's order.
+func (c *Controller) handleRegisterMessage(now units.Time, msg message.Message) {
 	c.replicaMu.Lock()
-	effects := c.replica.Step(now, n)
+	effects := c.replica.Step(now, msg)
 	chosen := c.collectResults()
 	c.Deliver(effects)
 	c.replicaMu.Unlock()
--- a/internal/control/controller/delayed_connection_test.go
+++ b/internal/control/controller/delayed_connection_test.go
@@ -11,9 +11,9 @@
 	"seamshunt/internal/rig/netfault"
 )
 
-// EVAC: a controller accepted the connection of a withdrawal late, without having been paused for long. Meanwhile the
-// client had given up without closing the connection, and the zone had been evacuated again. The withdrawal must not be
-// applied.
+// Invariant EVAC: a controller accepted the connection of a withdrawal late, without having been paused for long.
+// Meanwhile the client had given up without closing the connection, and the zone had been evacuated again. The withdrawal
+// must not be applied.
 func TestWithdrawalAcceptedLateUndoesNothing(t *testing.T) {
 	t.Parallel()
 	controllers := startSeededControllers(t, 3, zoneAdapter())
@@ -26,7 +26,7 @@
 	expectState(t, controllers[1], latest, true)
 }
 
-// EVAC: a withdrawal was queued on its connection behind a slow call. The client had given up without closing the
+// Invariant EVAC: a withdrawal was queued on its connection behind a slow call. The client had given up without closing the
 // connection, and the zone had been evacuated again before the slow call was answered. The withdrawal must not be
 // applied.
 func TestWithdrawalBehindASlowCallUndoesNothing(t *testing.T) {
@@ -68,7 +68,7 @@
 	expectState(t, controllers[1], latest, true)
 }
 
-// EVAC: a withdrawal and the packet that completes its connection's handshake were lost. The client's kernel
+// Invariant EVAC: a withdrawal and the packet that completes its connection's handshake were lost. The client's kernel
 // retransmitted them after the client had given up and the zone had been evacuated again, so the controller saw a new
 // connection with a new call.
 func TestWithdrawalOnALateConnectionUndoesNothing(t *testing.T) {
--- a/internal/control/controller/delayed_request_test.go
+++ b/internal/control/controller/delayed_request_test.go
@@ -22,7 +22,7 @@
 const (
 	testZone    = "z9"
 	evacuation  = "POST /evacuation/z9 HTTP/1.1\r\nHost: control\r\nContent-Length: 0\r\n\r\n"
-	withdrawal  = "DELETE /evacuation/z9 HTTP/1.1\r\nHost: control\r\n\r\n"
+	withdrawal  = "DELETE /evacuation/z9 HTTP/1.1\r\nHost: control\r\n\r\n" // ends the evacuation and readmits the zone
 	readRequest = "GET /config HTTP/1.1\r\nHost: control\r\n\r\n"
 )
 
@@ -146,7 +146,8 @@
 	"resets":        func(c *net.TCPConn) error { _ = c.SetLinger(0); return c.Close() },
 }
 
-// EVAC: a withdrawal waited in the socket of a paused controller. Its client disconnected, and the zone was evacuated again.
+// Invariant EVAC: a withdrawal waited in the socket of a paused controller. Its client disconnected, and the zone was
+// evacuated again.
 func TestWithdrawalOfADisconnectedClientUndoesNothing(t *testing.T) {
 	t.Parallel()
 	controllers := startSeededControllers(t, 3, zoneAdapter())
@@ -197,8 +198,8 @@
 	}
 }
 
-// EVAC: a withdrawal arrived late on a connection that was opened before the zone was evacuated again, as after a network
-// partition during which the client's kernel keeps retransmitting.
+// Invariant EVAC: a withdrawal arrived late on a connection that was opened before the zone was evacuated again, as after a
+// network partition during which the client's kernel keeps retransmitting.
 func TestWithdrawalOnAnOldConnectionUndoesNothing(t *testing.T) {
 	t.Parallel()
 	controllers := startSeededControllers(t, 3, zoneAdapter())
--- a/internal/control/controller/disk.go
+++ b/internal/control/controller/disk.go
@@ -87,8 +87,8 @@
 			continue
 		}
 		for _, effects := range batch {
-			for _, n := range effects.AfterSync {
-				c.Transport.Send(n)
+			for _, msg := range effects.AfterSync {
+				c.Transport.Send(msg)
 			}
 		}
 	}
--- a/internal/control/controller/evacuation.go
+++ b/internal/control/controller/evacuation.go
@@ -18,11 +18,11 @@
 // handleZoneRequest evacuates a zone or readmits it.
 //
 // The call has neither a version nor an ID, so the state that its client knew follows only from when it was sent. A
-// request may change a state only if this node knew that state before the request can have been sent. It is written on
-// the stored version of that state, so it conflicts with any change acknowledged since. Every acknowledgement is a write
-// with a new stored version, even if the zone is in the desired state already: a request that its client gave up earlier
-// and that is still on its way inside the fleet then conflicts too. A request that is too late for this gets an unknown
-// outcome and is never refused; its client sends it again as a new call.
+// request may change a state only if this node knew that state before the request can have been sent. Its write is based
+// on the stored version of that state, so it conflicts with any change acknowledged since. Every acknowledgement is a write
+// with a new stored version, even if the zone is in the desired state already: a request that its client gave up on
+// earlier and that is still on its way inside the fleet then conflicts too. A request that is too late for this gets an
+// unknown outcome and is never refused; its client sends it again as a new call.
 func (c *Controller) handleZoneRequest(client net.Conn, zone string, evacuate bool) resultcode.Code {
 	startedAt := c.Tasks.Now()
 	request := &zoneRequest{key: node.ZonePrefix + zone, desired: fmt.Appendf(nil, `{"evacuated":%v}`, evacuate)}
@@ -33,7 +33,7 @@
 	return code
 }
 
-// zoneRequest is a request to evacuate or readmit a zone, with the state that it is written on.
+// zoneRequest is a request to evacuate or readmit a zone, with the state that its write is based on.
 type zoneRequest struct {
 	key         string
 	desired     []byte
@@ -55,8 +55,8 @@
 	return c.writeZoneState(ctx, request)
 }
 
-// writeZoneState writes a request on its base state or, after a conflict, on the newest state if that is the desired one
-// already.
+// writeZoneState writes the desired state, based on the request's base state or, after a conflict, on the newest state if
+// that is the desired one already.
 func (c *Controller) writeZoneState(ctx context.Context, request *zoneRequest) resultcode.Code {
 	for {
 		if !request.mayChange && !bytes.Equal(request.baseState, request.desired) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// recordUpdate stores a state that is about to be acknowledged by this node, so that the client's next request finds it
-// known.
+// recordUpdate stores a state that this node is about to acknowledge, so that the node already knows it when the client's
+// next request arrives.
 func (c *Controller) recordUpdate(item configpush.Item) {
 	c.FeedMu.Lock()
 	defer c.FeedMu.Unlock()
@@ -87,7 +87,7 @@
 	c.Feed.Apply(item)
 }
 
-// findBaseState finds the state that a request is written on, given a lower bound for the request's send time.
+// findBaseState finds the state that a request's write is based on, given a lower bound for the request's send time.
 func (c *Controller) findBaseState(ctx context.Context, request *zoneRequest, earliestSendTime units.Time) resultcode.Code {
 	if item, ok := c.knownItem(request.key); ok {
 		request.baseVersion, request.baseState, request.mayChange = item.Version, item.Data, item.ReceivedAt <= earliestSendTime
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -16,7 +16,7 @@
 	log           *wal.Log
 	self          units.NodeID
 	uninitialized bool  // self is a new identity, which has no vote
-	damage        error // why the log that was there can't be trusted; it is set aside
+	damage        error // why the existing log is unusable; it is set aside
 	setAside      bool  // a damaged log was set aside at this start or before: a fleet exists, so this disk must not bootstrap one
 }
 
--- a/internal/control/controller/partition_test.go
+++ b/internal/control/controller/partition_test.go
@@ -17,8 +17,8 @@
 	"seamshunt/internal/units"
 )
 
-// newPartitioned returns one of three voters. It never gets an answer from the other two and believes that one of them
-// owns every key. It knows a configuration with stored version 3 and document version 5. Its connections aren't opened.
+// newPartitioned returns one of three voters. It never receives an answer from the other two, and in its view one of them
+// owns every key. It knows a configuration with stored version 3 and document version 5. It opens no connections.
 func newPartitioned(t *testing.T) *Controller {
 	t.Helper()
 	c, err := New(&boot.Boot{Name: "c", Zone: "z0", Addr: "nowhere:1", Data: t.TempDir(), Reserve: 64 << 10, Grow: true, Counts: true}, testAdapter())
@@ -130,7 +130,7 @@
 		t.Cleanup(restarted.Drain)
 		controllers = append(controllers, restarted)
 	}
-	// A change with an unknown outcome may have come into force since. No other document may.
+	// A change with an unknown outcome may have come into force since. No other document may be in force.
 	_, version, code := readUntilClear(t, controllers[0].Control())
 	if code != resultcode.OK || version != 5 && version != 7 {
 		t.Errorf("after the restart: %d, version %d", code, version)
--- a/internal/control/controller/paused_controller_test.go
+++ b/internal/control/controller/paused_controller_test.go
@@ -11,9 +11,9 @@
 	"seamshunt/internal/units"
 )
 
-// EVAC: a withdrawal waited in the socket of a paused controller, and its client gave up without closing the connection.
-// The delayed request must not be applied; the same holds for an evacuation. A client that learns of the unknown outcome
-// may send it again.
+// Invariant EVAC: a withdrawal waited in the socket of a paused controller, and its client gave up without closing the
+// connection. The delayed request must not be applied; the same holds for an evacuation. A client that receives the
+// unknown outcome may send it again.
 func TestRequestFromBeforeAPauseUndoesNothing(t *testing.T) {
 	t.Parallel()
 	controllers := startSeededControllers(t, 3, zoneAdapter())
@@ -48,15 +48,15 @@
 	}
 }
 
-// EVAC: a withdrawal was delayed inside the fleet. Its client gave it up, and the evacuation was acknowledged again, with
-// a newer version. The delayed withdrawal must get a conflict.
+// Invariant EVAC: a withdrawal was delayed inside the fleet. Its client gave up, and the evacuation was acknowledged
+// again, with a newer version. The delayed withdrawal must get a conflict.
 func TestDelayedWithdrawalConflictsWithANewerWrite(t *testing.T) {
 	t.Parallel()
 	controllers := startSeededControllers(t, 3, testAdapter())
 	for round, evacuated := range []bool{true, false, true, false} {
 		setZoneUntilClear(t, controllers[0], evacuated)
-		heldVersion, _ := readZone(t, controllers[0])
-		opposite := register.Request{Key: node.ZonePrefix + testZone, ExpectedVersion: heldVersion, Data: []byte(stateText(!evacuated))}
+		baseVersion, _ := readZone(t, controllers[0])
+		opposite := register.Request{Key: node.ZonePrefix + testZone, ExpectedVersion: baseVersion, Data: []byte(stateText(!evacuated))}
 		setZoneUntilClear(t, controllers[1+round%2], evacuated)
 		code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) {
 			ctx, cancel := withAnswerTimeout(register.AnswerTimeout)
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -19,8 +19,8 @@
 const statusTimeout = time.Second
 
 // collectPromiseStats requests the promise statistics of every live router in parallel, within the deadline of ctx. It
-// returns the sums and the numbers of routers that were asked and that answered.
-func (c *Controller) collectPromiseStats(ctx context.Context) (stats map[string]config.Seen, asked, answered int) {
+// returns the sums and the numbers of routers that were queried and that answered.
+func (c *Controller) collectPromiseStats(ctx context.Context) (stats map[string]config.Seen, queried, answered int) {
 	type answer map[string]config.Seen
 	var addrs []string
 	for _, member := range c.Members() {
@@ -85,11 +85,11 @@
 func (c *Controller) servePromises(ctx *fasthttp.RequestCtx) {
 	callCtx, cancel := withAnswerTimeout(register.RequestTimeout)
 	defer cancel()
-	stats, asked, answered := c.collectPromiseStats(callCtx)
+	stats, queried, answered := c.collectPromiseStats(callCtx)
 	var a fastjson.Arena
 	o, list := a.NewObject(), a.NewObject()
 	o.Set("code", a.NewNumberInt(int(resultcode.OK)))
-	o.Set("routers", a.NewNumberInt(asked))
+	o.Set("routers", a.NewNumberInt(queried))
 	o.Set("routers_answered", a.NewNumberInt(answered))
 	for _, k := range message.SortedKeys(stats) {
 		promise := stats[k]
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -8,7 +8,7 @@
 	"seamshunt/internal/units"
 )
 
-// updateQuorum bootstraps the first quorum set and requests changes to the members that the planner wants. replicaMu must
+// updateQuorum bootstraps the first quorum set and requests changes to the members that the planner selects. replicaMu must
 // be held.
 func (c *Controller) updateQuorum(now units.Time, view register.ControllerView) {
 	if c.Settings.Grow {
@@ -34,8 +34,8 @@
 // checkTolerance updates the shortfall and logs it once after shortfallReportDelay. A quorum set with a shortfall serves
 // requests as usual. replicaMu must be held.
 func (c *Controller) checkTolerance(now units.Time, view register.ControllerView) {
-	wanted := register.Tolerance{Machines: c.Settings.LostMachines, Zones: c.Settings.LostZones}
-	text := wanted.Shortfall(c.replica.Quorum(), view)
+	required := register.Tolerance{Machines: c.Settings.LostMachines, Zones: c.Settings.LostZones}
+	text := required.Shortfall(c.replica.Quorum(), view)
 	if text != c.shortfall.text {
 		c.shortfall = shortfall{text: text, since: now}
 	}
--- a/internal/control/controller/stale_list_test.go
+++ b/internal/control/controller/stale_list_test.go
@@ -18,8 +18,8 @@
 	return l
 }
 
-// DRAIN: the platform's list waited in the socket of a paused controller. Meanwhile a worker left, which the other
-// controllers had learned, but the old list still showed it as ready.
+// Invariant DRAIN: the platform's list waited in the socket of a paused controller. Meanwhile a worker left. The other
+// controllers had learned of it, but the old list still showed the worker as ready.
 func TestListFromBeforeAPauseBringsNoWorkerBack(t *testing.T) {
 	t.Parallel()
 	lists := make(chan []config.Worker)
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -22,8 +22,8 @@
 	return context.WithTimeout(context.Background(), limit)
 }
 
-// Submit sends a request to the owner of its key and waits for the result until ctx is done. A controller that knows that it
-// can't reach a majority returns that at once and sends nothing.
+// Submit sends a request to the owner of its key and waits for the result until ctx is done. If this
+// controller knows that it can't reach a majority, Submit returns resultcode.NoMajority at once and sends nothing.
 func (c *Controller) Submit(ctx context.Context, request register.Request) register.Result {
 	if request.Write && !request.Lookup && c.majorityFull() {
 		return register.Result{Code: resultcode.DiskFull}
@@ -62,7 +62,7 @@
 	leaveQuorumPollInterval = 50 * time.Millisecond
 )
 
-// leaveQuorum waits until this node is removed from the quorum set, if the set can spare it. By then, values that only
+// leaveQuorum waits until this node is removed from the quorum set, if the set is to continue without it. By then, values that only
 // this disk and a few others hold have been copied to a majority of the next set.
 func (c *Controller) leaveQuorum() {
 	deadline := c.Tasks.Now().Add(min(leaveQuorumTimeout, c.Settings.Bounds.Grace/2))
--- a/internal/control/lease/lease.go
+++ b/internal/control/lease/lease.go
@@ -180,10 +180,10 @@
 	}
 }
 
-// Resign gives the lease up.
+// Resign gives up the lease.
 func (b *Lease) Resign() { b.heldUntil = 0 }
 
-// Yield gives the lease up for yieldDuration, because this node can't perform the duty now, and releases its votes at
+// Yield gives up the lease for yieldDuration, because this node can't do the holder's work now, and releases its votes at
 // once.
 func (b *Lease) Yield(now units.Time) (out message.Effects) {
 	b.heldUntil = 0
--- a/internal/control/register/acceptor.go
+++ b/internal/control/register/acceptor.go
@@ -133,7 +133,7 @@
 	return b.quorum.Has(b.self) || key == KeyQuorum && kind == Accept
 }
 
-// StoredVersions returns the accepted version of each key on this disk. A starting router asks for them to confirm
+// StoredVersions returns the accepted version of each key on this disk. A starting router requests them to confirm
 // that its own state is current (docs/design.md, section 4).
 func (b *Replica) StoredVersions() map[string]units.Version {
 	versions := map[string]units.Version{}
--- a/internal/control/register/bootstrap_test.go
+++ b/internal/control/register/bootstrap_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// The proposing node fails before all nodes have voted. The nodes that voted keep their vote, whatever they see
+// The proposing node fails before all nodes have voted. The nodes that voted keep their vote, whatever they receive
 // later, and the lowest of them collects the remaining votes. A disk that voted for one set never votes for another
 // (docs/design.md, section 13).
 func TestBootstrapVotesSurviveProposerFailure(t *testing.T) {
--- a/internal/control/register/controllerview.go
+++ b/internal/control/register/controllerview.go
@@ -10,13 +10,13 @@
 // ControllerView is the state of the controllers according to membership, as owner selection, bootstrap and the
 // planner use it. A voting disk is a controller's disk that may hold a voting seat.
 type ControllerView struct {
-	// Eligible controllers may own keys. Suspects are excluded: a change of owner costs a round, waiting costs seconds.
+	// Eligible controllers may own keys. Suspects are excluded: to change owners takes one round, to wait takes seconds.
 	Eligible      []units.NodeID
 	Draining      []units.NodeID        // would be eligible but are draining
-	Uninitialized []units.NodeID        // alive and without a vote
-	FleetExists   bool                  // some node knows of a running fleet
+	Uninitialized []units.NodeID        // live controllers that are not voters
+	FleetExists   bool                  // a voter or a live, ready router is known
 	Controllers   []membership.Member   // the live controllers
-	Replaced      map[units.NodeID]bool // controllers whose address a newer one has taken over: their disks are lost
+	Replaced      map[units.NodeID]bool // controllers whose address a newer one uses: their disks are lost
 	left          map[units.NodeID]bool // controllers that have announced their departure
 	diskless      bool                  // no controller has a voting disk; then all of them may vote (docs/design.md, section 13)
 }
--- a/internal/control/register/messages.go
+++ b/internal/control/register/messages.go
@@ -25,7 +25,7 @@
 	Pong
 )
 
-// header begins every message except Ping and Pong. Its fields are encoded in this order.
+// header is the first part of every message except Ping and Pong. Its fields are encoded in this order.
 type header struct {
 	EpochNumber, EpochNode   uint64
 	Seq                      uint64
@@ -126,7 +126,7 @@
 	return a
 }
 
-// Request is a read or a conditional write of one key, made by an operator or by one of the controllers' own duties.
+// Request is a read or a conditional write of one key, made by an operator or by a controller itself.
 type Request struct {
 	Tag             uint64
 	From            units.NodeID
--- a/internal/control/register/model_actions_test.go
+++ b/internal/control/register/model_actions_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// disagreeOnOwners gives one node its own view of the eligible owners.
+// disagreeOnOwners sets a view of the eligible owners at one node only.
 func (r *randomRun) disagreeOnOwners() {
 	n := r.anyNode()
 	eligible := []units.NodeID{n.id}
--- a/internal/control/register/model_clients_test.go
+++ b/internal/control/register/model_clients_test.go
@@ -14,7 +14,7 @@
 	write          bool
 	requestID      string
 	minVersion     units.Version // the highest version that had been acknowledged when the call began
-	decidedVersion units.Version // the newest set under which a value had been chosen when the call began
+	decidedVersion units.Version // version of the newest set under which a value had been chosen when the call began
 }
 
 // modelClients makes calls and checks that their answers agree with the order in which calls began and ended.
--- a/internal/control/register/model_cluster_test.go
+++ b/internal/control/register/model_cluster_test.go
@@ -15,7 +15,7 @@
 	run           units.NodeID
 	syncQueue     []diskBatch
 	disk          modelDisk
-	targetMembers []units.NodeID // the members that the process was last asked to change to
+	targetMembers []units.NodeID // the members that were last requested at the process
 	lostDisk      modelDisk      // contents of the disk when it was lost
 	lost          bool           // the disk is lost for good: no process ever votes under this id again
 }
--- a/internal/control/register/model_explore_test.go
+++ b/internal/control/register/model_explore_test.go
@@ -1,6 +1,6 @@
 package register
 
-// explorer enumerates schedules. A run asks choose for a number below n; zero is the default and any other number a
+// explorer enumerates schedules. A run calls choose for a number below n; zero is the default and any other number a
 // deviation. At most budget of the first depth choices of a run deviate, and every such run is made.
 type explorer struct {
 	depth, budget            int
--- a/internal/control/register/model_random_test.go
+++ b/internal/control/register/model_random_test.go
@@ -27,7 +27,7 @@
 	submittedIDs []string // request ids
 }
 
-// proposal is a set that a node was asked to change to, and the version in force at that time.
+// proposal is a set whose members were requested at a node, and the version in force at that time.
 type proposal struct {
 	members []units.NodeID
 	version units.Version
--- a/internal/control/register/model_schedule_test.go
+++ b/internal/control/register/model_schedule_test.go
@@ -26,7 +26,7 @@
 	members          int
 	spares           int
 	expectsSetChange bool // the quorum set changes in the default schedule
-	undisturbedSteps int  // number of first steps that run without deviations
+	undisturbedSteps int  // number of steps at the start that run without deviations
 	steps            []func(*modelCluster)
 }
 
@@ -37,7 +37,7 @@
 func (s scenario) run(choose func(int) int) *modelCluster {
 	c := newModelCluster(s.members, s.spares)
 	steps, rounds := s.steps, 0
-	trigger := func() {
+	runNextStep := func() {
 		steps[0](c)
 		steps, rounds = steps[1:], 0
 	}
@@ -45,7 +45,7 @@
 		switch {
 		case len(c.inFlight) > 0:
 			if choice := s.deviation(choose, len(steps)); choice == startNextStep && len(steps) > 0 {
-				trigger()
+				runNextStep()
 			} else {
 				c.deviate(choice)
 			}
@@ -53,7 +53,7 @@
 			rounds++
 			c.tickAllAfter(resendInterval + 100*time.Millisecond)
 		case len(steps) > 0:
-			trigger()
+			runNextStep()
 		default:
 			c.heal()
 			return c
@@ -63,8 +63,8 @@
 }
 
 // deviation chooses what happens to the oldest message, once the undisturbed steps are over.
-func (s scenario) deviation(choose func(int) int, left int) int {
-	if len(s.steps)-left < s.undisturbedSteps {
+func (s scenario) deviation(choose func(int) int, stepsLeft int) int {
+	if len(s.steps)-stepsLeft < s.undisturbedSteps {
 		return deliverMessage
 	}
 	return choose(deviationCount)
@@ -160,7 +160,7 @@
 	return func(c *modelCluster) { c.setEligible(c.node(node), owner) }
 }
 
-// writeAt writes on the newest version that any client knows of, as no client can know of a later one.
+// writeAt makes a write based on the newest version that has been acknowledged to any client.
 func writeAt(node units.NodeID) func(*modelCluster) {
 	return func(c *modelCluster) {
 		clients := c.checker.clients
--- a/internal/control/register/model_snapshot_test.go
+++ b/internal/control/register/model_snapshot_test.go
@@ -10,17 +10,17 @@
 
 // replicaSnapshot is the part of a replica's state that a message may change.
 type replicaSnapshot struct {
-	states  map[string]State
-	quorum  QuorumSet
-	owned   map[string]ownership
-	pending int
-	listed  []string // keys that a change of the set has to read back
+	states     map[string]State
+	quorum     QuorumSet
+	owned      map[string]ownership
+	pending    int
+	keysToRead []string // keys that must be read back before a change of the set is complete
 }
 
 func snapshotReplica(r *Replica) replicaSnapshot {
-	f := replicaSnapshot{states: map[string]State{}, quorum: r.quorum, owned: map[string]ownership{}, pending: len(r.pendingRequests), listed: keysToRead(r)}
+	snapshot := replicaSnapshot{states: map[string]State{}, quorum: r.quorum, owned: map[string]ownership{}, pending: len(r.pendingRequests), keysToRead: keysToRead(r)}
 	for key, s := range r.states {
-		f.states[key] = *s
+		snapshot.states[key] = *s
 	}
 	for key, o := range r.ownerships {
 		entry := *o
@@ -30,9 +30,9 @@
 				entry.acks[n] = got
 			}
 		}
-		f.owned[key] = entry
+		snapshot.owned[key] = entry
 	}
-	return f
+	return snapshot
 }
 
 // busyCluster returns a cluster in which node 1 owns a key and has an operation in progress.
--- a/internal/control/register/ownership_test.go
+++ b/internal/control/register/ownership_test.go
@@ -7,7 +7,7 @@
 )
 
 // An owner that was superseded without noticing must not refuse a write based on a version that the new owner wrote,
-// nor a write that the new owner has applied: it asks a majority first. A write based on a version that no node has
+// nor a write that the new owner has applied: it confirms its epoch with a majority first. A write based on a version that no node has
 // is refused.
 func TestSupersededOwnerConfirmsBeforeRefusal(t *testing.T) {
 	c := newTestCluster()
--- a/internal/control/register/planner.go
+++ b/internal/control/register/planner.go
@@ -28,7 +28,7 @@
 
 // Planner decides which replicas the quorum set should have. Its size is fixed or follows the number of voting disks.
 // An even number is reduced by one, because an even set tolerates no more losses than the odd one below it and needs
-// more replies. So a leaving member has a replacement, and no removed one keeps a seat (docs/design.md, section 13).
+// more replies. So a leaving member has a replacement, and no removed one keeps its voting seat (docs/design.md, section 13).
 type Planner struct {
 	FixedSize      int           // 0: the size follows the number of voting disks
 	MinSize        int           // minimum size of a set that follows the disks; 2f+1 tolerates the loss of f
--- a/internal/control/register/planner_seat_test.go
+++ b/internal/control/register/planner_seat_test.go
@@ -46,7 +46,7 @@
 }
 
 // The view that a member had before a network partition decides for as long as the partition lasts, although the
-// member sees no other controller meanwhile.
+// member receives nothing from other controllers meanwhile.
 func TestSeatOfPartitionedMember(t *testing.T) {
 	set := QuorumSet{Version: 1, Members: []units.NodeID{1, 2, 3}}
 	p := Planner{MinSize: 3, ReplaceAfter: ReplaceAfter}
--- a/internal/control/register/reachability.go
+++ b/internal/control/register/reachability.go
@@ -34,7 +34,7 @@
 
 func (b *Replica) tickReachability(now units.Time, out *message.Effects) {
 	if !b.quorum.Has(b.self) {
-		b.reachability.trackedSince = 0 // a node that becomes a voter later has not heard from any other yet
+		b.reachability.trackedSince = 0 // a node that becomes a voter later has received no message from any other yet
 		return
 	}
 	if b.reachability.trackedSince == 0 {
--- a/internal/control/register/replica.go
+++ b/internal/control/register/replica.go
@@ -21,8 +21,8 @@
 // resendInterval is the delay before unanswered messages are sent again.
 const resendInterval = 300 * time.Millisecond
 
-// idleConfirmInterval is how long an owner goes without a round before it confirms its epoch. Another node may have
-// raised the epoch and then disappeared. In that case this node acquires the key again, which also lets repair bring
+// idleConfirmInterval is how long an owner may send no requests to the voters before it confirms its epoch. Another node
+// may have raised the epoch and then disappeared. In that case this node acquires the key again, which also lets repair bring
 // all copies to one epoch (docs/design.md, section 2).
 const idleConfirmInterval = 3 * time.Second
 
@@ -47,7 +47,7 @@
 	reachability    reachability
 }
 
-// New returns a replica for the disk self. runID is a random id of this process start.
+// New returns the replica of the node self, whose id is stored on its disk. runID is a random id of this process start.
 func New(self, runID units.NodeID) *Replica {
 	return &Replica{
 		self: self, runID: runID, states: map[string]*State{KeyQuorum: {}}, ownerships: map[string]*ownership{},
@@ -59,9 +59,9 @@
 func (b *Replica) Quorum() QuorumSet { return b.quorum }
 
 // SetEligible sets the nodes that may own keys according to membership: the eligible ones or, if none of those is a
-// member of the quorum set, the leaving ones.
-func (b *Replica) SetEligible(eligible []units.NodeID, leaving ...units.NodeID) {
-	b.eligible, b.draining = eligible, leaving
+// member of the quorum set, the draining ones.
+func (b *Replica) SetEligible(eligible []units.NodeID, draining ...units.NodeID) {
+	b.eligible, b.draining = eligible, draining
 }
 
 // Owner returns the node that should own a key. All nodes with the same view return the same one.
@@ -112,7 +112,7 @@
 	if !b.adoptQuorum(set, &out) {
 		return out
 	}
-	if b.quorum.Has(msg.From) { // an epoch from a non-member must not use up the members' epochs
+	if b.quorum.Has(msg.From) { // a non-member must not raise the epoch: it could exhaust the members' epochs
 		b.highestEpoch = max(b.highestEpoch, h.EpochNumber, h.HigherNumber)
 	}
 	key := string(packedKey)
@@ -166,7 +166,8 @@
 			continue
 		}
 		if o.phase == holding && now.Sub(o.sentAt) >= idleConfirmInterval {
-			o.queue = append(o.queue, Request{From: b.self, Key: o.key}) // a read without a client: confirms that this node still owns the key
+			// A read without a client confirms that this node still owns the key.
+			o.queue = append(o.queue, Request{From: b.self, Key: o.key})
 			b.advance(now, o, &out)
 			continue
 		}
--- a/internal/control/register/seedbootstrap.go
+++ b/internal/control/register/seedbootstrap.go
@@ -11,18 +11,18 @@
 // stableViewAfter is how long a view must be unchanged before it is proposed if no seed has a voting disk.
 const stableViewAfter = 1500 * time.Millisecond
 
-// SeedBootstrap is the bootstrap of controllers that know only seed addresses. It decides which set is proposed, and
-// who collects the votes (docs/design.md, section 13).
+// SeedBootstrap bootstraps controllers that know only seed addresses. It decides which quorum set is proposed and which
+// node collects the votes (docs/design.md, section 13).
 type SeedBootstrap struct {
 	Addr         string   // address of this node
-	SeedAddrs    []string // seed addresses of the system's very first start
+	SeedAddrs    []string // seed addresses in the settings of the system's first start
 	Participates bool     // this node takes part, according to its settings file or its disk
 	lastView     []units.NodeID
 	viewSince    units.Time
 }
 
-// Proposal returns the first quorum set that this node sees (none if its view is incomplete) and whether this node is
-// to propose it.
+// Proposal returns the members of the first quorum set according to view (none if it is incomplete), and whether this
+// node should propose them.
 func (s *SeedBootstrap) Proposal(now units.Time, view ControllerView) (members []units.NodeID, proposes bool) {
 	if !s.Participates || view.FleetExists || len(s.SeedAddrs) == 0 {
 		return nil, false
@@ -55,7 +55,7 @@
 	}
 	requiredAge := stableViewAfter
 	if view.diskless {
-		requiredAge *= 2 // a controller with a voting disk may not have been heard of yet
+		requiredAge *= 2 // a controller with a voting disk may not be known yet
 	}
 	return members, s.Addr == slices.Min(s.SeedAddrs) && now.Sub(s.viewSince) >= requiredAge
 }
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -32,7 +32,7 @@
 	return 0, 0, false
 }
 
-// confirm asks a majority whether the owner's epoch is still the highest.
+// confirm starts a round that checks with a majority that the owner's epoch is still the highest.
 func (b *Replica) confirm(now units.Time, o *ownership, out *message.Effects) {
 	b.lastTag++
 	o.phase, o.confirmTag, o.acks, o.sentAt = confirming, b.lastTag, map[units.NodeID]bool{}, now
--- a/internal/control/register/stale_disk_test.go
+++ b/internal/control/register/stale_disk_test.go
@@ -30,9 +30,9 @@
 	return g
 }
 
-// restart starts a replica from the contents of its disk; run is the id of the start.
-func (g *persistentCluster) restart(id, run units.NodeID) {
-	r := New(id, run)
+// restart starts a replica from the contents of its disk; runID is the random id of the start.
+func (g *persistentCluster) restart(id, runID units.NodeID) {
+	r := New(id, runID)
 	var records []message.Record
 	for _, key := range message.SortedKeys(g.disks[id]) {
 		records = append(records, g.disks[id][key])
@@ -117,8 +117,8 @@
 	return g
 }
 
-// Without a majority a restarted owner answers no request and passes on nothing from its disk, however often it is
-// asked.
+// Without a majority a restarted owner answers no request and sends no value from its disk, however often requests are
+// repeated.
 func TestStaleOwnerWithoutMajorityAnswersNothing(t *testing.T) {
 	g := newStaleCluster(t)
 	for _, a := range []Request{{}, {Write: true, ExpectedVersion: 10, RequestID: "x", Data: []byte("x")}, {Write: true, ExpectedVersion: 1000, RequestID: "y", Data: []byte("y")}} {
@@ -198,8 +198,8 @@
 	}
 }
 
-// A member promised a higher epoch during a network partition, so it refuses its owner after a majority has already
-// answered. The owner acquires the key again, so that the member accepts its copy.
+// A member promised a higher epoch during a network partition, so it refuses the owner's message after a majority has
+// already answered. The owner acquires the key again, so that the member accepts its copy.
 func TestLateRefusalRestartsAcquisition(t *testing.T) {
 	g := newPersistentCluster()
 	g.setOwner(1)
--- a/internal/control/register/tolerance.go
+++ b/internal/control/register/tolerance.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Tolerance is the simultaneous loss that the quorum set has to survive: so many machines with voting disks, or all
-// machines in so many zones.
+// Tolerance is the simultaneous loss that the quorum set must survive: a number of machines with voting disks, or all
+// machines of a number of zones.
 type Tolerance struct {
 	Machines int
 	Zones    int
 }
 
-// Shortfall explains to operators why the quorum set does not have the required tolerance; empty if it has. A joint
-// set is checked only once it is complete.
+// Shortfall returns why the quorum set does not have the required tolerance, as a text for operators, or an empty string
+// if it has. A joint set is checked only once its change is complete.
 func (t Tolerance) Shortfall(q QuorumSet, view ControllerView) string {
 	if q.Version == 0 || q.Joint() {
 		return ""
@@ -19,29 +19,29 @@
 	if tolerated := (size - 1) / 2; tolerated < t.Machines {
 		return fmt.Sprintf("%d members bear the loss of %d, not of %d: %d disks that count are wanted", size, tolerated, t.Machines, 2*t.Machines+1)
 	}
-	inZone := map[string]int{}
+	membersPerZone := map[string]int{}
 	for _, n := range q.Members {
-		inZone[view.zoneOf(n)]++
+		membersPerZone[view.zoneOf(n)]++
 	}
-	if lost := membersInLargestZones(inZone, t.Zones); size-lost <= size/2 {
+	if lost := membersInLargestZones(membersPerZone, t.Zones); size-lost <= size/2 {
 		return fmt.Sprintf("the loss of %d zones takes %d of %d members: disks that count are wanted in more zones", t.Zones, lost, size)
 	}
 	return ""
 }
 
 // membersInLargestZones returns the number of members in the given number of zones that hold the most.
-func membersInLargestZones(inZone map[string]int, zones int) int {
+func membersInLargestZones(membersPerZone map[string]int, zones int) int {
 	lost := 0
 	taken := map[string]bool{}
 	for range zones {
 		best := ""
-		for zone, n := range inZone {
-			if !taken[zone] && (best == "" || n > inZone[best]) {
+		for zone, n := range membersPerZone {
+			if !taken[zone] && (best == "" || n > membersPerZone[best]) {
 				best = zone
 			}
 		}
 		taken[best] = true
-		lost += inZone[best]
+		lost += membersPerZone[best]
 	}
 	return lost
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	FeedMu   sync.Mutex
 	Feed     *configpush.Feed
 
-	MessageHandlers     map[message.Kind]func(units.Time, message.Message) // of the program itself, by the first kind of each range of 16
+	MessageHandlers     map[message.Kind]func(units.Time, message.Message) // of the router or controller, by the first kind of each range of 16
 	OnResume            func(units.Time)                                   // called after a pause of the process
 	OnPeersEnded        func(units.Time, []units.NodeID)                   // called with peers whose processes were found to have ended
 	OnChange            func()                                             // called after an update or a change of membership
@@ -89,16 +89,16 @@
 // tick does all periodic work and returns the interval to the next tick.
 func (t *Base) tick(now units.Time) time.Duration {
 	if gap := t.pauses.tick(now); gap > 0 && t.OnResume != nil {
-		t.Log.WithField("gap", gap).Error("the process resumed after a pause: state from before it is not trusted")
+		t.Log.WithField("gap", gap).Error("the process resumed after a pause: its earlier state may be out of date")
 		t.OnResume(now)
 	}
 	t.FeedMu.Lock()
-	sum := t.Feed.Digest
+	feedDigest := t.Feed.Digest
 	t.FeedMu.Unlock()
 	t.GossipMu.Lock()
-	t.Gossip.FeedDigest = sum
+	t.Gossip.FeedDigest = feedDigest
 	effects := t.Gossip.Tick(now)
-	members, version, asking := t.Gossip.All(), t.Gossip.Version(), t.Gossip.ProbePending(now)
+	members, version, probePending := t.Gossip.All(), t.Gossip.Version(), t.Gossip.ProbePending(now)
 	t.GossipMu.Unlock()
 	if t.updateMembershipVersion(now, version) {
 		for _, m := range members {
@@ -109,27 +109,27 @@
 	effects.Append(t.Feed.PushAndPull(now, members, t.Self))
 	t.FeedMu.Unlock()
 	t.Deliver(effects)
-	if asking || !t.MembershipStable(now) {
+	if probePending || !t.MembershipStable(now) {
 		return activeInterval
 	}
 	return IdleInterval
 }
 
 // receive is called on the transport's loop and only passes the message to a goroutine of the group. A message that
-// arrives before the transport is set is lost, as messages may be on any network.
-func (t *Base) receive(n message.Message) {
-	if !t.transportOpen.Load() || !t.Tasks.Do(func() { t.handle(n) }) {
+// arrives before the transport is set is dropped; senders must tolerate lost messages anyway.
+func (t *Base) receive(msg message.Message) {
+	if !t.transportOpen.Load() || !t.Tasks.Do(func() { t.handle(msg) }) {
 		t.DroppedMessages.Add(1)
 	}
 }
 
-func (t *Base) handle(n message.Message) {
+func (t *Base) handle(msg message.Message) {
 	now := t.Tasks.Now()
-	switch n.Kind &^ 15 {
+	switch msg.Kind &^ 15 {
 	case message.KindMembership:
 		t.GossipMu.Lock()
-		effects := t.Gossip.Step(now, n)
-		m, ok := t.Gossip.Get(n.From)
+		effects := t.Gossip.Step(now, msg)
+		m, ok := t.Gossip.Get(msg.From)
 		version := t.Gossip.Version()
 		t.GossipMu.Unlock()
 		if ok {
@@ -141,7 +141,7 @@
 		}
 	case message.KindConfigPush:
 		t.FeedMu.Lock()
-		effects := t.Feed.Step(now, n)
+		effects := t.Feed.Step(now, msg)
 		updated := len(t.Feed.Changes) > 0
 		t.FeedMu.Unlock()
 		t.Deliver(effects)
@@ -149,22 +149,22 @@
 			t.notifyChange()
 		}
 	default:
-		if handler := t.MessageHandlers[n.Kind&^15]; handler != nil {
-			handler(now, n)
+		if handler := t.MessageHandlers[msg.Kind&^15]; handler != nil {
+			handler(now, msg)
 		}
 	}
 }
 
 // Deliver sends the messages of a step, queues its writes, and counts and logs its errors.
 func (t *Base) Deliver(effects message.Effects) {
-	for _, n := range effects.Messages {
-		t.Transport.Send(n)
+	for _, msg := range effects.Messages {
+		t.Transport.Send(msg)
 	}
 	if t.PersistEffects != nil && len(effects.Writes)+len(effects.AfterSync) > 0 {
 		t.PersistEffects(effects)
 	} else {
-		for _, n := range effects.AfterSync {
-			t.Transport.Send(n)
+		for _, msg := range effects.AfterSync {
+			t.Transport.Send(msg)
 		}
 	}
 	for _, err := range effects.Errors {
@@ -204,7 +204,7 @@
 	return t.Gossip.All()
 }
 
-// Leave tells the other members that this node leaves, closes the transport and stops the goroutines.
+// Leave announces to the other members that this node leaves, closes the transport and stops the goroutines.
 func (t *Base) Leave() {
 	t.GossipMu.Lock()
 	effects := t.Gossip.Leave()
--- a/internal/node/pause_test.go
+++ b/internal/node/pause_test.go
@@ -9,8 +9,8 @@
 
 const second = time.Second
 
-// TestEarliestArrivalAfterAPause checks that the bound is the present or, from a pause until its backlog time is over,
-// the start of the pause.
+// TestEarliestArrivalAfterAPause checks that the earliest arrival time is the present or, from the start of a pause until
+// the backlog time after it is over, the start of the pause.
 func TestEarliestArrivalAfterAPause(t *testing.T) {
 	at := func(d time.Duration) units.Time { return units.Time(time.Hour).Add(d) }
 	detector := &pauseDetector{}
--- a/internal/router/admission/queue.go
+++ b/internal/router/admission/queue.go
@@ -19,12 +19,12 @@
 }
 
 const (
-	replyTimeout        = 150 * time.Millisecond // without a reply for this long, the next worker is tried
+	replyTimeout        = 150 * time.Millisecond // without a reply for this long, the request goes to the next worker
 	acquireRepeat       = 300 * time.Millisecond // how often a waiting request repeats its acquire message
-	coordinatorTimeout  = 900 * time.Millisecond // a waiting request gives up a coordinator that is silent for this long
+	coordinatorTimeout  = 900 * time.Millisecond // a waiting request leaves a coordinator that hasn't replied for this long
 	expiryGrace         = 500 * time.Millisecond
 	disconnectDetection = 300 * time.Millisecond // a worker notices a closed connection within this time
-	unresponsiveFor     = time.Second            // how long a coordinator that didn't reply is asked last
+	unresponsiveFor     = time.Second            // how long a coordinator that didn't reply comes last
 	maxWaitlists        = 3                      // waitlists that one request may try
 )
 
@@ -49,7 +49,7 @@
 	requests     map[uint64]*Request
 	InFlight     map[string]int              // this router's requests in flight, per worker
 	reportedTo   map[string]units.NodeID     // the coordinator of each worker that last received a report
-	unresponsive map[units.NodeID]units.Time // coordinators that didn't reply, and until when they are asked last
+	unresponsive map[units.NodeID]units.Time // coordinators that didn't reply, and until when they come last
 	recentlySent map[string][]units.Time     // when requests went to a worker, over the last second
 	Loads        map[string]Load
 	Decisions    []Decision
@@ -78,7 +78,7 @@
 	q.admit(now, r)
 }
 
-// admitWithPermit asks the candidates' coordinators for a free slot one after the other. If none has one, the request joins
+// admitWithPermit requests a free slot from the candidates' coordinators one after the other. If none has one, the request joins
 // a waitlist.
 func (q *Queue) admitWithPermit(now units.Time, r *Request, out *message.Effects) {
 	for r.nextCandidate < len(r.Candidates) && r.nextCandidate < r.MaxCandidates {
@@ -147,7 +147,7 @@
 		header.Reason = capacity.ReasonNotCoordinator
 	}
 	r.sentAt = now
-	r.heardAt = now
+	r.lastReplyAt = now
 	out.Send(r.coordinator, capacity.Acquire, capacity.Pack(header, r.worker))
 }
 
@@ -212,7 +212,7 @@
 	}
 }
 
-// currentCoordinator returns the coordinator that last received a report of the worker, or else the one that was asked.
+// currentCoordinator returns the coordinator that last received a report of the worker, or else the request's own one.
 func (q *Queue) currentCoordinator(r *Request) units.NodeID {
 	if reported, ok := q.reportedTo[r.worker]; ok {
 		return reported
--- a/internal/router/admission/request.go
+++ b/internal/router/admission/request.go
@@ -28,9 +28,9 @@
 	Tag            uint64
 	Policy         string
 	Candidates     []string // workers, best first
-	MaxCandidates  int      // how many candidates may be asked for a free slot
+	MaxCandidates  int      // maximum number of candidates from which a free slot is requested
 	Deadline       units.Time
-	FirstTokenTime time.Duration // what must be left until the deadline for a useful run
+	FirstTokenTime time.Duration // time to first token; the request needs at least this much time until its deadline
 	Worth          uint16        // of the request's service promise; higher ones displace lower ones in a waitlist
 	Coordinator    func(worker string) units.NodeID
 
@@ -52,7 +52,7 @@
 	shortestWait   time.Duration // the wait that coordinators expected: the shortest, or the latest while queued
 	firstToken     time.Duration // measured time to first token
 	sentAt         units.Time    // the last acquire message
-	heardAt        units.Time    // the coordinator's last reply
+	lastReplyAt    units.Time    // the coordinator's last reply
 }
 
 // isPreferred reports whether a worker has the prompt's shared prefix cached.
--- a/internal/router/admission/step.go
+++ b/internal/router/admission/step.go
@@ -26,13 +26,13 @@
 			case now.Add(r.FirstTokenTime) > r.Deadline:
 				q.sendRelease(r, &out)
 				q.refuse(r, resultcode.DeadlineUnreachable)
-			case now.Sub(r.heardAt) >= coordinatorTimeout:
+			case now.Sub(r.lastReplyAt) >= coordinatorTimeout:
 				q.sendRelease(r, &out)
 				q.handleRefusal(now, r, capacity.ReasonNoReply, 0, &out)
 			case now.Sub(r.sentAt) >= acquireRepeat:
-				heard := r.heardAt
+				lastReplyAt := r.lastReplyAt
 				q.sendAcquire(now, r, true, &out)
-				r.heardAt = heard
+				r.lastReplyAt = lastReplyAt
 			}
 		case stageUncertain:
 			if now > r.Deadline.Add(expiryGrace) {
@@ -95,25 +95,25 @@
 }
 
 // Step handles one message from a coordinator.
-func (q *Queue) Step(now units.Time, n message.Message) (out message.Effects) {
-	if n.Kind == capacity.Audit {
-		name, permits, _, err := capacity.UnpackReport(n.Body)
+func (q *Queue) Step(now units.Time, msg message.Message) (out message.Effects) {
+	if msg.Kind == capacity.Audit {
+		name, permits, _, err := capacity.UnpackReport(msg.Body)
 		out.AddError(err)
 		for _, x := range permits {
 			if q.requests[x.Tag] == nil {
-				out.Send(n.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
+				out.Send(msg.From, capacity.Release, capacity.Pack(capacity.Header{Tag: x.Tag}, name))
 			}
 		}
 		return out
 	}
-	delete(q.unresponsive, n.From)
-	header, name, err := capacity.Unpack(n.Body)
+	delete(q.unresponsive, msg.From)
+	header, name, err := capacity.Unpack(msg.Body)
 	if err != nil {
 		out.AddError(err)
 		return out
 	}
-	if n.Kind == capacity.ReportRequest {
-		q.sendReport(now, n.From, name, &out)
+	if msg.Kind == capacity.ReportRequest {
+		q.sendReport(now, msg.From, name, &out)
 		return out
 	}
 	if header.Capacity > 0 {
@@ -121,17 +121,17 @@
 			PrefillBacklog: time.Duration(header.PrefillTime) * time.Microsecond, UpdatedAt: now}
 	}
 	r := q.requests[header.Tag]
-	current := r != nil && r.stage <= stageWaiting && r.worker == name && r.coordinator == n.From
-	switch n.Kind {
+	current := r != nil && r.stage <= stageWaiting && r.worker == name && r.coordinator == msg.From
+	switch msg.Kind {
 	case capacity.Grant:
-		q.handleGrant(now, n.From, r, current, header, name, &out)
+		q.handleGrant(now, msg.From, r, current, header, name, &out)
 	case capacity.Refusal:
 		if current {
 			q.handleRefusal(now, r, header.Reason, units.Millis(header.TimeLeft).Duration(), &out)
 		}
 	case capacity.Queued:
 		if current {
-			r.heardAt = now
+			r.lastReplyAt = now
 			r.shortestWait = units.Millis(header.TimeLeft).Duration()
 		}
 	}
@@ -194,13 +194,13 @@
 	return count
 }
 
-// ProcessResumed is called after the process was paused: messages may have been missed, so the next Tick gives up the
-// coordinators of all waiting requests and asks anew (docs/design.md, section 6).
+// ProcessResumed is called after the process was paused: messages may have been missed, so the next Tick leaves the
+// coordinators of all waiting requests and sends new requests (docs/design.md, section 6).
 func (q *Queue) ProcessResumed(now units.Time) {
 	for _, r := range q.requests {
 		if r.stage <= stageWaiting {
 			r.sentAt = now.Add(-coordinatorTimeout)
-			r.heardAt = r.sentAt
+			r.lastReplyAt = r.sentAt
 		}
 	}
 }
--- a/internal/router/capacity/busy.go
+++ b/internal/router/capacity/busy.go
@@ -1,7 +1,7 @@
 package capacity
 
 // Busy reports whether the next tick may have urgent work: reports that are still being collected, waiting requests, routers
-// that still have to report, or coordinators to assign anew.
+// that still have to report, or coordinators to reassign.
 func (g *Ledger) Busy() bool {
 	if g.assignmentsStale {
 		return true
--- a/internal/router/capacity/busy_test.go
+++ b/internal/router/capacity/busy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A ledger is busy while a state isn't open or a request waits, and not while permits are only in use.
+// A ledger is busy while a worker's state isn't open or a request waits. It is not busy if permits are only in use.
 func TestBusy(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 3, FirstTokenTime: 50 * ms})
 	busy := func(want bool, when string) {
--- a/internal/router/capacity/engine.go
+++ b/internal/router/capacity/engine.go
@@ -78,7 +78,7 @@
 
 // Limits of learning a worker's speed.
 const (
-	minLearnedPrefill  = 40 * time.Millisecond // shorter prefills say little about the speed
+	minLearnedPrefill  = 40 * time.Millisecond // shorter prefills show too little of the speed
 	baseFirstTokenTime = 35 * time.Millisecond // time to first token without prefill
 	minSlowdown        = 0.5
 	maxSlowdown        = 4.0
--- a/internal/router/capacity/engine_test.go
+++ b/internal/router/capacity/engine_test.go
@@ -94,7 +94,7 @@
 		b.acquirePrompt(100+i, 100*ms, 5, 0)
 		b.advance(600 * ms)
 		release(i, 200*ms+baseFirstTokenTime)
-		release(100+i, 9*time.Second) // behind another prompt: says nothing about the speed
+		release(100+i, 9*time.Second) // behind another prompt: doesn't show the worker's speed
 	}
 	if k.slowdown < 1.99 || k.slowdown > 2.01 {
 		t.Fatalf("slowdown learned as %.2f, want 2", k.slowdown)
--- a/internal/router/capacity/ledger.go
+++ b/internal/router/capacity/ledger.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Tick takes over the workers assigned to this router, gives up the others, and removes expired permits.
+// Tick takes over the workers assigned to this router, stops coordinating the others, and removes expired permits.
 func (g *Ledger) Tick(now units.Time) (out message.Effects) {
 	var names []string
 	if g.assignmentsStale {
@@ -238,7 +238,7 @@
 	}
 }
 
-// stopCoordinating refuses the waiting requests, so that their routers ask the new coordinator.
+// stopCoordinating refuses the waiting requests, so that their routers turn to the new coordinator.
 func (g *Ledger) stopCoordinating(name string, state *workerState, out *message.Effects) {
 	for _, a := range state.waitlist {
 		out.Send(a.node, Refusal, Pack(Header{Tag: a.tag, Reason: ReasonNotCoordinator}, name))
--- a/internal/router/capacity/ledger_test.go
+++ b/internal/router/capacity/ledger_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-func (b *ledgerHarness) acquire(tag uint64, left time.Duration, wait bool) message.Kind {
-	h := Header{Tag: tag, TimeLeft: uint32(units.ToMillis(left)), Worth: b.worth}
+func (b *ledgerHarness) acquire(tag uint64, timeLeft time.Duration, wait bool) message.Kind {
+	h := Header{Tag: tag, TimeLeft: uint32(units.ToMillis(timeLeft)), Worth: b.worth}
 	if wait {
 		h.Wait = 1
 	}
@@ -116,14 +116,14 @@
 	b.acquire(53, 5*time.Second, true)
 	b.acquire(54, 5*time.Second, true)
 	b.advance(3500 * ms)
-	late := 0
+	refusedEarly := 0
 	for i, h := range b.replies {
 		if h.Tag >= 53 && b.kinds[i] == Refusal && h.Reason == ReasonTooLate {
-			late++
+			refusedEarly++
 		}
 	}
-	if late != 2 {
-		t.Errorf("%d of the last two were refused early, want 2", late)
+	if refusedEarly != 2 {
+		t.Errorf("%d of the last two were refused early, want 2", refusedEarly)
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 }
 
-// While a coordinator collects reports anew its slots are free: an earlier release interval must not cause a refusal.
+// While a coordinator collects reports again its slots are free: an earlier release interval must not cause a refusal.
 func TestFreeSlotsMeanNoWait(t *testing.T) {
 	b := newHarness(Worker{Capacity: 1, MaxWaiting: 9})
 	for tag := range uint64(3) {
@@ -184,27 +184,27 @@
 }
 
 // The adaptive capacity depends on waiting time only: a burst lowers it to its minimum, long runs without waiting don't
-// change it, and after the burst it recovers. The original algorithm failed with a capacity that stayed low.
+// change it, and after the burst it recovers. With an earlier algorithm the capacity stayed low.
 func TestAdaptRecovers(t *testing.T) {
 	b := newHarness(Worker{Capacity: 8, MaxWaiting: 99, Adaptive: true, MinCapacity: 3, TargetWait: 50 * ms})
 	tag := uint64(0)
 	run := func(duration time.Duration, perTick int, hold int) {
-		var out []uint64
+		var inUse []uint64
 		for end := b.now.Add(duration); b.now < end; {
 			for range perTick {
 				tag++
 				b.acquire(tag, 20*time.Second, true)
-				out = append(out, tag)
+				inUse = append(inUse, tag)
 			}
-			if len(out) > hold {
-				for _, x := range out[:len(out)-hold] {
+			if len(inUse) > hold {
+				for _, x := range inUse[:len(inUse)-hold] {
 					b.release(x)
 				}
-				out = out[len(out)-hold:]
+				inUse = inUse[len(inUse)-hold:]
 			}
 			b.advance(200 * ms)
 		}
-		for _, x := range out {
+		for _, x := range inUse {
 			b.release(x)
 		}
 	}
--- a/internal/router/capacity/maintenance.go
+++ b/internal/router/capacity/maintenance.go
@@ -19,7 +19,7 @@
 	return l
 }
 
-// sendAudits asks holders about permits older than auditInterval. They release those that they don't know.
+// sendAudits sends the holders a list of their permits older than auditInterval. They release those that they don't know.
 func (g *Ledger) sendAudits(now units.Time, out *message.Effects) {
 	for _, name := range message.SortedKeys(g.coordinated) {
 		state := g.coordinated[name]
--- a/internal/router/capacity/message.go
+++ b/internal/router/capacity/message.go
@@ -105,9 +105,9 @@
 	Adaptive       bool          // adapt the capacity to the waiting time
 	MinCapacity    int           // lower bound of the adaptive capacity
 	TargetWait     time.Duration // mean wait above which the adaptive capacity shrinks
-	FirstTokenTime time.Duration // what must be left until a request's deadline for a useful run
+	FirstTokenTime time.Duration // time to first token; a request needs at least this much time until its deadline
 
-	Memory         int        // tokens that granted permits may need; 0 if unlimited, for a worker that is no inference engine
+	Memory         int        // tokens that granted permits may need; 0 (unlimited) for a worker that isn't an inference engine
 	WarmUpRate     float64    // requests per second that it can take while warming up; 0 if unlimited
 	WarmingUpUntil units.Time // end of the known warm-up
 	QuickTakeover  bool       // a new coordinator doesn't wait for permits that unreachable routers may hold
--- a/internal/router/capacity/rate_test.go
+++ b/internal/router/capacity/rate_test.go
@@ -9,7 +9,7 @@
 )
 
 // A worker may restart unnoticed, so it never gets more requests in one second than a warming-up worker's limit, less the
-// margin, whatever mix of requests and releases comes. A coordinator that sees half of the routers grants half of that, and
+// margin, whatever mix of requests and releases comes. A coordinator that knows half of the routers grants half of that, and
 // a new coordinator counts what each router sent in the last second.
 func TestRateOfAWarmingUpWorker(t *testing.T) {
 	for _, x := range []struct {
--- a/internal/router/capacity/step.go
+++ b/internal/router/capacity/step.go
@@ -9,13 +9,13 @@
 )
 
 // Step handles one message for the coordinator.
-func (g *Ledger) Step(now units.Time, n message.Message) (out message.Effects) {
-	if n.Kind == Report {
-		name, held, sent, err := UnpackReport(n.Body)
+func (g *Ledger) Step(now units.Time, msg message.Message) (out message.Effects) {
+	if msg.Kind == Report {
+		name, held, sent, err := UnpackReport(msg.Body)
 		out.AddError(err)
-		if state := g.coordinated[name]; err == nil && state != nil && (!state.open || state.lateRouters[n.From]) {
+		if state := g.coordinated[name]; err == nil && state != nil && (!state.open || state.lateRouters[msg.From]) {
 			for _, h := range held {
-				if p := (permitKey{n.From, h.Tag}); state.granted[p] == nil {
+				if p := (permitKey{msg.From, h.Tag}); state.granted[p] == nil {
 					state.granted[p] = &permit{expiresAt: now.Add(units.Millis(h.TimeLeft).Duration() + runGrace), grantedAt: now,
 						memoryTokens: h.MemoryTokens}
 					state.memoryTokens += int(h.MemoryTokens)
@@ -24,43 +24,43 @@
 			for range sent {
 				state.recentGrants = append(state.recentGrants, now)
 			}
-			delete(state.awaitingReports, n.From)
-			if delete(state.lateRouters, n.From); state.open {
+			delete(state.awaitingReports, msg.From)
+			if delete(state.lateRouters, msg.From); state.open {
 				return out
 			}
 			g.collectReports(now, name, state, &out)
 		}
 		return out
 	}
-	h, name, err := Unpack(n.Body)
+	h, name, err := Unpack(msg.Body)
 	if err != nil {
 		out.AddError(err)
 		return out
 	}
 	state := g.coordinated[name]
 	if state == nil {
-		if n.Kind == Acquire {
-			out.Send(n.From, Refusal, Pack(Header{Tag: h.Tag, Reason: ReasonNotCoordinator}, name))
+		if msg.Kind == Acquire {
+			out.Send(msg.From, Refusal, Pack(Header{Tag: h.Tag, Reason: ReasonNotCoordinator}, name))
 		}
 		return out
 	}
-	switch n.Kind {
+	switch msg.Kind {
 	case ReportRequest:
-		if n.From != g.self {
+		if msg.From != g.self {
 			g.assignmentsStale = true
-			if !slices.ContainsFunc(g.routers, func(v Peer) bool { return v.Node == n.From }) {
-				g.unlistedRouters[n.From] = now
+			if !slices.ContainsFunc(g.routers, func(v Peer) bool { return v.Node == msg.From }) {
+				g.unlistedRouters[msg.From] = now
 			}
 			// Another router has taken the worker over. If the membership views differ, this router takes it over again.
 			g.stopCoordinating(name, state, &out)
 		}
 	case Acquire:
-		g.handleAcquire(now, n.From, name, state, h, &out)
+		g.handleAcquire(now, msg.From, name, state, h, &out)
 	case Release:
-		if l := state.granted[permitKey{n.From, h.Tag}]; l != nil && h.PrefillTime > 0 {
+		if l := state.granted[permitKey{msg.From, h.Tag}]; l != nil && h.PrefillTime > 0 {
 			state.learnSlowdown(l.prefillTime, time.Duration(h.PrefillTime)*time.Microsecond)
 		}
-		g.handleRelease(now, name, state, permitKey{n.From, h.Tag}, h.Wait == 1, &out)
+		g.handleRelease(now, name, state, permitKey{msg.From, h.Tag}, h.Wait == 1, &out)
 	}
 	return out
 }
@@ -154,7 +154,7 @@
 	state.granted[request.permitKey] = &permit{expiresAt: request.deadline.Add(runGrace), grantedAt: now,
 		memoryTokens: request.memoryTokens, prefillTime: request.prefillTime}
 	if state.advancePrefill(now); len(state.prefillQueue) > 0 {
-		state.granted[request.permitKey].prefillTime = 0 // behind others, its time to first token says nothing about the speed
+		state.granted[request.permitKey].prefillTime = 0 // behind others, its time to first token doesn't show the worker's speed
 	}
 	state.recordGrant(now, g.workers[name], request)
 	state.waitSum += now.Sub(request.queuedAt)
--- a/internal/router/clientwatch/clientwatch.go
+++ b/internal/router/clientwatch/clientwatch.go
@@ -1,4 +1,4 @@
-// Package clientwatch cancels the work for a request once nobody waits for it any more. Each request in progress has a
+// Package clientwatch cancels the work for a request whose answer is no longer needed. Each request in progress has a
 // context that is cancelled when its client has closed its connection, or when the router shuts down (docs/design.md,
 // section 8).
 package clientwatch
--- a/internal/router/clientwatch/clientwatch_test.go
+++ b/internal/router/clientwatch/clientwatch_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Only the first request wakes the watcher, and it rests once no request is in progress.
+// Only the first request wakes the watcher, and the checks stop once no request is in progress.
 func TestWatcherRests(t *testing.T) {
 	w, woken := newWatcher()
 	if w.CheckAll(false) != 0 {
--- a/internal/router/idempotency/claim.go
+++ b/internal/router/idempotency/claim.go
@@ -72,7 +72,7 @@
 	c.finish(token, resultcode.OK, durable)
 }
 
-// resendToVoters repeats claims that were granted by the holders alone until a majority of the voters has them on disk.
+// resendToVoters repeats claims that were granted by the holders without the voters until a majority of the voters has them on disk.
 func (c *Claimant) resendToVoters(now units.Time, out *message.Effects) {
 	for _, token := range message.SortedKeys(c.notDurable) {
 		p := c.notDurable[token]
--- a/internal/router/idempotency/claimant.go
+++ b/internal/router/idempotency/claimant.go
@@ -84,7 +84,7 @@
 	startedAt          units.Time
 	keys               map[string]entry
 	pending            map[uint64]*pendingClaim
-	notDurable         map[uint64]*pendingClaim // granted by the holders alone; resent to the voters
+	notDurable         map[uint64]*pendingClaim // granted by the holders without the voters; resent to the voters
 	voters             register.QuorumSet
 	skipVotersUntil    units.Time // until then claims don't wait for the voters
 	copies             map[units.NodeID]copyStatus
--- a/internal/router/idempotency/copy.go
+++ b/internal/router/idempotency/copy.go
@@ -99,7 +99,7 @@
 	}
 	if now.Sub(c.copiesRequestedAt) >= retryInterval {
 		c.copiesRequestedAt = now
-		// Nodes that sent an incomplete copy are asked again less often, since a copy may be large.
+		// Copies are requested again less often from nodes that sent an incomplete one, since a copy may be large.
 		retryPartial := now.Sub(c.partialRequestedAt) >= time.Second
 		if retryPartial {
 			c.partialRequestedAt = now
--- a/internal/router/idempotency/holders.go
+++ b/internal/router/idempotency/holders.go
@@ -10,7 +10,7 @@
 
 // Holders returns the three routers that hold a key's claim: the first ones in rendezvous order of all known router
 // addresses, live or not, from different zones if possible. A router that isn't live is returned as 0, so that the loss of
-// machines never moves a key to others that don't know it.
+// machines never moves a key to routers that have no record of it.
 func Holders(all []membership.Member, key string) []units.NodeID {
 	type machine struct {
 		addr, zone string
--- a/internal/router/idempotency/voter_change_test.go
+++ b/internal/router/idempotency/voter_change_test.go
@@ -56,7 +56,7 @@
 	return f
 }
 
-// restartClaimants restarts all holders, which lose their memory.
+// restartClaimants restarts all holders, which lose their in-memory state.
 func (f *claimFleet) restartClaimants() {
 	for _, n := range claimHolders {
 		f.claimants[n] = idempotency.New(n, f.now)
@@ -76,12 +76,12 @@
 	for ; count > 0 && len(f.inFlight) > 0; count-- {
 		i := f.rng.IntN(len(f.inFlight))
 		m := f.inFlight[i]
-		fate := f.rng.IntN(10)
-		if fate != 1 {
+		roll := f.rng.IntN(10)
+		if roll != 1 {
 			f.inFlight[i] = f.inFlight[len(f.inFlight)-1]
 			f.inFlight = f.inFlight[:len(f.inFlight)-1]
 		}
-		if fate == 0 {
+		if roll == 0 {
 			continue
 		}
 		if r := f.registries[m.To]; r != nil {
--- a/internal/router/upstream/answer_test.go
+++ b/internal/router/upstream/answer_test.go
@@ -59,7 +59,7 @@
 	f.Fuzz(func(t *testing.T, s, sizes []byte) {
 		run := func(sizes []byte) (*Exchange, []byte, error) {
 			x := exchangeWithAnswer(string(s), "a", sizes...)
-			if err := x.awaitAnswer(names); err != nil {
+			if err := x.awaitAnswer(headerNames); err != nil {
 				return x, nil, err
 			}
 			b, err := io.ReadAll(x.bodyReader())
--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -57,7 +57,7 @@
 	for _, say := range []string{"", "HTTP/1.1 200 OK\nAttempt", "HTTP/1.1 200 OK\nAttempt-Id: old\nContent-Length: 9\n\nold"} {
 		caller, cancelCaller := cancellableCaller(t)
 		addr, ended := serveOneRequest(t, say, cancelCaller)
-		p := NewPool(names)
+		p := NewPool(headerNames)
 		x := p.Do(caller, newDispatch(addr, "a"))
 		if x.Outcome != Unknown || !errors.Is(x.Err, errCallerCancelled) || caller.checks.Load() != 1 {
 			t.Fatal(x.Outcome, x.Err, caller.checks.Load())
@@ -71,7 +71,7 @@
 // For a caller that was cancelled before, nothing is sent over a new or an idle connection, and the connection is kept for
 // others.
 func TestNothingIsSentWithoutCaller(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, echo)
 	for _, reused := range []bool{false, true} {
 		caller, cancelCaller := cancellableCaller(t)
@@ -105,7 +105,7 @@
 // A caller that is cancelled while a connection is made ends the attempt. The worker isn't considered unreachable.
 func TestCallerIsCancelledWhileConnecting(t *testing.T) {
 	caller, cancelCaller := cancellableCaller(t)
-	p, l := NewPool(names), netfault.Silent(t)
+	p, l := NewPool(headerNames), netfault.Silent(t)
 	got := make(chan *Exchange)
 	go func() { got <- p.Do(caller, newDispatch(l.Addr().String(), "a")) }()
 	cancelCaller()
@@ -123,7 +123,7 @@
 // not be.
 func TestSilentWorkerIsUnreachable(t *testing.T) {
 	l := netfault.Silent(t)
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	if x := wantOutcome(t, p, newDispatch(l.Addr().String(), "a"), NotSent); !x.Unreachable {
 		t.Error("not unreachable after the whole dialTimeout", x.Err)
 	}
@@ -147,7 +147,7 @@
 		w.send("b")
 		w.awaitClose()
 	})
-	x := NewPool(names).Do(waitingCaller(t), newDispatch(addr, "a"))
+	x := NewPool(headerNames).Do(waitingCaller(t), newDispatch(addr, "a"))
 	defer x.End()
 	if x.Outcome != Partial {
 		t.Fatal(x.Outcome, x.Err)
@@ -165,7 +165,7 @@
 // A caller that is cancelled in the middle of an answer ends it. One that is cancelled after a complete answer doesn't
 // affect the connection's next dispatch.
 func TestCallerIsCancelledDuringTheAnswer(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr, ended := serveOneRequest(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", func() {})
 	caller, cancelCaller := cancellableCaller(t)
 	x := p.Do(caller, newDispatch(addr, "a"))
@@ -189,7 +189,7 @@
 	// A connection whose caller is cancelled after the whole body but before End isn't reused. After End, cancellation has
 	// no effect.
 	addr = serveScript(t, echo)
-	p = NewPool(names)
+	p = NewPool(headerNames)
 	caller, cancelCaller = cancellableCaller(t)
 	x = p.Do(caller, newDispatch(addr, "a"))
 	_, _ = io.ReadAll(x.bodyReader())
--- a/internal/router/upstream/exchange_test.go
+++ b/internal/router/upstream/exchange_test.go
@@ -43,7 +43,7 @@
 	o.Request.Header.Set("X-One", "1")
 	o.Request.Header.Set("Attempt-Id", "a")
 	_ = o.Request.URI() // as reading the path would do
-	wantAnswer(t, NewPool(names), o, "")
+	wantAnswer(t, NewPool(headerNames), o, "")
 	if s := <-got; s != strings.ReplaceAll(sent, "\n", "\r\n") {
 		t.Fatalf("%q", s)
 	}
@@ -54,7 +54,7 @@
 	addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nX-Long: "+strings.Repeat("y", 20000)+"\nContent-Length: 1048576\n\n"+big, false)
 	o := newDispatch(addr, "a")
 	o.Request.SetBodyString(big)
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	wantAnswer(t, p, o, big)
 	wantAnswer(t, p, newDispatch(addr, "b"), "b")
 }
@@ -103,7 +103,7 @@
 		{"chunk too long", ok + a + "Transfer-Encoding: chunked\n\n3\nabcd\n0\n\n", Partial, "abc", true, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			p := NewPool(names)
+			p := NewPool(headerNames)
 			addr := answerFirst(t, x.answer, false)
 			b, y, err := doAndRead(t, p, newDispatch(addr, "a"))
 			if y.Outcome != x.kind || b != x.body || (err != nil) != (x.broken || x.kind != Partial) {
@@ -127,7 +127,7 @@
 		x = strings.ReplaceAll(x, "\n", "\r\n")
 		for i := range len(x) {
 			y := exchangeWithAnswer(x[:i], "a")
-			err := y.awaitAnswer(names)
+			err := y.awaitAnswer(headerNames)
 			if err == nil {
 				_, err = io.ReadAll(y.bodyReader())
 			}
@@ -142,7 +142,7 @@
 	for _, s := range []string{
 		"Content-Length: 9\n\nabc", "Transfer-Encoding: chunked\n\n9\nabc", "Transfer-Encoding: chunked\n\n3\nabc\n", "Transfer-Encoding: chunked\n\n3\nabc\n0\n",
 	} {
-		p := NewPool(names)
+		p := NewPool(headerNames)
 		addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\n"+s, true)
 		b, x, err := doAndRead(t, p, newDispatch(addr, "a"))
 		if x.Outcome != Partial || b != "abc" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
@@ -153,7 +153,7 @@
 }
 
 func TestExchangeUnknownAfterSilence(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := answerFirst(t, "", true)
 	if x := wantOutcome(t, p, newDispatch(addr, "a"), Unknown); x.Unreachable {
 		t.Fatal("unreachable although it took the request")
@@ -169,14 +169,14 @@
 	addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\nabc", false)
 	o := newDispatch(addr, "a")
 	o.Deadline = time.Now().Add(200 * time.Millisecond)
-	b, _, err := doAndRead(t, NewPool(names), o)
+	b, _, err := doAndRead(t, NewPool(headerNames), o)
 	if b != "abc" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(b, err)
 	}
 }
 
 func TestExchangeHead(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := answerFirst(t, "HTTP/1.1 200 OK\nAttempt-Id: a\nContent-Length: 9\n\n", false)
 	o := newDispatch(addr, "a")
 	o.Request.ResetBody()
@@ -188,7 +188,7 @@
 }
 
 func TestExchangeRefusalKeepsItsBody(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := answerFirst(t, "HTTP/1.1 503 Full\nNot-Run: 1\nRetry-After: 0.3\nContent-Length: 2\n\nno", false)
 	x := p.Do(waitingCaller(t), newDispatch(addr, "a"))
 	if x.Outcome != NotRun || string(x.Response.Body()) != "no" || string(x.Response.Header.Peek("Retry-After")) != "0.3" {
@@ -200,7 +200,7 @@
 	x.End()
 	wantCounts(t, p, 1, 1)
 	// A refusal whose body doesn't arrive counts all the same; only its connection is lost.
-	p = NewPool(names)
+	p = NewPool(headerNames)
 	addr, ended := serveOneRequest(t, "HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 2\n\nn", func() {})
 	x = p.Do(waitingCaller(t), newDispatch(addr, "a"))
 	if x.Outcome != NotRun || bytes.Contains(x.Response.Body(), []byte("n")) {
--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestPoolReusesConnections(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, echo)
 	for i := range 5 {
 		x := wantAnswer(t, p, newDispatch(addr, fmt.Sprint("r", i)), fmt.Sprint("r", i))
@@ -41,7 +41,7 @@
 }
 
 func TestPoolDiscardsConnectionClosedByWorker(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, func(w *workerConn) {
 		if w.index == 0 {
 			id, _ := w.readRequest()
@@ -62,7 +62,7 @@
 }
 
 func TestPoolDiscardsConnectionWithUnreadBytes(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	sendSurplus := make(chan struct{})
 	addr := serveScript(t, func(w *workerConn) {
 		if w.index == 0 {
@@ -88,7 +88,7 @@
 }
 
 func TestPoolLimitsIdleTime(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	keepAlive := ""
 	addr := serveScript(t, func(w *workerConn) {
 		for id, ok := w.readRequest(); ok; id, ok = w.readRequest() {
@@ -133,7 +133,7 @@
 }
 
 func TestPoolLimitsOpenConnections(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, echo)
 	limited := func(id string) *Dispatch { o := newDispatch(addr, id); o.MaxConns = 1; return o }
 	x := p.Do(waitingCaller(t), limited("a"))
@@ -157,7 +157,7 @@
 }
 
 func TestPoolCloseIdleReachesConnectionsInUse(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, echo)
 	x := p.Do(waitingCaller(t), newDispatch(addr, "a"))
 	p.CloseIdle("w")
@@ -180,7 +180,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	if x := wantOutcome(t, p, newDispatch(addr, "a"), NotSent); !x.Unreachable {
 		t.Fatal("not unreachable")
 	}
@@ -201,7 +201,7 @@
 
 // A connection on which no byte can be sent is replaced by a new one, once.
 func TestPoolRedialsWhenNothingWasSent(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, echo)
 	wantAnswer(t, p, newDispatch(addr, "a"), "a")
 	c := p.workers["w"].idle[0]
@@ -216,7 +216,7 @@
 }
 
 func TestPoolConcurrentUse(t *testing.T) {
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	addr := serveScript(t, echo)
 	var g sync.WaitGroup
 	for i := range 8 {
--- a/internal/router/upstream/recent_ids.go
+++ b/internal/router/upstream/recent_ids.go
@@ -2,7 +2,8 @@
 
 import "hash/maphash"
 
-// recentIDCount is how many of its last requests a connection remembers. A worker sends a surplus answer within that many.
+// recentIDCount is the number of last request ids stored per connection. A surplus answer to a request arrives within that
+// many further requests.
 const recentIDCount = 16
 
 var recentIDSeed = maphash.MakeSeed()
--- a/internal/router/upstream/surplus_answer_test.go
+++ b/internal/router/upstream/surplus_answer_test.go
@@ -20,7 +20,7 @@
 func TestSameIDNeverOnOneConnection(t *testing.T) {
 	const maxOthers = 16 // requests after which a surplus answer may still come
 	for others := range maxOthers {
-		p := NewPool(names)
+		p := NewPool(headerNames)
 		addr := serveScript(t, func(w *workerConn) {
 			if w.index > 0 {
 				echo(w)
@@ -60,7 +60,7 @@
 			w.send(refusal)
 			w.awaitClose()
 		})
-		p := NewPool(names)
+		p := NewPool(headerNames)
 		wantAnswer(t, p, newDispatch(addr, "a"), "")
 		if x := wantOutcome(t, p, newDispatch(addr, "b"), Unknown); !x.Reused {
 			t.Fatal("not on the used connection")
@@ -124,7 +124,7 @@
 				_ = w.Conn.Close()
 				close(full)
 			})
-			p := NewPool(names)
+			p := NewPool(headerNames)
 			wantAnswer(t, p, newDispatch(addr, "a"), "")
 			c := p.workers["w"].idle[0]
 			c.Conn = &truncatingConn{shield.Bare(c.Conn).(*net.TCPConn), 4000, errno, full}
@@ -150,7 +150,7 @@
 		close(written)
 		w.awaitClose()
 	})
-	p := NewPool(names)
+	p := NewPool(headerNames)
 	o := newDispatch(addr, "a")
 	o.Deadline = time.Now().Add(200 * time.Millisecond)
 	due, cancel := context.WithDeadline(t.Context(), o.Deadline.Add(50*time.Millisecond))
