--- a/internal/router/clientwatch/clientwatch.go
+++ b/internal/router/clientwatch/clientwatch.go
@@ -89,7 +89,7 @@
 
 // Check checks the client now. It returns why the request was cancelled, or nil while the client waits.
 func (r *Request) Check() error {
-	if r.Err() == nil && socket.HungUp(r.conn) {
+	if r.Err() == nil && socket.PeerClosed(r.conn) {
 		r.cancel(ErrClientDisconnected)
 	}
 	return r.Cause()
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -37,7 +37,7 @@
 		return nil, p.dialError(ctx, err, left)
 	}
 	p.Stats.Connected.Add(1)
-	socket.GiveUpAfter(netConn, ackTimeout)
+	socket.SetUserTimeout(netConn, ackTimeout)
 	now := time.Now()
 	return &conn{Conn: netConn, lastReadAt: now, idleUntil: now.Add(defaultIdleTime)}, nil
 }
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -125,7 +125,7 @@
 }
 
 // awaitAnswer reads headers until it finds the one that answers this request.
-func (x *Exchange) awaitAnswer(names adapter.Names) error {
+func (x *Exchange) awaitAnswer(names adapter.HeaderNames) error {
 	surplus, interim := 0, 0
 	for {
 		if err := x.readHeader(); err != nil {
@@ -139,7 +139,7 @@
 			}
 			continue
 		}
-		ids := header.PeekAll(names.Try)
+		ids := header.PeekAll(names.AttemptID)
 		if len(ids) > 1 {
 			return fmt.Errorf("upstream: answer has %d attempt ids", len(ids))
 		}
@@ -165,7 +165,7 @@
 
 // classify determines the outcome of an answer that doesn't belong to another request. A success without an attempt id is
 // never passed on.
-func (x *Exchange) classify(names adapter.Names, status int, hasID bool) error {
+func (x *Exchange) classify(names adapter.HeaderNames, status int, hasID bool) error {
 	header := &x.Response.Header
 	isHead := x.dispatch.Request.Header.IsHead()
 	if isHead {
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -25,7 +25,7 @@
 // address (docs/design.md, sections 8 and 11). Idle connections hold no buffers.
 type Pool struct {
 	Stats   Stats
-	names   adapter.Names
+	names   adapter.HeaderNames
 	mu      sync.Mutex
 	workers map[string]*workerConns
 }
@@ -39,7 +39,7 @@
 }
 
 // NewPool returns an empty pool.
-func NewPool(n adapter.Names) *Pool { return &Pool{names: n, workers: map[string]*workerConns{}} }
+func NewPool(n adapter.HeaderNames) *Pool { return &Pool{names: n, workers: map[string]*workerConns{}} }
 
 // Idle returns the number of idle connections to a worker.
 func (p *Pool) Idle(worker string) int {
@@ -137,7 +137,7 @@
 		if !forceNew {
 			if c = conns.takeIdle(dispatch, now); c != nil {
 				p.mu.Unlock()
-				if socket.Peek(c.Conn) == socket.Quiet {
+				if socket.Peek(c.Conn) == socket.Idle {
 					return c, true, nil
 				}
 				p.discard(c)
--- a/internal/router/upstream/worker_test.go
+++ b/internal/router/upstream/worker_test.go
@@ -14,7 +14,7 @@
 	"seamshunt/internal/adapter"
 )
 
-var headerNames = adapter.Names{Try: "Attempt-Id", NotRun: "Not-Run"}
+var headerNames = adapter.HeaderNames{AttemptID: "Attempt-Id", NotRun: "Not-Run"}
 
 const testTimeout = 10 * time.Second // never reached in a test that passes
 
