--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 )
 
 // testCaller is a caller that a test can cancel. It counts the calls of Check.
@@ -105,7 +105,7 @@
 // A caller that is cancelled while a connection is made ends the attempt. The worker isn't considered unreachable.
 func TestCallerIsCancelledWhileConnecting(t *testing.T) {
 	caller, cancelCaller := cancellableCaller(t)
-	p, l := NewPool(headerNames), netfault.Silent(t)
+	p, l := NewPool(headerNames), netfault.BlackholeListener(t)
 	got := make(chan *Exchange)
 	go func() { got <- p.Do(caller, newDispatch(l.Addr().String(), "a")) }()
 	cancelCaller()
@@ -122,7 +122,7 @@
 // A worker that doesn't answer a connection attempt within the whole dialTimeout is unreachable; one that had less time may
 // not be.
 func TestSilentWorkerIsUnreachable(t *testing.T) {
-	l := netfault.Silent(t)
+	l := netfault.BlackholeListener(t)
 	p := NewPool(headerNames)
 	if x := wantOutcome(t, p, newDispatch(l.Addr().String(), "a"), NotSent); !x.Unreachable {
 		t.Error("not unreachable after the whole dialTimeout", x.Err)
