--- a/internal/cluster/configpush/confirm.go
+++ b/internal/cluster/configpush/confirm.go
@@ -24,8 +24,8 @@
 
 // confirmation is a node's reply to a request of this node: the newest versions that it holds.
 type confirmation struct {
-	askedAt  units.Time // when the request was sent, by this node's own clock
-	versions map[string]units.Version
+	requestedAt units.Time // when the request was sent, by this node's own clock
+	versions    map[string]units.Version
 }
 
 // Confirm reports whether a starting or resumed node may serve: a majority of the voters or, if no controller is
@@ -70,7 +70,7 @@
 	confirmations := 0
 	for _, n := range voters {
 		reply, ok := f.Confirmations[n]
-		if !ok || now.Sub(reply.askedAt) > confirmationValidity {
+		if !ok || now.Sub(reply.requestedAt) > confirmationValidity {
 			continue
 		}
 		confirmations++
@@ -110,9 +110,9 @@
 	if err != nil {
 		return err
 	}
-	askedAt := units.Time(request.AskedAt)
-	if last, ok := f.Confirmations[msg.From]; !ok || last.askedAt <= askedAt {
-		f.Confirmations[msg.From] = confirmation{askedAt, versions}
+	requestedAt := units.Time(request.AskedAt)
+	if last, ok := f.Confirmations[msg.From]; !ok || last.requestedAt <= requestedAt {
+		f.Confirmations[msg.From] = confirmation{requestedAt, versions}
 	}
 	return nil
 }
--- a/internal/router/clientwatch/clientwatch_test.go
+++ b/internal/router/clientwatch/clientwatch_test.go
@@ -111,7 +111,7 @@
 	}
 	first.End()
 	if w.CheckAll(false) != CheckInterval {
-		t.Error("it rests with a request in progress")
+		t.Error("the checks stopped with a request in progress")
 	}
 	second.End()
 	if w.CheckAll(false) != 0 || first.Err() == nil {
--- a/internal/router/upstream/attempt.go
+++ b/internal/router/upstream/attempt.go
@@ -28,7 +28,7 @@
 	NotSent                       // no byte of the request was sent
 	NotRun                        // the worker refused the request: it has not run and never will
 	Unknown                       // the request may have run
-	Broken                        // the answer broke off after a part of it came
+	Broken                        // the answer ended early after a part of it had arrived
 	WorkerReplaced                // another worker listens there now: the request has not run (docs/design.md, section 11)
 )
 
@@ -184,7 +184,7 @@
 	return Event{Outcome: Complete, Line: seal}
 }
 
-// brokenAnswer returns the event of an answer that broke off. Before any part of it, the outcome is unknown.
+// brokenAnswer returns the event of an answer that ended early. If no part of it arrived, the outcome is unknown.
 func brokenAnswer(started bool, err error) Event {
 	if started {
 		return Event{Outcome: Broken, Err: err}
--- a/internal/router/upstream/body.go
+++ b/internal/router/upstream/body.go
@@ -80,7 +80,7 @@
 }
 
 // Read returns the body's bytes as they arrive. It returns io.EOF only after a body that ended properly; any other error
-// means that the body broke off.
+// means that the body is incomplete.
 func (x *Exchange) Read(b []byte) (int, error) {
 	if x.reader == nil {
 		return 0, errors.New("upstream: no answer to read")
--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// After the header, the exchange waits for the rest of the answer however long it takes; only the caller may give it up.
+// After the header, the exchange waits for the rest of the answer however long it takes; only the caller may cancel it.
 func TestSilenceAfterTheHeader(t *testing.T) {
 	next := make(chan struct{})
 	addr := serveScript(t, func(w *workerConn) {
