--- a/internal/router/clientwatch/clientwatch_test.go
+++ b/internal/router/clientwatch/clientwatch_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Only the first request wakes the watcher, and it rests once no request is in progress.
+// Only the first request wakes the watcher, and the checks stop once no request is in progress.
 func TestWatcherRests(t *testing.T) {
 	w, woken := newWatcher()
 	if w.CheckAll(false) != 0 {
@@ -111,7 +111,7 @@
 	}
 	first.End()
 	if w.CheckAll(false) != CheckInterval {
-		t.Error("it rests with a request in progress")
+		t.Error("the checks stopped with a request in progress")
 	}
 	second.End()
 	if w.CheckAll(false) != 0 || first.Err() == nil {
