--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -10,90 +10,91 @@
 	"seamshunt/internal/resultcode"
 )
 
-// compile lays the mappings out as one program; the first that matches a request serves it.
-func (c *Config) compile(f *faults) {
-	names, routes := map[string]bool{}, map[string]string{}
-	var ways []routing.Route
+// compile turns the mappings into one routing program, in which the first mapping that matches a request serves it.
+func (c *Config) compile(faults *faultList) {
+	names, bySignature := map[string]bool{}, map[string]string{}
+	var compiled []routing.Route
 	for i, m := range c.Mappings {
-		at := fmt.Sprintf("layout line %d column %d", m.line, m.col)
+		position := fmt.Sprintf("layout line %d column %d", m.line, m.col)
 		if names[m.Name] {
-			f.add(resultcode.Duplicate, at, "mapping "+m.Name+" given twice")
+			faults.add(resultcode.Duplicate, position, "mapping "+m.Name+" given twice")
 		}
 		names[m.Name] = true
-		sig := signature(m.Conditions)
-		if o, ok := routes[sig]; ok {
-			f.add(resultcode.Duplicate, at, "mapping "+m.Name+" matches just what "+o+" does")
+		key := signature(m.Conditions)
+		if other, ok := bySignature[key]; ok {
+			faults.add(resultcode.Duplicate, position, "mapping "+m.Name+" matches just what "+other+" does")
 		}
-		routes[sig] = m.Name
-		w := routing.Route{Conditions: m.Conditions}
-		w.Actions = append(w.Actions, routing.Action{Op: routing.OpDeadline, Arg: int(m.Promise.Deadline.Milliseconds()), Mapping: i})
+		bySignature[key] = m.Name
+		route := routing.Route{Conditions: m.Conditions}
+		route.Actions = append(route.Actions, routing.Action{Op: routing.OpDeadline,
+			Arg: int(m.Promise.Deadline.Milliseconds()), Mapping: i})
 		if m.Once && !m.Single {
-			w.Actions = append(w.Actions, routing.Action{Op: routing.OpClaim, Mapping: i})
+			route.Actions = append(route.Actions, routing.Action{Op: routing.OpClaim, Mapping: i})
 		}
 		if len(m.Split) > 1 {
-			w.Actions = append(w.Actions, routing.Action{Op: routing.OpSplit, Mapping: i})
+			route.Actions = append(route.Actions, routing.Action{Op: routing.OpSplit, Mapping: i})
 		} else {
-			w.Actions = append(w.Actions, routing.Action{Op: routing.OpDispatch, Text: m.Services[0], Mapping: i})
+			route.Actions = append(route.Actions, routing.Action{Op: routing.OpDispatch, Text: m.Services[0], Mapping: i})
 		}
 		if m.FallbackService != "" {
-			w.Actions = append(w.Actions, routing.Action{Op: routing.OpDispatch, Text: m.FallbackService, Mapping: i})
+			route.Actions = append(route.Actions, routing.Action{Op: routing.OpDispatch, Text: m.FallbackService, Mapping: i})
 		}
-		w.Actions = append(w.Actions, routing.Action{Op: routing.OpRefuse, Mapping: i})
-		ways = append(ways, w)
+		route.Actions = append(route.Actions, routing.Action{Op: routing.OpRefuse, Mapping: i})
+		compiled = append(compiled, route)
 	}
-	c.Program = routing.Build(ways)
+	c.Program = routing.Build(compiled)
 }
 
-// Compile builds the program of a configuration that an adapter put together, and names what stands twice or leads
-// nowhere.
+// Compile builds the program of a configuration that an adapter assembled. It returns faults for duplicate mappings, for
+// unknown services and for mappings without a service or a promise.
 func (c *Config) Compile() []*resultcode.Fault {
-	var f faults
+	var faults faultList
 	for _, m := range c.Mappings {
 		for _, t := range m.Services {
 			if c.Services[t] == nil {
-				f.add(resultcode.UnknownService, "mapping "+m.Name, "unknown service "+t)
+				faults.add(resultcode.UnknownService, "mapping "+m.Name, "unknown service "+t)
 			}
 		}
 		if len(m.Services) == 0 || m.Promise == nil {
-			f.add(resultcode.InvalidRule, "mapping "+m.Name, "it leads to no service, or has no promise")
+			faults.add(resultcode.InvalidRule, "mapping "+m.Name, "it leads to no service, or has no promise")
 		}
 	}
-	if len(f.list) == 0 {
-		c.compile(&f)
+	if len(faults.list) == 0 {
+		c.compile(&faults)
 	}
-	return f.list
+	return faults.list
 }
 
-// SetDefaults fills what a service leaves open with the product's own values.
+// SetDefaults sets the unset fields of a service to the built-in defaults.
 func SetDefaults(s *Service) {
-	set(&s.WarmUp, 0)
-	set(&s.RetryAfter, 250*time.Millisecond)
-	set(&s.RetryJitter, 500*time.Millisecond)
-	set(&s.FirstTokenTime, 40*time.Millisecond)
-	set(&s.TargetWait, 100*time.Millisecond)
-	set(&s.PreferredCount, 1)
-	set(&s.PrefixBytes, 1024)
-	set(&s.AdmissionPolicy, "knee")
+	setDefault(&s.WarmUp, 0)
+	setDefault(&s.RetryAfter, 250*time.Millisecond)
+	setDefault(&s.RetryJitter, 500*time.Millisecond)
+	setDefault(&s.FirstTokenTime, 40*time.Millisecond)
+	setDefault(&s.TargetWait, 100*time.Millisecond)
+	setDefault(&s.PreferredCount, 1)
+	setDefault(&s.PrefixBytes, 1024)
+	setDefault(&s.AdmissionPolicy, "knee")
 	if s.MemoryTokens > 0 {
-		set(&s.PlacementPolicy, "home")
+		setDefault(&s.PlacementPolicy, "home")
 	}
-	set(&s.PlacementPolicy, "least")
+	setDefault(&s.PlacementPolicy, "least")
 	s.QuickTakeover = true
 	if s.MemoryTokens > 0 {
-		set(&s.MemoryShare, 0.85)
-		set(&s.PrefillRate, 75)
-		set(&s.AttentionCost, 0.218)
+		setDefault(&s.MemoryShare, 0.85)
+		setDefault(&s.PrefillRate, 75)
+		setDefault(&s.AttentionCost, 0.218)
 	}
 	if s.Capacity > 0 {
-		set(&s.MaxWaiting, 2*s.Capacity)
-		set(&s.MinCapacity, max(1, s.Capacity/2))
+		setDefault(&s.MaxWaiting, 2*s.Capacity)
+		setDefault(&s.MinCapacity, max(1, s.Capacity/2))
 	}
 }
 
-func set[T comparable](x *T, def T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *x == zero {
-		*x = def
+	if *field == zero {
+		*field = value
 	}
 }
 
@@ -106,10 +107,10 @@
 	return strings.Join(l, "\n")
 }
 
-// MayReach says whether a mapping may ever lead to a service.
-func (m *Mapping) MayReach(s string) bool {
-	for _, t := range m.Services {
-		if t == s {
+// MayReach reports whether a mapping may use a service.
+func (m *Mapping) MayReach(service string) bool {
+	for _, name := range m.Services {
+		if name == service {
 			return true
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads the operator's configuration, compiles its layout and works out plans (design 9).
+// Package config parses the operator's configuration document, compiles its layout into a routing program and computes
+// plans, which list what a new configuration would change (docs/design.md, section 9).
 package config
 
 import (
@@ -10,42 +11,42 @@
 	"seamshunt/internal/router/placement"
 )
 
-// MaxConfigBytes bounds a configuration's bytes.
+// MaxConfigBytes is the maximum size of a configuration document.
 const MaxConfigBytes = 8 << 20
 
-// Service is one model behind one pool, with the policies that rule it.
+// Service is one model that a pool of workers serves, with its admission and placement policies.
 type Service struct {
 	Name            string
 	Pool            string
-	Capacity        int           // prompts in flight per worker: the measured knee
-	MaxWaiting      int           // prompts waiting per worker; 2 x cap unless stated
-	WarmUp          time.Duration // how long a started worker takes to its full cap
-	AdmissionPolicy string        // admission policy by name
-	PlacementPolicy string        // placement policy by name
-	PrefixBytes     int           // bytes of a prompt that name its shared prefix
-	PreferredCount  int           // how many workers a prefix may try
-	Adaptive        bool          // AIMD on waiting time
-	MinCapacity     int           // the least an adapted cap may be
-	TargetWait      time.Duration // the waiting time that AIMD steers by
-	RetryAfter      time.Duration // least time a refused caller is told to stay away
-	RetryJitter     time.Duration // spread on top of it
-	FirstTokenTime  time.Duration // expected time to first words before any was measured
-	MemoryTokens    int           // tokens that one worker's memory holds; 0 when it is no engine (design 12)
-	MemoryShare     float64       // of that memory may be lent out: the knee's other side
-	PrefillRate     float64       // prompt tokens that one worker reads in a millisecond, between other requests' steps
-	AttentionCost   float64       // milliseconds that a million pairs of a prompt's tokens take besides: attention
-	WarmUpRate      float64       // requests a second that a cold worker bears; 0 when any
-	MaxConns        int           // connections that one worker accepts from all nodes together; 0 when any
-	QuickTakeover   bool          // a new keeper lends without waiting out what silent nodes may hold
+	Capacity        int           // requests in flight per worker: the knee of its throughput curve
+	MaxWaiting      int           // requests waiting per worker; 2 x capacity by default
+	WarmUp          time.Duration // how long a newly started worker takes to reach its full capacity
+	AdmissionPolicy string        // name of the admission policy
+	PlacementPolicy string        // name of the placement policy
+	PrefixBytes     int           // length of the part of a prompt that identifies its shared prefix
+	PreferredCount  int           // number of preferred workers of a prefix
+	Adaptive        bool          // adapt the capacity by AIMD on the waiting time
+	MinCapacity     int           // lower bound of an adapted capacity
+	TargetWait      time.Duration // the waiting time that AIMD aims at
+	RetryAfter      time.Duration // minimum Retry-After of a refusal
+	RetryJitter     time.Duration // random addition to RetryAfter
+	FirstTokenTime  time.Duration // expected time to the first token until one was measured
+	MemoryTokens    int           // tokens that fit into one worker's memory; 0 without an engine (docs/design.md, section 12)
+	MemoryShare     float64       // fraction of MemoryTokens that permits may use
+	PrefillRate     float64       // prompt tokens that a worker prefills in a millisecond, between decoding steps
+	AttentionCost   float64       // further prefill time of a million pairs of prompt tokens, in milliseconds
+	WarmUpRate      float64       // requests a second that a worker takes while it warms up; 0 for no limit
+	MaxConns        int           // connections that one worker accepts from all routers together; 0 for no limit
+	QuickTakeover   bool          // a new coordinator doesn't wait until permits of unreachable routers expire
 }
 
-// Target is one service that a mapping may lead to, with its share of the requests.
+// Target is one service of a mapping that splits its requests, with its relative share of them.
 type Target struct {
 	Service string
 	Share   int
 }
 
-// Limits bound what a client may send, and how long it may take. Zero is the product's own bound.
+// Limits bound what a client may send and how long it may take. Zero selects the built-in default.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -53,55 +54,55 @@
 	IdleTimeout   time.Duration
 }
 
-// Promise is what an operator promises for one kind of request.
+// Promise is a service-level objective of the operator for one kind of request.
 type Promise struct {
 	Name              string
-	MaxFirstTokenTime time.Duration
-	Deadline          time.Duration
-	AllowSmaller      bool
-	Worth             int // who goes first when not all can: the more the better; 1 unless stated
+	MaxFirstTokenTime time.Duration // time to the first token
+	Deadline          time.Duration // time to the whole answer
+	AllowSmaller      bool          // a service with a smaller model may be the fallback
+	Worth             int           // weight under overload: requests with a higher one are served first; 1 by default
 }
 
-// Mapping is one route of the layout.
+// Mapping is one route of the layout: which requests it takes, where they may go and under which promise.
 type Mapping struct {
 	Name            string
 	Promise         *Promise
-	Services        []string // the services it may ever reach
-	FallbackService string   // the service of a step down, if any
-	Once            bool
+	Services        []string // all services that it may use
+	FallbackService string   // the service to fall back to, if any
+	Once            bool     // a request must not run more than once, so it isn't retried after it may have run
 	Conditions      []routing.Condition
-	Split           []Target      // when more than one: who gets which share of the requests
-	MaxWorkers      int           // workers that one request may be sent to; 0 is the product's own bound
-	Rank            int           // 0 is the highest
-	Stream          bool          // a series of events
-	Resume          bool          // a broken stream may go on at another worker behind the last whole event
-	MaxEventGap     time.Duration // the longest pause between events of an answer in time
-	Single          bool          // each request's id belongs to one try alone: nothing is claimed before it is handed over
-	line            int
+	Split           []Target      // if there are several, the shares of the requests
+	MaxWorkers      int           // workers that one request may be sent to; 0 selects the built-in default
+	Rank            int           // priority; 0 is the highest
+	Stream          bool          // the answer is a stream of events
+	Resume          bool          // a broken stream may be resumed at another worker after the last complete event
+	MaxEventGap     time.Duration // longest gap between two events of an answer that counts as on time
+	Single          bool          // a client uses a request id for one attempt only: it isn't claimed before dispatch
+	line            int           // position in the layout, for faults
 	col             int
 }
 
-// Config is one whole configuration, compiled.
+// Config is one complete, compiled configuration.
 type Config struct {
 	Services map[string]*Service
 	Promises map[string]*Promise
 	Mappings []*Mapping
 	Program  *routing.Program
-	Version  uint64 // the document's own, if it bears one
+	Version  uint64 // the version given in the document; 0 if it has none
 	Limits   Limits
 }
 
-// faults are collected and looked at once.
-type faults struct {
+// faultList collects faults, so that one pass over a document reports several.
+type faultList struct {
 	list []*resultcode.Fault
 }
 
-func (f *faults) add(c resultcode.Code, place, text string) {
+func (f *faultList) add(code resultcode.Code, place, text string) {
 	if len(f.list) < 20 {
-		f.list = append(f.list, &resultcode.Fault{Code: c, Place: place, Text: text, NotRun: true})
+		f.list = append(f.list, &resultcode.Fault{Code: code, Place: place, Text: text, NotRun: true})
 	}
 }
 
-// Policies that can be named are those that admission and placement have.
-func allowNames() []string { return sorted(admission.Policies) }
-func placeNames() []string { return sorted(placement.Policies) }
+// The policies that a configuration can name are those that the admission and placement packages implement.
+func admissionPolicies() []string { return sortedKeys(admission.Policies) }
+func placementPolicies() []string { return sortedKeys(placement.Policies) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"seamshunt/internal/resultcode"
 )
 
-const good = `{"services": [
+const validConfig = `{"services": [
  {"name": "big", "pool": "main", "cap": 4},
  {"name": "small", "pool": "side", "cap": 8}],
 "promises": [{"name": "p", "first_ms": 100, "deadline_ms": 4000, "smaller": true},
@@ -32,9 +32,9 @@
 	}
 }
 
-// The first mapping whose conditions all hold takes the request, and its steps are what the layout says.
+// The first mapping whose conditions all hold serves the request, with the actions that the layout specifies.
 func TestProgram(t *testing.T) {
-	c, fs := Parse([]byte(good))
+	c, fs := Parse([]byte(validConfig))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -49,7 +49,7 @@
 		do, ok := c.Program.Find(routing.Request{Path: x.path, Header: func(string) string { return x.kind }})
 		if !ok {
 			if x.want != "" {
-				t.Errorf("%v: nothing takes it", x)
+				t.Errorf("%v: no route found", x)
 			}
 			continue
 		}
@@ -61,18 +61,18 @@
 			Refuse:   func() { steps = append(steps, "refuse") },
 		})
 		if m := c.Mappings[do[0].Mapping].Name; m != x.want || strings.Join(steps, " ") != x.steps {
-			t.Errorf("%v: %s does %v", x, m, steps)
+			t.Errorf("%v: mapping %s runs %v", x, m, steps)
 		}
 	}
 }
 
-// Every fault has its code and its place, and several are named at once.
+// Every fault has its code and position, and several faults are reported at once.
 func TestFaults(t *testing.T) {
 	swap := func(a, b string) string {
-		if !strings.Contains(good, a) {
-			t.Fatalf("%q is not in the good one", a)
+		if !strings.Contains(validConfig, a) {
+			t.Fatalf("%q is not in the valid configuration", a)
 		}
-		return strings.Replace(good, a, b, 1)
+		return strings.Replace(validConfig, a, b, 1)
 	}
 	for _, x := range []struct {
 		name, text string
@@ -102,24 +102,24 @@
 		{"bad mark", swap("mapping b {", "mapping b ;"), resultcode.InvalidRule, "layout line 4 column 11"},
 		{"open text", swap(`\"/b\" to`, `\"/b to`), resultcode.InvalidRule, "layout line 4 column 26"},
 		{"no such clause", swap("mapping b { when", "mapping b { whence"), resultcode.InvalidRule, "layout line 4 column 13"},
-		{"too large", good + strings.Repeat(" ", MaxConfigBytes), resultcode.ConfigTooLarge, ""},
+		{"too large", validConfig + strings.Repeat(" ", MaxConfigBytes), resultcode.ConfigTooLarge, ""},
 	} {
 		c, fs := Parse([]byte(x.text))
 		if c != nil || len(fs) == 0 {
-			t.Errorf("%s: taken", x.name)
+			t.Errorf("%s: accepted", x.name)
 			continue
 		}
 		if fs[0].Code != x.code || fs[0].Place != x.place {
 			t.Errorf("%s: %d at %q, want %d at %q (%s)", x.name, fs[0].Code, fs[0].Place, x.code, x.place, fs[0].Text)
 		}
 	}
-	if _, fs := Parse([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 0`, `"cap": 8`, `"cap": -1`).Replace(good))); len(fs) != 2 {
-		t.Errorf("two faults are named as %v", fs)
+	if _, fs := Parse([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 0`, `"cap": 8`, `"cap": -1`).Replace(validConfig))); len(fs) != 2 {
+		t.Errorf("two faults are reported as %v", fs)
 	}
 }
 
-// many gives a configuration with n mappings.
-func many(n int) []byte {
+// configWithMappings returns a configuration with n mappings.
+func configWithMappings(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"services":[{"name":"big","pool":"main","cap":4}],"promises":[{"name":"p","first_ms":100,"deadline_ms":4000}],"layout":"`)
 	for i := range n {
@@ -129,21 +129,21 @@
 	return []byte(b.String())
 }
 
-// Thousands of mappings: finding the last one looks at no more ways than finding the first.
+// With thousands of mappings, finding the last one evaluates no more routes than finding the first.
 func TestManyMappings(t *testing.T) {
-	c, fs := Parse(many(5000))
+	c, fs := Parse(configWithMappings(5000))
 	if len(fs) > 0 {
 		t.Fatal(fs[0])
 	}
 	asked := 0
 	do, ok := c.Program.Find(routing.Request{Path: "/m/4999", Header: func(string) string { asked++; return "" }})
 	if !ok || c.Mappings[do[0].Mapping].Name != "m4999" || asked != 0 {
-		t.Errorf("found %v %v after %d looks at headers", ok, do, asked)
+		t.Errorf("found %v %v after reading %d headers", ok, do, asked)
 	}
 }
 
 func BenchmarkRead5000(b *testing.B) {
-	x := many(5000)
+	x := configWithMappings(5000)
 	for b.Loop() {
 		if _, fs := Parse(x); len(fs) > 0 {
 			b.Fatal(fs[0])
@@ -151,10 +151,10 @@
 	}
 }
 
-// A plan names what changes, what it decides, and what to think twice about.
+// A plan lists the changes, the capacity limits and the warnings.
 func TestPlan(t *testing.T) {
-	old, _ := Parse([]byte(good))
-	next, fs := Parse([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 6`, "promise p once", "promise p repeat", "mapping b", "mapping d").Replace(good)))
+	old, _ := Parse([]byte(validConfig))
+	next, fs := Parse([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 6`, "promise p once", "promise p repeat", "mapping b", "mapping d").Replace(validConfig)))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -167,23 +167,23 @@
 		}
 	}
 	if p := Compare(old, old, func(string) int { return 1 }); len(p.Changes) != 0 {
-		t.Errorf("nothing changes, and yet %v", p.Changes)
+		t.Errorf("nothing changes, but the plan lists %v", p.Changes)
 	}
 }
 
-// A plan says what was measured of each promise, and warns of one that is not kept or that the slots can't carry.
-func TestForesee(t *testing.T) {
-	c, fs := Parse([]byte(good))
+// A plan shows the measurements of each promise, and warns of a promise that isn't kept and of slots that can't carry the load.
+func TestForecast(t *testing.T) {
+	c, fs := Parse([]byte(validConfig))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
 	seen := map[string]PromiseStats{}
-	for range 2 { // two nodes
+	for range 2 { // two routers
 		x := seen["a"]
 		x.Add(PromiseStats{Promise: "p", Service: "big", Requests: 50, FirstTokenKept: 45, FirstTokenMissed: 5, OnTime: 48, Finished: 50, RequestRate: 20, SlotTime: time.Second, FirstTokenP95: 150 * time.Millisecond})
 		seen["a"] = x
 	}
-	for workers, want := range map[int]int{10: 1, 9: 2} { // 40 slots are just enough
+	for workers, want := range map[int]int{10: 1, 9: 2} { // 40 slots are just enough for the load
 		var p Plan
 		p.AddForecast(c, c, func(string) int { return workers }, seen)
 		if len(p.Promises) != 1 || !strings.Contains(p.Promises[0], "90.0% of first words kept, 95 of 100 within 150ms, 96.0% on time") || len(p.Warnings) != want {
--- a/internal/config/words_test.go
+++ b/internal/config/document_test.go
@@ -11,8 +11,8 @@
 	"seamshunt/internal/units"
 )
 
-// every says all that the configuration and its layout have words for.
-const every = `{"version": 7,
+// fullConfig uses every field of the document and every clause of the layout.
+const fullConfig = `{"version": 7,
 "limits": {"head_bytes": 4096, "body_bytes": 65536, "head_ms": 3000, "idle_ms": 15000},
 "services": [
  {"name": "big", "pool": "main", "slots": true, "place": "home", "memory": 654078, "share": 80, "reads": 90, "pairs_us": 250, "warm_ms": 3000,
@@ -25,8 +25,8 @@
  "mapping rest { when host = \"a.example\" and under = \"/\" to big promise p once single }",
  "mapping any { when under = \"/chat\" to small 1 promise p once }"]}`
 
-func TestWords(t *testing.T) {
-	c, fs := Parse([]byte(every))
+func TestAllFields(t *testing.T) {
+	c, fs := Parse([]byte(fullConfig))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -63,32 +63,32 @@
 		do, ok := c.Program.Find(routing.Request{Host: x.host, Path: x.path, Header: func(string) string { return "" }})
 		if !ok {
 			if x.want != "" {
-				t.Errorf("%v: nothing takes it", x)
+				t.Errorf("%v: no route found", x)
 			}
 			continue
 		}
 		if m := c.Mappings[do[0].Mapping].Name; m != x.want || strings.Join(steps(do), " ") != x.steps {
-			t.Errorf("%v: %s does %v", x, m, steps(do))
+			t.Errorf("%v: mapping %s runs %v", x, m, steps(do))
 		}
 	}
 }
 
-// steps walks a way to its end.
+// steps runs the actions of a route and returns what they do.
 func steps(do []routing.Action) (l []string) {
-	note := func(s ...string) bool { l = append(l, s...); return false }
+	record := func(s ...string) bool { l = append(l, s...); return false }
 	routing.Run(do, routing.Handlers{
-		Deadline: func(int) bool { return note("limit") },
-		Claim:    func() bool { return note("claim") },
-		Split:    func() bool { return note("share") },
-		Dispatch: func(s string) bool { return note("try", s) },
-		Refuse:   func() { note("refuse") },
+		Deadline: func(int) bool { return record("limit") },
+		Claim:    func() bool { return record("claim") },
+		Split:    func() bool { return record("share") },
+		Dispatch: func(s string) bool { return record("try", s) },
+		Refuse:   func() { record("refuse") },
 	})
 	return l
 }
 
-// Where the worker list tells the slots, they are the cap and the waitlist goes by them.
-func TestSlots(t *testing.T) {
-	c, fs := Parse([]byte(every))
+// If the worker list gives the slots, they are the capacity, and the length of the waiting queue follows from them.
+func TestSlotsFromWorkerList(t *testing.T) {
+	c, fs := Parse([]byte(fullConfig))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -101,12 +101,12 @@
 	}
 }
 
-func TestFaultsOfWords(t *testing.T) {
+func TestFaultsOfAllFields(t *testing.T) {
 	swap := func(a, b string) string {
-		if !strings.Contains(every, a) {
-			t.Fatalf("%q is not in it", a)
+		if !strings.Contains(fullConfig, a) {
+			t.Fatalf("%q is not in the full configuration", a)
 		}
-		return strings.Replace(every, a, b, 1)
+		return strings.Replace(fullConfig, a, b, 1)
 	}
 	for _, x := range []struct {
 		name, text string
@@ -145,7 +145,7 @@
 	} {
 		c, fs := Parse([]byte(x.text))
 		if c != nil || len(fs) == 0 {
-			t.Errorf("%s: taken", x.name)
+			t.Errorf("%s: accepted", x.name)
 			continue
 		}
 		if fs[0].Code != x.code || fs[0].Place != x.place {
@@ -154,12 +154,12 @@
 	}
 }
 
-// A plan names each of these by what it was and will be.
-func TestPlanOfWords(t *testing.T) {
-	old, _ := Parse([]byte(every))
+// A plan lists each changed field with its old and its new value.
+func TestPlanOfAllFields(t *testing.T) {
+	old, _ := Parse([]byte(fullConfig))
 	next, fs := Parse([]byte(strings.NewReplacer(`"version": 7`, `"version": 8`, "65536", "32768", `"share": 80`, `"share": 70`, "2.5", "3", "640", "320",
 		"small 10", "small 20", "tries 2", "tries 3", " resume pause 400", "", "rest { when", `rest { when header \"X\" = \"y\" and`,
-		"small 1 promise p once", "small 1 promise p once single").Replace(every)))
+		"small 1 promise p once", "small 1 promise p once single").Replace(fullConfig)))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -174,7 +174,7 @@
 		}
 	}
 	if p := Compare(old, old, func(string) int { return 1 }); len(p.Changes) != 0 {
-		t.Errorf("nothing changes, and yet %v", p.Changes)
+		t.Errorf("nothing changes, but the plan lists %v", p.Changes)
 	}
 	seen := map[string]PromiseStats{"chat": {Requests: 9, RequestRate: 100, SlotTime: time.Second}}
 	p = Plan{}
@@ -184,11 +184,11 @@
 	}
 }
 
-// Reading never panics, and what compiles finds a way for a request that meets a mapping's conditions.
+// Parsing never panics, and a configuration that compiles has a route for any request that meets a mapping's conditions.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(good))
-	f.Add([]byte(every))
-	f.Add([]byte(strings.Replace(every, `\"/chat\"`, `\"/\"`, 1)))
+	f.Add([]byte(validConfig))
+	f.Add([]byte(fullConfig))
+	f.Add([]byte(strings.Replace(fullConfig, `\"/chat\"`, `\"/\"`, 1)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, fs := Parse(b)
 		if (c == nil) == (len(fs) == 0) {
@@ -198,12 +198,12 @@
 			return
 		}
 		for _, m := range c.Mappings {
-			a, ok := meets(m)
+			a, ok := matchingRequest(m)
 			if !ok {
 				continue
 			}
 			if do, ok := c.Program.Find(a); !ok || len(do) == 0 || steps(do)[0] != "limit" {
-				t.Fatalf("nothing takes %+v of %s", a, m.Name)
+				t.Fatalf("no route for %+v of mapping %s", a, m.Name)
 			}
 		}
 		Compare(nil, c, func(string) int { return 1 })
@@ -212,8 +212,8 @@
 	})
 }
 
-// meets makes up a request that meets all conditions; they may contradict one another.
-func meets(m *Mapping) (routing.Request, bool) {
+// matchingRequest returns a request that meets all conditions of a mapping, or false if they contradict one another.
+func matchingRequest(m *Mapping) (routing.Request, bool) {
 	a, heads := routing.Request{Host: "h.example", Path: "/"}, map[string]string{}
 	a.Header = func(n string) string { return heads[n] }
 	for _, x := range m.Conditions {
--- a/internal/config/routing/routing.go
+++ b/internal/config/routing/routing.go
@@ -1,12 +1,13 @@
-// Package routing is the small interpreter that takes a request its way over compiled rules (design 4, 8).
+// Package routing matches requests against compiled routes and runs the actions of the route that matches (docs/design.md,
+// sections 4 and 8).
 package routing
 
 import "strings"
 
-// Op is one operation.
+// Op is the operation of a condition or an action.
 type Op uint8
 
-// Matching operations first, then those that act.
+// The operations of conditions, then those of actions.
 const (
 	OpPath Op = 1 + iota
 	OpPrefix
@@ -19,14 +20,14 @@
 	OpRefuse
 )
 
-// Condition is one condition of a way.
+// Condition is one condition of a route; Name is the header's name for OpHeader.
 type Condition struct {
 	Op   Op
 	Name string
 	Text string
 }
 
-// Action is one step that acts; Mapping names the route that it belongs to.
+// Action is one step of a route; Mapping is the index of the mapping that it was compiled from.
 type Action struct {
 	Op      Op
 	Arg     int
@@ -34,58 +35,58 @@
 	Mapping int
 }
 
-// Route is a route: its conditions, then what is done.
+// Route has the conditions that a request must meet and the actions to run for it.
 type Route struct {
 	Conditions []Condition
 	Actions    []Action
 }
 
-// Program is all ways, with an index over exact paths and one over hosts and prefixes.
+// Program holds all routes, with an index by exact path and one by host and path prefix.
 type Program struct {
-	ways  []Route
-	exact map[string][]int          // path to ways, in order
-	loose []int                     // ways without an exact path
-	hosts map[string]map[string]int // host, then a prefix, to the way: the longest one wins
+	routes    []Route
+	byPath    map[string][]int          // routes of each exact path, in order
+	unindexed []int                     // routes in neither index, in order
+	byHost    map[string]map[string]int // route by host and path prefix: the longest prefix wins
 }
 
-// Build indexes the ways.
-func Build(ways []Route) *Program {
-	p := &Program{ways: ways, exact: map[string][]int{}, hosts: map[string]map[string]int{}}
-	for i, w := range ways {
-		if host, under, ok := w.place(); ok {
-			p.index(host, strings.TrimSuffix(under, "/")+"/", i)
-			p.index(host, under, i) // without a slash at its end it is also a whole path
+// Build returns a program with indexes over the routes.
+func Build(routes []Route) *Program {
+	p := &Program{routes: routes, byPath: map[string][]int{}, byHost: map[string]map[string]int{}}
+	for i, route := range routes {
+		if host, prefix, ok := route.hostAndPrefix(); ok {
+			p.indexPrefix(host, strings.TrimSuffix(prefix, "/")+"/", i)
+			p.indexPrefix(host, prefix, i) // without a trailing slash the prefix also matches as a whole path
 			continue
 		}
-		at := ""
-		for _, m := range w.Conditions {
+		path := ""
+		for _, m := range route.Conditions {
 			if m.Op == OpPath {
-				at = m.Text
+				path = m.Text
 			}
 		}
-		if at == "" {
-			p.loose = append(p.loose, i)
+		if path == "" {
+			p.unindexed = append(p.unindexed, i)
 		} else {
-			p.exact[at] = append(p.exact[at], i)
+			p.byPath[path] = append(p.byPath[path], i)
 		}
 	}
 	return p
 }
 
-// index notes a way of a host and a prefix; the first one given stays.
-func (p *Program) index(host, under string, way int) {
-	by := p.hosts[host]
-	if by == nil {
-		by = map[string]int{}
-		p.hosts[host] = by
+// indexPrefix adds a route to the index by host and prefix; the first route of a host and prefix stays.
+func (p *Program) indexPrefix(host, prefix string, route int) {
+	byPrefix := p.byHost[host]
+	if byPrefix == nil {
+		byPrefix = map[string]int{}
+		p.byHost[host] = byPrefix
 	}
-	if _, ok := by[under]; !ok {
-		by[under] = way
+	if _, ok := byPrefix[prefix]; !ok {
+		byPrefix[prefix] = route
 	}
 }
 
-// place says whether a way is one of a host and a prefix and nothing else.
-func (w *Route) place() (host, under string, ok bool) {
+// hostAndPrefix returns a route's host and path prefix, and whether these two are its only conditions.
+func (w *Route) hostAndPrefix() (host, prefix string, ok bool) {
 	if len(w.Conditions) != 2 {
 		return "", "", false
 	}
@@ -94,47 +95,48 @@
 		case OpHost:
 			host = m.Text
 		case OpPrefix:
-			under = m.Text
+			prefix = m.Text
 		}
 	}
-	return host, under, host != "" && under != ""
+	return host, prefix, host != "" && prefix != ""
 }
 
-// longest finds the way of a host whose prefix begins the path and is longest.
-func (p *Program) longest(host, path string) (int, bool) {
-	by := p.hosts[host]
-	for i := len(path); by != nil && i > 0; i = strings.LastIndexByte(path[:i-1], '/') + 1 {
-		if w, ok := by[path[:i]]; ok { // all but the whole path end with a slash
-			return w, true
+// longestPrefix returns the route of a host that has the longest prefix of the path.
+func (p *Program) longestPrefix(host, path string) (int, bool) {
+	byPrefix := p.byHost[host]
+	for i := len(path); byPrefix != nil && i > 0; i = strings.LastIndexByte(path[:i-1], '/') + 1 {
+		if route, ok := byPrefix[path[:i]]; ok { // each prefix that is tried ends with a slash, except for the whole path
+			return route, true
 		}
 	}
 	return 0, false
 }
 
-// Request is what the rules can look at.
+// Request is the part of a request that conditions are matched against.
 type Request struct {
 	Host   string
 	Path   string
 	Header func(string) string
 }
 
-// Find gives the first way, in the configuration's order, whose conditions all hold.
-func (p *Program) Find(a Request) ([]Action, bool) {
-	if i, ok := p.longest(a.Host, a.Path); ok {
-		return p.ways[i].Actions, true
+// Find returns the actions of the route for a request: the route with the longest prefix among those of a host and a prefix,
+// otherwise the first one, in the configuration's order, whose conditions all hold.
+func (p *Program) Find(r Request) ([]Action, bool) {
+	if i, ok := p.longestPrefix(r.Host, r.Path); ok {
+		return p.routes[i].Actions, true
 	}
 	best := -1
-	for _, i := range p.exact[a.Path] {
-		if p.ways[i].holds(a) {
+	for _, i := range p.byPath[r.Path] {
+		if p.routes[i].matches(r) {
 			best = i
 			break
 		}
 	}
-	for _, i := range p.loose {
+	for _, i := range p.unindexed {
 		if best >= 0 && i > best {
 			break
 		}
-		if p.ways[i].holds(a) {
+		if p.routes[i].matches(r) {
 			best = i
 			break
 		}
@@ -142,21 +144,21 @@
 	if best < 0 {
 		return nil, false
 	}
-	return p.ways[best].Actions, true
+	return p.routes[best].Actions, true
 }
 
-func (w *Route) holds(a Request) bool {
+func (w *Route) matches(r Request) bool {
 	for _, m := range w.Conditions {
 		ok := false
 		switch m.Op {
 		case OpPath:
-			ok = a.Path == m.Text
+			ok = r.Path == m.Text
 		case OpHost:
-			ok = a.Host == m.Text
+			ok = r.Host == m.Text
 		case OpPrefix:
-			ok = a.Path == m.Text || strings.HasPrefix(a.Path, strings.TrimSuffix(m.Text, "/")+"/")
+			ok = r.Path == m.Text || strings.HasPrefix(r.Path, strings.TrimSuffix(m.Text, "/")+"/")
 		case OpHeader:
-			ok = a.Header(m.Name) == m.Text
+			ok = r.Header(m.Name) == m.Text
 		}
 		if !ok {
 			return false
@@ -165,33 +167,33 @@
 	return true
 }
 
-// Handlers do what the steps say; each says whether the request's way ends there.
+// Handlers carry out the actions; those with a result report whether the request is finished.
 type Handlers struct {
 	Deadline func(ms int) bool
 	Claim    func() bool
-	Split    func() bool // draws the service among those that share the mapping, and tries it
+	Split    func() bool // draws a service of the mapping by the shares, and dispatches to it
 	Dispatch func(service string) bool
 	Refuse   func()
 }
 
-// Run takes a request along a way to its end.
-func Run(do []Action, h Handlers) {
-	for _, in := range do {
-		end := false
-		switch in.Op {
+// Run runs the actions of a route until one finishes the request.
+func Run(actions []Action, handlers Handlers) {
+	for _, action := range actions {
+		done := false
+		switch action.Op {
 		case OpDeadline:
-			end = h.Deadline(in.Arg)
+			done = handlers.Deadline(action.Arg)
 		case OpClaim:
-			end = h.Claim()
+			done = handlers.Claim()
 		case OpSplit:
-			end = h.Split()
+			done = handlers.Split()
 		case OpDispatch:
-			end = h.Dispatch(in.Text)
+			done = handlers.Dispatch(action.Text)
 		case OpRefuse:
-			h.Refuse()
-			end = true
+			handlers.Refuse()
+			done = true
 		}
-		if end {
+		if done {
 			return
 		}
 	}
--- a/internal/config/routing/routing_test.go
+++ b/internal/config/routing/routing_test.go
@@ -2,21 +2,21 @@
 
 import "testing"
 
-// Ways of a host and a prefix go by the longest prefix, before all others; the rest by their order.
+// Routes with a host and a prefix come before all others and are matched by the longest prefix; the others by their order.
 func TestFind(t *testing.T) {
-	way := func(n int, ms ...Condition) Route {
+	route := func(n int, ms ...Condition) Route {
 		return Route{Conditions: ms, Actions: []Action{{Op: OpRefuse, Mapping: n}}}
 	}
 	host, under := func(s string) Condition { return Condition{Op: OpHost, Text: s} }, func(s string) Condition { return Condition{Op: OpPrefix, Text: s} }
 	p := Build([]Route{
-		way(0, under("/")),
-		way(1, host("a"), under("/")),
-		way(2, host("a"), under("/b")),
-		way(3, under("/b/c/"), host("a")),
-		way(4, host("a"), under("/b/")),
-		way(5, host("b")),
-		way(6, host("c"), under("/d/")),
-		way(7, host("d"), host("e")),
+		route(0, under("/")),
+		route(1, host("a"), under("/")),
+		route(2, host("a"), under("/b")),
+		route(3, under("/b/c/"), host("a")),
+		route(4, host("a"), under("/b/")),
+		route(5, host("b")),
+		route(6, host("c"), under("/d/")),
+		route(7, host("d"), host("e")),
 	})
 	for _, x := range []struct {
 		host, path string
@@ -28,9 +28,9 @@
 		do, ok := p.Find(Request{Host: x.host, Path: x.path, Header: func(string) string { return "" }})
 		switch {
 		case !ok && x.want >= 0:
-			t.Errorf("%v: nothing takes it", x)
+			t.Errorf("%v: no route found", x)
 		case ok && do[0].Mapping != x.want:
-			t.Errorf("%v: taken by %d", x, do[0].Mapping)
+			t.Errorf("%v: matched by %d", x, do[0].Mapping)
 		}
 	}
 }
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -9,50 +9,53 @@
 	"github.com/valyala/fastjson"
 )
 
-// Worker is one back end as the platform lists it.
+// Worker is one back end in the platform's list.
 type Worker struct {
 	ID           string
 	Addr         string
 	Zone         string
 	Draining     bool
-	Age          time.Duration // how long it ran when listed; short ones are still warming
-	Service      string        // the service that it serves, where one list holds several
-	Slots        int           // requests that it works on at once, if the list says so
-	WarmingUpFor time.Duration // how much longer it stays cold, as listed
-	Incarnation  uint64        // grows whenever it is seen to have started again; none of the platform's
+	Age          time.Duration // how long it had run when it was listed; a worker that started recently is still warming up
+	Service      string        // the service that it serves, if the list holds several
+	Slots        int           // requests that it processes at once; 0 if the list doesn't say
+	WarmingUpFor time.Duration // remaining warm-up time, as listed
+	Incarnation  uint64        // incremented by the controllers whenever they see that it restarted; not a field of the platform
 }
 
-// ParseWorkers reads the platform's list of a pool.
+// ParseWorkers parses the platform's worker list of a pool.
 func ParseWorkers(b []byte) ([]Worker, error) {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
 		return nil, fmt.Errorf("config: worker list: %w", err)
 	}
-	x := v.Get("workers")
-	if x == nil || x.Type() != fastjson.TypeArray {
-		return nil, errors.New("config: worker list: no workers in it")
+	list := v.Get("workers")
+	if list == nil || list.Type() != fastjson.TypeArray {
+		return nil, errors.New("config: worker list: no workers array")
 	}
-	var l []Worker
+	var workers []Worker
 	seen := map[string]bool{}
-	for i, w := range x.GetArray() {
-		y := Worker{ID: string(w.GetStringBytes("id")), Addr: string(w.GetStringBytes("addr")), Zone: string(w.GetStringBytes("zone")),
-			Draining: w.GetBool("leaving"), Age: time.Duration(w.GetInt64("age_ms")) * time.Millisecond, Incarnation: w.GetUint64("life"),
-			Service: string(w.GetStringBytes("service")), Slots: w.GetInt("slots"), WarmingUpFor: time.Duration(w.GetInt64("cold_ms")) * time.Millisecond}
-		if y.ID == "" || y.Addr == "" || seen[y.ID] {
-			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or stands twice", i)
+	for i, entry := range list.GetArray() {
+		worker := Worker{ID: string(entry.GetStringBytes("id")), Addr: string(entry.GetStringBytes("addr")),
+			Zone:     string(entry.GetStringBytes("zone")),
+			Draining: entry.GetBool("leaving"), Age: time.Duration(entry.GetInt64("age_ms")) * time.Millisecond,
+			Incarnation: entry.GetUint64("life"),
+			Service:     string(entry.GetStringBytes("service")), Slots: entry.GetInt("slots"),
+			WarmingUpFor: time.Duration(entry.GetInt64("cold_ms")) * time.Millisecond}
+		if worker.ID == "" || worker.Addr == "" || seen[worker.ID] {
+			return nil, fmt.Errorf("config: worker list: entry %d has no id or address, or its id is a duplicate", i)
 		}
-		seen[y.ID] = true
-		l = append(l, y)
+		seen[worker.ID] = true
+		workers = append(workers, worker)
 	}
-	return l, nil
+	return workers, nil
 }
 
-// MarshalWorkers writes a list as the platform does.
+// MarshalWorkers encodes a worker list in the platform's format.
 func MarshalWorkers(l []Worker) []byte { return WorkersValue(&fastjson.Arena{}, l).MarshalTo(nil) }
 
-// WorkersValue lays a list out.
+// WorkersValue builds the JSON value of a worker list.
 func WorkersValue(a *fastjson.Arena, l []Worker) *fastjson.Value {
-	arr := a.NewArray()
+	list := a.NewArray()
 	for i, w := range l {
 		o := a.NewObject()
 		o.Set("id", a.NewString(w.ID))
@@ -74,9 +77,9 @@
 		if w.Incarnation > 0 {
 			o.Set("life", a.NewNumberString(strconv.FormatUint(w.Incarnation, 10)))
 		}
-		arr.SetArrayItem(i, o)
+		list.SetArrayItem(i, o)
 	}
 	o := a.NewObject()
-	o.Set("workers", arr)
+	o.Set("workers", list)
 	return o
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -53,7 +53,7 @@
 }
 
 // NewServeCommand adds the command that runs a program where an adapter says what its place is (design 11).
-func NewServeCommand(read func() (*settings.Settings, error), create func(*settings.Settings) (Daemon, error), again func(Daemon, *settings.Settings), dump func(Daemon)) *cobra.Command {
+func NewServeCommand(read func() (*settings.Settings, error), create func(*settings.Settings) (Daemon, error), reload func(Daemon, *settings.Settings), dump func(Daemon)) *cobra.Command {
 	return &cobra.Command{Use: "serve", Short: "run on the users' platform until a warning (SIGTERM)", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s := handleSignals()
@@ -61,17 +61,17 @@
 			if err != nil {
 				return err
 			}
-			settle(b)
+			setMemoryLimit(b)
 			d, err := create(b)
 			if err != nil {
 				return err
 			}
-			return live(d, s, read, again, dump)
+			return runDaemon(d, s, read, reload, dump)
 		}}
 }
 
-// settle keeps the process inside what it may use: the collector works harder near the memory's end.
-func settle(b *settings.Settings) {
+// setMemoryLimit keeps the process inside what it may use: the collector works harder near the memory's end.
+func setMemoryLimit(b *settings.Settings) {
 	if b.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(b.MemoryMB) << 20 * 7 / 10)
 	}
@@ -91,7 +91,7 @@
 			if err != nil {
 				return err
 			}
-			return live(d, s, nil, nil, dump)
+			return runDaemon(d, s, nil, nil, dump)
 		}}
 	c.Flags().StringVar(&path, "boot", "", "the boot file")
 	_ = c.MarkFlagRequired("boot")
@@ -107,36 +107,36 @@
 	return signals{reload: newSignals(syscall.SIGHUP), dump: newSignals(syscall.SIGUSR1)}
 }
 
-// live runs a daemon to its end. Its place is read again at a hang-up signal, and now and then without one.
-func live(d Daemon, s signals, read func() (*settings.Settings, error), again func(Daemon, *settings.Settings), dump func(Daemon)) error {
-	warn := newSignals(syscall.SIGTERM, syscall.SIGINT)
+// runDaemon runs a daemon to its end. Its place is read again at a hang-up signal, and now and then without one.
+func runDaemon(d Daemon, s signals, read func() (*settings.Settings, error), reload func(Daemon, *settings.Settings), dump func(Daemon)) error {
+	terminate := newSignals(syscall.SIGTERM, syscall.SIGINT)
 	if err := d.Start(); err != nil {
 		return err
 	}
-	look := time.NewTicker(rereadGap)
-	defer look.Stop()
+	reloadTicker := time.NewTicker(reloadInterval)
+	defer reloadTicker.Stop()
 	for {
 		select {
-		case <-warn:
+		case <-terminate:
 			d.Drain()
 			return nil
 		case <-s.dump:
 			dump(d)
 			continue
 		case <-s.reload:
-		case <-look.C:
+		case <-reloadTicker.C:
 		}
 		if read == nil {
 			continue
 		}
 		if b, err := read(); err == nil { // a file that can't be read changes nothing
-			again(d, b)
+			reload(d, b)
 		}
 	}
 }
 
-// rereadGap is how often a place is read again without being told.
-const rereadGap = 2 * time.Second
+// reloadInterval is how often a place is read again without being told.
+const reloadInterval = 2 * time.Second
 
 func newSignals(s ...os.Signal) chan os.Signal {
 	c := make(chan os.Signal, 4)
@@ -152,45 +152,45 @@
 }
 
 // NewCheckCommand adds the command that checks files and starts nothing.
-func NewCheckCommand(name string, more ...*FileCheck) *cobra.Command {
-	var bootPath, configPath string
+func NewCheckCommand(name string, fileChecks ...*FileCheck) *cobra.Command {
+	var settingsPath, configPath string
 	c := &cobra.Command{Use: "check", Short: "check files: a boot file, a configuration, or what else the flags name", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			var bad []error
-			some := bootPath != "" || configPath != ""
-			for _, l := range more {
-				if some = some || l.path != ""; l.path != "" {
-					bad = append(bad, l.Check(l.path))
+			var errs []error
+			anyFile := settingsPath != "" || configPath != ""
+			for _, check := range fileChecks {
+				if anyFile = anyFile || check.path != ""; check.path != "" {
+					errs = append(errs, check.Check(check.path))
 				}
 			}
-			if !some {
+			if !anyFile {
 				return errors.New("a file is wanted, by one of the flags of check --help")
 			}
-			if bootPath != "" {
-				if _, err := settings.Read(bootPath, name); err != nil {
-					bad = append(bad, err)
+			if settingsPath != "" {
+				if _, err := settings.Read(settingsPath, name); err != nil {
+					errs = append(errs, err)
 				}
 			}
 			if configPath != "" {
 				b, err := os.ReadFile(configPath)
 				if err != nil {
-					bad = append(bad, err)
+					errs = append(errs, err)
 				} else if _, fs := config.Parse(b); len(fs) > 0 {
 					for _, f := range fs {
-						bad = append(bad, fmt.Errorf("%s: %w", configPath, f))
+						errs = append(errs, fmt.Errorf("%s: %w", configPath, f))
 					}
 				}
 			}
-			err := errors.Join(bad...)
+			err := errors.Join(errs...)
 			if err == nil {
 				fmt.Println("good")
 			}
 			return err
 		}}
-	c.Flags().StringVar(&bootPath, "boot", "", "a boot file")
+	c.Flags().StringVar(&settingsPath, "boot", "", "a boot file")
 	c.Flags().StringVar(&configPath, "config", "", "a configuration")
-	for _, l := range more {
-		c.Flags().StringVar(&l.path, l.Flag, "", l.Usage)
+	for _, check := range fileChecks {
+		c.Flags().StringVar(&check.path, check.Flag, "", check.Usage)
 	}
 	return c
 }
--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -31,21 +31,21 @@
 
 // Syncer is one member's state machine of the comparison. It isn't safe for concurrent use.
 type Syncer struct {
-	self     units.NodeID
-	next     units.Time
-	turn     int            // whom of the members to compare with next
-	others   []units.NodeID // the other members at the last tick; none while this node is no member itself
-	member   bool           // was in the quorum at the last tick
-	healthy  bool           // could take part at the last tick
-	catchUp  *catchUp
-	Repaired int // copies of others that were older than the ones here
-	Ignored  int // messages of who is no member
+	self      units.NodeID
+	nextAt    units.Time
+	peerIndex int            // whom of the members to compare with next
+	peers     []units.NodeID // the other members at the last tick; none while this node is no member itself
+	isVoter   bool           // was in the quorum at the last tick
+	healthy   bool           // could take part at the last tick
+	catchUp   *catchUp
+	Repaired  int // copies of others that were older than the ones here
+	Ignored   int // messages of who is no member
 }
 
 // New gives one that begins after a random part of the gap, with a random member. It was just started, so it catches up
 // first.
 func New(self units.NodeID, now units.Time, rng *rand.Rand) *Syncer {
-	s := &Syncer{self: self, next: now.Add(time.Duration(rng.Int64N(int64(Interval)))), turn: rng.IntN(1 << 16), healthy: true}
+	s := &Syncer{self: self, nextAt: now.Add(time.Duration(rng.Int64N(int64(Interval)))), peerIndex: rng.IntN(1 << 16), healthy: true}
 	return s
 }
 
@@ -60,136 +60,136 @@
 
 // Tick compares with one other member. Who is not in the quorum holds no copy: it would be told of every key again and
 // again.
-func (s *Syncer) Tick(now units.Time, members []units.NodeID, states map[string]*register.State) (out message.Effects) {
-	if !slices.Contains(members, s.self) {
-		s.member, s.others = false, nil
+func (s *Syncer) Tick(now units.Time, voters []units.NodeID, states map[string]*register.State) (out message.Effects) {
+	if !slices.Contains(voters, s.self) {
+		s.isVoter, s.peers = false, nil
 		return out
 	}
-	if !s.member {
-		s.member = true
+	if !s.isVoter {
+		s.isVoter = true
 		s.StartCatchUp()
 	}
-	s.others = slices.DeleteFunc(slices.Clone(members), func(n units.NodeID) bool { return n == s.self })
-	if len(s.others) == 0 || !s.healthy {
+	s.peers = slices.DeleteFunc(slices.Clone(voters), func(n units.NodeID) bool { return n == s.self })
+	if len(s.peers) == 0 || !s.healthy {
 		return out
 	}
-	if s.catchUp != nil && s.catchUp.done(s.others) {
-		s.catchUp, s.next = nil, now.Add(Interval)
+	if s.catchUp != nil && s.catchUp.complete(s.peers) {
+		s.catchUp, s.nextAt = nil, now.Add(Interval)
 	}
-	if !s.ready(now) {
+	if !s.isDue(now) {
 		return out
 	}
-	head := rootHead{Sum: sums(states).root()}
+	request := rootRequest{Sum: rangeSums(states).root()}
 	var to units.NodeID
 	if s.catchUp != nil {
 		var wait time.Duration
-		to, wait = s.catchUp.ask(s.others, &s.turn)
-		s.next, head.Answer = now.Add(wait), 1
+		to, wait = s.catchUp.nextPeer(s.peers, &s.peerIndex)
+		s.nextAt, request.ReplyIfEqual = now.Add(wait), 1
 	} else {
-		to = s.others[s.turn%len(s.others)]
-		s.turn++
-		s.next = now.Add(Interval)
+		to = s.peers[s.peerIndex%len(s.peers)]
+		s.peerIndex++
+		s.nextAt = now.Add(Interval)
 	}
-	out.Send(to, Root, message.Pack(head))
+	out.Send(to, Root, message.Pack(request))
 	return out
 }
 
 // Step takes one message; of a node that is no member, none.
-func (s *Syncer) Step(n message.Message, states map[string]*register.State, mend Repair) (out message.Effects) {
-	if !slices.Contains(s.others, n.From) {
+func (s *Syncer) Step(m message.Message, states map[string]*register.State, repair Repair) (out message.Effects) {
+	if !slices.Contains(s.peers, m.From) {
 		s.Ignored++
 		return out
 	}
 	var err error
-	switch n.Kind {
+	switch m.Kind {
 	case Root:
-		err = compareRoot(n, states, &out)
+		err = compareRoot(m, states, &out)
 	case Digests:
-		err = compareDigests(n, states, &out)
+		err = compareDigests(m, states, &out)
 	case Ranges:
-		err = s.compareRanges(n, states, mend, &out)
+		err = s.compareRanges(m, states, repair, &out)
 	case Outcome:
-		err = s.judged(n)
+		err = s.handleOutcome(m)
 	}
 	out.AddError(err)
 	return out
 }
 
-func compareRoot(n message.Message, states map[string]*register.State, out *message.Effects) error {
-	var h rootHead
-	if err := message.Unpack(n.Body, &h); err != nil {
+func compareRoot(m message.Message, states map[string]*register.State, out *message.Effects) error {
+	var request rootRequest
+	if err := message.Unpack(m.Body, &request); err != nil {
 		return err
 	}
-	mine := sums(states)
+	own := rangeSums(states)
 	switch {
-	case mine.root() != h.Sum:
-		out.Send(n.From, Digests, message.Pack(mine))
-	case h.Answer == 1:
-		out.Send(n.From, Outcome, message.Pack(verdictHead{}))
+	case own.root() != request.Sum:
+		out.Send(m.From, Digests, message.Pack(own))
+	case request.ReplyIfEqual == 1:
+		out.Send(m.From, Outcome, message.Pack(outcomeBody{}))
 	}
 	return nil
 }
 
-func compareDigests(n message.Message, states map[string]*register.State, out *message.Effects) error {
+func compareDigests(m message.Message, states map[string]*register.State, out *message.Effects) error {
 	var theirs digests
-	if err := message.Unpack(n.Body, &theirs); err != nil {
+	if err := message.Unpack(m.Body, &theirs); err != nil {
 		return err
 	}
 	// Where nothing differs any more, the list is empty and brings the verdict.
-	out.Send(n.From, Ranges, list(rangeHead{Mask: sums(states).differing(theirs)}, states))
+	out.Send(m.From, Ranges, packRanges(rangesHeader{Mask: rangeSums(states).differing(theirs)}, states))
 	return nil
 }
 
 // compareRanges mends what is older there, and shows its own part back when something is older here.
-func (s *Syncer) compareRanges(n message.Message, states map[string]*register.State, mend Repair, out *message.Effects) error {
-	h, theirs, err := unpackRanges(n.Body)
+func (s *Syncer) compareRanges(m message.Message, states map[string]*register.State, repair Repair, out *message.Effects) error {
+	header, theirs, err := unpackRanges(m.Body)
 	if err != nil {
 		return err
 	}
 	ahead, behind := false, false
 	for _, key := range message.SortedKeys(states) {
-		if !held(states[key]) || h.Mask>>part(key)&1 == 0 {
+		if !hasCopy(states[key]) || header.Mask>>rangeOf(key)&1 == 0 {
 			continue
 		}
-		switch c := order(states[key], theirs[key]); {
+		switch c := compareCopies(states[key], theirs[key]); {
 		case c > 0:
 			ahead = true
 			s.Repaired++
-			out.Append(mend(n.From, key))
+			out.Append(repair(m.From, key))
 		case c < 0:
 			behind = true
 		}
 	}
 	for key := range theirs {
-		behind = behind || !held(states[key])
+		behind = behind || !hasCopy(states[key])
 	}
 	if behind {
-		s.behind(n.From)
+		s.markNewer(m.From)
 	}
-	if h.Back == 1 {
+	if header.IsReply == 1 {
 		return nil
 	}
 	if behind {
-		out.Send(n.From, Ranges, list(rangeHead{h.Mask, 1}, states))
+		out.Send(m.From, Ranges, packRanges(rangesHeader{header.Mask, 1}, states))
 	}
-	verdict := verdictHead{}
+	outcome := outcomeBody{}
 	if ahead {
-		verdict.Newer = 1
+		outcome.Newer = 1
 	}
-	out.Send(n.From, Outcome, message.Pack(verdict))
+	out.Send(m.From, Outcome, message.Pack(outcome))
 	return nil
 }
 
-// judged takes what another member made of this one's copies.
-func (s *Syncer) judged(n message.Message) error {
-	var v verdictHead
-	if err := message.Unpack(n.Body, &v); err != nil {
+// handleOutcome takes what another member made of this one's copies.
+func (s *Syncer) handleOutcome(m message.Message) error {
+	var outcome outcomeBody
+	if err := message.Unpack(m.Body, &outcome); err != nil {
 		return err
 	}
-	if v.Newer == 1 {
-		s.behind(n.From)
+	if outcome.Newer == 1 {
+		s.markNewer(m.From)
 	} else {
-		s.current(n.From)
+		s.markNotNewer(m.From)
 	}
 	return nil
 }
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -12,36 +12,36 @@
 // digests holds one sum over each range of keys.
 type digests struct{ Sum [RangeCount]uint64 }
 
-// rootHead opens a comparison: one sum over all keys, and whether equal copies are to be confirmed.
-type rootHead struct {
-	Sum    uint64
-	Answer uint8
+// rootRequest opens a comparison: one sum over all keys, and whether equal copies are to be confirmed.
+type rootRequest struct {
+	Sum          uint64
+	ReplyIfEqual uint8
 }
 
-// verdictHead tells a member whether anything newer than its copies was found; that is on its way then.
-type verdictHead struct{ Newer uint8 }
+// outcomeBody tells a member whether anything newer than its copies was found; that is on its way then.
+type outcomeBody struct{ Newer uint8 }
 
-// rangeHead says which ranges a list of keys covers.
-type rangeHead struct {
-	Mask uint64
-	Back uint8 // shown in return: not to be returned once more
+// rangesHeader says which ranges a list of keys covers.
+type rangesHeader struct {
+	Mask    uint64
+	IsReply uint8 // shown in return: not to be returned once more
 }
 
-// keyHead is how new one key's copy is.
-type keyHead struct{ N, By, Seq uint64 }
+// copyVersion is how new one key's copy is.
+type copyVersion struct{ Number, Node, Seq uint64 }
 
-func part(key string) int { return int(units.Mix(key) % RangeCount) }
+func rangeOf(key string) int { return int(units.Mix(key) % RangeCount) }
 
-// held says whether a value was ever accepted here; a promise alone is no copy.
-func held(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
+// hasCopy says whether a value was ever accepted here; a promise alone is no copy.
+func hasCopy(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
 
-func sums(states map[string]*register.State) (d digests) {
+func rangeSums(states map[string]*register.State) (d digests) {
 	for _, key := range message.SortedKeys(states) {
 		s := states[key]
-		if !held(s) {
+		if !hasCopy(s) {
 			continue
 		}
-		d.Sum[part(key)] += units.Mix(key, units.Hex(s.Accepted.Number), s.Accepted.Node.String(), units.Hex(s.Seq))
+		d.Sum[rangeOf(key)] += units.Mix(key, units.Hex(s.Accepted.Number), s.Accepted.Node.String(), units.Hex(s.Seq))
 	}
 	return d
 }
@@ -64,19 +64,19 @@
 	return mask
 }
 
-// list packs how new each key of the head's ranges is.
-func list(h rangeHead, states map[string]*register.State) []byte {
+// packRanges packs how new each key of the head's ranges is.
+func packRanges(h rangesHeader, states map[string]*register.State) []byte {
 	var l [][]byte
 	for _, key := range message.SortedKeys(states) {
-		if s := states[key]; held(s) && h.Mask>>part(key)&1 == 1 {
-			l = append(l, message.Pack(keyHead{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
+		if s := states[key]; hasCopy(s) && h.Mask>>rangeOf(key)&1 == 1 {
+			l = append(l, message.Pack(copyVersion{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
 		}
 	}
 	return message.Pack(h, message.PackList(l))
 }
 
 // unpackRanges is the inverse of list.
-func unpackRanges(body []byte) (h rangeHead, theirs map[string]keyHead, err error) {
+func unpackRanges(body []byte) (h rangesHeader, theirs map[string]copyVersion, err error) {
 	var packed []byte
 	if err := message.Unpack(body, &h, &packed); err != nil {
 		return h, nil, err
@@ -85,9 +85,9 @@
 	if err != nil {
 		return h, nil, err
 	}
-	theirs = map[string]keyHead{}
+	theirs = map[string]copyVersion{}
 	for _, item := range l {
-		var x keyHead
+		var x copyVersion
 		var key []byte
 		if err := message.Unpack(item, &x, &key); err != nil {
 			return h, nil, err
@@ -97,9 +97,9 @@
 	return h, theirs, nil
 }
 
-// order is above zero where the copy here is newer, below where the other is.
-func order(s *register.State, x keyHead) int {
-	e := units.Epoch{Number: x.N, Node: units.NodeID(x.By)}
+// compareCopies is above zero where the copy here is newer, below where the other is.
+func compareCopies(s *register.State, x copyVersion) int {
+	e := units.Epoch{Number: x.Number, Node: units.NodeID(x.Node)}
 	switch {
 	case e.Less(s.Accepted) || e == s.Accepted && s.Seq > x.Seq:
 		return 1
--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -13,18 +13,18 @@
 
 // A group of members with a net that loses nothing but what is sent to silent members.
 type group struct {
-	now     units.Time
-	members []units.NodeID
-	syncers map[units.NodeID]*Syncer
-	copies  map[units.NodeID]map[string]*register.State
-	silent  map[units.NodeID]bool
-	broken  map[units.NodeID]bool // takes no copy
-	sent    []message.Message
-	mends   int
+	now           units.Time
+	members       []units.NodeID
+	syncers       map[units.NodeID]*Syncer
+	copies        map[units.NodeID]map[string]*register.State
+	unresponsive  map[units.NodeID]bool
+	rejectsCopies map[units.NodeID]bool // takes no copy
+	sent          []message.Message
+	repairs       int
 }
 
 func newGroup(n int) *group {
-	g := &group{syncers: map[units.NodeID]*Syncer{}, copies: map[units.NodeID]map[string]*register.State{}, silent: map[units.NodeID]bool{}, broken: map[units.NodeID]bool{}}
+	g := &group{syncers: map[units.NodeID]*Syncer{}, copies: map[units.NodeID]map[string]*register.State{}, unresponsive: map[units.NodeID]bool{}, rejectsCopies: map[units.NodeID]bool{}}
 	for i := range n {
 		id := units.NodeID(i + 1)
 		g.members = append(g.members, id)
@@ -48,10 +48,10 @@
 }
 
 // run lets virtual time go on; every message arrives at once.
-func (g *group) run(span time.Duration) {
-	for end := g.now.Add(span); g.now < end; g.now = g.now.Add(25 * time.Millisecond) {
+func (g *group) run(duration time.Duration) {
+	for end := g.now.Add(duration); g.now < end; g.now = g.now.Add(25 * time.Millisecond) {
 		for _, id := range g.members {
-			if !g.silent[id] {
+			if !g.unresponsive[id] {
 				g.deliver(id, g.syncers[id].Tick(g.now, g.members, g.copies[id]))
 			}
 		}
@@ -62,12 +62,12 @@
 	for _, n := range out.Messages {
 		n.From = from
 		g.sent = append(g.sent, n)
-		if g.silent[n.To] {
+		if g.unresponsive[n.To] {
 			continue
 		}
 		mend := func(to units.NodeID, key string) message.Effects {
-			g.mends++
-			if !g.broken[to] {
+			g.repairs++
+			if !g.rejectsCopies[to] {
 				copied := *g.copies[n.To][key]
 				g.copies[to][key] = &copied
 			}
@@ -77,18 +77,18 @@
 	}
 }
 
-// alike says whether a member holds what all of the others hold.
-func (g *group) alike(id units.NodeID) bool {
+// hasAllCopies says whether a member holds what all of the others hold.
+func (g *group) hasAllCopies(id units.NodeID) bool {
 	for _, other := range g.members {
-		if sums(g.copies[other]) != sums(g.copies[id]) {
+		if rangeSums(g.copies[other]) != rangeSums(g.copies[id]) {
 			return false
 		}
 	}
 	return true
 }
 
-// bytes counts what was sent, with a frame's head of 24 bytes each.
-func (g *group) bytes() (n int) {
+// bytesSent counts what was sent, with a frame's head of 24 bytes each.
+func (g *group) bytesSent() (n int) {
 	for _, x := range g.sent {
 		n += 24 + len(x.Body)
 	}
@@ -97,35 +97,35 @@
 
 // At rest a member compares with each other one in turn, never with itself, and sends no more than the 152 bytes to one
 // member of all, itself included, each 2 s that it sent before.
-func TestRest(t *testing.T) {
+func TestIdleTraffic(t *testing.T) {
 	for n := 3; n <= 7; n++ {
 		g := newGroup(n)
 		g.run(10 * time.Second)
 		g.sent = nil
-		const span = 600 * time.Second
-		g.run(span)
-		asked := map[units.NodeID]map[units.NodeID]int{}
+		const duration = 600 * time.Second
+		g.run(duration)
+		requests := map[units.NodeID]map[units.NodeID]int{}
 		for _, x := range g.sent {
 			if x.Kind != Root || x.From == x.To {
 				t.Fatalf("%d members: at rest %d sent kind %d to %d", n, x.From, x.Kind, x.To)
 			}
-			if asked[x.From] == nil {
-				asked[x.From] = map[units.NodeID]int{}
+			if requests[x.From] == nil {
+				requests[x.From] = map[units.NodeID]int{}
 			}
-			asked[x.From][x.To]++
+			requests[x.From][x.To]++
 		}
-		for from, to := range asked {
+		for from, to := range requests {
 			for _, id := range g.members {
-				if id != from && to[id] < int(span/Interval)/(n-1)-1 {
+				if id != from && to[id] < int(duration/Interval)/(n-1)-1 {
 					t.Errorf("%d members: %d asked %d only %d times", n, from, id, to[id])
 				}
 			}
 		}
-		each := float64(g.bytes()) / span.Seconds() / float64(n)
-		if before := 152.0 / 2 * float64(n-1) / float64(n); each > before {
-			t.Errorf("%d members: %.1f bytes a second each at rest, before %.1f", n, each, before)
+		perMember := float64(g.bytesSent()) / duration.Seconds() / float64(n)
+		if limit := 152.0 / 2 * float64(n-1) / float64(n); perMember > limit {
+			t.Errorf("%d members: %.1f bytes a second each at rest, before %.1f", n, perMember, limit)
 		} else {
-			t.Logf("%d members: %.1f bytes a second each at rest, before %.1f", n, each, before)
+			t.Logf("%d members: %.1f bytes a second each at rest, before %.1f", n, perMember, limit)
 		}
 	}
 }
@@ -152,15 +152,15 @@
 				g.write(fmt.Sprint("key", k), 5, majority...)
 			}
 			if n > 4 {
-				g.silent[g.members[n-1]] = true
+				g.unresponsive[g.members[n-1]] = true
 			}
 			g.sent = nil
 			begin(g, 1)
 			took := time.Duration(0)
-			for ; !g.alike(1) && took < 10*time.Second; took += 25 * time.Millisecond {
+			for ; !g.hasAllCopies(1) && took < 10*time.Second; took += 25 * time.Millisecond {
 				g.run(25 * time.Millisecond)
 			}
-			if bound := time.Duration(n-1) * shortPause; took > bound {
+			if bound := time.Duration(n-1) * minInterval; took > bound {
 				t.Errorf("%s, %d members: whole after %v, %v is the bound", reason, n, took, bound)
 			}
 			g.run(20 * time.Second)
@@ -172,37 +172,37 @@
 }
 
 // A member that finds something newer elsewhere asks all others, so a value that only one of them holds comes too.
-func TestFindingItselfBehind(t *testing.T) {
+func TestCatchUpAfterFindingNewer(t *testing.T) {
 	g := newGroup(5)
 	g.run(10 * time.Second)
 	for i, id := range g.members[1:] {
 		g.write(fmt.Sprint("key", i), 5, id)
 	}
-	g.run(Interval + 4*shortPause + 100*time.Millisecond)
-	if !g.alike(1) {
+	g.run(Interval + 4*minInterval + 100*time.Millisecond)
+	if !g.hasAllCopies(1) {
 		t.Errorf("it holds %d of 4 keys", len(g.copies[1]))
 	}
 }
 
 // A member that takes no copy is not sent all again and again by those that catch up, and one that knows itself to be
 // unhealthy asks nobody.
-func TestBrokenMemberCostsLittle(t *testing.T) {
+func TestMemberThatRejectsCopiesCostsLittle(t *testing.T) {
 	g := newGroup(5)
 	g.run(10 * time.Second)
-	g.broken[2] = true
+	g.rejectsCopies[2] = true
 	g.write("config", 5, 1, 3, 4, 5)
 	g.syncers[2].SetHealthy(false)
-	g.mends = 0
+	g.repairs = 0
 	g.sent = nil
-	const span = 60 * time.Second
-	g.run(span)
+	const duration = 60 * time.Second
+	g.run(duration)
 	for _, x := range g.sent {
 		if x.From == 2 && x.Kind == Root {
 			t.Fatal("an unhealthy member asks")
 		}
 	}
-	if most := int(span/Interval) + 5; g.mends > most {
-		t.Errorf("%d copies sent to it in %v, %d are the bound", g.mends, span, most)
+	if maxRepairs := int(duration/Interval) + 5; g.repairs > maxRepairs {
+		t.Errorf("%d copies sent to it in %v, %d are the bound", g.repairs, duration, maxRepairs)
 	}
 }
 
--- a/internal/control/changelog/changelog.go
+++ b/internal/control/changelog/changelog.go
@@ -17,10 +17,10 @@
 
 // The files in the data folder.
 const (
-	leaves     = "audit.jsonl"
-	checkpoint = "audit.checkpoint"
-	secret     = "audit.key"
-	public     = "audit.pub"
+	entriesFile    = "audit.jsonl"
+	checkpointFile = "audit.checkpoint"
+	secretKeyFile  = "audit.key"
+	publicKeyFile  = "audit.pub"
 )
 
 // Entry is one acknowledged change, as a line of the log; Unix is the time of day in seconds.
@@ -60,8 +60,8 @@
 type Log struct {
 	mu     sync.Mutex
 	dir    string
-	f      *os.File
-	n      int64
+	file   *os.File
+	count  int64
 	tree   hashes
 	signer note.Signer
 }
@@ -70,74 +70,74 @@
 func Open(dir, name string) (*Log, error) {
 	l := &Log{dir: dir}
 	var err error
-	if l.signer, err = signer(dir, name); err != nil {
+	if l.signer, err = loadSigner(dir, name); err != nil {
 		return nil, err
 	}
-	if l.f, err = os.OpenFile(filepath.Join(dir, leaves), os.O_CREATE|os.O_RDWR, 0o644); err != nil {
+	if l.file, err = os.OpenFile(filepath.Join(dir, entriesFile), os.O_CREATE|os.O_RDWR, 0o644); err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
-	size, n, tree, err := read(l.f)
+	size, n, tree, err := readEntries(l.file)
 	if err != nil {
 		return nil, err
 	}
-	l.n, l.tree = n, tree
-	if err := l.f.Truncate(size); err != nil {
+	l.count, l.tree = n, tree
+	if err := l.file.Truncate(size); err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
-	if _, err := l.f.Seek(size, 0); err != nil {
+	if _, err := l.file.Seek(size, 0); err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
 	return l, nil
 }
 
-// read builds the tree from whole lines.
-func read(f *os.File) (size, n int64, tree hashes, err error) {
-	r := bufio.NewReader(f)
+// readEntries builds the tree from whole lines.
+func readEntries(file *os.File) (size, count int64, tree hashes, err error) {
+	r := bufio.NewReader(file)
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
-			return size, n, tree, nil
+			return size, count, tree, nil
 		}
-		if err := tree.add(n, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
+		if err := tree.add(count, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
 			return 0, 0, nil, fmt.Errorf("changelog: %w", err)
 		}
 		size += int64(len(line))
-		n++
+		count++
 	}
 }
 
 // Append records a change, syncs it, and signs a new checkpoint.
-func (l *Log) Append(x Entry) error {
-	b, err := json.Marshal(x)
+func (l *Log) Append(entry Entry) error {
+	b, err := json.Marshal(entry)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, err := l.f.Write(append(b, '\n')); err != nil {
+	if _, err := l.file.Write(append(b, '\n')); err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	if err := l.f.Sync(); err != nil {
+	if err := l.file.Sync(); err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	if err := l.tree.add(l.n, b); err != nil {
+	if err := l.tree.add(l.count, b); err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	l.n++
-	root, err := tlog.TreeHash(l.n, &l.tree)
+	l.count++
+	root, err := tlog.TreeHash(l.count, &l.tree)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
 	// The body of a checkpoint: origin, size, root hash, each on a line.
-	signed, err := note.Sign(&note.Note{Text: fmt.Sprintf("%s\n%d\n%s\n", l.signer.Name(), l.n, root)}, l.signer)
+	signed, err := note.Sign(&note.Note{Text: fmt.Sprintf("%s\n%d\n%s\n", l.signer.Name(), l.count, root)}, l.signer)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	return write(l.dir, checkpoint, signed, 0o644)
+	return writeFile(l.dir, checkpointFile, signed, 0o644)
 }
 
 // Close closes the record.
-func (l *Log) Close() error { return l.f.Close() }
+func (l *Log) Close() error { return l.file.Close() }
 
 // Verify checks a folder's record against its signed checkpoint, under the verifier key given. With an older
 // checkpoint it also checks that the record has only grown since.
@@ -146,25 +146,25 @@
 	if err != nil {
 		return 0, fmt.Errorf("changelog: the verifier key: %w", err)
 	}
-	b, err := os.ReadFile(filepath.Join(dir, checkpoint))
+	b, err := os.ReadFile(filepath.Join(dir, checkpointFile))
 	if err != nil {
 		return 0, fmt.Errorf("changelog: %w", err)
 	}
-	size, root, err := parse(b, v)
+	size, root, err := parseCheckpoint(b, v)
 	if err != nil {
 		return 0, err
 	}
-	f, err := os.Open(filepath.Join(dir, leaves))
+	f, err := os.Open(filepath.Join(dir, entriesFile))
 	if err != nil {
 		return 0, fmt.Errorf("changelog: %w", err)
 	}
 	defer f.Close()
-	_, n, tree, err := read(f)
+	_, count, tree, err := readEntries(f)
 	if err != nil {
 		return 0, err
 	}
-	if n < size {
-		return 0, fmt.Errorf("changelog: %d entries, signed were %d", n, size)
+	if count < size {
+		return 0, fmt.Errorf("changelog: %d entries, signed were %d", count, size)
 	}
 	check := func(size int64, root tlog.Hash, what string) error {
 		h, err := tlog.TreeHash(size, &tree)
@@ -179,17 +179,17 @@
 	if older == nil {
 		return size, nil
 	}
-	was, oldRoot, err := parse(older, v)
+	oldSize, oldRoot, err := parseCheckpoint(older, v)
 	if err != nil {
 		return 0, err
 	}
-	if was > size {
-		return 0, fmt.Errorf("changelog: the older checkpoint signs %d entries, now there are %d", was, size)
+	if oldSize > size {
+		return 0, fmt.Errorf("changelog: the older checkpoint signs %d entries, now there are %d", oldSize, size)
 	}
-	return size, check(was, oldRoot, "the older checkpoint")
+	return size, check(oldSize, oldRoot, "the older checkpoint")
 }
 
-func parse(b []byte, v note.Verifier) (int64, tlog.Hash, error) {
+func parseCheckpoint(b []byte, v note.Verifier) (int64, tlog.Hash, error) {
 	x, err := note.Open(b, note.VerifierList(v))
 	if err != nil {
 		return 0, tlog.Hash{}, fmt.Errorf("changelog: the checkpoint's signature: %w", err)
--- a/internal/control/changelog/changelog_test.go
+++ b/internal/control/changelog/changelog_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func fill(t *testing.T, dir string, from, to uint64) {
+func appendEntries(t *testing.T, dir string, from, to uint64) {
 	t.Helper()
 	l, err := Open(dir, "core1")
 	if err != nil {
@@ -22,7 +22,7 @@
 	l.Close()
 }
 
-func get(t *testing.T, dir, name string) []byte {
+func readFile(t *testing.T, dir, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -34,17 +34,17 @@
 // A record that only grew verifies; every planted change of it, of its signature, or of its past does not.
 func TestVerify(t *testing.T) {
 	dir := t.TempDir()
-	fill(t, dir, 1, 4)
-	older := get(t, dir, checkpoint)
-	fill(t, dir, 4, 9)
-	vkey := strings.TrimSpace(string(get(t, dir, public)))
+	appendEntries(t, dir, 1, 4)
+	older := readFile(t, dir, checkpointFile)
+	appendEntries(t, dir, 4, 9)
+	vkey := strings.TrimSpace(string(readFile(t, dir, publicKeyFile)))
 	if n, err := Verify(dir, vkey, older); n != 8 || err != nil {
 		t.Fatalf("a good record: %d, %v", n, err)
 	}
-	lines, point := get(t, dir, leaves), get(t, dir, checkpoint)
+	lines, point := readFile(t, dir, entriesFile), readFile(t, dir, checkpointFile)
 	other := t.TempDir()
-	fill(t, other, 1, 3)
-	foreign := get(t, other, checkpoint)
+	appendEntries(t, other, 1, 3)
+	foreign := readFile(t, other, checkpointFile)
 	at := bytes.IndexByte(lines, '\n') + 1
 	for name, x := range map[string]struct{ lines, point, older []byte }{
 		"an entry changed":   {bytes.Replace(lines, []byte(`"number":2`), []byte(`"number":7`), 1), point, nil},
@@ -56,10 +56,10 @@
 		"another past":       {lines, point, foreign},
 		"no checkpoint text": {lines, []byte("hello\n"), nil},
 	} {
-		if err := os.WriteFile(filepath.Join(dir, leaves), x.lines, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, entriesFile), x.lines, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, checkpoint), x.point, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, checkpointFile), x.point, 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Verify(dir, vkey, x.older); err == nil {
--- a/internal/control/changelog/key.go
+++ b/internal/control/changelog/key.go
@@ -12,10 +12,10 @@
 	"golang.org/x/mod/sumdb/note"
 )
 
-// signer reads the node's key, or makes one at the first start. A key that a loss of power left torn was never used:
+// loadSigner reads the node's key, or makes one at the first start. A key that a loss of power left torn was never used:
 // it is made anew. One that can't be read while a record stands is set aside with the record, which it alone can sign.
-func signer(dir, name string) (note.Signer, error) {
-	key, err := os.ReadFile(filepath.Join(dir, secret))
+func loadSigner(dir, name string) (note.Signer, error) {
+	key, err := os.ReadFile(filepath.Join(dir, secretKeyFile))
 	if err == nil {
 		if s, err := note.NewSigner(string(bytes.TrimSpace(key))); err == nil {
 			return s, nil
@@ -30,7 +30,7 @@
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
 	// The secret key comes last: where it stands, the public one does too.
-	if err := errors.Join(write(dir, public, []byte(vkey+"\n"), 0o644), write(dir, secret, []byte(skey), 0o600)); err != nil {
+	if err := errors.Join(writeFile(dir, publicKeyFile, []byte(vkey+"\n"), 0o644), writeFile(dir, secretKeyFile, []byte(skey), 0o600)); err != nil {
 		return nil, err
 	}
 	s, err := note.NewSigner(skey)
@@ -42,17 +42,17 @@
 
 // setAside keeps what can't be gone on with under other names.
 func setAside(dir string) error {
-	mark := fmt.Sprintf(".damaged-%d", time.Now().UnixNano())
-	for _, n := range []string{leaves, checkpoint, public, secret} {
-		if err := os.Rename(filepath.Join(dir, n), filepath.Join(dir, n+mark)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	suffix := fmt.Sprintf(".damaged-%d", time.Now().UnixNano())
+	for _, n := range []string{entriesFile, checkpointFile, publicKeyFile, secretKeyFile} {
+		if err := os.Rename(filepath.Join(dir, n), filepath.Join(dir, n+suffix)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
 
-// write has a file whole or not at all: synced under another name, renamed, and its folder synced.
-func write(dir, name string, b []byte, mode os.FileMode) error {
+// writeFile has a file whole or not at all: synced under another name, renamed, and its folder synced.
+func writeFile(dir, name string, b []byte, mode os.FileMode) error {
 	tmp := filepath.Join(dir, name+".new")
 	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, mode)
 	if err != nil {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -12,8 +12,8 @@
 
 // Waits between two tries while something is short.
 const (
-	waitLeast = 5 * time.Millisecond
-	waitMost  = 200 * time.Millisecond
+	minWait = 5 * time.Millisecond
+	maxWait = 200 * time.Millisecond
 )
 
 // retrying is a listener whose Accept outlasts shortages.
@@ -30,18 +30,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return retry(ln, time.After), nil
+	return newRetrying(ln, time.After), nil
 }
 
-func retry(ln net.Listener, after func(time.Duration) <-chan time.Time) *retrying {
+func newRetrying(ln net.Listener, after func(time.Duration) <-chan time.Time) *retrying {
 	return &retrying{Listener: ln, closed: make(chan struct{}), after: after}
 }
 
 // Accept gives the next connection. Its error is for good.
 func (l *retrying) Accept() (net.Conn, error) {
-	for wait := waitLeast; ; wait = min(2*wait, waitMost) {
+	for wait := minWait; ; wait = min(2*wait, maxWait) {
 		c, err := l.Listener.Accept()
-		if err == nil || !short(err) {
+		if err == nil || !isShortage(err) {
 			return c, err
 		}
 		select {
@@ -58,8 +58,8 @@
 	return l.Listener.Close()
 }
 
-// short says whether an error passes once something is given back.
-func short(err error) bool {
+// isShortage says whether an error passes once something is given back.
+func isShortage(err error) bool {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, e) {
 			return true
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// scripted gives these errors in turn, and then a connection.
-type scripted struct {
+// scriptedListener gives these errors in turn, and then a connection.
+type scriptedListener struct {
 	net.Listener
 	errs []error
 }
 
-func (s *scripted) Accept() (net.Conn, error) {
+func (s *scriptedListener) Accept() (net.Conn, error) {
 	if len(s.errs) == 0 {
 		c, _ := net.Pipe()
 		return c, nil
@@ -25,9 +25,9 @@
 	return nil, err
 }
 
-func (s *scripted) Close() error { return nil }
+func (s *scriptedListener) Close() error { return nil }
 
-func failed(e syscall.Errno) error {
+func acceptError(e syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", e)}
 }
 
@@ -35,12 +35,12 @@
 func TestAcceptOutlastsShortages(t *testing.T) {
 	var errs []error
 	for range 3 {
-		errs = append(errs, failed(syscall.EMFILE), failed(syscall.ENFILE), failed(syscall.ENOBUFS), failed(syscall.ENOMEM))
+		errs = append(errs, acceptError(syscall.EMFILE), acceptError(syscall.ENFILE), acceptError(syscall.ENOBUFS), acceptError(syscall.ENOMEM))
 	}
 	var waits []time.Duration
 	ready := make(chan time.Time)
 	close(ready)
-	l := retry(&scripted{errs: errs}, func(d time.Duration) <-chan time.Time {
+	l := newRetrying(&scriptedListener{errs: errs}, func(d time.Duration) <-chan time.Time {
 		waits = append(waits, d)
 		return ready
 	})
@@ -48,19 +48,19 @@
 	if c == nil || err != nil {
 		t.Fatalf("no connection behind the shortage: %v", err)
 	}
-	if len(waits) != len(errs) || waits[0] != waitLeast || waits[1] != 2*waitLeast || waits[len(waits)-1] != waitMost {
+	if len(waits) != len(errs) || waits[0] != minWait || waits[1] != 2*minWait || waits[len(waits)-1] != maxWait {
 		t.Fatalf("waits %v", waits)
 	}
 }
 
 // Any other error ends it, and so does closing while it waits.
 func TestAcceptEnds(t *testing.T) {
-	l := retry(&scripted{errs: []error{net.ErrClosed}}, nil)
+	l := newRetrying(&scriptedListener{errs: []error{net.ErrClosed}}, nil)
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Fatal(err)
 	}
 	waiting := make(chan struct{})
-	l = retry(&scripted{errs: []error{failed(syscall.EMFILE)}}, func(time.Duration) <-chan time.Time {
+	l = newRetrying(&scriptedListener{errs: []error{acceptError(syscall.EMFILE)}}, func(time.Duration) <-chan time.Time {
 		close(waiting)
 		return nil
 	})
--- a/internal/settings/boot.go
+++ b/internal/settings/settings.go
@@ -67,7 +67,7 @@
 
 func (f Faults) Error() string { return strings.Join(f, "\n") }
 
-var known = map[string][]string{
+var knownFields = map[string][]string{
 	"router":     {"name", "zone", "addr", "web", "seeds", "drain_ms"},
 	"controller": {"name", "zone", "addr", "web", "seeds", "drain_ms", "data", "founders", "platform", "pools", "poll_ms", "reserve_bytes"},
 }
@@ -86,82 +86,82 @@
 	if err != nil {
 		return nil, Faults{fmt.Sprintf("%d %s: an object is wanted", resultcode.InvalidSettings, path)}
 	}
-	var f Faults
-	bad := func(at, text string) {
-		f = append(f, fmt.Sprintf("%d %s: %s: %s", resultcode.InvalidSettings, path, at, text))
+	var faults Faults
+	addFault := func(field, getString string) {
+		faults = append(faults, fmt.Sprintf("%d %s: %s: %s", resultcode.InvalidSettings, path, field, getString))
 	}
 	o.Visit(func(k []byte, _ *fastjson.Value) {
-		if !slices.Contains(known[program], string(k)) {
-			bad(string(k), "unknown field")
+		if !slices.Contains(knownFields[program], string(k)) {
+			addFault(string(k), "unknown field")
 		}
 	})
-	text := func(name string, must bool) string {
+	getString := func(name string, required bool) string {
 		x := v.Get(name)
 		if x == nil {
-			if must {
-				bad(name, "missing")
+			if required {
+				addFault(name, "missing")
 			}
 			return ""
 		}
 		s, err := x.StringBytes()
 		if err != nil || len(s) == 0 {
-			bad(name, "a text is wanted")
+			addFault(name, "a text is wanted")
 		}
 		return string(s)
 	}
-	list := func(name string) []string {
+	getStrings := func(name string) []string {
 		var l []string
 		for i, x := range v.GetArray(name) {
 			s, err := x.StringBytes()
 			if err != nil || len(s) == 0 {
-				bad(fmt.Sprintf("%s[%d]", name, i), "a text is wanted")
+				addFault(fmt.Sprintf("%s[%d]", name, i), "a text is wanted")
 			}
 			l = append(l, string(s))
 		}
 		return l
 	}
-	number := func(name string, def, least, most int) int {
+	getInt := func(name string, defaultValue, minValue, maxValue int) int {
 		x := v.Get(name)
 		if x == nil {
-			if def < least {
-				bad(name, "missing")
+			if defaultValue < minValue {
+				addFault(name, "missing")
 			}
-			return def
+			return defaultValue
 		}
 		n, err := x.Int()
-		if err != nil || n < least || n > most {
-			bad(name, fmt.Sprintf("a whole number from %d to %d is wanted", least, most))
+		if err != nil || n < minValue || n > maxValue {
+			addFault(name, fmt.Sprintf("a whole number from %d to %d is wanted", minValue, maxValue))
 		}
 		return n
 	}
-	c := &Settings{Bounds: DefaultBounds(), Name: text("name", true), Zone: text("zone", true), Addr: text("addr", true), HTTPAddr: text("web", true), Seeds: list("seeds")}
-	addr := func(at, s string) {
+	s := &Settings{Bounds: DefaultBounds(), Name: getString("name", true), Zone: getString("zone", true), Addr: getString("addr", true), HTTPAddr: getString("web", true), Seeds: getStrings("seeds")}
+	checkAddr := func(field, s string) {
 		if h, _, err := net.SplitHostPort(s); s != "" && (err != nil || net.ParseIP(h) == nil) {
-			bad(at, "an IP number with a port is wanted, not "+s)
+			addFault(field, "an IP number with a port is wanted, not "+s)
 		}
 	}
-	addr("addr", c.Addr)
-	addr("web", c.HTTPAddr)
-	if len(c.Seeds) == 0 {
-		bad("seeds", "at least one address is wanted")
+	checkAddr("addr", s.Addr)
+	checkAddr("web", s.HTTPAddr)
+	if len(s.Seeds) == 0 {
+		addFault("seeds", "at least one address is wanted")
 	}
-	for i, s := range c.Seeds {
-		addr(fmt.Sprintf("seeds[%d]", i), s)
+	for i, s := range s.Seeds {
+		checkAddr(fmt.Sprintf("seeds[%d]", i), s)
 	}
-	c.DrainMs = number("drain_ms", 20000, 0, 600000)
+	s.DrainMs = getInt("drain_ms", 20000, 0, 600000)
 	if program == "controller" {
-		c.DataDir = text("data", true)
-		c.Platform = text("platform", true)
-		addr("platform", c.Platform)
-		if c.Pools = list("pools"); len(c.Pools) == 0 {
-			bad("pools", "at least one pool is wanted")
+		s.DataDir = getString("data", true)
+		s.Platform = getString("platform", true)
+		checkAddr("platform", s.Platform)
+		if s.Pools = getStrings("pools"); len(s.Pools) == 0 {
+			addFault("pools", "at least one pool is wanted")
 		}
-		c.BootstrapDisks = number("founders", 0, 1, 9)
-		c.PollMs = number("poll_ms", 500, 50, 60000)
-		c.ReserveBytes = number("reserve_bytes", 1<<20, 0, 1<<30)
+		s.BootstrapDisks = getInt("founders", 0, 1, 9)
+		s.PollMs = getInt("poll_ms", 500, 50, 60000)
+		s.ReserveBytes = getInt("reserve_bytes", 1<<20, 0, 1<<30)
 	}
-	if len(f) > 0 {
-		return nil, f
+	if len(faults) > 0 {
+		return nil, faults
 	}
-	return c, nil
+	return s, nil
 }
--- a/internal/socket/age.go
+++ b/internal/socket/age.go
@@ -14,8 +14,8 @@
 // synAckTimeout is how long the kernel waits before it answers a first packet once more; each further wait is twice as long.
 const synAckTimeout = time.Second
 
-// repeatsMost bounds how many repeated answers are reckoned with: by then a connection is over a day old.
-const repeatsMost = 16
+// maxSynAckRetries bounds how many repeated answers are reckoned with: by then a connection is over a day old.
+const maxSynAckRetries = 16
 
 // Age gives how long ago, at the most, the kernel answered the first packet of a connection that was accepted and that nothing has
 // been written to since. Its caller was still there when that answer came. Accepting tells less: the connection may have waited to
@@ -35,7 +35,7 @@
 	if info.Total_retrans == 0 {
 		return measured
 	}
-	return max(measured, synAckTimeout<<(min(info.Total_retrans, repeatsMost)+1)-synAckTimeout)
+	return max(measured, synAckTimeout<<(min(info.Total_retrans, maxSynAckRetries)+1)-synAckTimeout)
 }
 
 // tcpInfo gives what the kernel knows of a connection; nil if it doesn't tell.
@@ -49,9 +49,9 @@
 		return nil
 	}
 	var info *unix.TCPInfo
-	var asked error
-	err = raw.Control(func(fd uintptr) { info, asked = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-	if err != nil || asked != nil {
+	var optionErr error
+	err = raw.Control(func(fd uintptr) { info, optionErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	if err != nil || optionErr != nil {
 		return nil
 	}
 	return info
--- a/internal/socket/age_test.go
+++ b/internal/socket/age_test.go
@@ -84,7 +84,7 @@
 		{repeated: 1, want: 3 * time.Second},
 		{repeated: 2, want: 7 * time.Second},
 		{rtt: 9_000_000, repeated: 2, want: 9 * time.Second},
-		{repeated: 255, want: (1<<(repeatsMost+1) - 1) * time.Second},
+		{repeated: 255, want: (1<<(maxSynAckRetries+1) - 1) * time.Second},
 	} {
 		if got := handshake(&unix.TCPInfo{Rtt: x.rtt, Total_retrans: x.repeated}); got != x.want {
 			t.Errorf("measured %d us, %d times repeated: %v, want %v", x.rtt, x.repeated, got, x.want)
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -49,15 +49,15 @@
 			return Idle
 		case err != nil || n == 0:
 			return Closed
-		case endLiesBehind(fd):
+		case closePending(fd):
 			return Closed
 		}
 		return Readable
 	}
 }
 
-// endLiesBehind says whether the other side has closed its connection behind bytes that wait to be read.
-func endLiesBehind(fd int) bool {
+// closePending says whether the other side has closed its connection behind bytes that wait to be read.
+func closePending(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	for {
 		_, err := unix.Poll(fds, 0)
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const soon = 10 * time.Second // what never comes in a test that passes
+const waitTimeout = 10 * time.Second // what never comes in a test that passes
 
 // pair gives both ends of a TCP connection.
 func pair(t *testing.T) (here, there *net.TCPConn) {
@@ -28,10 +28,10 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// until waits for the other side's doing to arrive.
-func until(t *testing.T, c net.Conn, want State) {
+// waitForState waits for the other side's doing to arrive.
+func waitForState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
-	for end := time.Now().Add(soon); Peek(c) != want; {
+	for end := time.Now().Add(waitTimeout); Peek(c) != want; {
 		if time.Now().After(end) {
 			t.Fatalf("the socket shows %d, want %d", Peek(c), want)
 		}
@@ -47,19 +47,19 @@
 		t.Error("a passed deadline is taken for a hang-up")
 	}
 	_, _ = there.Write([]byte("POST"))
-	until(t, here, Readable)
+	waitForState(t, here, Readable)
 	if PeerClosed(here) {
 		t.Error("a next request is taken for a hang-up")
 	}
 	_ = there.CloseWrite()
-	until(t, here, Closed) // behind those bytes
+	waitForState(t, here, Closed) // behind those bytes
 	here, there = pair(t)
 	_ = there.CloseWrite()
-	until(t, here, Closed)
+	waitForState(t, here, Closed)
 	here, there = pair(t)
 	_ = there.SetLinger(0)
 	there.Close()
-	until(t, here, Closed)
+	waitForState(t, here, Closed)
 	here, _ = pair(t)
 	here.Close()
 	if !PeerClosed(here) {
--- a/internal/storage/wal/rewrite.go
+++ b/internal/storage/wal/compaction.go
@@ -12,18 +12,18 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// trim rewrites the file when it got long; the room kept in reserve makes that possible on a full disk.
-func (a *Log) trim() error {
-	if a.size < a.CompactionSize || a.size < 4*a.lives() {
+// compactIfLarge rewrites the file when it got long; the room kept in reserve makes that possible on a full disk.
+func (a *Log) compactIfLarge() error {
+	if a.size < a.CompactionSize || a.size < 4*a.liveBytes() {
 		return nil
 	}
 	return a.compact()
 }
 
-// lives counts the bytes that a rewrite would keep.
-func (a *Log) lives() (n int64) {
-	for _, r := range a.live {
-		n += int64(headLen + len(r.Key) + len(r.Data))
+// liveBytes counts the bytes that a rewrite would keep.
+func (a *Log) liveBytes() (n int64) {
+	for _, r := range a.records {
+		n += int64(headerLen + len(r.Key) + len(r.Data))
 	}
 	return n
 }
@@ -36,22 +36,22 @@
 		return err
 	}
 	if a.generation == before {
-		a.sick = true
+		a.failed = true
 		return fmt.Errorf("%w: it can't be written anew", ErrFailed)
 	}
 	return nil
 }
 
 func (a *Log) compact() error {
-	_ = os.Remove(filepath.Join(a.dir, reserve))
-	tmp := filepath.Join(a.dir, newName)
+	_ = os.Remove(filepath.Join(a.dir, reserveName))
+	tmp := filepath.Join(a.dir, tempName)
 	f, err := os.Create(tmp)
 	if err != nil {
-		return a.keepReserve() // no descriptor, or no room for a name: the old file still holds everything
+		return a.ensureReserveFile() // no descriptor, or no room for a name: the old file still holds everything
 	}
 	rs := a.Records()
-	slices.SortFunc(rs, func(x, y message.Record) int { return strings.Compare(id(x), id(y)) })
-	b := laySnapshot(rs, a.generation+1)
+	slices.SortFunc(rs, func(x, y message.Record) int { return strings.Compare(recordID(x), recordID(y)) })
+	b := encodeSnapshot(rs, a.generation+1)
 	_, err = f.Write(b)
 	if err == nil {
 		err = a.sync(f)
@@ -60,24 +60,24 @@
 		// The old file still holds everything: carry on with it.
 		f.Close()
 		_ = os.Remove(tmp)
-		return a.keepReserve()
+		return a.ensureReserveFile()
 	}
-	if err = os.Rename(tmp, filepath.Join(a.dir, name)); err == nil {
+	if err = os.Rename(tmp, filepath.Join(a.dir, logName)); err == nil {
 		err = syncDir(a.dir)
 	}
 	if err != nil {
 		f.Close()
-		a.sick = true
+		a.failed = true
 		return fmt.Errorf("%w: rename: %w", ErrFailed, err)
 	}
 	a.f.Close()
-	a.f, a.size, a.seq, a.end = f, int64(len(b)), uint32(len(rs))+1, int64(len(b))
+	a.f, a.size, a.seq, a.allocatedEnd = f, int64(len(b)), uint32(len(rs))+1, int64(len(b))
 	a.generation++
 	a.writeMark()
-	if err := a.keepReserve(); err != nil {
+	if err := a.ensureReserveFile(); err != nil {
 		return err
 	}
-	if err := a.claim(a.size); err != nil && !errors.Is(err, ErrFull) {
+	if err := a.ensureSpace(a.size); err != nil && !errors.Is(err, ErrFull) {
 		return err
 	}
 	return nil
@@ -93,47 +93,47 @@
 	return err
 }
 
-// claim has room of its own up to need, and twice the reserve behind it while the disk gives any. What was claimed
+// ensureSpace has room of its own up to need, and twice the reserve behind it while the disk gives any. What was claimed
 // before stays for the changes that come while the disk is full (design 3).
-func (a *Log) claim(need int64) error {
-	if a.spare == 0 || !a.low && a.end >= need+a.spare {
+func (a *Log) ensureSpace(need int64) error {
+	if a.reserveSize == 0 || !a.diskFull && a.allocatedEnd >= need+a.reserveSize {
 		return nil
 	}
-	for k := int64(8); k >= 0; k-- {
-		to := need + a.spare*k/4 // from twice the reserve down to nothing behind need
-		if to <= a.end {
+	for quarters := int64(8); quarters >= 0; quarters-- {
+		target := need + a.reserveSize*quarters/4 // from twice the reserve down to nothing behind need
+		if target <= a.allocatedEnd {
 			break
 		}
-		err := a.Allocate(a.f, a.end, to-a.end)
+		err := a.Allocate(a.f, a.allocatedEnd, target-a.allocatedEnd)
 		if err == nil {
-			a.end = to
+			a.allocatedEnd = target
 			break
 		}
 		if !errors.Is(err, syscall.ENOSPC) && !errors.Is(err, syscall.EDQUOT) && !errors.Is(err, syscall.EFBIG) {
-			a.sick = true
+			a.failed = true
 			return fmt.Errorf("%w: %w", ErrFailed, err)
 		}
 	}
-	if a.low = a.end < need+a.spare; a.end < need {
+	if a.diskFull = a.allocatedEnd < need+a.reserveSize; a.allocatedEnd < need {
 		return fmt.Errorf("%w: the reserve is used up", ErrFull)
 	}
 	return nil
 }
 
 // DiskFull says whether the disk gives no more room, so that only what must be written should be.
-func (a *Log) DiskFull() bool { return a.low }
+func (a *Log) DiskFull() bool { return a.diskFull }
 
-// keepReserve holds room on the disk for one rewrite.
-func (a *Log) keepReserve() error {
-	if a.spare == 0 {
+// ensureReserveFile holds room on the disk for one rewrite.
+func (a *Log) ensureReserveFile() error {
+	if a.reserveSize == 0 {
 		return nil
 	}
-	f, err := os.OpenFile(filepath.Join(a.dir, reserve), os.O_RDWR|os.O_CREATE, 0o644)
+	f, err := os.OpenFile(filepath.Join(a.dir, reserveName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil
 	}
 	defer f.Close()
-	_ = a.Allocate(f, 0, a.spare) // without it, the next rewrite tries again
+	_ = a.Allocate(f, 0, a.reserveSize) // without it, the next rewrite tries again
 	return nil
 }
 
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// makeDir has a folder whose name outlives a loss of power.
-func makeDir(dir string) error {
+// ensureDir has a folder whose name outlives a loss of power.
+func ensureDir(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
 	}
@@ -163,7 +163,7 @@
 // SetAside keeps a damaged file under another name; the disk is blank from then on. The mark goes last: while it stands,
 // a folder without the file is damaged as well.
 func SetAside(dir string) error {
-	err := os.Rename(filepath.Join(dir, name), filepath.Join(dir, damagedName))
+	err := os.Rename(filepath.Join(dir, logName), filepath.Join(dir, damagedName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("wal: set aside: %w", err)
 	}
--- a/internal/storage/wal/fuzz_test.go
+++ b/internal/storage/wal/fuzz_test.go
@@ -12,9 +12,9 @@
 // Arbitrary bytes never make the reader panic, and whatever it gives out has a checksum that matches, as reckoned here
 // without the reader's own code.
 func FuzzScan(f *testing.F) {
-	whole := laySnapshot([]message.Record{{Kind: 1, Data: []byte("identity")}, {Kind: 3, Key: "config", Data: []byte("value")}}, 7)
-	whole = append(whole, lay(message.Record{Kind: 3, Key: "zone/a", Data: []byte("on")}, 3)...)
-	plain := append(lay(rec("a", 1), 0), lay(rec("b", 2), 1)...)
+	whole := encodeSnapshot([]message.Record{{Kind: 1, Data: []byte("identity")}, {Kind: 3, Key: "config", Data: []byte("value")}}, 7)
+	whole = append(whole, encodeRecord(message.Record{Kind: 3, Key: "zone/a", Data: []byte("on")}, 3)...)
+	plain := append(encodeRecord(testRecord("a", 1), 0), encodeRecord(testRecord("b", 2), 1)...)
 	flipped := append([]byte(nil), plain...)
 	flipped[20] ^= 1
 	for _, b := range [][]byte{nil, whole, whole[:len(whole)-3], whole[:40], plain, flipped, append(plain, 0, 0, 0, 0)} {
@@ -26,20 +26,20 @@
 			t.Fatalf("another error: %v", err)
 		}
 		live, at := map[string]message.Record{}, 0
-		for n := uint32(0); n < c.records; n++ {
+		for n := uint32(0); n < c.count; n++ {
 			data, key := int(binary.LittleEndian.Uint32(b[at:])), int(binary.LittleEndian.Uint16(b[at+10:]))
 			end := at + 16 + key + data
 			sum := crc32.Checksum(b[at+8:end], crc32.MakeTable(crc32.Castagnoli))
 			if binary.LittleEndian.Uint32(b[at+4:]) != sum || binary.LittleEndian.Uint32(b[at+12:]) != n {
 				t.Fatalf("record %d at byte %d has a wrong checksum or number", n, at)
 			}
-			keep(live, message.Record{Kind: b[at+8], Key: string(b[at+16 : at+16+key]), Data: b[at+16+key : end]})
+			applyRecord(live, message.Record{Kind: b[at+8], Key: string(b[at+16 : at+16+key]), Data: b[at+16+key : end]})
 			at = end
 		}
-		if at != c.size || !same(live, c.live) {
-			t.Fatalf("%d bytes read of %d, %d records live of %d", c.size, at, len(c.live), len(live))
+		if at != c.size || !sameRecords(live, c.records) {
+			t.Fatalf("%d bytes read of %d, %d records live of %d", c.size, at, len(c.records), len(live))
 		}
-		if again, err2 := scan(b[:c.size]); err == nil && (err2 != nil || !same(again.live, c.live)) {
+		if again, err2 := scan(b[:c.size]); err == nil && (err2 != nil || !sameRecords(again.records, c.records)) {
 			t.Fatalf("the part read is read otherwise: %v", err2)
 		}
 	})
@@ -47,7 +47,7 @@
 
 // Arbitrary bytes of a mark are whole or say nothing.
 func FuzzMark(f *testing.F) {
-	f.Add(mark{Generation: 3, Records: 9}.bytes())
+	f.Add(syncMark{Generation: 3, Records: 9}.bytes())
 	f.Add([]byte("short"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, ok := parseMark(b)
--- a/internal/storage/wal/mark.go
+++ b/internal/storage/wal/sync_mark.go
@@ -13,22 +13,22 @@
 // once answered for, even where its end looks like a torn tail or its name is gone.
 const markName = "wal.mark"
 
-// mark is a lower bound of what the log must hold.
-type mark struct {
+// syncMark is a lower bound of what the log must hold.
+type syncMark struct {
 	Generation uint64
 	Records    uint32
 }
 
 const markLen = 16
 
-func (m mark) bytes() []byte {
+func (m syncMark) bytes() []byte {
 	b, _ := binary.Append(nil, binary.LittleEndian, m)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, table))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
 // parseMark reads a mark; one that isn't whole says nothing.
-func parseMark(b []byte) (m mark, ok bool) {
-	if len(b) != markLen || binary.LittleEndian.Uint32(b[markLen-4:]) != crc32.Checksum(b[:markLen-4], table) {
+func parseMark(b []byte) (m syncMark, ok bool) {
+	if len(b) != markLen || binary.LittleEndian.Uint32(b[markLen-4:]) != crc32.Checksum(b[:markLen-4], crcTable) {
 		return m, false
 	}
 	_, err := binary.Decode(b, binary.LittleEndian, &m)
@@ -36,36 +36,36 @@
 }
 
 // checkMark compares what a file holds with the mark in its folder.
-func checkMark(dir string, c contents) error {
+func checkMark(dir string, c scanResult) error {
 	b, err := os.ReadFile(filepath.Join(dir, markName))
 	if err != nil {
 		return nil // a folder of an earlier version, or the mark never reached the disk
 	}
 	m, ok := parseMark(b)
-	if ok && (m.Generation > c.generation || m.Generation == c.generation && m.Records > c.records) {
+	if ok && (m.Generation > c.generation || m.Generation == c.generation && m.Records > c.count) {
 		return fmt.Errorf("%w: %d records of generation %d are left of %d of generation %d",
-			ErrDamaged, c.records, c.generation, m.Records, m.Generation)
+			ErrDamaged, c.count, c.generation, m.Records, m.Generation)
 	}
 	return nil
 }
 
 // writeMark says that all there is in the file was synced. Without it the older mark stands, which is a bound as well.
 func (a *Log) writeMark() {
-	if a.mark == nil {
+	if a.markFile == nil {
 		f, err := os.OpenFile(filepath.Join(a.dir, markName), os.O_RDWR|os.O_CREATE, 0o644)
 		if err != nil {
 			return
 		}
-		a.mark = f
+		a.markFile = f
 	}
-	_, _ = a.mark.WriteAt(mark{Generation: a.generation, Records: a.seq}.bytes(), 0)
+	_, _ = a.markFile.WriteAt(syncMark{Generation: a.generation, Records: a.seq}.bytes(), 0)
 }
 
 // closeMark syncs the mark: nothing more is written.
 func (a *Log) closeMark() {
-	if a.mark != nil {
-		_ = a.mark.Sync()
-		_ = a.mark.Close()
-		a.mark = nil
+	if a.markFile != nil {
+		_ = a.markFile.Sync()
+		_ = a.markFile.Close()
+		a.markFile = nil
 	}
 }
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	name        = "wal"
-	newName     = name + ".new" // a rewrite that has not got its name yet; never read
-	damagedName = name + ".damaged"
-	headLen     = 16
-	most        = 32 << 20
-	reserve     = "reserve"
+	logName     = "wal"
+	tempName    = logName + ".new" // a rewrite that has not got its name yet; never read
+	damagedName = logName + ".damaged"
+	headerLen   = 16
+	maxDataLen  = 32 << 20
+	reserveName = "reserve"
 )
 
 // Log is one open log file. It isn't safe for concurrent use.
@@ -34,44 +34,46 @@
 	dir            string
 	f              *os.File
 	size           int64
-	live           map[string]message.Record
+	records        map[string]message.Record
 	seq            uint32 // the number of the next record
 	generation     uint64 // how often the file was rewritten
-	mark           *os.File
-	sick           bool
+	markFile       *os.File
+	failed         bool
 	CompactionSize int64 // the file is rewritten when longer than this and than four times what lives
-	spare          int64
-	end            int64 // till where the disk's room is ours, written or not
-	low            bool  // the disk gives no more room: this file lives from what it has
+	reserveSize    int64
+	allocatedEnd   int64 // till where the disk's room is ours, written or not
+	diskFull       bool  // the disk gives no more room: this file lives from what it has
 	sync           func(*os.File) error
 	// Allocate claims room for a file's bytes from off on; tests stand in for it.
 	Allocate func(f *os.File, off, n int64) error
 }
 
-func id(r message.Record) string { return string(rune(r.Kind)) + r.Key }
+func recordID(r message.Record) string { return string(rune(r.Kind)) + r.Key }
 
 // Open reads the file back. The newest record of each kind and key lives. A torn tail is cut.
-func Open(dir string, spare int64) (*Log, error) { return openWith(dir, spare, (*os.File).Sync) }
+func Open(dir string, reserveSize int64) (*Log, error) {
+	return openWithSync(dir, reserveSize, (*os.File).Sync)
+}
 
-func openWith(dir string, spare int64, sync func(*os.File) error) (*Log, error) {
-	if err := makeDir(dir); err != nil {
+func openWithSync(dir string, reserveSize int64, sync func(*os.File) error) (*Log, error) {
+	if err := ensureDir(dir); err != nil {
 		return nil, err
 	}
-	_ = os.Remove(filepath.Join(dir, newName)) // the file that bears the name holds all that is in it
-	f, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR|os.O_CREATE, 0o644)
+	_ = os.Remove(filepath.Join(dir, tempName)) // the file that bears the name holds all that is in it
+	f, err := os.OpenFile(filepath.Join(dir, logName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	a := &Log{dir: dir, f: f, CompactionSize: 4 << 20, spare: spare, Allocate: allocate, sync: sync}
+	a := &Log{dir: dir, f: f, CompactionSize: 4 << 20, reserveSize: reserveSize, Allocate: allocate, sync: sync}
 	if err := a.load(); err != nil {
 		f.Close()
 		return nil, err
 	}
-	if err := a.keepReserve(); err != nil && !errors.Is(err, ErrFull) {
+	if err := a.ensureReserveFile(); err != nil && !errors.Is(err, ErrFull) {
 		f.Close()
 		return nil, err
 	}
-	if err := a.claim(a.size); err != nil && !errors.Is(err, ErrFull) {
+	if err := a.ensureSpace(a.size); err != nil && !errors.Is(err, ErrFull) {
 		f.Close()
 		return nil, err
 	}
@@ -90,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	a.live, a.generation, a.seq, a.size = c.live, c.generation, c.records, int64(c.size)
+	a.records, a.generation, a.seq, a.size = c.records, c.generation, c.count, int64(c.size)
 	if c.size < len(b) {
 		if err := a.f.Truncate(a.size); err != nil {
 			return fmt.Errorf("wal: cut the tail: %w", err)
@@ -111,8 +113,8 @@
 
 // Records gives the newest record of each kind and key.
 func (a *Log) Records() []message.Record {
-	l := make([]message.Record, 0, len(a.live))
-	for _, r := range a.live {
+	l := make([]message.Record, 0, len(a.records))
+	for _, r := range a.records {
 		l = append(l, r)
 	}
 	return l
@@ -120,25 +122,25 @@
 
 // Append writes records and syncs. After a failed sync the file is never written again.
 func (a *Log) Append(rs []message.Record) error {
-	if a.sick {
+	if a.failed {
 		return ErrFailed
 	}
 	for _, r := range rs {
-		if len(r.Key) > math.MaxUint16 || len(r.Data) > most {
+		if len(r.Key) > math.MaxUint16 || len(r.Data) > maxDataLen {
 			return fmt.Errorf("%w: key of %d bytes, data of %d", ErrTooLarge, len(r.Key), len(r.Data))
 		}
 	}
 	if len(rs) == 0 {
-		if a.low {
-			_ = a.claim(a.size) // is there room again?
+		if a.diskFull {
+			_ = a.ensureSpace(a.size) // is there room again?
 		}
 		return nil
 	}
-	b := a.lay(rs)
-	err := a.claim(a.size + int64(len(b)))
-	if errors.Is(err, ErrFull) && a.size > 2*a.lives() && a.compact() == nil {
-		b = a.lay(rs)
-		err = a.claim(a.size + int64(len(b)))
+	b := a.encodeBatch(rs)
+	err := a.ensureSpace(a.size + int64(len(b)))
+	if errors.Is(err, ErrFull) && a.size > 2*a.liveBytes() && a.compact() == nil {
+		b = a.encodeBatch(rs)
+		err = a.ensureSpace(a.size + int64(len(b)))
 	}
 	if err != nil {
 		return err
@@ -146,31 +148,31 @@
 	if _, err := a.f.WriteAt(b, a.size); err != nil {
 		if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EFBIG) || errors.Is(err, syscall.EDQUOT) {
 			if cut := a.f.Truncate(a.size); cut != nil {
-				a.sick = true
+				a.failed = true
 			}
 			return fmt.Errorf("%w: %w", ErrFull, err)
 		}
-		a.sick = true
+		a.failed = true
 		return fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 	if err := a.sync(a.f); err != nil {
-		a.sick = true
+		a.failed = true
 		return fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 	a.size += int64(len(b))
 	a.seq += uint32(len(rs))
 	for _, r := range rs {
-		keep(a.live, r)
+		applyRecord(a.records, r)
 	}
 	a.writeMark()
-	return a.trim()
+	return a.compactIfLarge()
 }
 
-// lay gives the bytes of one append.
-func (a *Log) lay(rs []message.Record) (b []byte) {
+// encodeBatch gives the bytes of one append.
+func (a *Log) encodeBatch(rs []message.Record) (b []byte) {
 	flags := uint8(0)
 	for i, r := range rs {
-		b = append(b, layFlagged(r, a.seq+uint32(i), flags)...)
+		b = append(b, encodeRecordWithFlags(r, a.seq+uint32(i), flags)...)
 		flags = flagSameBatch
 	}
 	return b
