--- a/internal/storage/wal/compaction.go
+++ b/internal/storage/wal/compaction.go
@@ -12,7 +12,7 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// compactIfLarge rewrites the file when it got long; the room kept in reserve makes that possible on a full disk.
+// compactIfLarge compacts the file when it has grown too long; the reserve file makes that possible on a full disk.
 func (a *Log) compactIfLarge() error {
 	if a.size < a.CompactionSize || a.size < 4*a.liveBytes() {
 		return nil
@@ -20,7 +20,7 @@
 	return a.compact()
 }
 
-// liveBytes counts the bytes that a rewrite would keep.
+// liveBytes returns the bytes that a compaction would keep.
 func (a *Log) liveBytes() (n int64) {
 	for _, r := range a.records {
 		n += int64(headerLen + len(r.Key) + len(r.Data))
@@ -28,8 +28,8 @@
 	return n
 }
 
-// Rewrite writes all that lives into a new file. After a sync that failed the kernel may take what it could not write for clean, so
-// that a further sync of the old file proves nothing.
+// Rewrite writes all current records into a new file. After a failed sync the kernel may mark pages clean that it couldn't
+// write, so another sync of the old file proves nothing.
 func (a *Log) Rewrite() error {
 	before := a.generation
 	if err := a.compact(); err != nil {
@@ -37,17 +37,18 @@
 	}
 	if a.generation == before {
 		a.failed = true
-		return fmt.Errorf("%w: it can't be written anew", ErrFailed)
+		return fmt.Errorf("%w: it can't be rewritten", ErrFailed)
 	}
 	return nil
 }
 
+// compact writes the current records into a new file that replaces the log, and keeps the old file if that fails.
 func (a *Log) compact() error {
 	_ = os.Remove(filepath.Join(a.dir, reserveName))
 	tmp := filepath.Join(a.dir, tempName)
 	f, err := os.Create(tmp)
 	if err != nil {
-		return a.ensureReserveFile() // no descriptor, or no room for a name: the old file still holds everything
+		return a.ensureReserveFile() // no descriptor, or no space for a directory entry: the old file still holds everything
 	}
 	rs := a.Records()
 	slices.SortFunc(rs, func(x, y message.Record) int { return strings.Compare(recordID(x), recordID(y)) })
@@ -57,7 +58,7 @@
 		err = a.sync(f)
 	}
 	if err != nil {
-		// The old file still holds everything: carry on with it.
+		// The old file still holds everything: continue with it.
 		f.Close()
 		_ = os.Remove(tmp)
 		return a.ensureReserveFile()
@@ -83,24 +84,24 @@
 	return nil
 }
 
-// allocate claims room behind a file's end without making it longer.
+// allocate reserves disk space beyond a file's end without changing its length.
 func allocate(f *os.File, off, n int64) error {
 	const keepSize = 1
 	err := syscall.Fallocate(int(f.Fd()), keepSize, off, n)
 	if errors.Is(err, syscall.EOPNOTSUPP) {
-		return nil // this file system can't: a write that finds no room says so itself
+		return nil // not supported by this file system: a write without space fails itself
 	}
 	return err
 }
 
-// ensureSpace has room of its own up to need, and twice the reserve behind it while the disk gives any. What was claimed
-// before stays for the changes that come while the disk is full (design 3).
+// ensureSpace allocates disk space for the file up to the offset need, and up to twice the reserve after it while the disk has
+// any. Space allocated earlier is left for the changes that arrive while the disk is full (docs/design.md, section 3).
 func (a *Log) ensureSpace(need int64) error {
 	if a.reserveSize == 0 || !a.diskFull && a.allocatedEnd >= need+a.reserveSize {
 		return nil
 	}
 	for quarters := int64(8); quarters >= 0; quarters-- {
-		target := need + a.reserveSize*quarters/4 // from twice the reserve down to nothing behind need
+		target := need + a.reserveSize*quarters/4 // from twice the reserve down to nothing after need
 		if target <= a.allocatedEnd {
 			break
 		}
@@ -120,10 +121,10 @@
 	return nil
 }
 
-// DiskFull says whether the disk gives no more room, so that only what must be written should be.
+// DiskFull reports whether the disk has no more space, so that only essential records should be written.
 func (a *Log) DiskFull() bool { return a.diskFull }
 
-// ensureReserveFile holds room on the disk for one rewrite.
+// ensureReserveFile keeps disk space for one compaction in a file of its own.
 func (a *Log) ensureReserveFile() error {
 	if a.reserveSize == 0 {
 		return nil
@@ -133,7 +134,7 @@
 		return nil
 	}
 	defer f.Close()
-	_ = a.Allocate(f, 0, a.reserveSize) // without it, the next rewrite tries again
+	_ = a.Allocate(f, 0, a.reserveSize) // if it fails, the next compaction tries again
 	return nil
 }
 
@@ -144,12 +145,12 @@
 	}
 	defer d.Close()
 	if err := d.Sync(); err != nil {
-		return fmt.Errorf("wal: sync folder: %w", err)
+		return fmt.Errorf("wal: sync the directory: %w", err)
 	}
 	return nil
 }
 
-// ensureDir has a folder whose name outlives a loss of power.
+// ensureDir creates the directory if it is missing, and syncs its parent so that its entry survives a power loss.
 func ensureDir(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
@@ -160,8 +161,8 @@
 	return syncDir(filepath.Dir(dir))
 }
 
-// SetAside keeps a damaged file under another name; the disk is blank from then on. The mark goes last: while it stands,
-// a folder without the file is damaged as well.
+// SetAside renames a damaged log, which leaves the disk uninitialized. The mark is removed last: as long as it exists, a
+// directory without the log counts as damaged too.
 func SetAside(dir string) error {
 	err := os.Rename(filepath.Join(dir, logName), filepath.Join(dir, damagedName))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -176,7 +177,7 @@
 	return syncDir(dir)
 }
 
-// HasSetAside says whether a damaged file lies in the folder.
+// HasSetAside reports whether the directory contains a damaged log that was set aside.
 func HasSetAside(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, damagedName))
 	return err == nil
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -11,7 +11,7 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// testDir lays files out as a disk may hold them after a loss; no bytes mean no file.
+// testDir creates a directory with a log and a mark, as a disk may hold them after a power loss; nil means no file.
 func testDir(t *testing.T, log, mark []byte) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -35,7 +35,7 @@
 	return b
 }
 
-// smallLog gives the files of a log of a few records, rewritten in the middle if so wished.
+// smallLog returns the files of a log of a few records, optionally compacted in between.
 func smallLog(t *testing.T, rewritten bool) (log, mark []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -54,7 +54,7 @@
 	return readFile(t, dir, logName), readFile(t, dir, markName)
 }
 
-// recordsByLength gives what lives after each whole record of a log's bytes, by the length up to there.
+// recordsByLength returns the current records after each record of a log, by the length of the log up to there.
 func recordsByLength(t *testing.T, log []byte) map[int]map[string]message.Record {
 	t.Helper()
 	at, live := 0, map[string]message.Record{}
@@ -73,7 +73,7 @@
 
 func sameRecords(a, b map[string]message.Record) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// Any bit flipped in any byte of a log that a process left behind is damage: never another state, nor an older one.
+// Any flipped bit in a log that a process left is reported as damage, never read as another or an older state.
 func TestEveryBitFlip(t *testing.T) {
 	for _, rewritten := range []bool{false, true} {
 		log, mark := smallLog(t, rewritten)
@@ -91,8 +91,8 @@
 	}
 }
 
-// With the mark lost too, a flip is damage or costs the records of the last append from it on, as a torn write of that
-// would. In the first record of an append it costs the whole append, in the second that one alone.
+// If the mark is lost too, a flipped bit is reported as damage, or it loses the records of the last append from there on, as a
+// torn write would: all of the append if it is in its first record, only the second if it is in that.
 func TestEveryBitFlipWithoutMark(t *testing.T) {
 	for _, rewritten := range []bool{false, true} {
 		log, _ := smallLog(t, rewritten)
@@ -114,7 +114,7 @@
 	}
 }
 
-// A file that is cut anywhere is damage: with the mark always, without it wherever the cut is in the snapshot.
+// A truncated file is reported as damage: with the mark always, without it if it is truncated within the snapshot.
 func TestEveryTruncation(t *testing.T) {
 	for _, rewritten := range []bool{false, true} {
 		log, mark := smallLog(t, rewritten)
@@ -139,8 +139,8 @@
 	}
 }
 
-// What a loss of power may leave around a rewrite: the old file with or without the new one under its first name, whole
-// or torn, or the new one. Each holds all that was answered for.
+// A power loss during a compaction may leave the old file, with or without a complete or torn new one under its temporary name,
+// or the new file. Each holds all that was acknowledged.
 func TestPowerLostAroundACompaction(t *testing.T) {
 	dir := t.TempDir()
 	a := openLog(t, dir)
@@ -162,14 +162,14 @@
 		}
 		b := openLog(t, dir)
 		if storedValue(b, "a") != "value 2 of a" || b.generation != 0 {
-			t.Fatalf("a rewrite torn at %d: %q of generation %d", cut, storedValue(b, "a"), b.generation)
+			t.Fatalf("a compaction torn at %d: %q of generation %d", cut, storedValue(b, "a"), b.generation)
 		}
 		b.Close()
 		if _, err := os.Stat(filepath.Join(dir, tempName)); !errors.Is(err, os.ErrNotExist) {
-			t.Fatalf("the torn rewrite stays: %v", err)
+			t.Fatalf("the torn compaction stays: %v", err)
 		}
 	}
-	for what, mark := range map[string][]byte{"its mark": newMark, "the mark of before": oldMark, "no mark": nil} {
+	for what, mark := range map[string][]byte{"its mark": newMark, "the earlier mark": oldMark, "no mark": nil} {
 		b := openLog(t, testDir(t, newLog, mark))
 		if storedValue(b, "a") != "value 2 of a" || b.generation != 1 {
 			t.Errorf("the new file with %s: %q of generation %d", what, storedValue(b, "a"), b.generation)
@@ -178,7 +178,8 @@
 	}
 }
 
-// A file of an earlier generation, or none, beside a mark that says more is damage, though each of its bytes is right.
+// A log of an earlier generation, or a missing one, next to a mark that requires more is reported as damage, though all of its
+// bytes are valid.
 func TestDirectoryEntryLost(t *testing.T) {
 	oldLog, oldMark := smallLog(t, false)
 	_, newMark := smallLog(t, true)
@@ -195,7 +196,7 @@
 		}
 		a := openLog(t, dir)
 		if len(a.Records()) > 0 {
-			t.Errorf("%s: not blank once set aside", what)
+			t.Errorf("%s: not empty after it was set aside", what)
 		}
 		a.Close()
 	}
@@ -203,12 +204,12 @@
 	torn[3] ^= 1
 	a := openLog(t, testDir(t, oldLog, torn))
 	if storedValue(a, "b") != "value 2 of b" {
-		t.Error("a mark that isn't whole says something")
+		t.Error("an incomplete mark is not ignored")
 	}
 	a.Close()
 }
 
-// A record that could not be read back is refused before anything is written.
+// A record that is too large to be read back is refused before anything is written.
 func TestTooLargeRecord(t *testing.T) {
 	a := openLog(t, t.TempDir())
 	for _, r := range []message.Record{{Kind: 3, Key: "k", Data: make([]byte, maxDataLen+1)}, {Kind: 3, Key: string(make([]byte, 1<<16)), Data: []byte("x")}} {
@@ -218,7 +219,7 @@
 	}
 }
 
-// Thousands of changes of mixed sizes leave a file and a memory that what lives alone bounds.
+// After thousands of changes of mixed sizes, the file and the memory use are bounded by the current records alone.
 func TestLogStaysBounded(t *testing.T) {
 	dir := t.TempDir()
 	a := openLog(t, dir)
@@ -237,8 +238,8 @@
 	}
 	const batch = 21 << 10
 	if most := max(a.CompactionSize, 4*16*(batch+100)) + batch; longest > most || len(a.Records()) != 32 {
-		t.Errorf("%d bytes at the longest, %d are the bound; %d records of 16 keys live", longest, most, len(a.Records()))
+		t.Errorf("%d bytes at most, want at most %d; %d current records of 16 keys", longest, most, len(a.Records()))
 	}
-	t.Logf("5,000 changes of 16 keys: %d bytes at the longest, %d at the end, %d live, %d records in memory, %d rewrites", longest, a.Size(), a.liveBytes(), len(a.Records()), a.generation)
+	t.Logf("5,000 changes of 16 keys: %d bytes at most, %d at the end, %d in current records, %d records in memory, %d compactions", longest, a.Size(), a.liveBytes(), len(a.Records()), a.generation)
 	a.Close()
 }
--- a/internal/storage/wal/power_loss_test.go
+++ b/internal/storage/wal/power_loss_test.go
@@ -11,7 +11,7 @@
 
 const sectorLen = 512
 
-// unsyncedAppend gives a log and its mark as they were before an append, and the bytes that the append was writing.
+// unsyncedAppend returns a log and its mark before an append, and the bytes that the append writes.
 func unsyncedAppend(t *testing.T, batches int, batch []message.Record) (log, mark, writing []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -30,7 +30,7 @@
 	return log, mark, readFile(t, dir, logName)[len(log):]
 }
 
-// checkSurvives opens what a loss of power left and checks that all that was synced lives, and that the log goes on.
+// checkSurvives opens what a power loss left, and checks that all synced records are there and the log accepts appends.
 func checkSurvives(t *testing.T, what string, image, mark []byte, batches int) {
 	t.Helper()
 	dir := testDir(t, image, mark)
@@ -48,13 +48,13 @@
 	}
 	a.Close()
 	if a = openLog(t, dir); storedValue(a, "c") != "value 9 of c" {
-		t.Fatalf("%s: what was written next is %q", what, storedValue(a, "c"))
+		t.Fatalf("%s: the next append reads back as %q", what, storedValue(a, "c"))
 	}
 	a.Close()
 }
 
-// A loss of power leaves any part of a write that was not synced: whichever records of it are there, the file is whole up
-// to them and is never taken for damaged, since that would cost the disk's vote while others are lost too.
+// A power loss leaves any part of a write that was not synced. Whichever of its records are there, the log reads up to them and
+// is never reported as damaged, since that would cost the disk its vote while others may be lost too.
 func TestPowerLostInABatchByRecords(t *testing.T) {
 	const batches = 3
 	var batch []message.Record
@@ -81,7 +81,7 @@
 	}
 }
 
-// The same by the sectors of a disk, with records shorter and longer than one.
+// The same with lost disk sectors, and with records shorter and longer than a sector.
 func TestPowerLostInABatchBySectors(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
--- a/internal/storage/wal/recovery_test.go
+++ b/internal/storage/wal/recovery_test.go
@@ -8,13 +8,13 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// pageCache stands in for a kernel: it remembers what of the log's file was synced, and takes the rest away as a loss of power does.
+// pageCache simulates the kernel's page cache: it remembers what was synced of the log, which is all that survives a power loss.
 type pageCache struct {
 	synced []byte
 	fault  error
 }
 
-// sync is a log's sync.
+// sync is the sync function that the log is opened with.
 func (p *pageCache) sync(f *os.File) error {
 	if p.fault != nil {
 		return p.fault
@@ -27,8 +27,8 @@
 	return f.Sync()
 }
 
-// LOST: a process was killed between the write of a change and its sync. What the next one reads and answers for outlives a loss of
-// power.
+// Guards against data loss when a process is killed between the write of a change and its sync: what the next process reads
+// and acknowledges must survive a power loss.
 func TestWhatIsReadBackAfterAKillIsSynced(t *testing.T) {
 	log, mark, writing := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7), testRecord("b", 7)})
 	for cut := 0; cut <= len(writing); cut++ {
@@ -42,15 +42,15 @@
 		after := openLog(t, testDir(t, disk.synced, nil))
 		for _, r := range a.Records() {
 			if got := storedValue(after, r.Key); got != string(r.Data) {
-				t.Fatalf("%d bytes written: %s was given out as %q, and is %q after a loss of power", cut, r.Key, r.Data, got)
+				t.Fatalf("%d bytes written: %s was read as %q, but is %q after a power loss", cut, r.Key, r.Data, got)
 			}
 		}
 		after.Close()
 	}
 }
 
-// Two appends, one from before a kill and one from after it: whatever a loss of power leaves of them, all that was synced lives,
-// since the first is synced before the second is written.
+// Whatever a power loss leaves of two appends, one before a kill and one after it, all synced records are there, since the
+// first append is synced before the second is written.
 func TestAppendAfterAKillLeavesNoGap(t *testing.T) {
 	const batches = 2
 	log, mark, writing := unsyncedAppend(t, batches, []message.Record{testRecord("d", 7)})
@@ -66,11 +66,11 @@
 	}
 	a.Close()
 	image := readFile(t, dir, logName)
-	clear(image[before : len(log)+len(writing)]) // what no sync had covered by then is missing, the second append is there
+	clear(image[before : len(log)+len(writing)]) // what wasn't synced before the second append is missing, the second append is there
 	checkSurvives(t, "a second append", image, mark, batches)
 }
 
-// A disk that can't sync what was read gives nothing out.
+// If the disk can't sync what was read, opening the log fails.
 func TestNothingIsReadFromADiskThatCannotSync(t *testing.T) {
 	log, mark, _ := unsyncedAppend(t, 1, []message.Record{testRecord("a", 7)})
 	fault := errors.New("input/output error")
@@ -79,7 +79,7 @@
 	}
 }
 
-// What was synced at a start is marked: a file that lacks it later is damaged.
+// What Open syncs is recorded in the mark: a file that lacks it later is damaged.
 func TestWhatIsSyncedAtAStartIsMarked(t *testing.T) {
 	log, mark, writing := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7)})
 	dir := testDir(t, append(append([]byte(nil), log...), writing...), mark)
@@ -89,7 +89,7 @@
 	}
 }
 
-// After a failed sync the file is written anew: only a new file's sync proves anything.
+// After a failed sync the log is rewritten, because only the sync of a new file proves anything.
 func TestRenewedAfterAFailedSync(t *testing.T) {
 	log, mark, writing := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7)})
 	dir := testDir(t, append(append([]byte(nil), log...), writing...), mark)
@@ -112,9 +112,9 @@
 	}
 	disk.fault = errors.New("input/output error")
 	if err := a.Rewrite(); !errors.Is(err, ErrFailed) {
-		t.Errorf("a file that can't be written anew: %v", err)
+		t.Errorf("a file that can't be rewritten: %v", err)
 	}
 	if err := a.Append([]message.Record{testRecord("a", 8)}); !errors.Is(err, ErrFailed) {
-		t.Errorf("it is written on: %v", err)
+		t.Errorf("a failed file accepts a write: %v", err)
 	}
 }
--- a/internal/storage/wal/scan.go
+++ b/internal/storage/wal/scan.go
@@ -9,20 +9,20 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// kindSnapshot marks the head of a rewritten file. It is the log's own and is not given out.
+// kindSnapshot is the kind of the first record of a compacted file. It is internal to the log: Records doesn't return it.
 const kindSnapshot uint8 = 255
 
-// What parse finds wrong with bytes that should be a record.
+// Reasons why parseRecord rejects bytes.
 var (
 	errTooShort  = errors.New("too short for a record")
-	errBadHeader = errors.New("bad length or number")
+	errBadHeader = errors.New("bad length or sequence number")
 	errChecksum  = errors.New("bad checksum")
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// flagSameBatch is set on every record of an append but the first. An append is written by one call and synced before the
-// next begins, so a record without it proves that all records before it were synced.
+// flagSameBatch is set on every record of an append except the first. An append is written by one call and synced before the
+// next one begins, so a record without the flag proves that all records before it were synced.
 const flagSameBatch uint8 = 1
 
 type recordHeader struct {
@@ -34,29 +34,29 @@
 	Seq      uint32
 }
 
-// Where fields of a head stand.
+// Offsets of fields in a record header.
 const (
 	flagsOffset = 9
 	seqOffset   = 12
 )
 
-// snapshotHeader says what a rewrite put into the file. All of it was synced before the file got its name, so nothing of it
-// may be missing.
+// snapshotHeader describes what a compaction wrote. All of it was synced before the file was renamed, so none of it may be
+// missing.
 type snapshotHeader struct {
 	Generation uint64
 	Count      uint32
-	Checksum   uint32 // over the bytes of all records of the snapshot
+	Checksum   uint32 // of the bytes of all records of the snapshot
 }
 
-// scanResult is what the bytes of a file hold.
+// scanResult is what a file contains.
 type scanResult struct {
 	records    map[string]message.Record
 	generation uint64
 	count      uint32
-	size       int // up to the end of the last whole record
+	size       int // end of the last complete record
 }
 
-// applyRecord has the newest record of a key live; an empty one ends its key.
+// applyRecord replaces the record of a kind and key by a newer one; a record without data deletes it.
 func applyRecord(live map[string]message.Record, r message.Record) {
 	switch {
 	case r.Kind == kindSnapshot:
@@ -67,8 +67,8 @@
 	}
 }
 
-// scan reads all whole records. What follows the last is a torn tail, unless a later append's first record stands behind it
-// or the snapshot isn't whole: then the file is damaged.
+// scan reads all complete records. What follows the last one is a torn write, unless the first record of a later append comes
+// after it or the snapshot is incomplete: then the file is damaged.
 func scan(b []byte) (scanResult, error) {
 	c := scanResult{records: map[string]message.Record{}}
 	for c.size < len(b) {
@@ -86,15 +86,15 @@
 	return c, c.checkSnapshot(b)
 }
 
-// checkSnapshot compares a rewritten file with what its head says.
+// checkSnapshot compares a compacted file with its snapshot header.
 func (c *scanResult) checkSnapshot(b []byte) error {
 	first, at, err := parseRecord(b, 0)
 	if err != nil || first.Kind != kindSnapshot {
-		return nil // never rewritten
+		return nil // never compacted
 	}
 	var h snapshotHeader
 	if _, err := binary.Decode(first.Data, binary.LittleEndian, &h); err != nil {
-		return fmt.Errorf("%w: the snapshot's head: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: the snapshot's header: %w", ErrDamaged, err)
 	}
 	c.generation = h.Generation
 	end := at
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// hasLaterBatch says whether the first record of a later append stands whole anywhere behind a break: then the break is damage
-// to what was synced. Other records of the append that broke may stand there: a loss of power leaves any part of a write.
+// hasLaterBatch reports whether b, the bytes after an invalid record, contain the complete first record of a later append: then
+// synced data is damaged. Later records of the same append don't count, because a power loss may leave any part of a write.
 func hasLaterBatch(b []byte, seq uint32) bool {
 	for i := 0; i+headerLen <= len(b); i++ {
 		n := binary.LittleEndian.Uint32(b[i+seqOffset:])
@@ -126,7 +126,7 @@
 	return false
 }
 
-// parseRecord reads one record of the number seq, and how many bytes it takes.
+// parseRecord parses the record with the sequence number seq, and returns it with its length in bytes.
 func parseRecord(b []byte, seq uint32) (message.Record, int, error) {
 	var h recordHeader
 	if len(b) < headerLen {
@@ -144,7 +144,7 @@
 	return message.Record{Kind: h.Kind, Key: string(b[headerLen:k]), Data: append([]byte(nil), b[k:n]...)}, n, nil
 }
 
-// encodeRecord gives the bytes of a record that begins an append.
+// encodeRecord returns the bytes of a record that begins an append.
 func encodeRecord(r message.Record, seq uint32) []byte { return encodeRecordWithFlags(r, seq, 0) }
 
 func encodeRecordWithFlags(r message.Record, seq uint32, flags uint8) []byte {
@@ -155,7 +155,7 @@
 	return b
 }
 
-// encodeSnapshot gives the bytes of a whole file that holds just the records rs.
+// encodeSnapshot returns the bytes of a compacted file that holds only the records rs.
 func encodeSnapshot(rs []message.Record, generation uint64) []byte {
 	var body []byte
 	for i, r := range rs {
--- a/internal/storage/wal/sync_mark.go
+++ b/internal/storage/wal/sync_mark.go
@@ -8,12 +8,12 @@
 	"path/filepath"
 )
 
-// markName is the file that says how much of the log was synced. It is written after each sync of the log and not synced
-// itself, so it may lag behind after a loss of power, but never runs ahead: a log that holds less has lost what it
-// once answered for, even where its end looks like a torn tail or its name is gone.
+// markName is the file that records how much of the log was synced. It is written after each sync of the log and not synced
+// itself, so after a power loss it may be behind the log but never ahead of it. A log that holds less than the mark has lost
+// data that was acknowledged, even if its end looks like a torn write or the file is missing.
 const markName = "wal.mark"
 
-// syncMark is a lower bound of what the log must hold.
+// syncMark is a lower bound of what the log must contain.
 type syncMark struct {
 	Generation uint64
 	Records    uint32
@@ -26,7 +26,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
-// parseMark reads a mark; one that isn't whole says nothing.
+// parseMark parses a mark; ok is false if it is incomplete or its checksum is wrong, and it is ignored then.
 func parseMark(b []byte) (m syncMark, ok bool) {
 	if len(b) != markLen || binary.LittleEndian.Uint32(b[markLen-4:]) != crc32.Checksum(b[:markLen-4], crcTable) {
 		return m, false
@@ -35,21 +35,21 @@
 	return m, err == nil
 }
 
-// checkMark compares what a file holds with the mark in its folder.
+// checkMark compares the content of a log with the mark in its directory.
 func checkMark(dir string, c scanResult) error {
 	b, err := os.ReadFile(filepath.Join(dir, markName))
 	if err != nil {
-		return nil // a folder of an earlier version, or the mark never reached the disk
+		return nil // a directory of an earlier version, or the mark never reached the disk
 	}
 	m, ok := parseMark(b)
 	if ok && (m.Generation > c.generation || m.Generation == c.generation && m.Records > c.count) {
-		return fmt.Errorf("%w: %d records of generation %d are left of %d of generation %d",
+		return fmt.Errorf("%w: the log has %d records of generation %d, but %d of generation %d were synced",
 			ErrDamaged, c.count, c.generation, m.Records, m.Generation)
 	}
 	return nil
 }
 
-// writeMark says that all there is in the file was synced. Without it the older mark stands, which is a bound as well.
+// writeMark records that all of the log is synced. If it fails, the older mark stays, which is still a lower bound.
 func (a *Log) writeMark() {
 	if a.markFile == nil {
 		f, err := os.OpenFile(filepath.Join(a.dir, markName), os.O_RDWR|os.O_CREATE, 0o644)
@@ -61,7 +61,7 @@
 	_, _ = a.markFile.WriteAt(syncMark{Generation: a.generation, Records: a.seq}.bytes(), 0)
 }
 
-// closeMark syncs the mark: nothing more is written.
+// closeMark syncs and closes the mark's file.
 func (a *Log) closeMark() {
 	if a.markFile != nil {
 		_ = a.markFile.Sync()
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -1,4 +1,5 @@
-// Package wal is the append-only checksummed file of a process with a disk (design 3).
+// Package wal implements the write-ahead log of a process with a disk: an append-only file of checksummed records
+// (docs/design.md, section 3).
 package wal
 
 import (
@@ -12,17 +13,17 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// What went wrong with a disk.
+// Errors of the log; the disk or the log's file is in this state.
 var (
-	ErrDamaged  = errors.New("wal: damaged: not all that was synced is there")
+	ErrDamaged  = errors.New("wal: damaged: synced data is missing or changed")
 	ErrFull     = errors.New("wal: disk full")
-	ErrFailed   = errors.New("wal: a sync failed; this file is not trusted any more")
-	ErrTooLarge = errors.New("wal: a record is too large to be read back")
+	ErrFailed   = errors.New("wal: a write or sync failed; the file is no longer trusted")
+	ErrTooLarge = errors.New("wal: the record is larger than the log can read back")
 )
 
 const (
 	logName     = "wal"
-	tempName    = logName + ".new" // a rewrite that has not got its name yet; never read
+	tempName    = logName + ".new" // a compacted file before it is renamed; never read
 	damagedName = logName + ".damaged"
 	headerLen   = 16
 	maxDataLen  = 32 << 20
@@ -35,22 +36,23 @@
 	f              *os.File
 	size           int64
 	records        map[string]message.Record
-	seq            uint32 // the number of the next record
-	generation     uint64 // how often the file was rewritten
+	seq            uint32 // sequence number of the next record
+	generation     uint64 // how often the file was compacted
 	markFile       *os.File
-	failed         bool
-	CompactionSize int64 // the file is rewritten when longer than this and than four times what lives
-	reserveSize    int64
-	allocatedEnd   int64 // till where the disk's room is ours, written or not
-	diskFull       bool  // the disk gives no more room: this file lives from what it has
+	failed         bool  // a write or sync failed: nothing is written to this file any more
+	CompactionSize int64 // the file is compacted when it is longer than this and than four times its current records
+	reserveSize    int64 // disk space kept for one compaction; 0 for none
+	allocatedEnd   int64 // end of the disk space allocated to the file, written or not
+	diskFull       bool  // the disk has no more space: the file uses what is allocated to it
 	sync           func(*os.File) error
-	// Allocate claims room for a file's bytes from off on; tests stand in for it.
+	// Allocate reserves disk space for n bytes of a file from off; tests replace it.
 	Allocate func(f *os.File, off, n int64) error
 }
 
 func recordID(r message.Record) string { return string(rune(r.Kind)) + r.Key }
 
-// Open reads the file back. The newest record of each kind and key lives. A torn tail is cut.
+// Open reads the log in dir and creates it if needed. It keeps the newest record of each kind and key, and truncates a torn
+// write at the end.
 func Open(dir string, reserveSize int64) (*Log, error) {
 	return openWithSync(dir, reserveSize, (*os.File).Sync)
 }
@@ -59,7 +61,7 @@
 	if err := ensureDir(dir); err != nil {
 		return nil, err
 	}
-	_ = os.Remove(filepath.Join(dir, tempName)) // the file that bears the name holds all that is in it
+	_ = os.Remove(filepath.Join(dir, tempName)) // an unfinished compaction; the log file holds all records
 	f, err := os.OpenFile(filepath.Join(dir, logName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
@@ -95,23 +97,23 @@
 	a.records, a.generation, a.seq, a.size = c.records, c.generation, c.count, int64(c.size)
 	if c.size < len(b) {
 		if err := a.f.Truncate(a.size); err != nil {
-			return fmt.Errorf("wal: cut the tail: %w", err)
+			return fmt.Errorf("wal: truncate the torn tail: %w", err)
 		}
 	}
-	// What is read may be in the kernel's memory only: whoever wrote it was killed before the sync.
+	// What was read may only be in the page cache, if the process that wrote it was killed before its sync.
 	if err := a.sync(a.f); err != nil {
-		return fmt.Errorf("wal: sync what was read: %w", err)
+		return fmt.Errorf("wal: sync after reading: %w", err)
 	}
 	if err := syncDir(a.dir); err != nil {
 		return err
 	}
 	if a.size > 0 {
-		a.writeMark() // behind the folder's sync: a rewrite's name may be in the kernel's memory only as well
+		a.writeMark() // after the directory's sync, since the rename of a compaction may only be in the page cache too
 	}
 	return nil
 }
 
-// Records gives the newest record of each kind and key.
+// Records returns the newest record of each kind and key.
 func (a *Log) Records() []message.Record {
 	l := make([]message.Record, 0, len(a.records))
 	for _, r := range a.records {
@@ -120,7 +122,8 @@
 	return l
 }
 
-// Append writes records and syncs. After a failed sync the file is never written again.
+// Append writes records and syncs them. After a failed write or sync the file is never written again. Without records it only
+// checks whether a full disk has space again.
 func (a *Log) Append(rs []message.Record) error {
 	if a.failed {
 		return ErrFailed
@@ -132,7 +135,7 @@
 	}
 	if len(rs) == 0 {
 		if a.diskFull {
-			_ = a.ensureSpace(a.size) // is there room again?
+			_ = a.ensureSpace(a.size)
 		}
 		return nil
 	}
@@ -168,7 +171,7 @@
 	return a.compactIfLarge()
 }
 
-// encodeBatch gives the bytes of one append.
+// encodeBatch returns the bytes of one append.
 func (a *Log) encodeBatch(rs []message.Record) (b []byte) {
 	flags := uint8(0)
 	for i, r := range rs {
@@ -178,11 +181,11 @@
 	return b
 }
 
-// Close closes the file.
+// Close syncs the sync mark and closes the files.
 func (a *Log) Close() error {
 	a.closeMark()
 	return a.f.Close()
 }
 
-// Size gives the file's length.
+// Size returns the file's length in bytes.
 func (a *Log) Size() int64 { return a.size }
--- a/internal/storage/wal/wal_test.go
+++ b/internal/storage/wal/wal_test.go
@@ -49,7 +49,7 @@
 	return b
 }
 
-// A file cut at any byte loses only whole records from its end, and goes on being written (design 3).
+// A file truncated at any byte loses only records at its end, and can be appended to (docs/design.md, section 3).
 func TestTornTailAtEveryByte(t *testing.T) {
 	whole := threeBatches(t, t.TempDir())
 	for cut := range len(whole) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A byte changed anywhere before the last append is damage and never a silently shorter file. In the last append it looks
-// like a torn write of that, and costs nothing before.
+// A byte changed anywhere before the last append is reported as damage, never read as a shorter file. In the last append it
+// looks like a torn write of that append, and no record before it is lost.
 func TestDamageAtEveryByte(t *testing.T) {
 	whole := threeBatches(t, t.TempDir())
 	second := len(whole) - headerLen - 1 - len("value 2 of b")
@@ -102,7 +102,7 @@
 	}
 }
 
-// A long file is rewritten to what lives, and reads back the same.
+// A long file is compacted to its current records and reads back the same.
 func TestCompaction(t *testing.T) {
 	dir := t.TempDir()
 	a := openLog(t, dir)
@@ -113,7 +113,7 @@
 		}
 	}
 	if a.Size() > 3000 {
-		t.Errorf("%d bytes after the rewrite", a.Size())
+		t.Errorf("%d bytes after the compaction", a.Size())
 	}
 	a.Close()
 	a = openLog(t, dir)
@@ -122,7 +122,7 @@
 	}
 }
 
-// After a failed write the handle is never trusted again: not even for a write that would succeed.
+// After a failed write the file is never trusted again, not even for a write that would succeed.
 func TestFailedWriteIsFinal(t *testing.T) {
 	dir := t.TempDir()
 	a := openLog(t, dir)
@@ -132,11 +132,11 @@
 	original := a.f
 	a.f.Close() // every use of the handle fails from here on
 	if err := a.Append([]message.Record{testRecord("a", 2)}); !errors.Is(err, ErrFailed) {
-		t.Fatalf("a failed write gives %v", err)
+		t.Fatalf("a failed write returns %v", err)
 	}
 	a.f, _ = os.OpenFile(original.Name(), os.O_RDWR, 0o644)
 	if err := a.Append([]message.Record{testRecord("a", 3)}); !errors.Is(err, ErrFailed) {
-		t.Errorf("a sick file takes a write: %v", err)
+		t.Errorf("a failed file accepts a write: %v", err)
 	}
 	b := openLog(t, dir)
 	if storedValue(b, "a") != "value 1 of a" {
@@ -144,7 +144,7 @@
 	}
 }
 
-// A full disk refuses with its own error, keeps what it had, and takes writes again once there is room.
+// On a full disk Append returns ErrFull, keeps what it had, and accepts writes again once there is space.
 func TestFullDisk(t *testing.T) {
 	a := openLog(t, t.TempDir())
 	if err := a.Append([]message.Record{testRecord("a", 1)}); err != nil {
@@ -158,21 +158,21 @@
 	a.f = full
 	err = a.Append([]message.Record{testRecord("a", 2)})
 	if !errors.Is(err, ErrFull) && !errors.Is(err, ErrFailed) {
-		t.Fatalf("a full disk gives %v", err)
+		t.Fatalf("on a full disk Append returns %v", err)
 	}
 	a.f = original
 	if errors.Is(err, ErrFull) && !a.failed {
 		if err := a.Append([]message.Record{testRecord("a", 3)}); err != nil {
-			t.Errorf("with room again: %v", err)
+			t.Errorf("with space again: %v", err)
 		}
 	}
 	if storedValue(a, "a") == "value 2 of a" {
-		t.Error("a refused write lives")
+		t.Error("a refused write is read back")
 	}
 }
 
-// With the disk full from one moment on, the reserve bears so many changes as docs/design.md says; each that was
-// taken is read back from the disk; then a rewrite makes room of what is old, and with room again all is as before.
+// When the disk becomes full, the reserve takes as many changes as docs/design.md says, and each accepted one is read back from
+// the disk. Then a compaction frees the space of old records, and once the disk has space again writes succeed as before.
 func TestReserveOfAFullDisk(t *testing.T) {
 	const reserveSize = 64 << 10
 	dir := t.TempDir()
@@ -205,18 +205,18 @@
 		accepted = i
 	}
 	if !a.DiskFull() {
-		t.Error("a full disk is not seen")
+		t.Error("a full disk is not detected")
 	}
 	if minAccepted := reserveSize / 2100; accepted < minAccepted {
-		t.Errorf("%d changes of 2 kB from a reserve of %d bytes, %d promised", accepted, reserveSize, minAccepted)
+		t.Errorf("%d changes of 2 kB from a reserve of %d bytes, want at least %d", accepted, reserveSize, minAccepted)
 	}
-	a.Close() // as a lost power would: nothing more is written
+	a.Close() // nothing more is written, as after a power loss
 	a, err = Open(dir, reserveSize)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := fmt.Sprintf("%d ", accepted); storedValue(a, "a")[:len(want)] != want {
-		t.Errorf("read back %.8q, %s was taken last", storedValue(a, "a"), want)
+		t.Errorf("read back %.8q, %s was accepted last", storedValue(a, "a"), want)
 	}
 	a.Allocate = func(*os.File, int64, int64) error { return syscall.ENOSPC }
 	a.allocatedEnd, a.diskFull = a.size, true
@@ -224,11 +224,11 @@
 		t.Errorf("with the reserve used up: %v", err)
 	}
 	if a.size > 3000 {
-		t.Errorf("what is old was not thrown away: %d bytes", a.size)
+		t.Errorf("old records were not removed: %d bytes", a.size)
 	}
 	a.Allocate = allocate
 	if err := a.Append(nil); err != nil || a.DiskFull() {
-		t.Errorf("with room again: %v, low %v", err, a.DiskFull())
+		t.Errorf("with space again: %v, disk full %v", err, a.DiskFull())
 	}
 	if err := a.Append([]message.Record{big("b", 2)}); err != nil || storedValue(a, "b")[:2] != "2 " {
 		t.Errorf("with room again: %v", err)
