--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -1,6 +1,6 @@
-// Package antientropy compares copies of the control state by digests over ranges, and has them mended from the newer
-// (design 2). A member that may have missed writes compares with every other member in turn, at once; one that has
-// nothing to catch up with compares with one other each Gap.
+// Package antientropy compares the voters' copies of the control state by digests over ranges of keys, and repairs older copies
+// from newer ones (docs/design.md, section 2). A voter that may have missed writes compares with every other voter at once, one
+// after the other; a voter that has nothing to catch up with compares with one other voter each Interval.
 package antientropy
 
 import (
@@ -13,9 +13,10 @@
 	"seamshunt/internal/units"
 )
 
-// The messages of a comparison. Root opens it; where the sums differ, Digests answers it, and Ranges answers those. Who
-// gets Ranges mends what is older there, shows its own part back if something is older here, and says in a Verdict
-// whether it held anything newer. Mending itself is the owner's last Accept once more, so an acceptor's promises guard it.
+// The messages of a comparison. Root opens it; if the sums differ, the answer is Digests, and the answer to Digests is Ranges.
+// The receiver of Ranges repairs the sender's older copies, sends its own Ranges back if some of its copies are older, and
+// reports in an Outcome whether it had anything newer. A repair is the owner's last Accept sent again, so an acceptor checks it
+// against its promises.
 const (
 	Digests = message.KindAntiEntropy + iota
 	Ranges
@@ -23,34 +24,35 @@
 	Outcome
 )
 
-// Interval between two comparisons by one member that has nothing to catch up with (start).
+// Interval is the time between two comparisons by a voter that has nothing to catch up with.
 const Interval = 1500 * time.Millisecond
 
-// Repair sends a key's accepted value to another member.
+// Repair sends a key's accepted value to another voter.
 type Repair func(to units.NodeID, key string) message.Effects
 
-// Syncer is one member's state machine of the comparison. It isn't safe for concurrent use.
+// Syncer is one node's state machine for comparisons. It isn't safe for concurrent use.
 type Syncer struct {
 	self      units.NodeID
-	nextAt    units.Time
-	peerIndex int            // whom of the members to compare with next
-	peers     []units.NodeID // the other members at the last tick; none while this node is no member itself
-	isVoter   bool           // was in the quorum at the last tick
-	healthy   bool           // could take part at the last tick
-	catchUp   *catchUp
-	Repaired  int // copies of others that were older than the ones here
-	Ignored   int // messages of who is no member
+	nextAt    units.Time     // when the next comparison is due
+	peerIndex int            // index of the next peer to compare with
+	peers     []units.NodeID // the other voters at the last tick; none while this node is no voter itself
+	isVoter   bool           // was in the quorum set at the last tick
+	healthy   bool           // could take part in comparisons at the last tick
+	catchUp   *catchUp       // the catch-up in progress, if any
+	Repaired  int            // copies of other voters that were older than the own ones
+	Ignored   int            // messages from nodes that aren't voters
 }
 
-// New gives one that begins after a random part of the gap, with a random member. It was just started, so it catches up
-// first.
+// New returns a syncer that begins after a random part of the interval, with a random peer, so that nodes that start together
+// don't compare in step. It catches up first, as the process was just started.
 func New(self units.NodeID, now units.Time, rng *rand.Rand) *Syncer {
-	s := &Syncer{self: self, nextAt: now.Add(time.Duration(rng.Int64N(int64(Interval)))), peerIndex: rng.IntN(1 << 16), healthy: true}
+	s := &Syncer{self: self, nextAt: now.Add(time.Duration(rng.Int64N(int64(Interval)))), peerIndex: rng.IntN(1 << 16),
+		healthy: true}
 	return s
 }
 
-// SetHealthy tells whether this node reaches a majority and its disk takes writes. One that does not can't be mended and
-// asks nobody; it may miss writes meanwhile, and catches up afterwards.
+// SetHealthy sets whether this node reaches a majority and its disk accepts writes. An unhealthy node can't be repaired and
+// sends no requests; it may miss writes meanwhile, so it catches up when it is healthy again.
 func (s *Syncer) SetHealthy(ok bool) {
 	if ok && !s.healthy {
 		s.StartCatchUp()
@@ -58,8 +60,8 @@
 	s.healthy = ok
 }
 
-// Tick compares with one other member. Who is not in the quorum holds no copy: it would be told of every key again and
-// again.
+// Tick starts a comparison with one other voter if it is due. A node outside the quorum set takes no part: it stores no copies,
+// so every key would be sent to it again and again.
 func (s *Syncer) Tick(now units.Time, voters []units.NodeID, states map[string]*register.State) (out message.Effects) {
 	if !slices.Contains(voters, s.self) {
 		s.isVoter, s.peers = false, nil
@@ -94,7 +96,7 @@
 	return out
 }
 
-// Step takes one message; of a node that is no member, none.
+// Step handles one message. Messages from nodes that aren't voters are ignored.
 func (s *Syncer) Step(m message.Message, states map[string]*register.State, repair Repair) (out message.Effects) {
 	if !slices.Contains(s.peers, m.From) {
 		s.Ignored++
@@ -115,6 +117,8 @@
 	return out
 }
 
+// compareRoot answers with the digests if the sums over all keys differ, and with an outcome if they are equal and the sender
+// asked for one.
 func compareRoot(m message.Message, states map[string]*register.State, out *message.Effects) error {
 	var request rootRequest
 	if err := message.Unpack(m.Body, &request); err != nil {
@@ -130,18 +134,20 @@
 	return nil
 }
 
+// compareDigests answers with the versions of the copies in all ranges that differ.
 func compareDigests(m message.Message, states map[string]*register.State, out *message.Effects) error {
 	var theirs digests
 	if err := message.Unpack(m.Body, &theirs); err != nil {
 		return err
 	}
-	// Where nothing differs any more, the list is empty and brings the verdict.
+	// If nothing differs any more, the list is empty, and it is still sent, since its answer is the outcome.
 	out.Send(m.From, Ranges, packRanges(rangesHeader{Mask: rangeSums(states).differing(theirs)}, states))
 	return nil
 }
 
-// compareRanges mends what is older there, and shows its own part back when something is older here.
-func (s *Syncer) compareRanges(m message.Message, states map[string]*register.State, repair Repair, out *message.Effects) error {
+// compareRanges repairs the sender's older copies, and sends the own versions back if some of the own copies are older.
+func (s *Syncer) compareRanges(m message.Message, states map[string]*register.State, repair Repair,
+	out *message.Effects) error {
 	header, theirs, err := unpackRanges(m.Body)
 	if err != nil {
 		return err
@@ -180,7 +186,7 @@
 	return nil
 }
 
-// handleOutcome takes what another member made of this one's copies.
+// handleOutcome records whether another voter found older copies here.
 func (s *Syncer) handleOutcome(m message.Message) error {
 	var outcome outcomeBody
 	if err := message.Unpack(m.Body, &outcome); err != nil {
--- a/internal/control/antientropy/antientropy_test.go
+++ b/internal/control/antientropy/antientropy_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// Voters compare their copies; one that has no vote asks nobody.
+// Voters compare their copies; a node without a vote sends no requests.
 func TestOnlyVotersCompare(t *testing.T) {
 	voters := []units.NodeID{1, 2, 3}
 	count := func(self units.NodeID) (n int) {
@@ -20,9 +20,9 @@
 		return n
 	}
 	if n := count(1); n == 0 {
-		t.Error("a voter compares with nobody")
+		t.Error("a voter sends no requests")
 	}
 	if n := count(9); n != 0 {
-		t.Errorf("one without a vote asked %d times", n)
+		t.Errorf("a node without a vote sent %d requests", n)
 	}
 }
--- a/internal/control/antientropy/catchup.go
+++ b/internal/control/antientropy/catchup.go
@@ -6,29 +6,29 @@
 	"seamshunt/internal/units"
 )
 
-// Spans and counts of catching up (start values).
+// Intervals and limits of a catch-up.
 const (
-	minInterval   = 150 * time.Millisecond // between two questions, doubled after each round that no good answer came in
+	minInterval   = 150 * time.Millisecond // between two requests; doubled after each round without a positive answer
 	maxInterval   = 2 * time.Second
-	maxUnanswered = 3 // questions without an answer after which a member is passed over
+	maxUnanswered = 3 // requests without an answer after which a voter is skipped
 )
 
-// A catchUp is a round over all other members, begun anew whenever one holds something newer.
+// catchUp is a round of comparisons with all other voters. It starts again whenever one of them has something newer.
 type catchUp struct {
-	notNewer       map[units.NodeID]bool // holds nothing newer than what is here
-	unanswered     map[units.NodeID]int  // questions since the last answer
-	interval       time.Duration
-	sinceProgress  int  // questions since the last good answer, in this round
-	awaitingCopies bool // newer copies are on their way: the next question waits for them
+	notNewer       map[units.NodeID]bool // voters that have nothing newer than this node
+	unanswered     map[units.NodeID]int  // requests since the last answer
+	interval       time.Duration         // between two requests
+	sinceProgress  int                   // requests in this round since the last answer without anything newer
+	awaitingCopies bool                  // newer copies are in transit: the next request waits for them
 }
 
-// StartCatchUp begins to compare with every other member, at once: this node may have missed writes.
+// StartCatchUp begins to compare with every other voter, because this node may have missed writes.
 func (s *Syncer) StartCatchUp() {
 	s.catchUp = &catchUp{notNewer: map[units.NodeID]bool{}, unanswered: map[units.NodeID]int{}, interval: minInterval}
 	s.nextAt = 0
 }
 
-// markNotNewer takes that another member holds nothing newer.
+// markNotNewer records that another voter has nothing newer.
 func (s *Syncer) markNotNewer(from units.NodeID) {
 	c := s.catchUp
 	if c == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// markNewer takes that another member holds something newer, which is on its way.
+// markNewer records that another voter has something newer, which is in transit.
 func (s *Syncer) markNewer(from units.NodeID) {
 	if s.catchUp == nil {
 		s.StartCatchUp()
@@ -50,7 +50,7 @@
 	c.unanswered[from], c.awaitingCopies = 0, true
 }
 
-// isDue says whether the next question is due; it is put off while newer copies may be on their way.
+// isDue reports whether the next request is due. It is delayed while newer copies may be in transit.
 func (s *Syncer) isDue(now units.Time) bool {
 	if c := s.catchUp; c != nil && c.awaitingCopies {
 		c.awaitingCopies = false
@@ -59,7 +59,7 @@
 	return now >= s.nextAt
 }
 
-// nextPeer picks the member to ask next, and how long to wait for its answer.
+// nextPeer returns the voter to send the next request to, and how long to wait for its answer.
 func (c *catchUp) nextPeer(peers []units.NodeID, peerIndex *int) (to units.NodeID, wait time.Duration) {
 	if c.sinceProgress++; c.sinceProgress > len(peers) {
 		c.sinceProgress, c.interval = 1, min(2*c.interval, maxInterval)
@@ -75,8 +75,8 @@
 	return to, c.interval
 }
 
-// complete says whether a full round found nothing newer. Members that stay silent are passed over once a majority, with
-// this node, showed nothing newer: it meets every majority that a value may stand on.
+// complete reports whether a full round found nothing newer. Voters that don't answer are skipped once a majority that includes
+// this node has nothing newer, since it overlaps every majority that may have accepted a value.
 func (c *catchUp) complete(peers []units.NodeID) bool {
 	notNewer, unanswered := 0, 0
 	for _, n := range peers {
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -6,35 +6,37 @@
 	"seamshunt/internal/units"
 )
 
-// RangeCount is how many ranges the keys fall into, by hash.
+// RangeCount is the number of ranges that the keys are divided into by their hash.
 const RangeCount = 16
 
-// digests holds one sum over each range of keys.
+// digests holds one checksum of each range of keys.
 type digests struct{ Sum [RangeCount]uint64 }
 
-// rootRequest opens a comparison: one sum over all keys, and whether equal copies are to be confirmed.
+// rootRequest opens a comparison: one checksum of all keys, and whether equal copies are to be confirmed.
 type rootRequest struct {
 	Sum          uint64
 	ReplyIfEqual uint8
 }
 
-// outcomeBody tells a member whether anything newer than its copies was found; that is on its way then.
+// outcomeBody reports whether anything newer than the receiver's copies was found, which is in transit then.
 type outcomeBody struct{ Newer uint8 }
 
-// rangesHeader says which ranges a list of keys covers.
+// rangesHeader contains the ranges that a list of keys covers, as a bit mask.
 type rangesHeader struct {
 	Mask    uint64
-	IsReply uint8 // shown in return: not to be returned once more
+	IsReply uint8 // sent in return for Ranges: the receiver must not return its own again
 }
 
-// copyVersion is how new one key's copy is.
+// copyVersion is the version of the copy of one key: the epoch's number and node, and the sequence number.
 type copyVersion struct{ Number, Node, Seq uint64 }
 
+// rangeOf returns the index of a key's range.
 func rangeOf(key string) int { return int(units.Mix(key) % RangeCount) }
 
-// hasCopy says whether a value was ever accepted here; a promise alone is no copy.
+// hasCopy reports whether a value was accepted on this node; a promise alone is no copy.
 func hasCopy(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
 
+// rangeSums returns the checksums of all ranges.
 func rangeSums(states map[string]*register.State) (d digests) {
 	for _, key := range message.SortedKeys(states) {
 		s := states[key]
@@ -46,7 +48,7 @@
 	return d
 }
 
-// root is one sum over all ranges.
+// root returns one checksum of all ranges.
 func (d digests) root() (sum uint64) {
 	for _, x := range d.Sum {
 		sum += x
@@ -54,7 +56,7 @@
 	return sum
 }
 
-// differing gives the ranges whose sums differ.
+// differing returns the ranges whose checksums differ.
 func (d digests) differing(other digests) (mask uint64) {
 	for p := range RangeCount {
 		if d.Sum[p] != other.Sum[p] {
@@ -64,7 +66,7 @@
 	return mask
 }
 
-// packRanges packs how new each key of the head's ranges is.
+// packRanges packs the copy versions of all keys in the header's ranges.
 func packRanges(h rangesHeader, states map[string]*register.State) []byte {
 	var l [][]byte
 	for _, key := range message.SortedKeys(states) {
@@ -97,7 +99,7 @@
 	return h, theirs, nil
 }
 
-// compareCopies is above zero where the copy here is newer, below where the other is.
+// compareCopies returns 1 if the copy on this node is newer than the other, -1 if it is older, and 0 if both are the same.
 func compareCopies(s *register.State, x copyVersion) int {
 	e := units.Epoch{Number: x.Number, Node: units.NodeID(x.Node)}
 	switch {
--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -11,14 +11,14 @@
 	"seamshunt/internal/units"
 )
 
-// A group of members with a net that loses nothing but what is sent to silent members.
+// group is a group of voters with a network that loses only messages to unresponsive ones.
 type group struct {
 	now           units.Time
 	members       []units.NodeID
 	syncers       map[units.NodeID]*Syncer
 	copies        map[units.NodeID]map[string]*register.State
 	unresponsive  map[units.NodeID]bool
-	rejectsCopies map[units.NodeID]bool // takes no copy
+	rejectsCopies map[units.NodeID]bool // ignores repairs
 	sent          []message.Message
 	repairs       int
 }
@@ -40,14 +40,14 @@
 	}
 }
 
-// write has some members hold a newer value of a key.
+// write stores a newer value of a key at some members.
 func (g *group) write(key string, n uint64, at ...units.NodeID) {
 	for _, id := range at {
 		g.copies[id][key] = &register.State{Accepted: units.Epoch{Number: n, Node: 1}, Seq: 1, Version: units.Version(n), Body: []byte(key)}
 	}
 }
 
-// run lets virtual time go on; every message arrives at once.
+// run advances the virtual time; messages arrive immediately.
 func (g *group) run(duration time.Duration) {
 	for end := g.now.Add(duration); g.now < end; g.now = g.now.Add(25 * time.Millisecond) {
 		for _, id := range g.members {
@@ -77,7 +77,7 @@
 	}
 }
 
-// hasAllCopies says whether a member holds what all of the others hold.
+// hasAllCopies reports whether a member has the same copies as all others.
 func (g *group) hasAllCopies(id units.NodeID) bool {
 	for _, other := range g.members {
 		if rangeSums(g.copies[other]) != rangeSums(g.copies[id]) {
@@ -87,7 +87,7 @@
 	return true
 }
 
-// bytesSent counts what was sent, with a frame's head of 24 bytes each.
+// bytesSent returns the bytes sent, with a frame header of 24 bytes for each message.
 func (g *group) bytesSent() (n int) {
 	for _, x := range g.sent {
 		n += 24 + len(x.Body)
@@ -95,8 +95,8 @@
 	return n
 }
 
-// At rest a member compares with each other one in turn, never with itself, and sends no more than the 152 bytes to one
-// member of all, itself included, each 2 s that it sent before.
+// With nothing to catch up with, a member compares with each other one in turn, never with itself. It sends no more than an
+// earlier version did: 152 bytes each 2 s to a random member, which could be itself.
 func TestIdleTraffic(t *testing.T) {
 	for n := 3; n <= 7; n++ {
 		g := newGroup(n)
@@ -107,7 +107,7 @@
 		requests := map[units.NodeID]map[units.NodeID]int{}
 		for _, x := range g.sent {
 			if x.Kind != Root || x.From == x.To {
-				t.Fatalf("%d members: at rest %d sent kind %d to %d", n, x.From, x.Kind, x.To)
+				t.Fatalf("%d members: idle, %d sent kind %d to %d", n, x.From, x.Kind, x.To)
 			}
 			if requests[x.From] == nil {
 				requests[x.From] = map[units.NodeID]int{}
@@ -117,21 +117,21 @@
 		for from, to := range requests {
 			for _, id := range g.members {
 				if id != from && to[id] < int(duration/Interval)/(n-1)-1 {
-					t.Errorf("%d members: %d asked %d only %d times", n, from, id, to[id])
+					t.Errorf("%d members: %d sent %d only %d requests", n, from, id, to[id])
 				}
 			}
 		}
 		perMember := float64(g.bytesSent()) / duration.Seconds() / float64(n)
 		if limit := 152.0 / 2 * float64(n-1) / float64(n); perMember > limit {
-			t.Errorf("%d members: %.1f bytes a second each at rest, before %.1f", n, perMember, limit)
+			t.Errorf("%d members: %.1f bytes a second each while idle, limit %.1f", n, perMember, limit)
 		} else {
-			t.Logf("%d members: %.1f bytes a second each at rest, before %.1f", n, perMember, limit)
+			t.Logf("%d members: %.1f bytes a second each while idle, limit %.1f", n, perMember, limit)
 		}
 	}
 }
 
-// A member that was just started, is new in the quorum or was unhealthy holds all within one round of short pauses,
-// though some of the others lack the values too or don't answer, and rests afterwards.
+// A member that was just started, is new in the quorum set or was unhealthy has all copies within one round of minimum
+// intervals, although some of the others lack the values too or don't answer. The catch-up ends afterwards.
 func TestCatchUpRound(t *testing.T) {
 	reasons := map[string]func(g *group, id units.NodeID){
 		"just started": func(g *group, id units.NodeID) { g.start(id) },
@@ -161,17 +161,17 @@
 				g.run(25 * time.Millisecond)
 			}
 			if bound := time.Duration(n-1) * minInterval; took > bound {
-				t.Errorf("%s, %d members: whole after %v, %v is the bound", reason, n, took, bound)
+				t.Errorf("%s, %d members: all copies after %v, limit %v", reason, n, took, bound)
 			}
 			g.run(20 * time.Second)
 			if g.syncers[1].catchUp != nil {
-				t.Errorf("%s, %d members: it never rests", reason, n)
+				t.Errorf("%s, %d members: the catch-up never ends", reason, n)
 			}
 		}
 	}
 }
 
-// A member that finds something newer elsewhere asks all others, so a value that only one of them holds comes too.
+// A member that finds something newer at one other compares with all of them, so it also gets a value that only one of them has.
 func TestCatchUpAfterFindingNewer(t *testing.T) {
 	g := newGroup(5)
 	g.run(10 * time.Second)
@@ -180,12 +180,12 @@
 	}
 	g.run(Interval + 4*minInterval + 100*time.Millisecond)
 	if !g.hasAllCopies(1) {
-		t.Errorf("it holds %d of 4 keys", len(g.copies[1]))
+		t.Errorf("it has %d of 4 keys", len(g.copies[1]))
 	}
 }
 
-// A member that takes no copy is not sent all again and again by those that catch up, and one that knows itself to be
-// unhealthy asks nobody.
+// A member that ignores repairs isn't sent all copies again and again by members that catch up, and an unhealthy member sends
+// no requests.
 func TestMemberThatRejectsCopiesCostsLittle(t *testing.T) {
 	g := newGroup(5)
 	g.run(10 * time.Second)
@@ -198,23 +198,23 @@
 	g.run(duration)
 	for _, x := range g.sent {
 		if x.From == 2 && x.Kind == Root {
-			t.Fatal("an unhealthy member asks")
+			t.Fatal("an unhealthy member sends a request")
 		}
 	}
 	if maxRepairs := int(duration/Interval) + 5; g.repairs > maxRepairs {
-		t.Errorf("%d copies sent to it in %v, %d are the bound", g.repairs, duration, maxRepairs)
+		t.Errorf("%d copies sent to it in %v, limit %d", g.repairs, duration, maxRepairs)
 	}
 }
 
-// Messages of who is no member, and malformed ones, change nothing and are counted or reported.
+// Messages from nodes that aren't members, and malformed ones, change nothing and are counted or reported.
 func TestBadMessages(t *testing.T) {
 	g := newGroup(3)
 	g.run(10 * time.Second)
 	g.write("config", 5, 1)
-	mend := func(units.NodeID, string) message.Effects { t.Fatal("mended"); return message.Effects{} }
+	mend := func(units.NodeID, string) message.Effects { t.Fatal("repaired"); return message.Effects{} }
 	for k := message.Kind(Digests); k <= Outcome; k++ {
 		if out := g.syncers[1].Step(message.Message{From: 99, Kind: k, Body: message.Pack(digests{})}, g.copies[1], mend); len(out.Messages) > 0 {
-			t.Errorf("a stranger's kind %d is answered", k)
+			t.Errorf("kind %d from a node that is no member is answered", k)
 		}
 		if out := g.syncers[1].Step(message.Message{From: 2, Kind: k}, g.copies[1], mend); len(out.Messages) > 0 || len(out.Errors) != 1 {
 			t.Errorf("a malformed kind %d: %d answers, errors %v", k, len(out.Messages), out.Errors)
--- a/internal/control/changelog/changelog.go
+++ b/internal/control/changelog/changelog.go
@@ -1,5 +1,5 @@
-// Package changelog records the operators' changes that this node acknowledged as a Merkle log with signed
-// checkpoints, in the published tlog-checkpoint and signed-note formats (design 10).
+// Package changelog records the operators' changes that this node acknowledged. The record is a Merkle tree log with signed
+// checkpoints, in the published tlog-checkpoint and signed-note formats (docs/design.md, section 10).
 package changelog
 
 import (
@@ -15,7 +15,7 @@
 	"golang.org/x/mod/sumdb/tlog"
 )
 
-// The files in the data folder.
+// Names of the files in the data directory.
 const (
 	entriesFile    = "audit.jsonl"
 	checkpointFile = "audit.checkpoint"
@@ -23,7 +23,7 @@
 	publicKeyFile  = "audit.pub"
 )
 
-// Entry is one acknowledged change, as a line of the log; Unix is the time of day in seconds.
+// Entry is one acknowledged change, which is one line of the log. Unix is the time in seconds since the epoch.
 type Entry struct {
 	Unix    int64  `json:"unix"`
 	Key     string `json:"key"`
@@ -32,7 +32,7 @@
 	SHA256  string `json:"sha256"`
 }
 
-// hashes keeps the log's stored hashes in memory.
+// hashes holds the log's stored hashes in memory.
 type hashes []tlog.Hash
 
 func (h *hashes) add(n int64, data []byte) error {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// ReadHashes serves the library.
+// ReadHashes implements tlog.HashReader.
 func (h *hashes) ReadHashes(at []int64) ([]tlog.Hash, error) {
 	var l []tlog.Hash
 	for _, i := range at {
@@ -56,7 +56,7 @@
 	return l, nil
 }
 
-// Log is one node's record.
+// Log is the change log of one node.
 type Log struct {
 	mu     sync.Mutex
 	dir    string
@@ -66,7 +66,7 @@
 	signer note.Signer
 }
 
-// Open reads the record back, and makes the node's key at the first start. A torn last line is cut.
+// Open reads the log back, and generates the node's key at the first start. A torn last line is truncated.
 func Open(dir, name string) (*Log, error) {
 	l := &Log{dir: dir}
 	var err error
@@ -90,7 +90,7 @@
 	return l, nil
 }
 
-// readEntries builds the tree from whole lines.
+// readEntries builds the tree from the complete lines of a file, and returns their length in bytes and their number.
 func readEntries(file *os.File) (size, count int64, tree hashes, err error) {
 	r := bufio.NewReader(file)
 	for {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Append records a change, syncs it, and signs a new checkpoint.
+// Append writes an entry, syncs it and signs a new checkpoint.
 func (l *Log) Append(entry Entry) error {
 	b, err := json.Marshal(entry)
 	if err != nil {
@@ -128,7 +128,7 @@
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	// The body of a checkpoint: origin, size, root hash, each on a line.
+	// The body of a checkpoint has the origin, the size and the root hash, each on a line.
 	signed, err := note.Sign(&note.Note{Text: fmt.Sprintf("%s\n%d\n%s\n", l.signer.Name(), l.count, root)}, l.signer)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
@@ -136,11 +136,11 @@
 	return writeFile(l.dir, checkpointFile, signed, 0o644)
 }
 
-// Close closes the record.
+// Close closes the log's file.
 func (l *Log) Close() error { return l.file.Close() }
 
-// Verify checks a folder's record against its signed checkpoint, under the verifier key given. With an older
-// checkpoint it also checks that the record has only grown since.
+// Verify checks the log in a directory against its signed checkpoint with the given verifier key, and returns the number of
+// signed entries. With an older checkpoint it also checks that the log has only been appended to since.
 func Verify(dir, vkey string, older []byte) (int64, error) {
 	v, err := note.NewVerifier(vkey)
 	if err != nil {
@@ -189,6 +189,7 @@
 	return size, check(oldSize, oldRoot, "the older checkpoint")
 }
 
+// parseCheckpoint checks a checkpoint's signature and returns its size and root hash.
 func parseCheckpoint(b []byte, v note.Verifier) (int64, tlog.Hash, error) {
 	x, err := note.Open(b, note.VerifierList(v))
 	if err != nil {
--- a/internal/control/changelog/changelog_test.go
+++ b/internal/control/changelog/changelog_test.go
@@ -31,7 +31,7 @@
 	return b
 }
 
-// A record that only grew verifies; every planted change of it, of its signature, or of its past does not.
+// A log that was only appended to verifies; any change of its entries, its signature or its past does not.
 func TestVerify(t *testing.T) {
 	dir := t.TempDir()
 	appendEntries(t, dir, 1, 4)
@@ -39,7 +39,7 @@
 	appendEntries(t, dir, 4, 9)
 	vkey := strings.TrimSpace(string(readFile(t, dir, publicKeyFile)))
 	if n, err := Verify(dir, vkey, older); n != 8 || err != nil {
-		t.Fatalf("a good record: %d, %v", n, err)
+		t.Fatalf("a valid log: %d, %v", n, err)
 	}
 	lines, point := readFile(t, dir, entriesFile), readFile(t, dir, checkpointFile)
 	other := t.TempDir()
@@ -47,14 +47,14 @@
 	foreign := readFile(t, other, checkpointFile)
 	at := bytes.IndexByte(lines, '\n') + 1
 	for name, x := range map[string]struct{ lines, point, older []byte }{
-		"an entry changed":   {bytes.Replace(lines, []byte(`"number":2`), []byte(`"number":7`), 1), point, nil},
-		"an entry gone":      {lines[at:], point, nil},
-		"the last one gone":  {lines[:bytes.LastIndexByte(lines[:len(lines)-1], '\n')+1], point, nil},
-		"a size changed":     {lines, bytes.Replace(point, []byte("\n8\n"), []byte("\n7\n"), 1), nil},
-		"another's":          {lines, foreign, nil},
-		"rolled back":        {lines, older, point},
-		"another past":       {lines, point, foreign},
-		"no checkpoint text": {lines, []byte("hello\n"), nil},
+		"an entry changed":                   {bytes.Replace(lines, []byte(`"number":2`), []byte(`"number":7`), 1), point, nil},
+		"an entry removed":                   {lines[at:], point, nil},
+		"the last entry removed":             {lines[:bytes.LastIndexByte(lines[:len(lines)-1], '\n')+1], point, nil},
+		"a size changed":                     {lines, bytes.Replace(point, []byte("\n8\n"), []byte("\n7\n"), 1), nil},
+		"the checkpoint of another log":      {lines, foreign, nil},
+		"rolled back":                        {lines, older, point},
+		"an older checkpoint of another log": {lines, point, foreign},
+		"no checkpoint text":                 {lines, []byte("hello\n"), nil},
 	} {
 		if err := os.WriteFile(filepath.Join(dir, entriesFile), x.lines, 0o644); err != nil {
 			t.Fatal(err)
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Verify(dir, vkey, x.older); err == nil {
-			t.Errorf("%s is not seen", name)
+			t.Errorf("%s is not detected", name)
 		}
 	}
 }
--- a/internal/control/changelog/key.go
+++ b/internal/control/changelog/key.go
@@ -12,8 +12,9 @@
 	"golang.org/x/mod/sumdb/note"
 )
 
-// loadSigner reads the node's key, or makes one at the first start. A key that a loss of power left torn was never used:
-// it is made anew. One that can't be read while a record stands is set aside with the record, which it alone can sign.
+// loadSigner reads the node's key, or generates one at the first start. A key that a power loss left torn was never
+// used, so a new one is generated. If a log exists beside a key that can't be parsed, it is set aside with the key, since no
+// other key can sign it.
 func loadSigner(dir, name string) (note.Signer, error) {
 	key, err := os.ReadFile(filepath.Join(dir, secretKeyFile))
 	if err == nil {
@@ -29,8 +30,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
-	// The secret key comes last: where it stands, the public one does too.
-	if err := errors.Join(writeFile(dir, publicKeyFile, []byte(vkey+"\n"), 0o644), writeFile(dir, secretKeyFile, []byte(skey), 0o600)); err != nil {
+	// The secret key is written last, so that the public one exists whenever it does.
+	if err := errors.Join(writeFile(dir, publicKeyFile, []byte(vkey+"\n"), 0o644),
+		writeFile(dir, secretKeyFile, []byte(skey), 0o600)); err != nil {
 		return nil, err
 	}
 	s, err := note.NewSigner(skey)
@@ -40,18 +42,19 @@
 	return s, nil
 }
 
-// setAside keeps what can't be gone on with under other names.
+// setAside renames the files of a log that can't be continued.
 func setAside(dir string) error {
 	suffix := fmt.Sprintf(".damaged-%d", time.Now().UnixNano())
 	for _, n := range []string{entriesFile, checkpointFile, publicKeyFile, secretKeyFile} {
-		if err := os.Rename(filepath.Join(dir, n), filepath.Join(dir, n+suffix)); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := os.Rename(filepath.Join(dir, n), filepath.Join(dir, n+suffix)); err != nil &&
+			!errors.Is(err, os.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeFile has a file whole or not at all: synced under another name, renamed, and its folder synced.
+// writeFile writes a file atomically: it syncs it under a temporary name, renames it, and syncs the directory.
 func writeFile(dir, name string, b []byte, mode os.FileMode) error {
 	tmp := filepath.Join(dir, name+".new")
 	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, mode)
--- a/internal/control/changelog/key_test.go
+++ b/internal/control/changelog/key_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A loss of power may leave any file that was not synced torn or empty; the node starts all the same, and what it
-// records from then on verifies.
+// A power loss may leave any file that was not synced torn or empty. The node starts nevertheless, and what it records from then
+// on verifies.
 func TestTornKey(t *testing.T) {
 	for _, torn := range []string{"", "PRIVATE+KEY+", "core1+0"} {
 		dir := t.TempDir()
@@ -22,7 +22,7 @@
 			t.Errorf("key %q: %d entries, %v", torn, n, err)
 		}
 		if l, _ := filepath.Glob(filepath.Join(dir, entriesFile+".damaged-*")); len(l) != 1 {
-			t.Errorf("key %q: the old record is not kept: %v", torn, l)
+			t.Errorf("key %q: the old log is not kept: %v", torn, l)
 		}
 	}
 }
