--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Where an adapter tells bounds and limits, these choose what follows from them (design 11).
+// The functions below derive settings from the bounds and limits that an adapter reads (docs/design.md, section 11).
 
-// The list of workers is asked for neither more nor less often, unless its rate is low.
-const minPollMs, maxPollMs = 500, 900 // ms
+// Bounds of the interval between two requests for the worker list, in milliseconds. A low rate limit may lengthen it further.
+const minPollMs, maxPollMs = 500, 900
 
-// PollIntervalMs is three tenths of the time that a worker may still be used after the list has shown that it leaves, within
-// bounds; it leaves room for four pages at a quarter of the platform's rate, in calls a second.
+// PollIntervalMs returns the interval between two requests for the worker list in milliseconds: three tenths of the time in
+// which a draining worker may still get requests, within bounds. It is long enough to fetch four pages with a quarter of the
+// calls a second that the platform allows.
 func PollIntervalMs(drainTime time.Duration, callsPerSecond float64) int {
 	interval := max(minPollMs, min(maxPollMs, float64(drainTime/time.Millisecond)*0.3))
 	if callsPerSecond > 0 {
@@ -17,10 +18,14 @@
 	return int(min(60000, interval))
 }
 
-// DrainMsWithin leaves the last moments of the grace for going away.
-func DrainMsWithin(grace time.Duration) int { return max(500, int(grace.Milliseconds())-700) }
+// DrainMsWithin returns how long streams may last after SIGTERM, in milliseconds. The rest of the grace period is left for the
+// shutdown itself.
+func DrainMsWithin(gracePeriod time.Duration) int {
+	return max(500, int(gracePeriod.Milliseconds())-700)
+}
 
-// ReserveForDisk is what is kept free for a rewrite: an eighth of the disk at the most, if its size is told.
+// ReserveForDisk returns how many bytes to keep free for a compaction of the log: at most an eighth of the disk, if its size is
+// known.
 func ReserveForDisk(diskMB int) int {
 	if diskMB <= 0 {
 		return 1 << 20
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads a process's boot file and names all its faults at once (docs/boot.md).
+// Package settings reads the settings file of a process, its boot file, and reports all faults in it at once (see docs/boot.md).
 package settings
 
 import (
@@ -14,65 +14,68 @@
 	"seamshunt/internal/resultcode"
 )
 
-// Settings is a process's place in the world.
+// Settings are the settings of a process: its name, addresses, peers, disk and limits.
 type Settings struct {
 	Name           string
 	Zone           string
-	Addr           string   // for the system's own processes
-	HTTPAddr       string   // HTTP for callers, or for operators
-	Seeds          []string // three other processes
-	DataDir        string   // controller: the one data folder
-	BootstrapDisks int      // controller: how many blank disks found the fleet
-	Platform       string   // controller: where the platform lists workers
-	Pools          []string // controller: the pools to ask for
-	PollMs         int      // controller: least gap between two questions to the platform
-	DrainMs        int      // how long streams may last after a warning
-	ReserveBytes   int      // controller: bytes kept free on the disk for a rewrite
-	ReadyAddr      string   // router: an address of its own for the question whether it is ready; on Web if empty
-	Bootstrap      bool     // the system's very first start, with empty disks
-	MayVote        bool     // controller: its disk counts among those that vote
-	GrowVoters     bool     // controller: founded by the seeds, voters grow to every disk that counts
-	Zones          []string // all zones there are; empty when nobody said
+	Addr           string   // for messages of the system's own processes
+	HTTPAddr       string   // router: HTTP for clients; controller: HTTP for operators
+	Seeds          []string // addresses of three other processes, to join through
+	DataDir        string   // controller: data directory
+	BootstrapDisks int      // controller: how many uninitialized disks the bootstrap needs
+	Platform       string   // controller: address of the platform, which lists the workers
+	Pools          []string // controller: the pools to request
+	PollMs         int      // controller: minimum interval between two requests to the platform
+	DrainMs        int      // how long streams may last after SIGTERM
+	ReserveBytes   int      // controller: bytes kept free on the disk for a compaction of the log
+	ReadyAddr      string   // router: separate address of the readiness endpoint; on HTTPAddr if empty
+	Bootstrap      bool     // this is the system's first start, with empty disks
+	MayVote        bool     // controller: its disk may become a voter
+	GrowVoters     bool     // controller: the seeds bootstrap, then every disk that may vote becomes a voter
+	Zones          []string // all zones; empty if unknown
 
-	MaxLostMachines int // how many machines whose disks count may be lost at once
+	MaxLostMachines int // how many machines with a voter's disk may be lost at once
 	MaxLostZones    int // how many zones may be lost at once
 
-	MemoryMB       int // MB that the process may use; 0 when nobody said
-	MaxDescriptors int // descriptors that it may use; 0 when nobody said
+	MemoryMB       int // memory that the process may use; 0 if not set
+	MaxDescriptors int // file descriptors that it may use; 0 if not set
 	Bounds         Bounds
 }
 
-// Bounds are what an operator's world allows, in its own time.
+// Bounds are limits and times that the operator's environment requires, such as the retry budget and the grace period.
 type Bounds struct {
-	RetryRatio   float64 // further tries against first ones, over RetryWindow and all nodes
+	RetryRatio   float64 // retries per first attempt, over RetryWindow and all routers
 	RetryWindow  time.Duration
-	RetrySlack   int
-	WarmUpFactor float64 // a cold worker's rate may be exceeded by this factor
-	WarmUpSlack  int     // and by so many requests, in any one second
-	Apply        time.Duration
-	GracePeriod  time.Duration // from the warning to the kill
-	Contact      time.Duration
-	CatchUp      time.Duration // a lost disk counts as lost for so long after its return
-	Drain        time.Duration // a leaving worker gets nothing new after it
+	RetrySlack   int           // retries allowed on top of the ratio
+	WarmUpFactor float64       // factor by which the rate of a worker that warms up may be exceeded
+	WarmUpSlack  int           // and by how many requests, in any one second
+	Apply        time.Duration // from the confirmation of a configuration until all nodes use it
+	GracePeriod  time.Duration // from SIGTERM to SIGKILL
+	Contact      time.Duration // time that a resumed node has to reach the others again
+	CatchUp      time.Duration // how long a lost disk still counts as lost after its return
+	Drain        time.Duration // after it, a draining worker gets no new requests
 }
 
-// DefaultBounds are the bounds when nobody said others.
+// DefaultBounds returns the bounds that apply unless others are set.
 func DefaultBounds() Bounds {
-	return Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, WarmUpFactor: 1, Apply: 2 * time.Second, GracePeriod: 20 * time.Second,
-		Contact: 3 * time.Second, CatchUp: 5 * time.Second, Drain: 3 * time.Second}
+	return Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, WarmUpFactor: 1, Apply: 2 * time.Second,
+		GracePeriod: 20 * time.Second,
+		Contact:     3 * time.Second, CatchUp: 5 * time.Second, Drain: 3 * time.Second}
 }
 
-// Faults lists everything wrong with a boot file.
+// Faults is an error that lists all faults of a settings file.
 type Faults []string
 
 func (f Faults) Error() string { return strings.Join(f, "\n") }
 
+// knownFields are the fields of each program's settings file.
 var knownFields = map[string][]string{
-	"router":     {"name", "zone", "addr", "web", "seeds", "drain_ms"},
-	"controller": {"name", "zone", "addr", "web", "seeds", "drain_ms", "data", "founders", "platform", "pools", "poll_ms", "reserve_bytes"},
+	"router": {"name", "zone", "addr", "web", "seeds", "drain_ms"},
+	"controller": {"name", "zone", "addr", "web", "seeds", "drain_ms", "data", "founders", "platform", "pools", "poll_ms",
+		"reserve_bytes"},
 }
 
-// Read checks a boot file for one of the two programs.
+// Read reads and checks the settings file of one of the two programs.
 func Read(path, program string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -134,7 +137,8 @@
 		}
 		return n
 	}
-	s := &Settings{Bounds: DefaultBounds(), Name: getString("name", true), Zone: getString("zone", true), Addr: getString("addr", true), HTTPAddr: getString("web", true), Seeds: getStrings("seeds")}
+	s := &Settings{Bounds: DefaultBounds(), Name: getString("name", true), Zone: getString("zone", true),
+		Addr: getString("addr", true), HTTPAddr: getString("web", true), Seeds: getStrings("seeds")}
 	checkAddr := func(field, s string) {
 		if h, _, err := net.SplitHostPort(s); s != "" && (err != nil || net.ParseIP(h) == nil) {
 			addFault(field, "an IP number with a port is wanted, not "+s)
