--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,5 +1,5 @@
-// Package adapter is what an adapter gives the product: the names, formats and calls of one outside world
-// (design 11). It holds no decision; whoever reads a book decides.
+// Package adapter defines what an adapter provides: the header names, formats and calls of one platform (docs/design.md,
+// section 11). An adapter makes no decisions; the code that uses it does.
 package adapter
 
 import (
@@ -12,28 +12,28 @@
 	"seamshunt/internal/settings"
 )
 
-// HeaderNames are the headers of requests and answers.
+// HeaderNames are the names of the headers in requests and answers.
 type HeaderNames struct {
-	AttemptID      string // the id of one try of a client; it goes to the worker and comes back
-	TimeLeft       string // how many milliseconds the client still waits
-	ExpectedWorker string // to the worker: its id; any other worker turns the request away
+	AttemptID      string // id of a client's attempt; forwarded to the worker and returned
+	TimeLeft       string // remaining time of the client in milliseconds
+	ExpectedWorker string // to the worker: its id; any other worker refuses the request
 	Worker         string // from the worker: its id
 	NotRun         string // from the worker: the request did not run and never will
-	Urgency        string // to the worker: from 0, the most urgent, to 9
-	LastEventID    string // the id of the last whole event that the client has
+	Urgency        string // to the worker: priority from 0, the most urgent, to 9
+	LastEventID    string // id of the last complete event that the client received
 	Load           string // from the worker: running, waiting, slots
-	TokenCounts    string // tokens of the prompt, and the most that are put out
-	PromptParts    string // the prompt's parts in order
+	TokenCounts    string // tokens of the prompt, and the maximum number of output tokens
+	PromptParts    string // parts of the prompt, in order
 	Model          string
 }
 
-// PromptPart is one part of a prompt, with its tokens.
+// PromptPart is one part of a prompt, with its number of tokens.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what the headers tell of a prompt's size.
+// Prompt is the size of a prompt according to the headers.
 type Prompt struct {
 	Model           string
 	InputTokens     int
@@ -41,30 +41,30 @@
 	Parts           []PromptPart
 }
 
-// Control is what the control plane does for operators. Version is the configuration's own.
+// Control contains the control plane's operations for operators. The version that Read returns is the configuration's own.
 type Control struct {
 	Read   func() (data []byte, version uint64, code resultcode.Code)
-	Put    func(builds uint64, data []byte) (resultcode.Code, []*resultcode.Fault)
-	Change func(builds uint64, change []byte) (resultcode.Code, []*resultcode.Fault)
-	// EvacuateZone has a zone evacuated, or takes that back. The caller is the connection that the order came on.
-	EvacuateZone func(caller net.Conn, zone string, out bool) resultcode.Code
+	Put    func(base uint64, data []byte) (resultcode.Code, []*resultcode.Fault)
+	Change func(base uint64, change []byte) (resultcode.Code, []*resultcode.Fault)
+	// EvacuateZone evacuates a zone or, if evacuate is false, readmits it. The connection is the one that the request came on.
+	EvacuateZone func(conn net.Conn, zone string, evacuate bool) resultcode.Code
 }
 
-// Adapter is one outside world.
+// Adapter connects the product to one platform.
 type Adapter struct {
 	Headers HeaderNames
-	// ReadyPath is the path of the question whether a node is ready.
+	// ReadyPath is the path of the readiness endpoint.
 	ReadyPath string
-	// Prompt reads what a request's headers tell of its prompt; false when they tell nothing.
+	// Prompt parses the size of a request's prompt from its headers, or returns false if they don't contain it.
 	Prompt func(h *fasthttp.RequestHeader) (Prompt, bool)
-	// Config takes an operator's bytes to a compiled configuration, or to all its faults.
+	// Config parses and compiles an operator's configuration, or returns all its faults.
 	Config func(data []byte) (*config.Config, []*resultcode.Fault)
-	// Change applies changes by item to a configuration's bytes and gives the whole.
+	// Change applies changes of single items to a configuration document and returns the whole new document.
 	Change func(old, change []byte) ([]byte, []*resultcode.Fault)
-	// Workers asks for all workers of all services; get asks the platform for one path, once.
+	// Workers fetches all workers of all services; get fetches one path from the platform, without retries.
 	Workers func(get func(path string) (status int, body []byte, err error)) ([]config.Worker, error)
-	// Control serves operators' calls.
+	// Control returns the handler of the operators' requests.
 	Control func(c Control) fasthttp.RequestHandler
-	// Settings reads the settings file again; nil when there is none to read.
+	// Settings reads the settings file again; nil if there is none.
 	Settings func() (*settings.Settings, error)
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,4 +1,4 @@
-// Package console is what the commands of both programs share: exit codes, running till a warning, checks.
+// Package console contains the commands that both programs share: exit codes, running until SIGTERM, and file checks.
 package console
 
 import (
@@ -16,13 +16,13 @@
 	"seamshunt/internal/settings"
 )
 
-// Version of the programs.
+// Version is the version of both programs.
 const Version = "0.1.0"
 
-// ErrCheckFailed ends a command with exit code 1: it ran, and what it looked for does not hold.
+// ErrCheckFailed ends a command with exit code 1: the command ran, but what it checked doesn't hold.
 var ErrCheckFailed = errors.New("a promise does not hold")
 
-// NewRootCommand begins a program's command line.
+// NewRootCommand returns a program's root command, with the version command.
 func NewRootCommand(name, short string) *cobra.Command {
 	c := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true}
 	c.AddCommand(&cobra.Command{Use: "version", Short: "say which version this is", Args: cobra.NoArgs,
@@ -30,7 +30,8 @@
 	return c
 }
 
-// Execute runs a command line: 0 for good, 1 for a promise that fails, 2 for bad input.
+// Execute runs a program's command line. The exit code is 0 on success, 1 if a check fails, and 2 for invalid input or any other
+// error.
 func Execute(c *cobra.Command) {
 	err := c.Execute()
 	switch {
@@ -44,16 +45,18 @@
 	}
 }
 
-// Daemon is a program that runs until it is warned.
+// Daemon is a program that runs until it gets SIGTERM or SIGINT.
 type Daemon interface {
-	// Start binds the program's addresses and begins its work; on an error the process has to exit.
+	// Start binds the program's addresses and starts its work; after an error the process must exit.
 	Start() error
-	// Drain hands the program's work to others and ends it; it returns when that is done.
+	// Drain hands over the program's work to other processes, stops it, and returns when that is done.
 	Drain()
 }
 
-// NewServeCommand adds the command that runs a program where an adapter says what its place is (design 11).
-func NewServeCommand(read func() (*settings.Settings, error), create func(*settings.Settings) (Daemon, error), reload func(Daemon, *settings.Settings), dump func(Daemon)) *cobra.Command {
+// NewServeCommand returns the command that runs a program with the settings that an adapter reads (docs/design.md,
+// section 11).
+func NewServeCommand(read func() (*settings.Settings, error), create func(*settings.Settings) (Daemon, error),
+	reload func(Daemon, *settings.Settings), dump func(Daemon)) *cobra.Command {
 	return &cobra.Command{Use: "serve", Short: "run on the users' platform until a warning (SIGTERM)", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s := handleSignals()
@@ -70,14 +73,15 @@
 		}}
 }
 
-// setMemoryLimit keeps the process inside what it may use: the collector works harder near the memory's end.
+// setMemoryLimit sets the garbage collector's soft limit to 70% of the memory that the process may use, so that it collects more
+// often before the limit is reached.
 func setMemoryLimit(b *settings.Settings) {
 	if b.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(b.MemoryMB) << 20 * 7 / 10)
 	}
 }
 
-// NewRunCommand adds the command that runs a program from its boot file.
+// NewRunCommand returns the command that runs a program with a boot file.
 func NewRunCommand(name string, create func(*settings.Settings) (Daemon, error), dump func(Daemon)) *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: "run", Short: "run with a boot file until a warning (SIGTERM)", Args: cobra.NoArgs,
@@ -98,17 +102,18 @@
 	return c
 }
 
-// signals are those that a running process answers in its own time.
+// signals are the channels of the signals that don't end the process.
 type signals struct{ reload, dump chan os.Signal }
 
-// handleSignals takes over the signals that would end the process by default though they only ask it for something. It
-// comes first of all: opening a disk may last, and a reload may come meanwhile.
+// handleSignals installs handlers for SIGHUP and SIGUSR1, which would end the process by default. It must be called before
+// anything else, since a reload may arrive while the disk is still being opened.
 func handleSignals() signals {
 	return signals{reload: newSignals(syscall.SIGHUP), dump: newSignals(syscall.SIGUSR1)}
 }
 
-// runDaemon runs a daemon to its end. Its place is read again at a hang-up signal, and now and then without one.
-func runDaemon(d Daemon, s signals, read func() (*settings.Settings, error), reload func(Daemon, *settings.Settings), dump func(Daemon)) error {
+// runDaemon runs a daemon until SIGTERM or SIGINT. It reads the settings again on SIGHUP and periodically without one.
+func runDaemon(d Daemon, s signals, read func() (*settings.Settings, error), reload func(Daemon, *settings.Settings),
+	dump func(Daemon)) error {
 	terminate := newSignals(syscall.SIGTERM, syscall.SIGINT)
 	if err := d.Start(); err != nil {
 		return err
@@ -129,13 +134,13 @@
 		if read == nil {
 			continue
 		}
-		if b, err := read(); err == nil { // a file that can't be read changes nothing
+		if b, err := read(); err == nil { // an invalid or unreadable settings file changes nothing
 			reload(d, b)
 		}
 	}
 }
 
-// reloadInterval is how often a place is read again without being told.
+// reloadInterval is how often the settings are read again without a signal.
 const reloadInterval = 2 * time.Second
 
 func newSignals(s ...os.Signal) chan os.Signal {
@@ -144,17 +149,18 @@
 	return c
 }
 
-// FileCheck checks one more kind of file, which an adapter knows.
+// FileCheck adds a kind of file, which an adapter knows, to the check command; Flag and Usage describe its flag.
 type FileCheck struct {
 	Flag, Usage string
 	Check       func(path string) error
 	path        string
 }
 
-// NewCheckCommand adds the command that checks files and starts nothing.
+// NewCheckCommand returns the command that checks files without starting anything.
 func NewCheckCommand(name string, fileChecks ...*FileCheck) *cobra.Command {
 	var settingsPath, configPath string
-	c := &cobra.Command{Use: "check", Short: "check files: a boot file, a configuration, or what else the flags name", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "check", Short: "check files: a boot file, a configuration, or what else the flags name",
+		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			var errs []error
 			anyFile := settingsPath != "" || configPath != ""
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -7,7 +7,7 @@
 	"seamshunt/internal/settings"
 )
 
-// fakeDaemon ends at once when it is started: its own warning comes with the start.
+// fakeDaemon ends at once: Start sends SIGTERM to the process.
 type fakeDaemon struct{ started, drained bool }
 
 func (f *fakeDaemon) Start() error {
@@ -17,8 +17,8 @@
 
 func (f *fakeDaemon) Drain() { f.drained = true }
 
-// A process that is told to read its settings again, or to dump its log, while it still starts goes on starting: without a
-// handler either signal ends it.
+// A process that gets SIGHUP (reload) or SIGUSR1 (dump) while it starts must continue to start. Without a handler either signal
+// ends it.
 func TestSignalsWhileStarting(t *testing.T) {
 	d := &fakeDaemon{}
 	create := func(*settings.Settings) (Daemon, error) {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener accepts connections through a shortage of descriptors or memory: a server that ends at the first
-// such error never takes a connection again.
+// Package listener provides a TCP listener that keeps accepting after a shortage of file descriptors or memory. A server whose
+// Accept returned such an error would stop and never accept a connection again.
 package listener
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Waits between two tries while something is short.
+// Limits of the wait between two attempts during a shortage; it doubles after each.
 const (
 	minWait = 5 * time.Millisecond
 	maxWait = 200 * time.Millisecond
 )
 
-// retrying is a listener whose Accept outlasts shortages.
+// retrying is a listener whose Accept retries during a shortage.
 type retrying struct {
 	net.Listener
 	closed chan struct{}
@@ -24,7 +24,7 @@
 	after  func(time.Duration) <-chan time.Time
 }
 
-// Listen opens a TCP address.
+// Listen listens on a TCP address.
 func Listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return &retrying{Listener: ln, closed: make(chan struct{}), after: after}
 }
 
-// Accept gives the next connection. Its error is for good.
+// Accept returns the next connection. Any error that it returns is permanent.
 func (l *retrying) Accept() (net.Conn, error) {
 	for wait := minWait; ; wait = min(2*wait, maxWait) {
 		c, err := l.Listener.Accept()
@@ -52,13 +52,13 @@
 	}
 }
 
-// Close ends the listener, and an Accept that waits.
+// Close closes the listener, and ends an Accept that waits for a retry.
 func (l *retrying) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// isShortage says whether an error passes once something is given back.
+// isShortage reports whether an error is temporary, until descriptors or memory are released.
 func isShortage(err error) bool {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, e) {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// scriptedListener gives these errors in turn, and then a connection.
+// scriptedListener returns these errors one by one, then connections.
 type scriptedListener struct {
 	net.Listener
 	errs []error
@@ -31,7 +31,7 @@
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", e)}
 }
 
-// A shortage is waited out, longer each time up to a bound; the connection that comes behind it is taken.
+// Accept waits during a shortage, longer each time up to a limit, and then returns the next connection.
 func TestAcceptOutlastsShortages(t *testing.T) {
 	var errs []error
 	for range 3 {
@@ -46,14 +46,14 @@
 	})
 	c, err := l.Accept()
 	if c == nil || err != nil {
-		t.Fatalf("no connection behind the shortage: %v", err)
+		t.Fatalf("no connection after the shortage: %v", err)
 	}
 	if len(waits) != len(errs) || waits[0] != minWait || waits[1] != 2*minWait || waits[len(waits)-1] != maxWait {
 		t.Fatalf("waits %v", waits)
 	}
 }
 
-// Any other error ends it, and so does closing while it waits.
+// Any other error ends Accept, and so does Close while it waits.
 func TestAcceptEnds(t *testing.T) {
 	l := newRetrying(&scriptedListener{errs: []error{net.ErrClosed}}, nil)
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -59,8 +59,7 @@
 // DefaultBounds returns the bounds that apply unless others are set.
 func DefaultBounds() Bounds {
 	return Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, WarmUpFactor: 1, Apply: 2 * time.Second,
-		GracePeriod: 20 * time.Second,
-		Contact:     3 * time.Second, CatchUp: 5 * time.Second, Drain: 3 * time.Second}
+		GracePeriod: 20 * time.Second, Contact: 3 * time.Second, CatchUp: 5 * time.Second, Drain: 3 * time.Second}
 }
 
 // Faults is an error that lists all faults of a settings file.
--- a/internal/socket/age.go
+++ b/internal/socket/age.go
@@ -8,28 +8,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// resolution is how coarsely a kernel notes when packets came: the longest tick of its clock.
+// resolution is the resolution of the kernel's packet timestamps: the longest tick of its clock.
 const resolution = 10 * time.Millisecond
 
-// synAckTimeout is how long the kernel waits before it answers a first packet once more; each further wait is twice as long.
+// synAckTimeout is how long the kernel waits before it sends a SYN-ACK again; each further wait is twice as long.
 const synAckTimeout = time.Second
 
-// maxSynAckRetries bounds how many repeated answers are reckoned with: by then a connection is over a day old.
+// maxSynAckRetries limits the number of retransmissions in the computation: after that many a connection is over a day old.
 const maxSynAckRetries = 16
 
-// Age gives how long ago, at the most, the kernel answered the first packet of a connection that was accepted and that nothing has
-// been written to since. Its caller was still there when that answer came. Accepting tells less: the connection may have waited to
-// be accepted, or to be completed, which a kernel goes on with after its process has left. False where the kernel doesn't tell.
+// Age returns an upper bound of the time since the kernel answered the SYN of an accepted connection to which nothing has been
+// written yet. The client still existed when that answer arrived. The time of Accept proves less: the connection may have waited
+// to be accepted, or for its handshake, which the client's kernel completes even after the client's process has exited. Age
+// returns false if the kernel doesn't provide the information.
 func Age(c net.Conn) (time.Duration, bool) {
 	info := tcpInfo(c)
 	if info == nil {
 		return 0, false
 	}
-	completed := time.Duration(info.Last_data_recv) * time.Millisecond // or, where nothing has come since, when it was completed
+	completed := time.Duration(info.Last_data_recv) * time.Millisecond // since the last data or, if there was none, since the handshake
 	return completed + handshake(info) + resolution, true
 }
 
-// handshake gives how long it took at the most from the kernel's answer to the first packet until the connection was completed.
+// handshake returns an upper bound of the time from the kernel's first SYN-ACK until the handshake was complete.
 func handshake(info *unix.TCPInfo) time.Duration {
 	measured := time.Duration(info.Rtt) * time.Microsecond
 	if info.Total_retrans == 0 {
@@ -38,7 +39,7 @@
 	return max(measured, synAckTimeout<<(min(info.Total_retrans, maxSynAckRetries)+1)-synAckTimeout)
 }
 
-// tcpInfo gives what the kernel knows of a connection; nil if it doesn't tell.
+// tcpInfo returns the kernel's information about a connection, or nil if it provides none.
 func tcpInfo(c net.Conn) *unix.TCPInfo {
 	s, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/socket/age_test.go
+++ b/internal/socket/age_test.go
@@ -11,7 +11,7 @@
 	"seamshunt/internal/rig/netfault"
 )
 
-// A connection that its caller's kernel completes late is as old as the answer to its first packet, not as its acceptance.
+// The age of a connection whose handshake the client's kernel completes late counts from the answer to its SYN, not from Accept.
 func TestAgeOfALateConnection(t *testing.T) {
 	ln, err := netfault.ListenDeferred()
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A connection that waits to be accepted is as old as what came on it first.
+// The age of a connection that waited to be accepted counts from its handshake, not from Accept.
 func TestAgeOfAConnectionThatWaited(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,11 +69,11 @@
 		t.Errorf("its age is %v, %v; it was connected %v ago", age, known, atLeast)
 	}
 	if _, known := Age(&net.UnixConn{}); known {
-		t.Error("a connection without a kernel's knowledge has an age")
+		t.Error("a connection without information from the kernel has an age")
 	}
 }
 
-// Where the first packet was answered more than once, the caller may have heard the first answer.
+// If the kernel sent the SYN-ACK more than once, the client may have received the first one.
 func TestHandshakeWithRepeatedAnswers(t *testing.T) {
 	for _, x := range []struct {
 		rtt, repeated uint32
--- a/internal/socket/options.go
+++ b/internal/socket/options.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetUserTimeout has the kernel end a connection once what was sent on it has gone unacknowledged for so long (TCP_USER_TIMEOUT). It does
-// nothing to what is no TCP connection.
+// SetUserTimeout makes the kernel close a connection once sent data has been unacknowledged for this long (TCP_USER_TIMEOUT).
+// It does nothing to a connection that isn't TCP.
 func SetUserTimeout(c net.Conn, unacknowledged time.Duration) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/socket/options_test.go
+++ b/internal/socket/options_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The kernel is told in milliseconds; what is no socket is left alone.
+// The option is set in milliseconds; a connection without a socket is ignored.
 func TestGiveUpAfter(t *testing.T) {
 	here, _ := pair(t)
 	SetUserTimeout(here, 1500*time.Millisecond)
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,4 +1,5 @@
-// Package socket looks at the other side of a connection without waiting for it.
+// Package socket reads and sets the state of TCP connections in the kernel: whether the peer has closed, how old a connection is,
+// and when the kernel gives up on it. Nothing in it blocks.
 package socket
 
 import (
@@ -8,19 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a look at a socket shows.
+// State is the state of a socket that Peek returns.
 type State uint8
 
-// What there is to see.
+// The states of a socket.
 const (
-	Idle     State = iota // open, and nothing to read
-	Readable              // bytes wait to be read
-	Closed                // closed or reset by the other side, even behind bytes, or closed here
-	Unknown               // no socket that can be looked at
+	Idle     State = iota // open, without data to read
+	Readable              // data is waiting to be read
+	Closed                // closed or reset by the peer, even if data is still unread, or closed locally
+	Unknown               // not a socket, so its state is unknown
 )
 
-// Peek looks at a connection's socket without waiting and without taking bytes. Deadlines don't matter to it: a read
-// deadline that has passed says nothing about the other side.
+// Peek returns the state of a connection's socket without blocking and without consuming data. It ignores deadlines, because a
+// read deadline that has passed says nothing about the peer.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -56,7 +57,7 @@
 	}
 }
 
-// closePending says whether the other side has closed its connection behind bytes that wait to be read.
+// closePending reports whether the peer has closed the connection after data that is still unread.
 func closePending(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	for {
@@ -68,6 +69,6 @@
 	}
 }
 
-// PeerClosed looks, without waiting or taking anything, whether the other side has closed its connection. Closing the
-// write side alone looks the same.
+// PeerClosed reports, without blocking or consuming data, whether the peer has closed its connection. A peer that closed only its
+// write side looks the same.
 func PeerClosed(c net.Conn) bool { return Peek(c) == Closed }
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-const waitTimeout = 10 * time.Second // what never comes in a test that passes
+const waitTimeout = 10 * time.Second // not reached in a test that passes
 
-// pair gives both ends of a TCP connection.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (here, there *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// waitForState waits for the other side's doing to arrive.
+// waitForState waits until the peer's action shows in the socket's state.
 func waitForState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); Peek(c) != want; {
@@ -38,21 +38,21 @@
 	}
 }
 
-// A read deadline that has passed, as the one of a request that was read long ago, is no hang-up; bytes of a next
-// request are none; closing is one, of the write side alone, too, and so is a reset.
+// PeerClosed reports a close, also of the write side alone, and a reset, but neither a read deadline that has passed, as that of
+// a request read long ago, nor the data of a next request.
 func TestHungUp(t *testing.T) {
 	here, there := pair(t)
 	_ = here.SetReadDeadline(time.Now().Add(-time.Hour))
 	if PeerClosed(here) || Peek(here) != Idle {
-		t.Error("a passed deadline is taken for a hang-up")
+		t.Error("a passed deadline is reported as closed")
 	}
 	_, _ = there.Write([]byte("POST"))
 	waitForState(t, here, Readable)
 	if PeerClosed(here) {
-		t.Error("a next request is taken for a hang-up")
+		t.Error("a next request is reported as closed")
 	}
 	_ = there.CloseWrite()
-	waitForState(t, here, Closed) // behind those bytes
+	waitForState(t, here, Closed) // after unread data
 	here, there = pair(t)
 	_ = there.CloseWrite()
 	waitForState(t, here, Closed)
@@ -63,9 +63,9 @@
 	here, _ = pair(t)
 	here.Close()
 	if !PeerClosed(here) {
-		t.Error("one that was closed here is open")
+		t.Error("a connection closed locally is reported as open")
 	}
 	if c, _ := net.Pipe(); PeerClosed(c) {
-		t.Error("what is no socket can't be looked at")
+		t.Error("a connection without a socket is reported as closed")
 	}
 }
