--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,7 +20,7 @@
  "mapping b { when under = \"/b\" to big promise q repeat }",
  "mapping c { when path = \"/a\" to big promise q repeat }"]}`
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, p := range []string{"vatuloa", "council", "vatuloa-worth"} {
 		b, err := os.ReadFile("../../deploy/" + p + "-config.json")
 		if err != nil {
@@ -46,7 +46,7 @@
 		{"/bx", "", "", ""},
 		{"/", "", "", ""},
 	} {
-		do, ok := c.Program.Find(routing.Request{Path: x.path, Header: func(string) string { return x.kind }})
+		actions, ok := c.Program.Find(routing.Request{Path: x.path, Header: func(string) string { return x.kind }})
 		if !ok {
 			if x.want != "" {
 				t.Errorf("%v: no route found", x)
@@ -54,13 +54,13 @@
 			continue
 		}
 		var steps []string
-		routing.Run(do, routing.Handlers{
+		routing.Run(actions, routing.Handlers{
 			Deadline: func(int) bool { steps = append(steps, "limit"); return false },
 			Claim:    func() bool { steps = append(steps, "claim"); return false },
 			Dispatch: func(s string) bool { steps = append(steps, "try", s); return false },
 			Refuse:   func() { steps = append(steps, "refuse") },
 		})
-		if m := c.Mappings[do[0].Mapping].Name; m != x.want || strings.Join(steps, " ") != x.steps {
+		if m := c.Mappings[actions[0].Mapping].Name; m != x.want || strings.Join(steps, " ") != x.steps {
 			t.Errorf("%v: mapping %s runs %v", x, m, steps)
 		}
 	}
@@ -68,7 +68,7 @@
 
 // Every fault has its code and position, and several faults are reported at once.
 func TestFaults(t *testing.T) {
-	swap := func(a, b string) string {
+	replace := func(a, b string) string {
 		if !strings.Contains(validConfig, a) {
 			t.Fatalf("%q is not in the valid configuration", a)
 		}
@@ -81,27 +81,27 @@
 	}{
 		{"no JSON", `{"services": [`, resultcode.InvalidConfig, "line 1 column 15"},
 		{"no object", `[]`, resultcode.InvalidConfig, "$"},
-		{"unknown field", swap(`"cap": 4`, `"cap": 4, "kap": 1`), resultcode.InvalidConfig, "$.services[0].kap"},
-		{"field twice", swap(`"cap": 4`, `"cap": 4, "cap": 5`), resultcode.Duplicate, "$.services[0].cap"},
-		{"cap zero", swap(`"cap": 4`, `"cap": 0`), resultcode.InvalidCap, "$.services[0].cap"},
-		{"cap missing", swap(`, "cap": 4`, ``), resultcode.InvalidCap, "$.services[0].cap"},
-		{"floor above", swap(`"cap": 4`, `"cap": 4, "floor": 5`), resultcode.InvalidCap, "$.services[0].floor"},
-		{"pool twice", swap(`"side"`, `"main"`), resultcode.Duplicate, "$.services[1].pool"},
-		{"unknown policy", swap(`"cap": 4`, `"cap": 4, "allow": "all"`), resultcode.InvalidConfig, "$.services[0].allow"},
-		{"late promise", swap(`"first_ms": 100`, `"first_ms": 9000`), resultcode.InvalidConfig, "$.promises[0].first_ms"},
-		{"worth below 0", swap(`"first_ms": 100`, `"first_ms": 100, "worth": -1`), resultcode.InvalidConfig, "$.promises[0].worth"},
-		{"worth no number", swap(`"first_ms": 100`, `"first_ms": 100, "worth": "much"`), resultcode.InvalidConfig, "$.promises[0].worth"},
+		{"unknown field", replace(`"cap": 4`, `"cap": 4, "kap": 1`), resultcode.InvalidConfig, "$.services[0].kap"},
+		{"field twice", replace(`"cap": 4`, `"cap": 4, "cap": 5`), resultcode.Duplicate, "$.services[0].cap"},
+		{"cap zero", replace(`"cap": 4`, `"cap": 0`), resultcode.InvalidCap, "$.services[0].cap"},
+		{"cap missing", replace(`, "cap": 4`, ``), resultcode.InvalidCap, "$.services[0].cap"},
+		{"floor above", replace(`"cap": 4`, `"cap": 4, "floor": 5`), resultcode.InvalidCap, "$.services[0].floor"},
+		{"pool twice", replace(`"side"`, `"main"`), resultcode.Duplicate, "$.services[1].pool"},
+		{"unknown policy", replace(`"cap": 4`, `"cap": 4, "allow": "all"`), resultcode.InvalidConfig, "$.services[0].allow"},
+		{"late promise", replace(`"first_ms": 100`, `"first_ms": 9000`), resultcode.InvalidConfig, "$.promises[0].first_ms"},
+		{"worth below 0", replace(`"first_ms": 100`, `"first_ms": 100, "worth": -1`), resultcode.InvalidConfig, "$.promises[0].worth"},
+		{"worth no number", replace(`"first_ms": 100`, `"first_ms": 100, "worth": "much"`), resultcode.InvalidConfig, "$.promises[0].worth"},
 		{"no layout", `{"services":[],"promises":[]}`, resultcode.InvalidConfig, "$.layout"},
-		{"unknown service", swap("to big, small step", "to big, tiny step"), resultcode.UnknownService, "layout line 3 column 10"},
-		{"unknown promise", swap("promise q repeat }\",\n \"mapping c", "promise z repeat }\",\n \"mapping c"), resultcode.InvalidRule, "layout line 4 column 46"},
-		{"step not open", swap("to big, small step small", "to big step small"), resultcode.StepNotAllowed, "layout line 1 column 9"},
-		{"no smaller", swap(`, "smaller": true`, ``), resultcode.StepNotAllowed, "layout line 1 column 9"},
-		{"not said once", swap("promise p once", "promise p"), resultcode.InvalidRule, "layout line 1 column 9"},
-		{"same name", swap("mapping b", "mapping a"), resultcode.Duplicate, "layout line 4 column 9"},
-		{"same match", swap(`under = \"/b\"`, `path = \"/a\"`), resultcode.Duplicate, "layout line 5 column 9"},
-		{"bad mark", swap("mapping b {", "mapping b ;"), resultcode.InvalidRule, "layout line 4 column 11"},
-		{"open text", swap(`\"/b\" to`, `\"/b to`), resultcode.InvalidRule, "layout line 4 column 26"},
-		{"no such clause", swap("mapping b { when", "mapping b { whence"), resultcode.InvalidRule, "layout line 4 column 13"},
+		{"unknown service", replace("to big, small step", "to big, tiny step"), resultcode.UnknownService, "layout line 3 column 10"},
+		{"unknown promise", replace("promise q repeat }\",\n \"mapping c", "promise z repeat }\",\n \"mapping c"), resultcode.InvalidRule, "layout line 4 column 46"},
+		{"step not open", replace("to big, small step small", "to big step small"), resultcode.StepNotAllowed, "layout line 1 column 9"},
+		{"no smaller", replace(`, "smaller": true`, ``), resultcode.StepNotAllowed, "layout line 1 column 9"},
+		{"not said once", replace("promise p once", "promise p"), resultcode.InvalidRule, "layout line 1 column 9"},
+		{"same name", replace("mapping b", "mapping a"), resultcode.Duplicate, "layout line 4 column 9"},
+		{"same match", replace(`under = \"/b\"`, `path = \"/a\"`), resultcode.Duplicate, "layout line 5 column 9"},
+		{"bad mark", replace("mapping b {", "mapping b ;"), resultcode.InvalidRule, "layout line 4 column 11"},
+		{"open text", replace(`\"/b\" to`, `\"/b to`), resultcode.InvalidRule, "layout line 4 column 26"},
+		{"no such clause", replace("mapping b { when", "mapping b { whence"), resultcode.InvalidRule, "layout line 4 column 13"},
 		{"too large", validConfig + strings.Repeat(" ", MaxConfigBytes), resultcode.ConfigTooLarge, ""},
 	} {
 		c, fs := Parse([]byte(x.text))
@@ -135,10 +135,10 @@
 	if len(fs) > 0 {
 		t.Fatal(fs[0])
 	}
-	asked := 0
-	do, ok := c.Program.Find(routing.Request{Path: "/m/4999", Header: func(string) string { asked++; return "" }})
-	if !ok || c.Mappings[do[0].Mapping].Name != "m4999" || asked != 0 {
-		t.Errorf("found %v %v after reading %d headers", ok, do, asked)
+	headerReads := 0
+	actions, ok := c.Program.Find(routing.Request{Path: "/m/4999", Header: func(string) string { headerReads++; return "" }})
+	if !ok || c.Mappings[actions[0].Mapping].Name != "m4999" || headerReads != 0 {
+		t.Errorf("found %v %v after reading %d headers", ok, actions, headerReads)
 	}
 }
 
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -39,9 +39,9 @@
 	if !reflect.DeepEqual(*c.Services["big"], big) {
 		t.Errorf("big is\n%+v, want\n%+v", *c.Services["big"], big)
 	}
-	usual := Service{MemoryTokens: 1000}
-	SetDefaults(&usual)
-	if s := c.Services["spare"]; s.MemoryShare != 0.85 || s.PrefillRate != usual.PrefillRate || s.AttentionCost != usual.AttentionCost || s.MaxWaiting != 9 || s.QuickTakeover || s.PlacementPolicy != "prefix" {
+	defaults := Service{MemoryTokens: 1000}
+	SetDefaults(&defaults)
+	if s := c.Services["spare"]; s.MemoryShare != 0.85 || s.PrefillRate != defaults.PrefillRate || s.AttentionCost != defaults.AttentionCost || s.MaxWaiting != 9 || s.QuickTakeover || s.PlacementPolicy != "prefix" {
 		t.Errorf("spare is %+v", *s)
 	}
 	m := c.Mappings[0]
@@ -60,23 +60,23 @@
 		{"b.example", "/chat/x", "any", "limit claim try small refuse"},
 		{"b.example", "/x", "", ""},
 	} {
-		do, ok := c.Program.Find(routing.Request{Host: x.host, Path: x.path, Header: func(string) string { return "" }})
+		actions, ok := c.Program.Find(routing.Request{Host: x.host, Path: x.path, Header: func(string) string { return "" }})
 		if !ok {
 			if x.want != "" {
 				t.Errorf("%v: no route found", x)
 			}
 			continue
 		}
-		if m := c.Mappings[do[0].Mapping].Name; m != x.want || strings.Join(steps(do), " ") != x.steps {
-			t.Errorf("%v: mapping %s runs %v", x, m, steps(do))
+		if m := c.Mappings[actions[0].Mapping].Name; m != x.want || strings.Join(steps(actions), " ") != x.steps {
+			t.Errorf("%v: mapping %s runs %v", x, m, steps(actions))
 		}
 	}
 }
 
 // steps runs the actions of a route and returns what they do.
-func steps(do []routing.Action) (l []string) {
+func steps(actions []routing.Action) (l []string) {
 	record := func(s ...string) bool { l = append(l, s...); return false }
-	routing.Run(do, routing.Handlers{
+	routing.Run(actions, routing.Handlers{
 		Deadline: func(int) bool { return record("limit") },
 		Claim:    func() bool { return record("claim") },
 		Split:    func() bool { return record("share") },
@@ -102,7 +102,7 @@
 }
 
 func TestFaultsOfAllFields(t *testing.T) {
-	swap := func(a, b string) string {
+	replace := func(a, b string) string {
 		if !strings.Contains(fullConfig, a) {
 			t.Fatalf("%q is not in the full configuration", a)
 		}
@@ -113,35 +113,35 @@
 		code       resultcode.Code
 		place      string
 	}{
-		{"version 0", swap(`"version": 7`, `"version": 0`), resultcode.InvalidConfig, "$.version"},
-		{"version no number", swap(`"version": 7`, `"version": "7"`), resultcode.InvalidConfig, "$.version"},
-		{"limit 0", swap(`"head_bytes": 4096`, `"head_bytes": 0`), resultcode.InvalidConfig, "$.limits.head_bytes"},
-		{"unknown limit", swap(`"idle_ms"`, `"idle"`), resultcode.InvalidConfig, "$.limits.idle"},
-		{"limits a list", swap(`{"head_bytes": 4096, "body_bytes": 65536, "head_ms": 3000, "idle_ms": 15000}`, `[]`), resultcode.InvalidConfig, "$.limits"},
-		{"cap and slots", swap(`"slots": true, "place"`, `"slots": true, "cap": 4, "place"`), resultcode.InvalidCap, "$.services[0].cap"},
-		{"neither", swap(`"slots": true, "place"`, `"slots": false, "place"`), resultcode.InvalidCap, "$.services[0].cap"},
-		{"share 0", swap(`"share": 80`, `"share": 0`), resultcode.InvalidConfig, "$.services[0].share"},
-		{"share 101", swap(`"share": 80`, `"share": 101`), resultcode.InvalidConfig, "$.services[0].share"},
-		{"reads without memory", swap(`"cap": 8`, `"cap": 8, "reads": 5`), resultcode.InvalidConfig, "$.services[1].reads"},
-		{"rate below 0", swap(`"warm_rate": 2.5`, `"warm_rate": -1`), resultcode.InvalidConfig, "$.services[0].warm_rate"},
-		{"conns no number", swap(`"conns": 640`, `"conns": true`), resultcode.InvalidConfig, "$.services[0].conns"},
-		{"lax no flag", swap(`"lax": true`, `"lax": 1`), resultcode.InvalidConfig, "$.services[0].lax"},
-		{"shares sum to 0", swap(`big 90, small 10`, `big 0, small 0`), resultcode.InvalidRule, "layout line 1 column 60"},
-		{"one share missing", swap(`small 10`, `small`), resultcode.InvalidRule, "layout line 1 column 60"},
-		{"a share twice", swap(`small 10`, `big 10`), resultcode.Duplicate, "layout line 1 column 71"},
-		{"share no number", swap(`big 90`, `big 9x`), resultcode.InvalidRule, "layout line 1 column 67"},
-		{"step that shares", swap(`step spare`, `step small`), resultcode.StepNotAllowed, "layout line 1 column 9"},
-		{"tries 0", swap(`tries 2`, `tries 0`), resultcode.InvalidRule, "layout line 2 column 25"},
-		{"tries 10", swap(`tries 2`, `tries 10`), resultcode.InvalidRule, "layout line 2 column 25"},
-		{"tries twice", swap(`tries 2`, `tries 2 tries 3`), resultcode.InvalidRule, "layout line 2 column 27"},
-		{"rank 10", swap(`rank 1`, `rank 10`), resultcode.InvalidRule, "layout line 2 column 32"},
-		{"resume without stream", swap(`stream resume pause 400`, `resume`), resultcode.InvalidRule, "layout line 2 column 34"},
-		{"pause without stream", swap(`stream resume pause 400`, `pause 400`), resultcode.InvalidRule, "layout line 2 column 34"},
-		{"resume of once", swap(`promise p repeat`, `promise p once`), resultcode.InvalidRule, "layout line 2 column 39"},
-		{"pause without number", swap(`pause 400 }`, `pause }`), resultcode.InvalidRule, "layout line 2 column 54"},
-		{"host with a port", swap(`a.example\" and under = \"/\"`, `a.example:80\" and under = \"/\"`), resultcode.InvalidRule, "layout line 3 column 28"},
-		{"host empty", swap(`\"a.example\"`, `\"\"`), resultcode.InvalidRule, "layout line 3 column 28"},
-		{"same host and prefix", swap(`under = \"/\"`, `under = \"/chat\"`), resultcode.Duplicate, "layout line 3 column 9"},
+		{"version 0", replace(`"version": 7`, `"version": 0`), resultcode.InvalidConfig, "$.version"},
+		{"version no number", replace(`"version": 7`, `"version": "7"`), resultcode.InvalidConfig, "$.version"},
+		{"limit 0", replace(`"head_bytes": 4096`, `"head_bytes": 0`), resultcode.InvalidConfig, "$.limits.head_bytes"},
+		{"unknown limit", replace(`"idle_ms"`, `"idle"`), resultcode.InvalidConfig, "$.limits.idle"},
+		{"limits a list", replace(`{"head_bytes": 4096, "body_bytes": 65536, "head_ms": 3000, "idle_ms": 15000}`, `[]`), resultcode.InvalidConfig, "$.limits"},
+		{"cap and slots", replace(`"slots": true, "place"`, `"slots": true, "cap": 4, "place"`), resultcode.InvalidCap, "$.services[0].cap"},
+		{"neither", replace(`"slots": true, "place"`, `"slots": false, "place"`), resultcode.InvalidCap, "$.services[0].cap"},
+		{"share 0", replace(`"share": 80`, `"share": 0`), resultcode.InvalidConfig, "$.services[0].share"},
+		{"share 101", replace(`"share": 80`, `"share": 101`), resultcode.InvalidConfig, "$.services[0].share"},
+		{"reads without memory", replace(`"cap": 8`, `"cap": 8, "reads": 5`), resultcode.InvalidConfig, "$.services[1].reads"},
+		{"rate below 0", replace(`"warm_rate": 2.5`, `"warm_rate": -1`), resultcode.InvalidConfig, "$.services[0].warm_rate"},
+		{"conns no number", replace(`"conns": 640`, `"conns": true`), resultcode.InvalidConfig, "$.services[0].conns"},
+		{"lax no flag", replace(`"lax": true`, `"lax": 1`), resultcode.InvalidConfig, "$.services[0].lax"},
+		{"shares sum to 0", replace(`big 90, small 10`, `big 0, small 0`), resultcode.InvalidRule, "layout line 1 column 60"},
+		{"one share missing", replace(`small 10`, `small`), resultcode.InvalidRule, "layout line 1 column 60"},
+		{"a share twice", replace(`small 10`, `big 10`), resultcode.Duplicate, "layout line 1 column 71"},
+		{"share no number", replace(`big 90`, `big 9x`), resultcode.InvalidRule, "layout line 1 column 67"},
+		{"step that shares", replace(`step spare`, `step small`), resultcode.StepNotAllowed, "layout line 1 column 9"},
+		{"tries 0", replace(`tries 2`, `tries 0`), resultcode.InvalidRule, "layout line 2 column 25"},
+		{"tries 10", replace(`tries 2`, `tries 10`), resultcode.InvalidRule, "layout line 2 column 25"},
+		{"tries twice", replace(`tries 2`, `tries 2 tries 3`), resultcode.InvalidRule, "layout line 2 column 27"},
+		{"rank 10", replace(`rank 1`, `rank 10`), resultcode.InvalidRule, "layout line 2 column 32"},
+		{"resume without stream", replace(`stream resume pause 400`, `resume`), resultcode.InvalidRule, "layout line 2 column 34"},
+		{"pause without stream", replace(`stream resume pause 400`, `pause 400`), resultcode.InvalidRule, "layout line 2 column 34"},
+		{"resume of once", replace(`promise p repeat`, `promise p once`), resultcode.InvalidRule, "layout line 2 column 39"},
+		{"pause without number", replace(`pause 400 }`, `pause }`), resultcode.InvalidRule, "layout line 2 column 54"},
+		{"host with a port", replace(`a.example\" and under = \"/\"`, `a.example:80\" and under = \"/\"`), resultcode.InvalidRule, "layout line 3 column 28"},
+		{"host empty", replace(`\"a.example\"`, `\"\"`), resultcode.InvalidRule, "layout line 3 column 28"},
+		{"same host and prefix", replace(`under = \"/\"`, `under = \"/chat\"`), resultcode.Duplicate, "layout line 3 column 9"},
 	} {
 		c, fs := Parse([]byte(x.text))
 		if c != nil || len(fs) == 0 {
--- a/internal/config/layout.go
+++ b/internal/config/layout.go
@@ -10,6 +10,7 @@
 	pos    int
 }
 
+// parseLayout parses all mappings of the layout; faults in it are added to the list.
 func (c *Config) parseLayout(s string, faults *faultList) {
 	p := &parser{config: c, faults: faults}
 	p.tokens = lex(s, faults)
@@ -25,6 +26,7 @@
 
 func (p *parser) peek() token { return p.tokens[p.pos] }
 
+// next consumes and returns the next token; at the end it keeps returning the end token.
 func (p *parser) next() token {
 	t := p.tokens[p.pos]
 	if t.kind != 0 {
@@ -33,11 +35,13 @@
 	return t
 }
 
+// addFault records a fault at a token, and returns false.
 func (p *parser) addFault(t token, text string) bool {
 	p.faults.add(resultcode.InvalidRule, t.position(), text)
 	return false
 }
 
+// expect consumes the next token, and records a fault if it has another kind; text names what is expected.
 func (p *parser) expect(kind byte, text string) (token, bool) {
 	t := p.next()
 	if t.kind != kind {
--- a/internal/config/layout_clause.go
+++ b/internal/config/layout_clause.go
@@ -86,6 +86,7 @@
 	return n
 }
 
+// parseConditions parses the conditions of a when clause.
 func (p *parser) parseConditions(m *Mapping) bool {
 	for {
 		t, ok := p.expect('n', "path, under, host or header")
--- a/internal/config/layout_lex.go
+++ b/internal/config/layout_lex.go
@@ -19,6 +19,7 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.'
 }
 
+// lex splits the layout into tokens; the last one is the end token.
 func lex(s string, faults *faultList) []token {
 	var tokens []token
 	line, col := 1, 1
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -57,6 +57,7 @@
 	return p
 }
 
+// compareMappings adds the changes of mappings to the plan: 20 of each kind in detail, and the counts of all.
 func compareMappings(old, next *Config, p *Plan) {
 	oldMappings, newMappings := mappingsByName(old), mappingsByName(next)
 	added, removed, changes := 0, 0, 0
--- a/internal/config/routing/routing.go
+++ b/internal/config/routing/routing.go
@@ -27,7 +27,8 @@
 	Text string
 }
 
-// Action is one step of a route; Mapping is the index of the mapping that it was compiled from.
+// Action is one step of a route. Arg is the deadline of OpDeadline in milliseconds, Text the service of OpDispatch, and Mapping
+// the index of the mapping that the action was compiled from.
 type Action struct {
 	Op      Op
 	Arg     int
--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -43,8 +43,8 @@
 	Ignored   int            // messages from nodes that aren't voters
 }
 
-// New returns a syncer that begins after a random part of the interval, with a random peer, so that nodes that start together
-// don't compare in step. It catches up first, as the process was just started.
+// New returns a syncer that begins after a random part of the interval, with a random peer. It catches up first, since the
+// process was just started.
 func New(self units.NodeID, now units.Time, rng *rand.Rand) *Syncer {
 	s := &Syncer{self: self, nextAt: now.Add(time.Duration(rng.Int64N(int64(Interval)))), peerIndex: rng.IntN(1 << 16),
 		healthy: true}
@@ -136,19 +136,19 @@
 
 // compareDigests answers with the versions of the copies in all ranges that differ.
 func compareDigests(m message.Message, states map[string]*register.State, out *message.Effects) error {
-	var theirs digests
-	if err := message.Unpack(m.Body, &theirs); err != nil {
+	var remote digests
+	if err := message.Unpack(m.Body, &remote); err != nil {
 		return err
 	}
 	// If nothing differs any more, the list is empty, and it is still sent, since its answer is the outcome.
-	out.Send(m.From, Ranges, packRanges(rangesHeader{Mask: rangeSums(states).differing(theirs)}, states))
+	out.Send(m.From, Ranges, packRanges(rangesHeader{Mask: rangeSums(states).differing(remote)}, states))
 	return nil
 }
 
 // compareRanges repairs the sender's older copies, and sends the own versions back if some of the own copies are older.
 func (s *Syncer) compareRanges(m message.Message, states map[string]*register.State, repair Repair,
 	out *message.Effects) error {
-	header, theirs, err := unpackRanges(m.Body)
+	header, remote, err := unpackRanges(m.Body)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 		if !hasCopy(states[key]) || header.Mask>>rangeOf(key)&1 == 0 {
 			continue
 		}
-		switch c := compareCopies(states[key], theirs[key]); {
+		switch c := compareCopies(states[key], remote[key]); {
 		case c > 0:
 			ahead = true
 			s.Repaired++
@@ -166,7 +166,7 @@
 			behind = true
 		}
 	}
-	for key := range theirs {
+	for key := range remote {
 		behind = behind || !hasCopy(states[key])
 	}
 	if behind {
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -67,45 +67,45 @@
 }
 
 // packRanges packs the copy versions of all keys in the header's ranges.
-func packRanges(h rangesHeader, states map[string]*register.State) []byte {
-	var l [][]byte
+func packRanges(header rangesHeader, states map[string]*register.State) []byte {
+	var packed [][]byte
 	for _, key := range message.SortedKeys(states) {
-		if s := states[key]; hasCopy(s) && h.Mask>>rangeOf(key)&1 == 1 {
-			l = append(l, message.Pack(copyVersion{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
+		if s := states[key]; hasCopy(s) && header.Mask>>rangeOf(key)&1 == 1 {
+			packed = append(packed, message.Pack(copyVersion{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
 		}
 	}
-	return message.Pack(h, message.PackList(l))
+	return message.Pack(header, message.PackList(packed))
 }
 
 // unpackRanges is the inverse of list.
-func unpackRanges(body []byte) (h rangesHeader, theirs map[string]copyVersion, err error) {
+func unpackRanges(body []byte) (header rangesHeader, versions map[string]copyVersion, err error) {
 	var packed []byte
-	if err := message.Unpack(body, &h, &packed); err != nil {
-		return h, nil, err
+	if err := message.Unpack(body, &header, &packed); err != nil {
+		return header, nil, err
 	}
 	l, err := message.UnpackList(packed)
 	if err != nil {
-		return h, nil, err
+		return header, nil, err
 	}
-	theirs = map[string]copyVersion{}
+	versions = map[string]copyVersion{}
 	for _, item := range l {
 		var x copyVersion
 		var key []byte
 		if err := message.Unpack(item, &x, &key); err != nil {
-			return h, nil, err
+			return header, nil, err
 		}
-		theirs[string(key)] = x
+		versions[string(key)] = x
 	}
-	return h, theirs, nil
+	return header, versions, nil
 }
 
 // compareCopies returns 1 if the copy on this node is newer than the other, -1 if it is older, and 0 if both are the same.
-func compareCopies(s *register.State, x copyVersion) int {
-	e := units.Epoch{Number: x.Number, Node: units.NodeID(x.Node)}
+func compareCopies(s *register.State, remote copyVersion) int {
+	epoch := units.Epoch{Number: remote.Number, Node: units.NodeID(remote.Node)}
 	switch {
-	case e.Less(s.Accepted) || e == s.Accepted && s.Seq > x.Seq:
+	case epoch.Less(s.Accepted) || epoch == s.Accepted && s.Seq > remote.Seq:
 		return 1
-	case s.Accepted.Less(e) || e == s.Accepted && s.Seq < x.Seq:
+	case s.Accepted.Less(epoch) || epoch == s.Accepted && s.Seq < remote.Seq:
 		return -1
 	}
 	return 0
--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -96,7 +96,7 @@
 }
 
 // With nothing to catch up with, a member compares with each other one in turn, never with itself. It sends no more than an
-// earlier version did: 152 bytes each 2 s to a random member, which could be itself.
+// earlier version did: 152 bytes each 2 s to one of all members, which could be itself.
 func TestIdleTraffic(t *testing.T) {
 	for n := 3; n <= 7; n++ {
 		g := newGroup(n)
--- a/internal/control/changelog/changelog_test.go
+++ b/internal/control/changelog/changelog_test.go
@@ -41,28 +41,28 @@
 	if n, err := Verify(dir, vkey, older); n != 8 || err != nil {
 		t.Fatalf("a valid log: %d, %v", n, err)
 	}
-	lines, point := readFile(t, dir, entriesFile), readFile(t, dir, checkpointFile)
+	lines, checkpoint := readFile(t, dir, entriesFile), readFile(t, dir, checkpointFile)
 	other := t.TempDir()
 	appendEntries(t, other, 1, 3)
 	foreign := readFile(t, other, checkpointFile)
 	at := bytes.IndexByte(lines, '\n') + 1
-	for name, x := range map[string]struct{ lines, point, older []byte }{
-		"an entry changed":                   {bytes.Replace(lines, []byte(`"number":2`), []byte(`"number":7`), 1), point, nil},
-		"an entry removed":                   {lines[at:], point, nil},
-		"the last entry removed":             {lines[:bytes.LastIndexByte(lines[:len(lines)-1], '\n')+1], point, nil},
-		"a size changed":                     {lines, bytes.Replace(point, []byte("\n8\n"), []byte("\n7\n"), 1), nil},
+	for name, tampered := range map[string]struct{ lines, point, older []byte }{
+		"an entry changed":                   {bytes.Replace(lines, []byte(`"number":2`), []byte(`"number":7`), 1), checkpoint, nil},
+		"an entry removed":                   {lines[at:], checkpoint, nil},
+		"the last entry removed":             {lines[:bytes.LastIndexByte(lines[:len(lines)-1], '\n')+1], checkpoint, nil},
+		"a size changed":                     {lines, bytes.Replace(checkpoint, []byte("\n8\n"), []byte("\n7\n"), 1), nil},
 		"the checkpoint of another log":      {lines, foreign, nil},
-		"rolled back":                        {lines, older, point},
-		"an older checkpoint of another log": {lines, point, foreign},
+		"rolled back":                        {lines, older, checkpoint},
+		"an older checkpoint of another log": {lines, checkpoint, foreign},
 		"no checkpoint text":                 {lines, []byte("hello\n"), nil},
 	} {
-		if err := os.WriteFile(filepath.Join(dir, entriesFile), x.lines, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, entriesFile), tampered.lines, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, checkpointFile), x.point, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, checkpointFile), tampered.point, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Verify(dir, vkey, x.older); err == nil {
+		if _, err := Verify(dir, vkey, tampered.older); err == nil {
 			t.Errorf("%s is not detected", name)
 		}
 	}
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -32,7 +32,7 @@
 }
 
 // Accept waits during a shortage, longer each time up to a limit, and then returns the next connection.
-func TestAcceptOutlastsShortages(t *testing.T) {
+func TestAcceptRetriesDuringShortages(t *testing.T) {
 	var errs []error
 	for range 3 {
 		errs = append(errs, acceptError(syscall.EMFILE), acceptError(syscall.ENFILE), acceptError(syscall.ENOBUFS), acceptError(syscall.ENOMEM))
--- a/internal/socket/age_test.go
+++ b/internal/socket/age_test.go
@@ -12,61 +12,61 @@
 )
 
 // The age of a connection whose handshake the client's kernel completes late counts from the answer to its SYN, not from Accept.
-func TestAgeOfALateConnection(t *testing.T) {
+func TestAgeCountsFromFirstSynAck(t *testing.T) {
 	ln, err := netfault.ListenDeferred()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	there, err := net.Dial("tcp", ln.Addr().String())
+	dialed, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
-	connected := time.Now()
+	defer dialed.Close()
+	connectedAt := time.Now()
 	if err := ln.Hold(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := there.Write([]byte("order")); err != nil {
+	if _, err := dialed.Write([]byte("order")); err != nil {
 		t.Fatal(err)
 	}
-	here, err := ln.Accept()
+	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer here.Close()
-	atLeast := time.Since(connected)
-	if age, known := Age(here); !known || age < atLeast {
-		t.Errorf("its age is %v, %v; it was connected %v ago", age, known, atLeast)
+	defer accepted.Close()
+	minAge := time.Since(connectedAt)
+	if age, known := Age(accepted); !known || age < minAge {
+		t.Errorf("its age is %v, %v; it was connected %v ago", age, known, minAge)
 	}
 	got := make([]byte, len("order"))
-	if _, err := io.ReadFull(here, got); err != nil || string(got) != "order" {
+	if _, err := io.ReadFull(accepted, got); err != nil || string(got) != "order" {
 		t.Errorf("%q %v", got, err)
 	}
 }
 
 // The age of a connection that waited to be accepted counts from its handshake, not from Accept.
-func TestAgeOfAConnectionThatWaited(t *testing.T) {
+func TestAgeOfAConnectionThatWaitedForAccept(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	dialled := time.Now()
-	there, err := net.Dial("tcp", ln.Addr().String())
+	dialedAt := time.Now()
+	dialed, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
-	connected := time.Now()
-	here, err := ln.Accept()
+	defer dialed.Close()
+	connectedAt := time.Now()
+	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer here.Close()
-	atLeast := time.Since(connected)
-	if age, known := Age(here); !known || age < atLeast || age > time.Since(dialled)+2*resolution {
-		t.Errorf("its age is %v, %v; it was connected %v ago", age, known, atLeast)
+	defer accepted.Close()
+	minAge := time.Since(connectedAt)
+	if age, known := Age(accepted); !known || age < minAge || age > time.Since(dialedAt)+2*resolution {
+		t.Errorf("its age is %v, %v; it was connected %v ago", age, known, minAge)
 	}
 	if _, known := Age(&net.UnixConn{}); known {
 		t.Error("a connection without information from the kernel has an age")
@@ -74,7 +74,7 @@
 }
 
 // If the kernel sent the SYN-ACK more than once, the client may have received the first one.
-func TestHandshakeWithRepeatedAnswers(t *testing.T) {
+func TestHandshakeWithRetransmittedSynAck(t *testing.T) {
 	for _, x := range []struct {
 		rtt, repeated uint32
 		want          time.Duration
--- a/internal/socket/options_test.go
+++ b/internal/socket/options_test.go
@@ -9,17 +9,19 @@
 )
 
 // The option is set in milliseconds; a connection without a socket is ignored.
-func TestGiveUpAfter(t *testing.T) {
-	here, _ := pair(t)
-	SetUserTimeout(here, 1500*time.Millisecond)
-	raw, err := here.SyscallConn()
+func TestSetUserTimeout(t *testing.T) {
+	local, _ := pair(t)
+	SetUserTimeout(local, 1500*time.Millisecond)
+	raw, err := local.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var set int
-	var asked error
-	if err := raw.Control(func(fd uintptr) { set, asked = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT) }); err != nil || asked != nil {
-		t.Fatal(err, asked)
+	var optionErr error
+	if err := raw.Control(func(fd uintptr) {
+		set, optionErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+	}); err != nil || optionErr != nil {
+		t.Fatal(err, optionErr)
 	}
 	if set != 1500 {
 		t.Errorf("%d ms", set)
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -9,7 +9,7 @@
 const waitTimeout = 10 * time.Second // not reached in a test that passes
 
 // pair returns both ends of a TCP connection.
-func pair(t *testing.T) (here, there *net.TCPConn) {
+func pair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,29 +40,29 @@
 
 // PeerClosed reports a close, also of the write side alone, and a reset, but neither a read deadline that has passed, as that of
 // a request read long ago, nor the data of a next request.
-func TestHungUp(t *testing.T) {
-	here, there := pair(t)
-	_ = here.SetReadDeadline(time.Now().Add(-time.Hour))
-	if PeerClosed(here) || Peek(here) != Idle {
+func TestPeerClosed(t *testing.T) {
+	local, remote := pair(t)
+	_ = local.SetReadDeadline(time.Now().Add(-time.Hour))
+	if PeerClosed(local) || Peek(local) != Idle {
 		t.Error("a passed deadline is reported as closed")
 	}
-	_, _ = there.Write([]byte("POST"))
-	waitForState(t, here, Readable)
-	if PeerClosed(here) {
+	_, _ = remote.Write([]byte("POST"))
+	waitForState(t, local, Readable)
+	if PeerClosed(local) {
 		t.Error("a next request is reported as closed")
 	}
-	_ = there.CloseWrite()
-	waitForState(t, here, Closed) // after unread data
-	here, there = pair(t)
-	_ = there.CloseWrite()
-	waitForState(t, here, Closed)
-	here, there = pair(t)
-	_ = there.SetLinger(0)
-	there.Close()
-	waitForState(t, here, Closed)
-	here, _ = pair(t)
-	here.Close()
-	if !PeerClosed(here) {
+	_ = remote.CloseWrite()
+	waitForState(t, local, Closed) // after unread data
+	local, remote = pair(t)
+	_ = remote.CloseWrite()
+	waitForState(t, local, Closed)
+	local, remote = pair(t)
+	_ = remote.SetLinger(0)
+	remote.Close()
+	waitForState(t, local, Closed)
+	local, _ = pair(t)
+	local.Close()
+	if !PeerClosed(local) {
 		t.Error("a connection closed locally is reported as open")
 	}
 	if c, _ := net.Pipe(); PeerClosed(c) {
--- a/internal/storage/wal/compaction.go
+++ b/internal/storage/wal/compaction.go
@@ -45,8 +45,8 @@
 // compact writes the current records into a new file that replaces the log, and keeps the old file if that fails.
 func (a *Log) compact() error {
 	_ = os.Remove(filepath.Join(a.dir, reserveName))
-	tmp := filepath.Join(a.dir, tempName)
-	f, err := os.Create(tmp)
+	tempPath := filepath.Join(a.dir, tempName)
+	f, err := os.Create(tempPath)
 	if err != nil {
 		return a.ensureReserveFile() // no descriptor, or no space for a directory entry: the old file still holds everything
 	}
@@ -60,10 +60,10 @@
 	if err != nil {
 		// The old file still holds everything: continue with it.
 		f.Close()
-		_ = os.Remove(tmp)
+		_ = os.Remove(tempPath)
 		return a.ensureReserveFile()
 	}
-	if err = os.Rename(tmp, filepath.Join(a.dir, logName)); err == nil {
+	if err = os.Rename(tempPath, filepath.Join(a.dir, logName)); err == nil {
 		err = syncDir(a.dir)
 	}
 	if err != nil {
--- a/internal/storage/wal/power_loss_test.go
+++ b/internal/storage/wal/power_loss_test.go
@@ -31,9 +31,9 @@
 }
 
 // checkSurvives opens what a power loss left, and checks that all synced records are there and the log accepts appends.
-func checkSurvives(t *testing.T, what string, image, mark []byte, batches int) {
+func checkSurvives(t *testing.T, what string, log, mark []byte, batches int) {
 	t.Helper()
-	dir := testDir(t, image, mark)
+	dir := testDir(t, log, mark)
 	a, err := Open(dir, 0)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
--- a/internal/storage/wal/recovery_test.go
+++ b/internal/storage/wal/recovery_test.go
@@ -60,13 +60,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := len(disk.synced)
+	syncedLen := len(disk.synced)
 	if err := a.Append([]message.Record{testRecord("e", 8)}); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
 	image := readFile(t, dir, logName)
-	clear(image[before : len(log)+len(writing)]) // what wasn't synced before the second append is missing, the second append is there
+	clear(image[syncedLen : len(log)+len(writing)]) // what wasn't synced before the second append is missing, the second append is there
 	checkSurvives(t, "a second append", image, mark, batches)
 }
 
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -150,7 +150,7 @@
 	}
 	if _, err := a.f.WriteAt(b, a.size); err != nil {
 		if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EFBIG) || errors.Is(err, syscall.EDQUOT) {
-			if cut := a.f.Truncate(a.size); cut != nil {
+			if truncateErr := a.f.Truncate(a.size); truncateErr != nil {
 				a.failed = true
 			}
 			return fmt.Errorf("%w: %w", ErrFull, err)
