--- a/internal/socket/age_test.go
+++ b/internal/socket/age_test.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 )
 
 // The age of a connection whose handshake the client's kernel completes late counts from the answer to its SYN, not from Accept.
