--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -19,8 +19,8 @@
 				continue
 			}
 			worker := capacity.Worker{Zone: w.Zone, Capacity: s.Capacity, MaxWaiting: s.MaxWaiting, WarmUp: s.WarmUp,
-				StartedAt: startTimes[w.ID],
-				Closed:    w.Draining || evacuated[w.Zone], Adaptive: s.Adaptive, MinCapacity: s.MinCapacity,
+				StartedAt: startTimes[w.ID], Closed: w.Draining || evacuated[w.Zone],
+				Adaptive: s.Adaptive, MinCapacity: s.MinCapacity,
 				TargetWait: s.TargetWait, FirstTokenTime: s.FirstTokenTime,
 				Memory: int(s.MemoryShare * float64(s.MemoryTokens)), WarmUpRate: s.WarmUpRate, QuickTakeover: s.QuickTakeover}
 			if worker.Capacity == 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,9 +32,9 @@
 	RetryJitter     time.Duration // random addition to RetryAfter
 	FirstTokenTime  time.Duration // expected time to the first token until one was measured
 	MemoryTokens    int           // tokens that fit into one worker's memory; 0 without an engine (docs/design.md, section 12)
-	MemoryShare     float64       // fraction of MemoryTokens that permits may use
+	MemoryShare     float64       // fraction of MemoryTokens that permits may use: a second limit besides Capacity
 	PrefillRate     float64       // prompt tokens that a worker prefills in a millisecond, between decoding steps
-	AttentionCost   float64       // further prefill time of a million pairs of prompt tokens, in milliseconds
+	AttentionCost   float64       // further prefill time (attention) of a million pairs of prompt tokens, in milliseconds
 	WarmUpRate      float64       // requests a second that a worker takes while it warms up; 0 for no limit
 	MaxConns        int           // connections that one worker accepts from all routers together; 0 for no limit
 	QuickTakeover   bool          // a new coordinator doesn't wait until permits of unreachable routers expire
--- a/internal/config/forecast.go
+++ b/internal/config/forecast.go
@@ -59,16 +59,17 @@
 			continue
 		}
 		line := fmt.Sprintf("mapping %s, promise %s: first words in %v and the whole in %v promised; measured: %.1f%% of first words kept, 95 of 100 within %v, %.1f%% on time",
-			m.Name, m.Promise.Name, m.Promise.MaxFirstTokenTime, m.Promise.Deadline, Percent(s.FirstTokenKept,
-				s.FirstTokenKept+s.FirstTokenMissed), s.FirstTokenP95, Percent(s.OnTime, s.Requests))
-		if o := oldMappings[m.Name]; o != nil && (o.Promise.MaxFirstTokenTime != m.Promise.MaxFirstTokenTime || o.Promise.Deadline != m.Promise.Deadline || o.Promise.Worth != m.Promise.Worth) {
+			m.Name, m.Promise.Name, m.Promise.MaxFirstTokenTime, m.Promise.Deadline,
+			Percent(s.FirstTokenKept, s.FirstTokenKept+s.FirstTokenMissed), s.FirstTokenP95, Percent(s.OnTime, s.Requests))
+		if o := oldMappings[m.Name]; o != nil && (o.Promise.MaxFirstTokenTime != m.Promise.MaxFirstTokenTime ||
+			o.Promise.Deadline != m.Promise.Deadline || o.Promise.Worth != m.Promise.Worth) {
 			line += fmt.Sprintf("; now promised: %v, %v", o.Promise.MaxFirstTokenTime, o.Promise.Deadline)
 		}
 		p.Promises = append(p.Promises, line)
 		if s.FirstTokenP95 > m.Promise.MaxFirstTokenTime {
 			p.Warnings = append(p.Warnings,
-				fmt.Sprintf("mapping %s: first words are promised in %v, and 5 of 100 took over %v", m.Name,
-					m.Promise.MaxFirstTokenTime, s.FirstTokenP95))
+				fmt.Sprintf("mapping %s: first words are promised in %v, and 5 of 100 took over %v",
+					m.Name, m.Promise.MaxFirstTokenTime, s.FirstTokenP95))
 		}
 		m.addLoad(load, s.RequestRate*s.SlotTime.Seconds())
 	}
@@ -100,7 +101,8 @@
 		}
 		if load[n] > float64(slots) {
 			p.Warnings = append(p.Warnings,
-				fmt.Sprintf("service %s: what came in the last minute fills %.1f slots, and there would be %d: its promises can't be kept", n, load[n], slots))
+				fmt.Sprintf("service %s: what came in the last minute fills %.1f slots, and there would be %d: its promises can't be kept",
+					n, load[n], slots))
 		}
 	}
 }
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -30,19 +30,18 @@
 	}
 	list := v.Get("workers")
 	if list == nil || list.Type() != fastjson.TypeArray {
-		return nil, errors.New("config: worker list: no workers array")
+		return nil, errors.New("config: worker list: no workers in it")
 	}
 	var workers []Worker
 	seen := map[string]bool{}
 	for i, entry := range list.GetArray() {
 		worker := Worker{ID: string(entry.GetStringBytes("id")), Addr: string(entry.GetStringBytes("addr")),
-			Zone:     string(entry.GetStringBytes("zone")),
-			Draining: entry.GetBool("leaving"), Age: time.Duration(entry.GetInt64("age_ms")) * time.Millisecond,
-			Incarnation: entry.GetUint64("life"),
-			Service:     string(entry.GetStringBytes("service")), Slots: entry.GetInt("slots"),
+			Zone: string(entry.GetStringBytes("zone")), Draining: entry.GetBool("leaving"),
+			Age: time.Duration(entry.GetInt64("age_ms")) * time.Millisecond, Incarnation: entry.GetUint64("life"),
+			Service: string(entry.GetStringBytes("service")), Slots: entry.GetInt("slots"),
 			WarmingUpFor: time.Duration(entry.GetInt64("cold_ms")) * time.Millisecond}
 		if worker.ID == "" || worker.Addr == "" || seen[worker.ID] {
-			return nil, fmt.Errorf("config: worker list: entry %d has no id or address, or its id is a duplicate", i)
+			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or stands twice", i)
 		}
 		seen[worker.ID] = true
 		workers = append(workers, worker)
--- a/internal/socket/age.go
+++ b/internal/socket/age.go
@@ -26,7 +26,8 @@
 	if info == nil {
 		return 0, false
 	}
-	completed := time.Duration(info.Last_data_recv) * time.Millisecond // since the last data or, if there was none, since the handshake
+	// Last_data_recv counts from the last data or, if there was none, from the end of the handshake.
+	completed := time.Duration(info.Last_data_recv) * time.Millisecond
 	return completed + handshake(info) + resolution, true
 }
 
--- a/internal/storage/wal/sync_mark.go
+++ b/internal/storage/wal/sync_mark.go
@@ -43,7 +43,7 @@
 	}
 	m, ok := parseMark(b)
 	if ok && (m.Generation > c.generation || m.Generation == c.generation && m.Records > c.count) {
-		return fmt.Errorf("%w: the log has %d records of generation %d, but %d of generation %d were synced",
+		return fmt.Errorf("%w: %d records of generation %d are left of %d of generation %d",
 			ErrDamaged, c.count, c.generation, m.Records, m.Generation)
 	}
 	return nil
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -13,9 +13,9 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// Errors of the log; the disk or the log's file is in this state.
+// Errors of the log. The text of ErrDamaged and of the errors that wrap it is shown in a controller's status.
 var (
-	ErrDamaged  = errors.New("wal: damaged: synced data is missing or changed")
+	ErrDamaged  = errors.New("wal: damaged: not all that was synced is there")
 	ErrFull     = errors.New("wal: disk full")
 	ErrFailed   = errors.New("wal: a write or sync failed; the file is no longer trusted")
 	ErrTooLarge = errors.New("wal: the record is larger than the log can read back")
@@ -122,8 +122,8 @@
 	return l
 }
 
-// Append writes records and syncs them. After a failed write or sync the file is never written again. Without records it only
-// checks whether a full disk has space again.
+// Append writes records and syncs them. After a failed sync, or a failed write for another reason than a full disk, the file is
+// never written again. Without records it only checks whether a full disk has space again.
 func (a *Log) Append(rs []message.Record) error {
 	if a.failed {
 		return ErrFailed
