--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -16,13 +16,13 @@
 var uncancellable = []string{
 	"context.Background", "context.TODO", "context.WithoutCancel",
 	"net.Dial", "net.DialTimeout", "shield.Dial",
-	"time.Sleep", "Tasks.Sleep", "socket.HungUp",
+	"time.Sleep", "Tasks.Sleep", "socket.PeerClosed",
 }
 
 // ownTime are the files that do something for the process itself rather than for a request, with what they may call.
 var ownTime = map[string][]string{
-	"clientwatch/clientwatch.go": {"context.Background", "socket.HungUp"}, // where the contexts come from
-	"leave.go":                   {"context.Background", "Tasks.Sleep"},   // the end of the process
+	"clientwatch/clientwatch.go": {"context.Background", "socket.PeerClosed"}, // where the contexts come from
+	"leave.go":                   {"context.Background", "Tasks.Sleep"},       // the end of the process
 }
 
 // selector gives the last two names of a call like v.Tasks.Sleep or net.Dial.
