--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -15,7 +15,7 @@
 // without a context, and looks at the client of one's own.
 var uncancellable = []string{
 	"context.Background", "context.TODO", "context.WithoutCancel",
-	"net.Dial", "net.DialTimeout", "shield.Dial",
+	"net.Dial", "net.DialTimeout", "partition.Dial",
 	"time.Sleep", "Tasks.Sleep", "socket.PeerClosed",
 }
 
--- a/internal/router/client_left_rig_test.go
+++ b/internal/router/client_left_rig_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	client, router := c.LocalAddr().(*net.TCPAddr), c.RemoteAddr().(*net.TCPAddr)
 	c.Close()
-	testutil.Until(t, "the client's end has come", func() bool {
+	testutil.WaitUntil(t, "the client's end has come", func() bool {
 		const closeWait = "08"
 		state, ok := socketState(t, router, client)
 		return ok && state == closeWait || !ok
@@ -84,18 +84,18 @@
 // taken waits until a request is under way at the router, and idle until none is.
 func taken(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "a request is under way", func() bool { return v.inFlight.Load() > 0 })
+	testutil.WaitUntil(t, "a request is under way", func() bool { return v.inFlight.Load() > 0 })
 }
 
 func idle(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
+	testutil.WaitUntil(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
 }
 
 // admitted waits until a permit is held.
 func admitted(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "a permit is held", func() bool {
+	testutil.WaitUntil(t, "a permit is held", func() bool {
 		v.queueMu.Lock()
 		defer v.queueMu.Unlock()
 		n := 0
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -17,7 +17,7 @@
 // told so at once, and one that leaves makes room.
 func TestClientsLeaveDescriptorsToTheFleet(t *testing.T) {
 	const files = 8
-	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, MaxDescriptors: files}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, MaxDescriptors: files}
 	v := New(b, nil)
 	v.OnResume = nil
 	if err := v.Start(); err != nil {
@@ -60,7 +60,7 @@
 		t.Errorf("one past the bound: %s", got)
 	}
 	held[0].Close()
-	testutil.Until(t, "one that left makes room", func() bool {
+	testutil.WaitUntil(t, "one that left makes room", func() bool {
 		c := dial()
 		defer c.Close()
 		return answer(c, request) == served
--- a/internal/router/late_worker_test.go
+++ b/internal/router/late_worker_test.go
@@ -68,7 +68,7 @@
 	case h = <-ha:
 	case h = <-hb:
 	}
-	testutil.Until(t, "it is late", func() bool {
+	testutil.WaitUntil(t, "it is late", func() bool {
 		v.tableMu.Lock()
 		defer v.tableMu.Unlock()
 		return len(v.table.down) == 1
@@ -77,7 +77,7 @@
 	if status, body := c.reply(t); status != 200 || !strings.Contains(body, `"seal"`) || len(ha)+len(hb) > 0 {
 		t.Errorf("%d %s", status, body)
 	}
-	testutil.Until(t, "it is well again", func() bool {
+	testutil.WaitUntil(t, "it is well again", func() bool {
 		v.tableMu.Lock()
 		defer v.tableMu.Unlock()
 		return len(v.table.down) == 0
@@ -107,7 +107,7 @@
 	if !ready() {
 		t.Fatal("a fleet of one is ready")
 	}
-	other := membership.New(membership.Member{Node: 9, Incarnation: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
+	other := membership.New(membership.Member{Node: 9, Incarnation: 1, Role: membership.Controller, Addr: testutil.FreeAddr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
 	v.GossipMu.Lock()
 	for _, n := range other.Tick(0).Messages {
 		n.From = 9
@@ -117,5 +117,5 @@
 	if !ready() {
 		t.Error("it sees another")
 	}
-	testutil.Until(t, "it is alone", func() bool { return !ready() })
+	testutil.WaitUntil(t, "it is alone", func() bool { return !ready() })
 }
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -205,7 +205,7 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	testutil.Until(t, "all are measured", func() bool {
+	testutil.WaitUntil(t, "all are measured", func() bool {
 		seen := v.tallies.lasted(v.Tasks.Now(), mapping)
 		return seen.longest > 0 && seen.watched > seen.longest
 	})
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -28,7 +28,7 @@
 	k.request()
 	c.Close()
 	k.closedByRouter()
-	testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
+	testutil.WaitUntil(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
 	text := metricsText(v)
 	for _, want := range []string{
 		`seamshunt_results_total{code="403"} 1`,
--- a/internal/router/own_interface_test.go
+++ b/internal/router/own_interface_test.go
@@ -150,7 +150,7 @@
 			}
 			c.Close()
 			gone(t, h)
-			testutil.Until(t, "the slot is free", func() bool {
+			testutil.WaitUntil(t, "the slot is free", func() bool {
 				v.ledgerMu.Lock()
 				defer v.ledgerMu.Unlock()
 				return v.ledger.Status(v.Tasks.Now())[0].InUse == 0 && v.inFlight.Load() == 0
@@ -180,12 +180,12 @@
 		return v.ledger.Status(v.Tasks.Now())[0].Waiting
 	}
 	c := ask(t, v, "/chat")
-	testutil.Until(t, "the third waits", func() bool { return waiting() == 1 })
+	testutil.WaitUntil(t, "the third waits", func() bool { return waiting() == 1 })
 	if status, body := ask(t, v, "/chat").reply(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"retry_after_ms"`) {
 		t.Errorf("the fourth finds the waitlist full: %d %s", status, body)
 	}
 	c.Close()
-	testutil.Until(t, "the third has left", func() bool { return waiting() == 0 })
+	testutil.WaitUntil(t, "the third has left", func() bool { return waiting() == 0 })
 	if len(hands) > 0 {
 		t.Error("more than the cap reached the worker")
 	}
--- a/internal/router/relay_client_test.go
+++ b/internal/router/relay_client_test.go
@@ -126,7 +126,7 @@
 				if got := c.receive(); half && got.status != 502 && got.status != 499 && got.status != 0 {
 					t.Errorf("answered %+v", got)
 				}
-				testutil.Until(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
+				testutil.WaitUntil(t, "nothing is under way", func() bool { return v.inFlight.Load() == 0 })
 				if !none(a, b) {
 					t.Error("it was sent on")
 				}
--- a/internal/router/relay_rig_test.go
+++ b/internal/router/relay_rig_test.go
@@ -106,7 +106,7 @@
 // relayRig is one router alone in the platform's words; it keeps all workers itself. Its budget allows further tries.
 func relayRig(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
-	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, platform.New("", "router"))
 	v.OnResume = nil // alone, it could never confirm its news again if the machine stood still for a second
@@ -123,7 +123,7 @@
 	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.MarshalWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
-	testutil.Until(t, "the router keeps its workers", func() bool {
+	testutil.WaitUntil(t, "the router keeps its workers", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
 		open := 0
--- a/internal/router/rig_test.go
+++ b/internal/router/rig_test.go
@@ -90,7 +90,7 @@
 // rigOf is a rig with a configuration of its own.
 func rigOf(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
-	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, nil)
 	v.OnResume = nil // alone, it could never confirm its news again if the machine stood still for a second
@@ -107,7 +107,7 @@
 	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.MarshalWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
-	testutil.Until(t, "the router keeps its workers", func() bool {
+	testutil.WaitUntil(t, "the router keeps its workers", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
 		k := v.ledger.Status(v.Tasks.Now())
@@ -118,7 +118,7 @@
 		}
 		return len(k) == len(workers)
 	})
-	testutil.Until(t, "the router takes part in claims", func() bool {
+	testutil.WaitUntil(t, "the router takes part in claims", func() bool {
 		v.claimantMu.Lock()
 		defer v.claimantMu.Unlock()
 		return v.claimant.Complete()
--- a/internal/router/steps_test.go
+++ b/internal/router/steps_test.go
@@ -36,7 +36,7 @@
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "zone/" + marker, Version: 1, Data: []byte(`{"evacuated":true}`)})
 	v.FeedMu.Unlock()
-	testutil.Until(t, "the news is looked at", func() bool {
+	testutil.WaitUntil(t, "the news is looked at", func() bool {
 		v.tableMu.Lock()
 		defer v.tableMu.Unlock()
 		return v.table.evacuated[marker]
@@ -52,7 +52,7 @@
 	v := rig(t, a)
 	take(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(stepConfig)},
 		configpush.Item{Key: "workers/side", Version: 1, Data: config.MarshalWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
-	testutil.Until(t, "both workers are kept", func() bool {
+	testutil.WaitUntil(t, "both workers are kept", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
 		k := v.ledger.Status(v.Tasks.Now())
@@ -63,7 +63,7 @@
 	defer first.Close()
 	waits := ask(t, v, "/stepped") // waits for big: its list has room
 	defer waits.Close()
-	testutil.Until(t, "one waits", func() bool {
+	testutil.WaitUntil(t, "one waits", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
 		return v.ledger.Status(v.Tasks.Now())[0].Waiting == 1
--- a/internal/router/toll_test.go
+++ b/internal/router/toll_test.go
@@ -15,7 +15,7 @@
 
 // instant is a stand-in worker that answers at once, so that what is measured is the way there.
 func instant(b *testing.B) string {
-	j, err := standin.Open(filepath.Join(b.TempDir(), "w.jsonl"))
+	j, err := standin.OpenJournal(filepath.Join(b.TempDir(), "w.jsonl"))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	w := &standin.Worker{Name: "w1", Pool: "main", Zone: "z1", Journal: j, Model: standin.Model{Knee: 64, Blocks: 64, BatchMost: 4096}}
+	w := &standin.Worker{Name: "w1", Pool: "main", Zone: "z1", Journal: j, Model: standin.LoadModel{Knee: 64, CacheBlocks: 64, MaxBatch: 4096}}
 	go func() { _ = w.Serve(ln) }()
 	b.Cleanup(func() { ln.Close(); j.Close() })
 	return ln.Addr().String()
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 	"seamshunt/internal/socket"
 )
 
@@ -32,7 +32,7 @@
 	if left <= 0 {
 		return nil, fmt.Errorf("upstream: no time left to dial %s", o.Addr)
 	}
-	nc, err := shield.DialContext(ctx, o.Addr, min(dialMost, left))
+	nc, err := partition.DialContext(ctx, o.Addr, min(dialMost, left))
 	if err != nil {
 		return nil, p.dialFailed(ctx, err, left)
 	}
--- a/internal/router/upstream/owed_test.go
+++ b/internal/router/upstream/owed_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 // A connection that carried a request is never used for the same id again, however many others it carried meanwhile:
@@ -127,7 +127,7 @@
 			p := NewPool(names)
 			want(t, p, order(addr, "a"), "")
 			c := p.hosts["w"].idle[0]
-			c.Conn = &cutting{shield.Bare(c.Conn).(*net.TCPConn), 4000, cut, full}
+			c.Conn = &cutting{partition.Unwrap(c.Conn).(*net.TCPConn), 4000, cut, full}
 			o := order(addr, "b")
 			o.Request.SetBodyString(strings.Repeat("x", 1<<16))
 			y := p.Do(waiting(t), o)
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Conn = &frozen{shield.Bare(c.Conn).(*net.TCPConn), func() { <-written; <-due.Done() }}
+	c.Conn = &frozen{partition.Unwrap(c.Conn).(*net.TCPConn), func() { <-written; <-due.Done() }}
 	p.put(c, time.Now().Add(soon))
 	if x := wantKind(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) || !x.Reused {
 		t.Fatal(x.Err, x.Reused)
--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 func TestPoolUsesConnectionsAgain(t *testing.T) {
@@ -205,7 +205,7 @@
 	addr := serve(t, echo)
 	want(t, p, order(addr, "a"), "a")
 	c := p.hosts["w"].idle[0]
-	c.Conn = mute{shield.Bare(c.Conn).(*net.TCPConn)}
+	c.Conn = mute{partition.Unwrap(c.Conn).(*net.TCPConn)}
 	if x := want(t, p, order(addr, "b"), "b"); x.Reused {
 		t.Fatal("reused")
 	}
--- a/internal/router/upstream/try.go
+++ b/internal/router/upstream/try.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 // Outcome of an event of one try.
@@ -104,7 +104,7 @@
 
 func (t *Attempt) run() Event {
 	due := time.Now().Add(t.TimeLeft)
-	nc, err := shield.DialContext(t.ctx, t.Addr, min(t.TimeLeft, dialMost))
+	nc, err := partition.DialContext(t.ctx, t.Addr, min(t.TimeLeft, dialMost))
 	if err != nil {
 		return Event{Outcome: NotSent, Err: err, Unreachable: t.ctx.Err() == nil}
 	}
--- a/internal/router/woke_test.go
+++ b/internal/router/woke_test.go
@@ -29,7 +29,7 @@
 	if v.ready.Load() {
 		t.Error("a woken router takes prompts before its news is confirmed")
 	}
-	testutil.Until(t, "it lends again", func() bool { n, open := lent(v); return open && n == 1 })
+	testutil.WaitUntil(t, "it lends again", func() bool { n, open := lent(v); return open && n == 1 })
 }
 
 // The slot of a run that was cut short is free only after its worker had time to notice the broken wire.
@@ -42,7 +42,7 @@
 	began := v.Tasks.Now()
 	c.Close()
 	gone(t, h)
-	testutil.Until(t, "the slot is free", func() bool { n, _ := lent(v); return n == 0 })
+	testutil.WaitUntil(t, "the slot is free", func() bool { n, _ := lent(v); return n == 0 })
 	if d := v.Tasks.Now().Sub(began); d < 250_000_000 {
 		t.Errorf("the slot was free after %v, when the worker may still have been running", d)
 	}
