--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -1,6 +1,6 @@
-// Package antientropy compares copies of the control state by digests over ranges, and has them mended from the newer
-// (design 2). A member that may have missed writes compares with every other member in turn, at once; one that has
-// nothing to catch up with compares with one other each Gap.
+// Package antientropy compares the voters' copies of the control state by digests over ranges of keys, and repairs older copies
+// from newer ones (docs/design.md, section 2). A voter that may have missed writes compares with every other voter at once, one
+// after the other; a voter that has nothing to catch up with compares with one other voter each Interval.
 package antientropy
 
 import (
@@ -13,9 +13,10 @@
 	"seamshunt/internal/units"
 )
 
-// The messages of a comparison. Root opens it; where the sums differ, Digests answers it, and Ranges answers those. Who
-// gets Ranges mends what is older there, shows its own part back if something is older here, and says in a Verdict
-// whether it held anything newer. Mending itself is the owner's last Accept once more, so an acceptor's promises guard it.
+// The messages of a comparison. Root opens it; if the sums differ, the answer is Digests, and the answer to Digests is Ranges.
+// The receiver of Ranges repairs the sender's older copies, sends its own Ranges back if some of its copies are older, and
+// reports in an Outcome whether it had anything newer. A repair is the owner's last Accept sent again, so an acceptor checks it
+// against its promises.
 const (
 	Digests = message.KindAntiEntropy + iota
 	Ranges
@@ -23,34 +24,35 @@
 	Outcome
 )
 
-// Interval between two comparisons by one member that has nothing to catch up with (start).
+// Interval is the time between two comparisons by a voter that has nothing to catch up with.
 const Interval = 1500 * time.Millisecond
 
-// Repair sends a key's accepted value to another member.
+// Repair sends a key's accepted value to another voter.
 type Repair func(to units.NodeID, key string) message.Effects
 
-// Syncer is one member's state machine of the comparison. It isn't safe for concurrent use.
+// Syncer is one node's state machine for comparisons. It isn't safe for concurrent use.
 type Syncer struct {
-	self     units.NodeID
-	next     units.Time
-	turn     int            // whom of the members to compare with next
-	others   []units.NodeID // the other members at the last tick; none while this node is no member itself
-	member   bool           // was in the quorum at the last tick
-	healthy  bool           // could take part at the last tick
-	catchUp  *catchUp
-	Repaired int // copies of others that were older than the ones here
-	Ignored  int // messages of who is no member
+	self      units.NodeID
+	nextAt    units.Time     // when the next comparison is due
+	peerIndex int            // index of the next peer to compare with
+	peers     []units.NodeID // the other voters at the last tick; none while this node is no voter itself
+	isVoter   bool           // was in the quorum set at the last tick
+	healthy   bool           // could take part in comparisons at the last tick
+	catchUp   *catchUp       // the catch-up in progress, if any
+	Repaired  int            // copies of other voters that were older than the own ones
+	Ignored   int            // messages from nodes that aren't voters
 }
 
-// New gives one that begins after a random part of the gap, with a random member. It was just started, so it catches up
-// first.
+// New returns a syncer that begins after a random part of the interval, with a random peer. It catches up first, since the
+// process was just started.
 func New(self units.NodeID, now units.Time, rng *rand.Rand) *Syncer {
-	s := &Syncer{self: self, next: now.Add(time.Duration(rng.Int64N(int64(Interval)))), turn: rng.IntN(1 << 16), healthy: true}
+	s := &Syncer{self: self, nextAt: now.Add(time.Duration(rng.Int64N(int64(Interval)))), peerIndex: rng.IntN(1 << 16),
+		healthy: true}
 	return s
 }
 
-// SetHealthy tells whether this node reaches a majority and its disk takes writes. One that does not can't be mended and
-// asks nobody; it may miss writes meanwhile, and catches up afterwards.
+// SetHealthy sets whether this node reaches a majority and its disk accepts writes. An unhealthy node can't be repaired and
+// sends no requests; it may miss writes meanwhile, so it catches up when it is healthy again.
 func (s *Syncer) SetHealthy(ok bool) {
 	if ok && !s.healthy {
 		s.StartCatchUp()
@@ -58,138 +60,142 @@
 	s.healthy = ok
 }
 
-// Tick compares with one other member. Who is not in the quorum holds no copy: it would be told of every key again and
-// again.
-func (s *Syncer) Tick(now units.Time, members []units.NodeID, states map[string]*register.State) (out message.Effects) {
-	if !slices.Contains(members, s.self) {
-		s.member, s.others = false, nil
+// Tick starts a comparison with one other voter if it is due. A node outside the quorum set takes no part: it stores no copies,
+// so every key would be sent to it again and again.
+func (s *Syncer) Tick(now units.Time, voters []units.NodeID, states map[string]*register.State) (out message.Effects) {
+	if !slices.Contains(voters, s.self) {
+		s.isVoter, s.peers = false, nil
 		return out
 	}
-	if !s.member {
-		s.member = true
+	if !s.isVoter {
+		s.isVoter = true
 		s.StartCatchUp()
 	}
-	s.others = slices.DeleteFunc(slices.Clone(members), func(n units.NodeID) bool { return n == s.self })
-	if len(s.others) == 0 || !s.healthy {
+	s.peers = slices.DeleteFunc(slices.Clone(voters), func(n units.NodeID) bool { return n == s.self })
+	if len(s.peers) == 0 || !s.healthy {
 		return out
 	}
-	if s.catchUp != nil && s.catchUp.done(s.others) {
-		s.catchUp, s.next = nil, now.Add(Interval)
+	if s.catchUp != nil && s.catchUp.complete(s.peers) {
+		s.catchUp, s.nextAt = nil, now.Add(Interval)
 	}
-	if !s.ready(now) {
+	if !s.isDue(now) {
 		return out
 	}
-	head := rootHead{Sum: sums(states).root()}
+	request := rootRequest{Sum: rangeSums(states).root()}
 	var to units.NodeID
 	if s.catchUp != nil {
 		var wait time.Duration
-		to, wait = s.catchUp.ask(s.others, &s.turn)
-		s.next, head.Answer = now.Add(wait), 1
+		to, wait = s.catchUp.nextPeer(s.peers, &s.peerIndex)
+		s.nextAt, request.ReplyIfEqual = now.Add(wait), 1
 	} else {
-		to = s.others[s.turn%len(s.others)]
-		s.turn++
-		s.next = now.Add(Interval)
+		to = s.peers[s.peerIndex%len(s.peers)]
+		s.peerIndex++
+		s.nextAt = now.Add(Interval)
 	}
-	out.Send(to, Root, message.Pack(head))
+	out.Send(to, Root, message.Pack(request))
 	return out
 }
 
-// Step takes one message; of a node that is no member, none.
-func (s *Syncer) Step(n message.Message, states map[string]*register.State, mend Repair) (out message.Effects) {
-	if !slices.Contains(s.others, n.From) {
+// Step handles one message. Messages from nodes that aren't voters are ignored.
+func (s *Syncer) Step(m message.Message, states map[string]*register.State, repair Repair) (out message.Effects) {
+	if !slices.Contains(s.peers, m.From) {
 		s.Ignored++
 		return out
 	}
 	var err error
-	switch n.Kind {
+	switch m.Kind {
 	case Root:
-		err = compareRoot(n, states, &out)
+		err = compareRoot(m, states, &out)
 	case Digests:
-		err = compareDigests(n, states, &out)
+		err = compareDigests(m, states, &out)
 	case Ranges:
-		err = s.compareRanges(n, states, mend, &out)
+		err = s.compareRanges(m, states, repair, &out)
 	case Outcome:
-		err = s.judged(n)
+		err = s.handleOutcome(m)
 	}
 	out.AddError(err)
 	return out
 }
 
-func compareRoot(n message.Message, states map[string]*register.State, out *message.Effects) error {
-	var h rootHead
-	if err := message.Unpack(n.Body, &h); err != nil {
+// compareRoot answers with the digests if the sums over all keys differ, and with an outcome if they are equal and the sender
+// asked for one.
+func compareRoot(m message.Message, states map[string]*register.State, out *message.Effects) error {
+	var request rootRequest
+	if err := message.Unpack(m.Body, &request); err != nil {
 		return err
 	}
-	mine := sums(states)
+	own := rangeSums(states)
 	switch {
-	case mine.root() != h.Sum:
-		out.Send(n.From, Digests, message.Pack(mine))
-	case h.Answer == 1:
-		out.Send(n.From, Outcome, message.Pack(verdictHead{}))
+	case own.root() != request.Sum:
+		out.Send(m.From, Digests, message.Pack(own))
+	case request.ReplyIfEqual == 1:
+		out.Send(m.From, Outcome, message.Pack(outcomeBody{}))
 	}
 	return nil
 }
 
-func compareDigests(n message.Message, states map[string]*register.State, out *message.Effects) error {
-	var theirs digests
-	if err := message.Unpack(n.Body, &theirs); err != nil {
+// compareDigests answers with the versions of the copies in all ranges that differ.
+func compareDigests(m message.Message, states map[string]*register.State, out *message.Effects) error {
+	var remote digests
+	if err := message.Unpack(m.Body, &remote); err != nil {
 		return err
 	}
-	// Where nothing differs any more, the list is empty and brings the verdict.
-	out.Send(n.From, Ranges, list(rangeHead{Mask: sums(states).differing(theirs)}, states))
+	// If nothing differs any more, the list is empty, and it is still sent, since its answer is the outcome.
+	out.Send(m.From, Ranges, packRanges(rangesHeader{Mask: rangeSums(states).differing(remote)}, states))
 	return nil
 }
 
-// compareRanges mends what is older there, and shows its own part back when something is older here.
-func (s *Syncer) compareRanges(n message.Message, states map[string]*register.State, mend Repair, out *message.Effects) error {
-	h, theirs, err := unpackRanges(n.Body)
+// compareRanges repairs the sender's older copies, and sends the own versions back if some of the own copies are older.
+func (s *Syncer) compareRanges(m message.Message, states map[string]*register.State, repair Repair,
+	out *message.Effects) error {
+	header, remote, err := unpackRanges(m.Body)
 	if err != nil {
 		return err
 	}
 	ahead, behind := false, false
 	for _, key := range message.SortedKeys(states) {
-		if !held(states[key]) || h.Mask>>part(key)&1 == 0 {
+		if !hasCopy(states[key]) || header.Mask>>rangeOf(key)&1 == 0 {
 			continue
 		}
-		switch c := order(states[key], theirs[key]); {
+		switch c := compareCopies(states[key], remote[key]); {
 		case c > 0:
 			ahead = true
 			s.Repaired++
-			out.Append(mend(n.From, key))
+			out.Append(repair(m.From, key))
 		case c < 0:
 			behind = true
 		}
 	}
-	for key := range theirs {
-		behind = behind || !held(states[key])
+	for key := range remote {
+		behind = behind || !hasCopy(states[key])
 	}
 	if behind {
-		s.behind(n.From)
+		s.markNewer(m.From)
 	}
-	if h.Back == 1 {
+	if header.IsReply == 1 {
 		return nil
 	}
 	if behind {
-		out.Send(n.From, Ranges, list(rangeHead{h.Mask, 1}, states))
+		out.Send(m.From, Ranges, packRanges(rangesHeader{header.Mask, 1}, states))
 	}
-	verdict := verdictHead{}
+	outcome := outcomeBody{}
 	if ahead {
-		verdict.Newer = 1
+		outcome.Newer = 1
 	}
-	out.Send(n.From, Outcome, message.Pack(verdict))
+	out.Send(m.From, Outcome, message.Pack(outcome))
 	return nil
 }
 
-// judged takes what another member made of this one's copies.
-func (s *Syncer) judged(n message.Message) error {
-	var v verdictHead
-	if err := message.Unpack(n.Body, &v); err != nil {
+// handleOutcome records whether another voter found older copies here.
+func (s *Syncer) handleOutcome(m message.Message) error {
+	var outcome outcomeBody
+	if err := message.Unpack(m.Body, &outcome); err != nil {
 		return err
 	}
-	if v.Newer == 1 {
-		s.behind(n.From)
+	if outcome.Newer == 1 {
+		s.markNewer(m.From)
 	} else {
-		s.current(n.From)
+		s.markNotNewer(m.From)
 	}
 	return nil
 }
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -6,47 +6,49 @@
 	"seamshunt/internal/units"
 )
 
-// RangeCount is how many ranges the keys fall into, by hash.
+// RangeCount is the number of ranges that the keys are divided into by their hash.
 const RangeCount = 16
 
-// digests holds one sum over each range of keys.
+// digests holds one checksum of each range of keys.
 type digests struct{ Sum [RangeCount]uint64 }
 
-// rootHead opens a comparison: one sum over all keys, and whether equal copies are to be confirmed.
-type rootHead struct {
-	Sum    uint64
-	Answer uint8
+// rootRequest opens a comparison: one checksum of all keys, and whether equal copies are to be confirmed.
+type rootRequest struct {
+	Sum          uint64
+	ReplyIfEqual uint8
 }
 
-// verdictHead tells a member whether anything newer than its copies was found; that is on its way then.
-type verdictHead struct{ Newer uint8 }
+// outcomeBody reports whether anything newer than the receiver's copies was found, which is in transit then.
+type outcomeBody struct{ Newer uint8 }
 
-// rangeHead says which ranges a list of keys covers.
-type rangeHead struct {
-	Mask uint64
-	Back uint8 // shown in return: not to be returned once more
+// rangesHeader contains the ranges that a list of keys covers, as a bit mask.
+type rangesHeader struct {
+	Mask    uint64
+	IsReply uint8 // sent in return for Ranges: the receiver must not return its own again
 }
 
-// keyHead is how new one key's copy is.
-type keyHead struct{ N, By, Seq uint64 }
+// copyVersion is the version of the copy of one key: the epoch's number and node, and the sequence number.
+type copyVersion struct{ Number, Node, Seq uint64 }
 
-func part(key string) int { return int(units.Mix(key) % RangeCount) }
+// rangeOf returns the index of a key's range.
+func rangeOf(key string) int { return int(units.Mix(key) % RangeCount) }
 
-// held says whether a value was ever accepted here; a promise alone is no copy.
-func held(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
+// hasCopy reports whether a value was accepted on this node; a promise alone is no copy.
+func hasCopy(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
 
-func sums(states map[string]*register.State) (d digests) {
+// rangeSums returns the checksums of all ranges.
+func rangeSums(states map[string]*register.State) (d digests) {
 	for _, key := range message.SortedKeys(states) {
 		s := states[key]
-		if !held(s) {
+		if !hasCopy(s) {
 			continue
 		}
-		d.Sum[part(key)] += units.Mix(key, units.Hex(s.Accepted.Number), s.Accepted.Node.String(), units.Hex(s.Seq))
+		d.Sum[rangeOf(key)] += units.Mix(key, units.Hex(s.Accepted.Number), s.Accepted.Node.String(), units.Hex(s.Seq))
 	}
 	return d
 }
 
-// root is one sum over all ranges.
+// root returns one checksum of all ranges.
 func (d digests) root() (sum uint64) {
 	for _, x := range d.Sum {
 		sum += x
@@ -54,7 +56,7 @@
 	return sum
 }
 
-// differing gives the ranges whose sums differ.
+// differing returns the ranges whose checksums differ.
 func (d digests) differing(other digests) (mask uint64) {
 	for p := range RangeCount {
 		if d.Sum[p] != other.Sum[p] {
@@ -64,46 +66,46 @@
 	return mask
 }
 
-// list packs how new each key of the head's ranges is.
-func list(h rangeHead, states map[string]*register.State) []byte {
-	var l [][]byte
+// packRanges packs the copy versions of all keys in the header's ranges.
+func packRanges(header rangesHeader, states map[string]*register.State) []byte {
+	var packed [][]byte
 	for _, key := range message.SortedKeys(states) {
-		if s := states[key]; held(s) && h.Mask>>part(key)&1 == 1 {
-			l = append(l, message.Pack(keyHead{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
+		if s := states[key]; hasCopy(s) && header.Mask>>rangeOf(key)&1 == 1 {
+			packed = append(packed, message.Pack(copyVersion{s.Accepted.Number, uint64(s.Accepted.Node), s.Seq}, []byte(key)))
 		}
 	}
-	return message.Pack(h, message.PackList(l))
+	return message.Pack(header, message.PackList(packed))
 }
 
 // unpackRanges is the inverse of list.
-func unpackRanges(body []byte) (h rangeHead, theirs map[string]keyHead, err error) {
+func unpackRanges(body []byte) (header rangesHeader, versions map[string]copyVersion, err error) {
 	var packed []byte
-	if err := message.Unpack(body, &h, &packed); err != nil {
-		return h, nil, err
+	if err := message.Unpack(body, &header, &packed); err != nil {
+		return header, nil, err
 	}
 	l, err := message.UnpackList(packed)
 	if err != nil {
-		return h, nil, err
+		return header, nil, err
 	}
-	theirs = map[string]keyHead{}
+	versions = map[string]copyVersion{}
 	for _, item := range l {
-		var x keyHead
+		var x copyVersion
 		var key []byte
 		if err := message.Unpack(item, &x, &key); err != nil {
-			return h, nil, err
+			return header, nil, err
 		}
-		theirs[string(key)] = x
+		versions[string(key)] = x
 	}
-	return h, theirs, nil
+	return header, versions, nil
 }
 
-// order is above zero where the copy here is newer, below where the other is.
-func order(s *register.State, x keyHead) int {
-	e := units.Epoch{Number: x.N, Node: units.NodeID(x.By)}
+// compareCopies returns 1 if the copy on this node is newer than the other, -1 if it is older, and 0 if both are the same.
+func compareCopies(s *register.State, remote copyVersion) int {
+	epoch := units.Epoch{Number: remote.Number, Node: units.NodeID(remote.Node)}
 	switch {
-	case e.Less(s.Accepted) || e == s.Accepted && s.Seq > x.Seq:
+	case epoch.Less(s.Accepted) || epoch == s.Accepted && s.Seq > remote.Seq:
 		return 1
-	case s.Accepted.Less(e) || e == s.Accepted && s.Seq < x.Seq:
+	case s.Accepted.Less(epoch) || epoch == s.Accepted && s.Seq < remote.Seq:
 		return -1
 	}
 	return 0
--- a/internal/control/changelog/changelog.go
+++ b/internal/control/changelog/changelog.go
@@ -1,5 +1,5 @@
-// Package changelog records the operators' changes that this node acknowledged as a Merkle log with signed
-// checkpoints, in the published tlog-checkpoint and signed-note formats (design 10).
+// Package changelog records the operators' changes that this node acknowledged. The record is a Merkle tree log with signed
+// checkpoints, in the published tlog-checkpoint and signed-note formats (docs/design.md, section 10).
 package changelog
 
 import (
@@ -15,15 +15,15 @@
 	"golang.org/x/mod/sumdb/tlog"
 )
 
-// The files in the data folder.
+// Names of the files in the data directory.
 const (
-	leaves     = "audit.jsonl"
-	checkpoint = "audit.checkpoint"
-	secret     = "audit.key"
-	public     = "audit.pub"
+	entriesFile    = "audit.jsonl"
+	checkpointFile = "audit.checkpoint"
+	secretKeyFile  = "audit.key"
+	publicKeyFile  = "audit.pub"
 )
 
-// Entry is one acknowledged change, as a line of the log; Unix is the time of day in seconds.
+// Entry is one acknowledged change, which is one line of the log. Unix is the time in seconds since the epoch.
 type Entry struct {
 	Unix    int64  `json:"unix"`
 	Key     string `json:"key"`
@@ -32,7 +32,7 @@
 	SHA256  string `json:"sha256"`
 }
 
-// hashes keeps the log's stored hashes in memory.
+// hashes holds the log's stored hashes in memory.
 type hashes []tlog.Hash
 
 func (h *hashes) add(n int64, data []byte) error {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// ReadHashes serves the library.
+// ReadHashes implements tlog.HashReader.
 func (h *hashes) ReadHashes(at []int64) ([]tlog.Hash, error) {
 	var l []tlog.Hash
 	for _, i := range at {
@@ -56,115 +56,115 @@
 	return l, nil
 }
 
-// Log is one node's record.
+// Log is the change log of one node.
 type Log struct {
 	mu     sync.Mutex
 	dir    string
-	f      *os.File
-	n      int64
+	file   *os.File
+	count  int64
 	tree   hashes
 	signer note.Signer
 }
 
-// Open reads the record back, and makes the node's key at the first start. A torn last line is cut.
+// Open reads the log back, and generates the node's key at the first start. A torn last line is truncated.
 func Open(dir, name string) (*Log, error) {
 	l := &Log{dir: dir}
 	var err error
-	if l.signer, err = signer(dir, name); err != nil {
+	if l.signer, err = loadSigner(dir, name); err != nil {
 		return nil, err
 	}
-	if l.f, err = os.OpenFile(filepath.Join(dir, leaves), os.O_CREATE|os.O_RDWR, 0o644); err != nil {
+	if l.file, err = os.OpenFile(filepath.Join(dir, entriesFile), os.O_CREATE|os.O_RDWR, 0o644); err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
-	size, n, tree, err := read(l.f)
+	size, n, tree, err := readEntries(l.file)
 	if err != nil {
 		return nil, err
 	}
-	l.n, l.tree = n, tree
-	if err := l.f.Truncate(size); err != nil {
+	l.count, l.tree = n, tree
+	if err := l.file.Truncate(size); err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
-	if _, err := l.f.Seek(size, 0); err != nil {
+	if _, err := l.file.Seek(size, 0); err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
 	return l, nil
 }
 
-// read builds the tree from whole lines.
-func read(f *os.File) (size, n int64, tree hashes, err error) {
-	r := bufio.NewReader(f)
+// readEntries builds the tree from the complete lines of a file, and returns their length in bytes and their number.
+func readEntries(file *os.File) (size, count int64, tree hashes, err error) {
+	r := bufio.NewReader(file)
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
-			return size, n, tree, nil
+			return size, count, tree, nil
 		}
-		if err := tree.add(n, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
+		if err := tree.add(count, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
 			return 0, 0, nil, fmt.Errorf("changelog: %w", err)
 		}
 		size += int64(len(line))
-		n++
+		count++
 	}
 }
 
-// Append records a change, syncs it, and signs a new checkpoint.
-func (l *Log) Append(x Entry) error {
-	b, err := json.Marshal(x)
+// Append writes an entry, syncs it and signs a new checkpoint.
+func (l *Log) Append(entry Entry) error {
+	b, err := json.Marshal(entry)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, err := l.f.Write(append(b, '\n')); err != nil {
+	if _, err := l.file.Write(append(b, '\n')); err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	if err := l.f.Sync(); err != nil {
+	if err := l.file.Sync(); err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	if err := l.tree.add(l.n, b); err != nil {
+	if err := l.tree.add(l.count, b); err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	l.n++
-	root, err := tlog.TreeHash(l.n, &l.tree)
+	l.count++
+	root, err := tlog.TreeHash(l.count, &l.tree)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	// The body of a checkpoint: origin, size, root hash, each on a line.
-	signed, err := note.Sign(&note.Note{Text: fmt.Sprintf("%s\n%d\n%s\n", l.signer.Name(), l.n, root)}, l.signer)
+	// The body of a checkpoint has the origin, the size and the root hash, each on a line.
+	signed, err := note.Sign(&note.Note{Text: fmt.Sprintf("%s\n%d\n%s\n", l.signer.Name(), l.count, root)}, l.signer)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
 	}
-	return write(l.dir, checkpoint, signed, 0o644)
+	return writeFile(l.dir, checkpointFile, signed, 0o644)
 }
 
-// Close closes the record.
-func (l *Log) Close() error { return l.f.Close() }
+// Close closes the log's file.
+func (l *Log) Close() error { return l.file.Close() }
 
-// Verify checks a folder's record against its signed checkpoint, under the verifier key given. With an older
-// checkpoint it also checks that the record has only grown since.
+// Verify checks the log in a directory against its signed checkpoint with the given verifier key, and returns the number of
+// signed entries. With an older checkpoint it also checks that the log has only been appended to since.
 func Verify(dir, vkey string, older []byte) (int64, error) {
 	v, err := note.NewVerifier(vkey)
 	if err != nil {
 		return 0, fmt.Errorf("changelog: the verifier key: %w", err)
 	}
-	b, err := os.ReadFile(filepath.Join(dir, checkpoint))
+	b, err := os.ReadFile(filepath.Join(dir, checkpointFile))
 	if err != nil {
 		return 0, fmt.Errorf("changelog: %w", err)
 	}
-	size, root, err := parse(b, v)
+	size, root, err := parseCheckpoint(b, v)
 	if err != nil {
 		return 0, err
 	}
-	f, err := os.Open(filepath.Join(dir, leaves))
+	f, err := os.Open(filepath.Join(dir, entriesFile))
 	if err != nil {
 		return 0, fmt.Errorf("changelog: %w", err)
 	}
 	defer f.Close()
-	_, n, tree, err := read(f)
+	_, count, tree, err := readEntries(f)
 	if err != nil {
 		return 0, err
 	}
-	if n < size {
-		return 0, fmt.Errorf("changelog: %d entries, signed were %d", n, size)
+	if count < size {
+		return 0, fmt.Errorf("changelog: %d entries, signed were %d", count, size)
 	}
 	check := func(size int64, root tlog.Hash, what string) error {
 		h, err := tlog.TreeHash(size, &tree)
@@ -179,17 +179,18 @@
 	if older == nil {
 		return size, nil
 	}
-	was, oldRoot, err := parse(older, v)
+	oldSize, oldRoot, err := parseCheckpoint(older, v)
 	if err != nil {
 		return 0, err
 	}
-	if was > size {
-		return 0, fmt.Errorf("changelog: the older checkpoint signs %d entries, now there are %d", was, size)
+	if oldSize > size {
+		return 0, fmt.Errorf("changelog: the older checkpoint signs %d entries, now there are %d", oldSize, size)
 	}
-	return size, check(was, oldRoot, "the older checkpoint")
+	return size, check(oldSize, oldRoot, "the older checkpoint")
 }
 
-func parse(b []byte, v note.Verifier) (int64, tlog.Hash, error) {
+// parseCheckpoint checks a checkpoint's signature and returns its size and root hash.
+func parseCheckpoint(b []byte, v note.Verifier) (int64, tlog.Hash, error) {
 	x, err := note.Open(b, note.VerifierList(v))
 	if err != nil {
 		return 0, tlog.Hash{}, fmt.Errorf("changelog: the checkpoint's signature: %w", err)
--- a/internal/control/changelog/key.go
+++ b/internal/control/changelog/key.go
@@ -12,10 +12,11 @@
 	"golang.org/x/mod/sumdb/note"
 )
 
-// signer reads the node's key, or makes one at the first start. A key that a loss of power left torn was never used:
-// it is made anew. One that can't be read while a record stands is set aside with the record, which it alone can sign.
-func signer(dir, name string) (note.Signer, error) {
-	key, err := os.ReadFile(filepath.Join(dir, secret))
+// loadSigner reads the node's key, or generates one at the first start. A key that a power loss left torn was never
+// used, so a new one is generated. If a log exists beside a key that can't be parsed, it is set aside with the key, since no
+// other key can sign it.
+func loadSigner(dir, name string) (note.Signer, error) {
+	key, err := os.ReadFile(filepath.Join(dir, secretKeyFile))
 	if err == nil {
 		if s, err := note.NewSigner(string(bytes.TrimSpace(key))); err == nil {
 			return s, nil
@@ -29,8 +30,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("changelog: %w", err)
 	}
-	// The secret key comes last: where it stands, the public one does too.
-	if err := errors.Join(write(dir, public, []byte(vkey+"\n"), 0o644), write(dir, secret, []byte(skey), 0o600)); err != nil {
+	// The secret key is written last, so that the public one exists whenever it does.
+	if err := errors.Join(writeFile(dir, publicKeyFile, []byte(vkey+"\n"), 0o644),
+		writeFile(dir, secretKeyFile, []byte(skey), 0o600)); err != nil {
 		return nil, err
 	}
 	s, err := note.NewSigner(skey)
@@ -40,19 +42,20 @@
 	return s, nil
 }
 
-// setAside keeps what can't be gone on with under other names.
+// setAside renames the files of a log that can't be continued.
 func setAside(dir string) error {
-	mark := fmt.Sprintf(".damaged-%d", time.Now().UnixNano())
-	for _, n := range []string{leaves, checkpoint, public, secret} {
-		if err := os.Rename(filepath.Join(dir, n), filepath.Join(dir, n+mark)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	suffix := fmt.Sprintf(".damaged-%d", time.Now().UnixNano())
+	for _, n := range []string{entriesFile, checkpointFile, publicKeyFile, secretKeyFile} {
+		if err := os.Rename(filepath.Join(dir, n), filepath.Join(dir, n+suffix)); err != nil &&
+			!errors.Is(err, os.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
 
-// write has a file whole or not at all: synced under another name, renamed, and its folder synced.
-func write(dir, name string, b []byte, mode os.FileMode) error {
+// writeFile writes a file atomically: it syncs it under a temporary name, renames it, and syncs the directory.
+func writeFile(dir, name string, b []byte, mode os.FileMode) error {
 	tmp := filepath.Join(dir, name+".new")
 	f, err := os.OpenFile(tmp, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, mode)
 	if err != nil {
--- a/internal/socket/age.go
+++ b/internal/socket/age.go
@@ -8,37 +8,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// resolution is how coarsely a kernel notes when packets came: the longest tick of its clock.
+// resolution is the resolution of the kernel's packet timestamps: the longest tick of its clock.
 const resolution = 10 * time.Millisecond
 
-// synAckTimeout is how long the kernel waits before it answers a first packet once more; each further wait is twice as long.
+// synAckTimeout is how long the kernel waits before it sends a SYN-ACK again; each further wait is twice as long.
 const synAckTimeout = time.Second
 
-// repeatsMost bounds how many repeated answers are reckoned with: by then a connection is over a day old.
-const repeatsMost = 16
+// maxSynAckRetries limits the number of retransmissions in the computation: after that many a connection is over a day old.
+const maxSynAckRetries = 16
 
-// Age gives how long ago, at the most, the kernel answered the first packet of a connection that was accepted and that nothing has
-// been written to since. Its caller was still there when that answer came. Accepting tells less: the connection may have waited to
-// be accepted, or to be completed, which a kernel goes on with after its process has left. False where the kernel doesn't tell.
+// Age returns an upper bound of the time since the kernel answered the SYN of an accepted connection to which nothing has been
+// written yet. The client still existed when that answer arrived. The time of Accept proves less: the connection may have waited
+// to be accepted, or for its handshake, which the client's kernel completes even after the client's process has exited. Age
+// returns false if the kernel doesn't provide the information.
 func Age(c net.Conn) (time.Duration, bool) {
 	info := tcpInfo(c)
 	if info == nil {
 		return 0, false
 	}
-	completed := time.Duration(info.Last_data_recv) * time.Millisecond // or, where nothing has come since, when it was completed
+	// Last_data_recv counts from the last data or, if there was none, from the end of the handshake.
+	completed := time.Duration(info.Last_data_recv) * time.Millisecond
 	return completed + handshake(info) + resolution, true
 }
 
-// handshake gives how long it took at the most from the kernel's answer to the first packet until the connection was completed.
+// handshake returns an upper bound of the time from the kernel's first SYN-ACK until the handshake was complete.
 func handshake(info *unix.TCPInfo) time.Duration {
 	measured := time.Duration(info.Rtt) * time.Microsecond
 	if info.Total_retrans == 0 {
 		return measured
 	}
-	return max(measured, synAckTimeout<<(min(info.Total_retrans, repeatsMost)+1)-synAckTimeout)
+	return max(measured, synAckTimeout<<(min(info.Total_retrans, maxSynAckRetries)+1)-synAckTimeout)
 }
 
-// tcpInfo gives what the kernel knows of a connection; nil if it doesn't tell.
+// tcpInfo returns the kernel's information about a connection, or nil if it provides none.
 func tcpInfo(c net.Conn) *unix.TCPInfo {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -49,9 +51,9 @@
 		return nil
 	}
 	var info *unix.TCPInfo
-	var asked error
-	err = raw.Control(func(fd uintptr) { info, asked = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-	if err != nil || asked != nil {
+	var optionErr error
+	err = raw.Control(func(fd uintptr) { info, optionErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	if err != nil || optionErr != nil {
 		return nil
 	}
 	return info
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-const soon = 10 * time.Second // what never comes in a test that passes
+const waitTimeout = 10 * time.Second // not reached in a test that passes
 
-// pair gives both ends of a TCP connection.
-func pair(t *testing.T) (here, there *net.TCPConn) {
+// pair returns both ends of a TCP connection.
+func pair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,44 +28,44 @@
 	return a.(*net.TCPConn), b.(*net.TCPConn)
 }
 
-// until waits for the other side's doing to arrive.
-func until(t *testing.T, c net.Conn, want State) {
+// waitForState waits until the peer's action shows in the socket's state.
+func waitForState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
-	for end := time.Now().Add(soon); Peek(c) != want; {
+	for end := time.Now().Add(waitTimeout); Peek(c) != want; {
 		if time.Now().After(end) {
 			t.Fatalf("the socket shows %d, want %d", Peek(c), want)
 		}
 	}
 }
 
-// A read deadline that has passed, as the one of a request that was read long ago, is no hang-up; bytes of a next
-// request are none; closing is one, of the write side alone, too, and so is a reset.
-func TestHungUp(t *testing.T) {
-	here, there := pair(t)
-	_ = here.SetReadDeadline(time.Now().Add(-time.Hour))
-	if PeerClosed(here) || Peek(here) != Idle {
-		t.Error("a passed deadline is taken for a hang-up")
+// PeerClosed reports a close, also of the write side alone, and a reset, but neither a read deadline that has passed, as that of
+// a request read long ago, nor the data of a next request.
+func TestPeerClosed(t *testing.T) {
+	local, remote := pair(t)
+	_ = local.SetReadDeadline(time.Now().Add(-time.Hour))
+	if PeerClosed(local) || Peek(local) != Idle {
+		t.Error("a passed deadline is reported as closed")
 	}
-	_, _ = there.Write([]byte("POST"))
-	until(t, here, Readable)
-	if PeerClosed(here) {
-		t.Error("a next request is taken for a hang-up")
+	_, _ = remote.Write([]byte("POST"))
+	waitForState(t, local, Readable)
+	if PeerClosed(local) {
+		t.Error("a next request is reported as closed")
 	}
-	_ = there.CloseWrite()
-	until(t, here, Closed) // behind those bytes
-	here, there = pair(t)
-	_ = there.CloseWrite()
-	until(t, here, Closed)
-	here, there = pair(t)
-	_ = there.SetLinger(0)
-	there.Close()
-	until(t, here, Closed)
-	here, _ = pair(t)
-	here.Close()
-	if !PeerClosed(here) {
-		t.Error("one that was closed here is open")
+	_ = remote.CloseWrite()
+	waitForState(t, local, Closed) // after unread data
+	local, remote = pair(t)
+	_ = remote.CloseWrite()
+	waitForState(t, local, Closed)
+	local, remote = pair(t)
+	_ = remote.SetLinger(0)
+	remote.Close()
+	waitForState(t, local, Closed)
+	local, _ = pair(t)
+	local.Close()
+	if !PeerClosed(local) {
+		t.Error("a connection closed locally is reported as open")
 	}
 	if c, _ := net.Pipe(); PeerClosed(c) {
-		t.Error("what is no socket can't be looked at")
+		t.Error("a connection without a socket is reported as closed")
 	}
 }
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -1,4 +1,5 @@
-// Package wal is the append-only checksummed file of a process with a disk (design 3).
+// Package wal implements the write-ahead log of a process with a disk: an append-only file of checksummed records
+// (docs/design.md, section 3).
 package wal
 
 import (
@@ -12,21 +13,21 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// What went wrong with a disk.
+// Errors of the log. The text of ErrDamaged and of the errors that wrap it is shown in a controller's status.
 var (
 	ErrDamaged  = errors.New("wal: damaged: not all that was synced is there")
 	ErrFull     = errors.New("wal: disk full")
-	ErrFailed   = errors.New("wal: a sync failed; this file is not trusted any more")
-	ErrTooLarge = errors.New("wal: a record is too large to be read back")
+	ErrFailed   = errors.New("wal: a write or sync failed; the file is no longer trusted")
+	ErrTooLarge = errors.New("wal: the record is larger than the log can read back")
 )
 
 const (
-	name        = "wal"
-	newName     = name + ".new" // a rewrite that has not got its name yet; never read
-	damagedName = name + ".damaged"
-	headLen     = 16
-	most        = 32 << 20
-	reserve     = "reserve"
+	logName     = "wal"
+	tempName    = logName + ".new" // a compacted file before it is renamed; never read
+	damagedName = logName + ".damaged"
+	headerLen   = 16
+	maxDataLen  = 32 << 20
+	reserveName = "reserve"
 )
 
 // Log is one open log file. It isn't safe for concurrent use.
@@ -34,44 +35,47 @@
 	dir            string
 	f              *os.File
 	size           int64
-	live           map[string]message.Record
-	seq            uint32 // the number of the next record
-	generation     uint64 // how often the file was rewritten
-	mark           *os.File
-	sick           bool
-	CompactionSize int64 // the file is rewritten when longer than this and than four times what lives
-	spare          int64
-	end            int64 // till where the disk's room is ours, written or not
-	low            bool  // the disk gives no more room: this file lives from what it has
+	records        map[string]message.Record
+	seq            uint32 // sequence number of the next record
+	generation     uint64 // how often the file was compacted
+	markFile       *os.File
+	failed         bool  // a write or sync failed: nothing is written to this file any more
+	CompactionSize int64 // the file is compacted when it is longer than this and than four times its current records
+	reserveSize    int64 // disk space kept for one compaction; 0 for none
+	allocatedEnd   int64 // end of the disk space allocated to the file, written or not
+	diskFull       bool  // the disk has no more space: the file uses what is allocated to it
 	sync           func(*os.File) error
-	// Allocate claims room for a file's bytes from off on; tests stand in for it.
+	// Allocate reserves disk space for n bytes of a file from off; tests replace it.
 	Allocate func(f *os.File, off, n int64) error
 }
 
-func id(r message.Record) string { return string(rune(r.Kind)) + r.Key }
+func recordID(r message.Record) string { return string(rune(r.Kind)) + r.Key }
 
-// Open reads the file back. The newest record of each kind and key lives. A torn tail is cut.
-func Open(dir string, spare int64) (*Log, error) { return openWith(dir, spare, (*os.File).Sync) }
+// Open reads the log in dir and creates it if needed. It keeps the newest record of each kind and key, and truncates a torn
+// write at the end.
+func Open(dir string, reserveSize int64) (*Log, error) {
+	return openWithSync(dir, reserveSize, (*os.File).Sync)
+}
 
-func openWith(dir string, spare int64, sync func(*os.File) error) (*Log, error) {
-	if err := makeDir(dir); err != nil {
+func openWithSync(dir string, reserveSize int64, sync func(*os.File) error) (*Log, error) {
+	if err := ensureDir(dir); err != nil {
 		return nil, err
 	}
-	_ = os.Remove(filepath.Join(dir, newName)) // the file that bears the name holds all that is in it
-	f, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR|os.O_CREATE, 0o644)
+	_ = os.Remove(filepath.Join(dir, tempName)) // an unfinished compaction; the log file holds all records
+	f, err := os.OpenFile(filepath.Join(dir, logName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	a := &Log{dir: dir, f: f, CompactionSize: 4 << 20, spare: spare, Allocate: allocate, sync: sync}
+	a := &Log{dir: dir, f: f, CompactionSize: 4 << 20, reserveSize: reserveSize, Allocate: allocate, sync: sync}
 	if err := a.load(); err != nil {
 		f.Close()
 		return nil, err
 	}
-	if err := a.keepReserve(); err != nil && !errors.Is(err, ErrFull) {
+	if err := a.ensureReserveFile(); err != nil && !errors.Is(err, ErrFull) {
 		f.Close()
 		return nil, err
 	}
-	if err := a.claim(a.size); err != nil && !errors.Is(err, ErrFull) {
+	if err := a.ensureSpace(a.size); err != nil && !errors.Is(err, ErrFull) {
 		f.Close()
 		return nil, err
 	}
@@ -90,97 +94,98 @@
 	if err != nil {
 		return err
 	}
-	a.live, a.generation, a.seq, a.size = c.live, c.generation, c.records, int64(c.size)
+	a.records, a.generation, a.seq, a.size = c.records, c.generation, c.count, int64(c.size)
 	if c.size < len(b) {
 		if err := a.f.Truncate(a.size); err != nil {
-			return fmt.Errorf("wal: cut the tail: %w", err)
+			return fmt.Errorf("wal: truncate the torn tail: %w", err)
 		}
 	}
-	// What is read may be in the kernel's memory only: whoever wrote it was killed before the sync.
+	// What was read may only be in the page cache, if the process that wrote it was killed before its sync.
 	if err := a.sync(a.f); err != nil {
-		return fmt.Errorf("wal: sync what was read: %w", err)
+		return fmt.Errorf("wal: sync after reading: %w", err)
 	}
 	if err := syncDir(a.dir); err != nil {
 		return err
 	}
 	if a.size > 0 {
-		a.writeMark() // behind the folder's sync: a rewrite's name may be in the kernel's memory only as well
+		a.writeMark() // after the directory's sync, since the rename of a compaction may only be in the page cache too
 	}
 	return nil
 }
 
-// Records gives the newest record of each kind and key.
+// Records returns the newest record of each kind and key.
 func (a *Log) Records() []message.Record {
-	l := make([]message.Record, 0, len(a.live))
-	for _, r := range a.live {
+	l := make([]message.Record, 0, len(a.records))
+	for _, r := range a.records {
 		l = append(l, r)
 	}
 	return l
 }
 
-// Append writes records and syncs. After a failed sync the file is never written again.
+// Append writes records and syncs them. After a failed sync, or a failed write for another reason than a full disk, the file is
+// never written again. Without records it only checks whether a full disk has space again.
 func (a *Log) Append(rs []message.Record) error {
-	if a.sick {
+	if a.failed {
 		return ErrFailed
 	}
 	for _, r := range rs {
-		if len(r.Key) > math.MaxUint16 || len(r.Data) > most {
+		if len(r.Key) > math.MaxUint16 || len(r.Data) > maxDataLen {
 			return fmt.Errorf("%w: key of %d bytes, data of %d", ErrTooLarge, len(r.Key), len(r.Data))
 		}
 	}
 	if len(rs) == 0 {
-		if a.low {
-			_ = a.claim(a.size) // is there room again?
+		if a.diskFull {
+			_ = a.ensureSpace(a.size)
 		}
 		return nil
 	}
-	b := a.lay(rs)
-	err := a.claim(a.size + int64(len(b)))
-	if errors.Is(err, ErrFull) && a.size > 2*a.lives() && a.compact() == nil {
-		b = a.lay(rs)
-		err = a.claim(a.size + int64(len(b)))
+	b := a.encodeBatch(rs)
+	err := a.ensureSpace(a.size + int64(len(b)))
+	if errors.Is(err, ErrFull) && a.size > 2*a.liveBytes() && a.compact() == nil {
+		b = a.encodeBatch(rs)
+		err = a.ensureSpace(a.size + int64(len(b)))
 	}
 	if err != nil {
 		return err
 	}
 	if _, err := a.f.WriteAt(b, a.size); err != nil {
 		if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EFBIG) || errors.Is(err, syscall.EDQUOT) {
-			if cut := a.f.Truncate(a.size); cut != nil {
-				a.sick = true
+			if truncateErr := a.f.Truncate(a.size); truncateErr != nil {
+				a.failed = true
 			}
 			return fmt.Errorf("%w: %w", ErrFull, err)
 		}
-		a.sick = true
+		a.failed = true
 		return fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 	if err := a.sync(a.f); err != nil {
-		a.sick = true
+		a.failed = true
 		return fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 	a.size += int64(len(b))
 	a.seq += uint32(len(rs))
 	for _, r := range rs {
-		keep(a.live, r)
+		applyRecord(a.records, r)
 	}
 	a.writeMark()
-	return a.trim()
+	return a.compactIfLarge()
 }
 
-// lay gives the bytes of one append.
-func (a *Log) lay(rs []message.Record) (b []byte) {
+// encodeBatch returns the bytes of one append.
+func (a *Log) encodeBatch(rs []message.Record) (b []byte) {
 	flags := uint8(0)
 	for i, r := range rs {
-		b = append(b, layFlagged(r, a.seq+uint32(i), flags)...)
+		b = append(b, encodeRecordWithFlags(r, a.seq+uint32(i), flags)...)
 		flags = flagSameBatch
 	}
 	return b
 }
 
-// Close closes the file.
+// Close syncs the sync mark and closes the files.
 func (a *Log) Close() error {
 	a.closeMark()
 	return a.f.Close()
 }
 
-// Size gives the file's length.
+// Size returns the file's length in bytes.
 func (a *Log) Size() int64 { return a.size }
