--- a/cmd/controller/verify.go
+++ b/cmd/controller/verify.go
@@ -35,7 +35,7 @@
 		}
 		entries, err := changelog.Verify(dir, strings.TrimSpace(string(verifierKey)), olderCheckpoint)
 		if err != nil {
-			return fmt.Errorf("%w: %w", console.ErrPromise, err)
+			return fmt.Errorf("%w: %w", console.ErrCheckFailed, err)
 		}
 		fmt.Printf("good: %d entries\n", entries)
 		return nil
--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -46,7 +46,7 @@
 			fmt.Printf("%-7s %s: %s\n", word, f.Promise, f.Seen)
 		}
 		if bad > 0 {
-			return console.ErrPromise
+			return console.ErrCheckFailed
 		}
 		return nil
 	}
@@ -110,7 +110,7 @@
 			}
 		}
 		if bad > 0 {
-			return fmt.Errorf("%w: %d of %d calls were not answered whole", console.ErrPromise, bad, n)
+			return fmt.Errorf("%w: %d of %d calls were not answered whole", console.ErrCheckFailed, bad, n)
 		}
 		return nil
 	}}
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -116,7 +116,7 @@
 	u.Served = x.served
 	good, err := f.Report(u, say)
 	if err == nil && !good {
-		err = console.ErrPromise
+		err = console.ErrCheckFailed
 	}
 	return err
 }
@@ -157,7 +157,7 @@
 			for _, p := range place {
 				x.allow, x.place = a, p
 				fmt.Printf("== allow %s, place %s, seed %d\n", a, p, x.plan.Seed)
-				if err := x.run(ctx, os.Stdout); errors.Is(err, console.ErrPromise) {
+				if err := x.run(ctx, os.Stdout); errors.Is(err, console.ErrCheckFailed) {
 					bad = err
 				} else if err != nil {
 					return err
@@ -207,7 +207,7 @@
 			return err
 		}
 		if !fleet.Show(r, u, nil, os.Stdout) {
-			return console.ErrPromise
+			return console.ErrCheckFailed
 		}
 		return nil
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -6,7 +6,7 @@
 )
 
 func main() {
-	root := console.Root("testbed", "tries seamshunt out: stand-ins, fleets, drills, checks")
+	root := console.NewRootCommand("testbed", "tries seamshunt out: stand-ins, fleets, drills, checks")
 	root.AddCommand(workerCmd(), platformCmd(), callerCmd(), fleetCmd(), compareCmd(), drillCmd(), checkCmd(), hollowCmd(), siteCmd())
-	console.Main(root)
+	console.Execute(root)
 }
--- a/cmd/testbed/site.go
+++ b/cmd/testbed/site.go
@@ -174,7 +174,7 @@
 			100*float64(m.OnTime)/float64(max(1, m.Sent)), m.Refused, m.Broken, m.Other, m.Left, m.First50, m.First9)
 	}
 	if !good {
-		return console.ErrPromise
+		return console.ErrCheckFailed
 	}
 	return nil
 }
--- a/imports_test.go
+++ b/imports_test.go
@@ -47,7 +47,7 @@
 var layers = map[string]layer{
 	"cmd":               command,
 	"internal/adapter":  config,
-	"internal/boot":     base,
+	"internal/settings":     base,
 	"internal/cluster":  cluster,
 	"internal/config":   config,
 	"internal/console":  process,
--- a/internal/cluster/discovery/discovery.go
+++ b/internal/cluster/discovery/discovery.go
@@ -57,7 +57,7 @@
 // Apply adds an observation distributed by configpush, and returns its pool.
 func (c *Catalog) Apply(now units.Time, key string, version units.Version, data []byte) (string, error) {
 	pool, observer, _ := strings.Cut(strings.TrimPrefix(key, KeyPrefix), "/")
-	workers, err := config.ReadWorkers(data)
+	workers, err := config.ParseWorkers(data)
 	if err != nil {
 		return pool, err
 	}
@@ -78,8 +78,8 @@
 	}
 	byObserver[observer] = s
 	for _, w := range c.List(pool) {
-		if _, ok := c.startedAt[w.ID]; !ok || w.Life > c.generation[w.ID] {
-			c.startedAt[w.ID], c.generation[w.ID], c.warmingUntil[w.ID] = now.Add(-w.Age), w.Life, now.Add(w.Cold)
+		if _, ok := c.startedAt[w.ID]; !ok || w.Incarnation > c.generation[w.ID] {
+			c.startedAt[w.ID], c.generation[w.ID], c.warmingUntil[w.ID] = now.Add(-w.Age), w.Incarnation, now.Add(w.WarmingUpFor)
 		}
 	}
 	return pool, nil
@@ -100,11 +100,11 @@
 		for _, w := range o.workers {
 			x, ok := merged[w.ID]
 			if ok {
-				leaving := x.Leaving || w.Leaving
-				if x.Life >= w.Life {
+				leaving := x.Draining || w.Draining
+				if x.Incarnation >= w.Incarnation {
 					w = x
 				}
-				w.Leaving = leaving
+				w.Draining = leaving
 			}
 			merged[w.ID] = w
 		}
@@ -154,10 +154,10 @@
 		w := &workers[i]
 		k, ok := known[w.ID]
 		restarted := !ok || k.Addr != w.Addr || k.Service != w.Service || c.restarted(q.StartedAt, w)
-		if w.Life = k.Life; restarted {
-			w.Life = uint64(q.Version) // started or restarted: it warms up again
+		if w.Incarnation = k.Incarnation; restarted {
+			w.Incarnation = uint64(q.Version) // started or restarted: it warms up again
 		}
-		changed = changed || restarted || k.Zone != w.Zone || k.Leaving != w.Leaving || k.Slots != w.Slots
+		changed = changed || restarted || k.Zone != w.Zone || k.Draining != w.Draining || k.Slots != w.Slots
 	}
 	if !changed {
 		return nil, false
@@ -175,7 +175,7 @@
 // worker's service contain its remaining warm-up time, others its age (docs/design.md, section 13).
 func (c *Catalog) restarted(now units.Time, w *config.Worker) bool {
 	if w.Service != "" {
-		return w.Cold > 0 && now.Add(w.Cold).Sub(c.warmingUntil[w.ID]) > rewarmSlack
+		return w.WarmingUpFor > 0 && now.Add(w.WarmingUpFor).Sub(c.warmingUntil[w.ID]) > rewarmSlack
 	}
 	return now.Add(-w.Age).Sub(c.startedAt[w.ID]) > restartSlack
 }
--- a/internal/cluster/discovery/discovery_test.go
+++ b/internal/cluster/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 	l := []config.Worker{{ID: "w1", Addr: "a1", Zone: "z", Age: time.Hour}, {ID: "w2", Addr: "a2", Zone: "z", Age: age}}
 	for i := range l {
 		for _, id := range leaving {
-			l[i].Leaving = l[i].Leaving || l[i].ID == id
+			l[i].Draining = l[i].Draining || l[i].ID == id
 		}
 	}
 	return l
@@ -80,7 +80,7 @@
 			marked, cleared = marked || i == 1, cleared || i == 3
 			leaving := false
 			for _, w := range v.List("main") {
-				leaving = leaving || w.ID == "w2" && w.Leaving
+				leaving = leaving || w.ID == "w2" && w.Draining
 			}
 			if leaving != (marked && !cleared) {
 				t.Errorf("order %v, after %d: marked %v, cleared %v, leaving %v", o, i, marked, cleared, leaving)
--- a/internal/cluster/discovery/warmup_test.go
+++ b/internal/cluster/discovery/warmup_test.go
@@ -30,7 +30,7 @@
 		return changed
 	}
 	warming := func(d time.Duration) config.Worker {
-		return config.Worker{Service: "s", Slots: 4, Cold: d}
+		return config.Worker{Service: "s", Slots: 4, WarmingUpFor: d}
 	}
 	for i, x := range []struct {
 		at         units.Time
@@ -48,13 +48,13 @@
 		{62500 * ms, warming(2400 * time.Millisecond), true, 8},
 		{70000 * ms, config.Worker{Service: "r", Slots: 4}, true, 9},
 		{71000 * ms, config.Worker{Service: "r", Slots: 5}, true, 9},
-		{72000 * ms, config.Worker{Service: "r", Slots: 5, Leaving: true}, true, 9},
-		{73000 * ms, config.Worker{Service: "r", Slots: 5, Leaving: true}, false, 9},
+		{72000 * ms, config.Worker{Service: "r", Slots: 5, Draining: true}, true, 9},
+		{73000 * ms, config.Worker{Service: "r", Slots: 5, Draining: true}, false, 9},
 	} {
 		changed := observe(x.at, x.w)
 		w := c.List("*")[0]
-		if changed != x.changed || w.Life != x.generation {
-			t.Errorf("list %d: changed %v, generation %d; want %v and %d", i, changed, w.Life, x.changed, x.generation)
+		if changed != x.changed || w.Incarnation != x.generation {
+			t.Errorf("list %d: changed %v, generation %d; want %v and %d", i, changed, w.Incarnation, x.changed, x.generation)
 		}
 		if w.Service != x.w.Service || w.Slots != x.w.Slots {
 			t.Errorf("list %d: listed as %+v", i, w)
--- a/internal/cluster/transport/engine.go
+++ b/internal/cluster/transport/engine.go
@@ -116,7 +116,7 @@
 		return
 	}
 	_ = tcp.SetKeepAliveConfig(keepAlive)
-	socket.GiveUpAfter(tcp, ackTimeout)
+	socket.SetUserTimeout(tcp, ackTimeout)
 }
 
 // OnOpen opens the connection's link for writing.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,33 +10,33 @@
 	"seamshunt/internal/router/placement"
 )
 
-// MaxConfig bounds a configuration's bytes.
-const MaxConfig = 8 << 20
+// MaxConfigBytes bounds a configuration's bytes.
+const MaxConfigBytes = 8 << 20
 
 // Service is one model behind one pool, with the policies that rule it.
 type Service struct {
-	Name       string
-	Pool       string
-	Cap        int           // prompts in flight per worker: the measured knee
-	Waitlist   int           // prompts waiting per worker; 2 x cap unless stated
-	Warm       time.Duration // how long a started worker takes to its full cap
-	Allow      string        // admission policy by name
-	Place      string        // placement policy by name
-	Prefix     int           // bytes of a prompt that name its shared prefix
-	Spread     int           // how many workers a prefix may try
-	Adapt      bool          // AIMD on waiting time
-	Floor      int           // the least an adapted cap may be
-	WaitAim    time.Duration // the waiting time that AIMD steers by
-	RetryAfter time.Duration // least time a refused caller is told to stay away
-	Jitter     time.Duration // spread on top of it
-	First      time.Duration // expected time to first words before any was measured
-	Memory     int           // tokens that one worker's memory holds; 0 when it is no engine (design 12)
-	Share      float64       // of that memory may be lent out: the knee's other side
-	Reads      float64       // prompt tokens that one worker reads in a millisecond, between other requests' steps
-	Pairs      float64       // milliseconds that a million pairs of a prompt's tokens take besides: attention
-	WarmRate   float64       // requests a second that a cold worker bears; 0 when any
-	Conns      int           // connections that one worker accepts from all nodes together; 0 when any
-	Lax        bool          // a new keeper lends without waiting out what silent nodes may hold
+	Name            string
+	Pool            string
+	Capacity        int           // prompts in flight per worker: the measured knee
+	MaxWaiting      int           // prompts waiting per worker; 2 x cap unless stated
+	WarmUp          time.Duration // how long a started worker takes to its full cap
+	AdmissionPolicy string        // admission policy by name
+	PlacementPolicy string        // placement policy by name
+	PrefixBytes     int           // bytes of a prompt that name its shared prefix
+	PreferredCount  int           // how many workers a prefix may try
+	Adaptive        bool          // AIMD on waiting time
+	MinCapacity     int           // the least an adapted cap may be
+	TargetWait      time.Duration // the waiting time that AIMD steers by
+	RetryAfter      time.Duration // least time a refused caller is told to stay away
+	RetryJitter     time.Duration // spread on top of it
+	FirstTokenTime  time.Duration // expected time to first words before any was measured
+	MemoryTokens    int           // tokens that one worker's memory holds; 0 when it is no engine (design 12)
+	MemoryShare     float64       // of that memory may be lent out: the knee's other side
+	PrefillRate     float64       // prompt tokens that one worker reads in a millisecond, between other requests' steps
+	AttentionCost   float64       // milliseconds that a million pairs of a prompt's tokens take besides: attention
+	WarmUpRate      float64       // requests a second that a cold worker bears; 0 when any
+	MaxConns        int           // connections that one worker accepts from all nodes together; 0 when any
+	QuickTakeover   bool          // a new keeper lends without waiting out what silent nodes may hold
 }
 
 // Target is one service that a mapping may lead to, with its share of the requests.
@@ -47,38 +47,38 @@
 
 // Limits bound what a client may send, and how long it may take. Zero is the product's own bound.
 type Limits struct {
-	Head     int
-	Body     int
-	HeadTime time.Duration
-	Idle     time.Duration
+	HeaderBytes   int
+	BodyBytes     int
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Promise is what an operator promises for one kind of request.
 type Promise struct {
-	Name    string
-	First   time.Duration
-	Longest time.Duration
-	Smaller bool
-	Worth   int // who goes first when not all can: the more the better; 1 unless stated
+	Name              string
+	MaxFirstTokenTime time.Duration
+	Deadline          time.Duration
+	AllowSmaller      bool
+	Worth             int // who goes first when not all can: the more the better; 1 unless stated
 }
 
 // Mapping is one route of the layout.
 type Mapping struct {
-	Name    string
-	Promise *Promise
-	To      []string // the services it may ever reach
-	Step    string   // the service of a step down, if any
-	Once    bool
-	Match   []routing.Match
-	Split   []Target      // when more than one: who gets which share of the requests
-	Tries   int           // workers that one request may be sent to; 0 is the product's own bound
-	Rank    int           // 0 is the highest
-	Stream  bool          // a series of events
-	Resume  bool          // a broken stream may go on at another worker behind the last whole event
-	Pause   time.Duration // the longest pause between events of an answer in time
-	Single  bool          // each request's id belongs to one try alone: nothing is claimed before it is handed over
-	line    int
-	col     int
+	Name            string
+	Promise         *Promise
+	Services        []string // the services it may ever reach
+	FallbackService string   // the service of a step down, if any
+	Once            bool
+	Conditions      []routing.Condition
+	Split           []Target      // when more than one: who gets which share of the requests
+	MaxWorkers      int           // workers that one request may be sent to; 0 is the product's own bound
+	Rank            int           // 0 is the highest
+	Stream          bool          // a series of events
+	Resume          bool          // a broken stream may go on at another worker behind the last whole event
+	MaxEventGap     time.Duration // the longest pause between events of an answer in time
+	Single          bool          // each request's id belongs to one try alone: nothing is claimed before it is handed over
+	line            int
+	col             int
 }
 
 // Config is one whole configuration, compiled.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, fs := Read(b); len(fs) > 0 {
+		if _, fs := Parse(b); len(fs) > 0 {
 			t.Errorf("%s: %v", p, fs)
 		}
 	}
@@ -34,7 +34,7 @@
 
 // The first mapping whose conditions all hold takes the request, and its steps are what the layout says.
 func TestProgram(t *testing.T) {
-	c, fs := Read([]byte(good))
+	c, fs := Parse([]byte(good))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -46,7 +46,7 @@
 		{"/bx", "", "", ""},
 		{"/", "", "", ""},
 	} {
-		do, ok := c.Program.Find(routing.Ask{Path: x.path, Header: func(string) string { return x.kind }})
+		do, ok := c.Program.Find(routing.Request{Path: x.path, Header: func(string) string { return x.kind }})
 		if !ok {
 			if x.want != "" {
 				t.Errorf("%v: nothing takes it", x)
@@ -54,11 +54,11 @@
 			continue
 		}
 		var steps []string
-		routing.Run(do, routing.Hands{
-			Limit:  func(int) bool { steps = append(steps, "limit"); return false },
-			Claim:  func() bool { steps = append(steps, "claim"); return false },
-			Try:    func(s string) bool { steps = append(steps, "try", s); return false },
-			Refuse: func() { steps = append(steps, "refuse") },
+		routing.Run(do, routing.Handlers{
+			Deadline: func(int) bool { steps = append(steps, "limit"); return false },
+			Claim:    func() bool { steps = append(steps, "claim"); return false },
+			Dispatch: func(s string) bool { steps = append(steps, "try", s); return false },
+			Refuse:   func() { steps = append(steps, "refuse") },
 		})
 		if m := c.Mappings[do[0].Mapping].Name; m != x.want || strings.Join(steps, " ") != x.steps {
 			t.Errorf("%v: %s does %v", x, m, steps)
@@ -102,9 +102,9 @@
 		{"bad mark", swap("mapping b {", "mapping b ;"), resultcode.InvalidRule, "layout line 4 column 11"},
 		{"open text", swap(`\"/b\" to`, `\"/b to`), resultcode.InvalidRule, "layout line 4 column 26"},
 		{"no such clause", swap("mapping b { when", "mapping b { whence"), resultcode.InvalidRule, "layout line 4 column 13"},
-		{"too large", good + strings.Repeat(" ", MaxConfig), resultcode.ConfigTooLarge, ""},
+		{"too large", good + strings.Repeat(" ", MaxConfigBytes), resultcode.ConfigTooLarge, ""},
 	} {
-		c, fs := Read([]byte(x.text))
+		c, fs := Parse([]byte(x.text))
 		if c != nil || len(fs) == 0 {
 			t.Errorf("%s: taken", x.name)
 			continue
@@ -113,7 +113,7 @@
 			t.Errorf("%s: %d at %q, want %d at %q (%s)", x.name, fs[0].Code, fs[0].Place, x.code, x.place, fs[0].Text)
 		}
 	}
-	if _, fs := Read([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 0`, `"cap": 8`, `"cap": -1`).Replace(good))); len(fs) != 2 {
+	if _, fs := Parse([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 0`, `"cap": 8`, `"cap": -1`).Replace(good))); len(fs) != 2 {
 		t.Errorf("two faults are named as %v", fs)
 	}
 }
@@ -131,12 +131,12 @@
 
 // Thousands of mappings: finding the last one looks at no more ways than finding the first.
 func TestManyMappings(t *testing.T) {
-	c, fs := Read(many(5000))
+	c, fs := Parse(many(5000))
 	if len(fs) > 0 {
 		t.Fatal(fs[0])
 	}
 	asked := 0
-	do, ok := c.Program.Find(routing.Ask{Path: "/m/4999", Header: func(string) string { asked++; return "" }})
+	do, ok := c.Program.Find(routing.Request{Path: "/m/4999", Header: func(string) string { asked++; return "" }})
 	if !ok || c.Mappings[do[0].Mapping].Name != "m4999" || asked != 0 {
 		t.Errorf("found %v %v after %d looks at headers", ok, do, asked)
 	}
@@ -145,7 +145,7 @@
 func BenchmarkRead5000(b *testing.B) {
 	x := many(5000)
 	for b.Loop() {
-		if _, fs := Read(x); len(fs) > 0 {
+		if _, fs := Parse(x); len(fs) > 0 {
 			b.Fatal(fs[0])
 		}
 	}
@@ -153,8 +153,8 @@
 
 // A plan names what changes, what it decides, and what to think twice about.
 func TestPlan(t *testing.T) {
-	old, _ := Read([]byte(good))
-	next, fs := Read([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 6`, "promise p once", "promise p repeat", "mapping b", "mapping d").Replace(good)))
+	old, _ := Parse([]byte(good))
+	next, fs := Parse([]byte(strings.NewReplacer(`"cap": 4`, `"cap": 6`, "promise p once", "promise p repeat", "mapping b", "mapping d").Replace(good)))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
@@ -173,19 +173,19 @@
 
 // A plan says what was measured of each promise, and warns of one that is not kept or that the slots can't carry.
 func TestForesee(t *testing.T) {
-	c, fs := Read([]byte(good))
+	c, fs := Parse([]byte(good))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
-	seen := map[string]Seen{}
+	seen := map[string]PromiseStats{}
 	for range 2 { // two nodes
 		x := seen["a"]
-		x.Add(Seen{Promise: "p", Service: "big", Asked: 50, Kept: 45, Missed: 5, OnTime: 48, Ended: 50, PerSecond: 20, Held: time.Second, First95: 150 * time.Millisecond})
+		x.Add(PromiseStats{Promise: "p", Service: "big", Requests: 50, FirstTokenKept: 45, FirstTokenMissed: 5, OnTime: 48, Finished: 50, RequestRate: 20, SlotTime: time.Second, FirstTokenP95: 150 * time.Millisecond})
 		seen["a"] = x
 	}
 	for workers, want := range map[int]int{10: 1, 9: 2} { // 40 slots are just enough
 		var p Plan
-		p.Foresee(c, c, func(string) int { return workers }, seen)
+		p.AddForecast(c, c, func(string) int { return workers }, seen)
 		if len(p.Promises) != 1 || !strings.Contains(p.Promises[0], "90.0% of first words kept, 95 of 100 within 150ms, 96.0% on time") || len(p.Warnings) != want {
 			t.Errorf("%d workers: %q", workers, p)
 		}
--- a/internal/config/parse_check.go
+++ b/internal/config/parse_check.go
@@ -8,10 +8,10 @@
 
 // check looks at a mapping as a whole.
 func (p *parser) check(m *Mapping, t token, said map[string]token) {
-	if len(m.Match) == 0 {
+	if len(m.Conditions) == 0 {
 		p.bad(t, "mapping "+m.Name+" has no when")
 	}
-	if len(m.To) == 0 {
+	if len(m.Services) == 0 {
 		p.bad(t, "mapping "+m.Name+" leads nowhere: to is missing")
 	}
 	if m.Promise == nil {
@@ -22,25 +22,25 @@
 	}
 	p.stream(m, said)
 	p.shares(m, said["to"])
-	if m.Step == "" {
+	if m.FallbackService == "" {
 		return
 	}
 	ok := false
-	for _, s := range m.To {
-		ok = ok || s == m.Step
+	for _, s := range m.Services {
+		ok = ok || s == m.FallbackService
 	}
 	if !ok {
-		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to %s, which it may not reach", m.Name, m.Step))
+		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to %s, which it may not reach", m.Name, m.FallbackService))
 	}
-	if len(m.Split) < 2 && len(m.To) > 0 && m.To[0] == m.Step {
+	if len(m.Split) < 2 && len(m.Services) > 0 && m.Services[0] == m.FallbackService {
 		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to its own first service", m.Name))
 	}
 	for _, s := range m.Split {
-		if len(m.Split) > 1 && s.Service == m.Step && s.Share > 0 {
-			p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to %s, which shares its requests", m.Name, m.Step))
+		if len(m.Split) > 1 && s.Service == m.FallbackService && s.Share > 0 {
+			p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("mapping %s steps to %s, which shares its requests", m.Name, m.FallbackService))
 		}
 	}
-	if m.Promise != nil && !m.Promise.Smaller {
+	if m.Promise != nil && !m.Promise.AllowSmaller {
 		p.f.add(resultcode.StepNotAllowed, t.at(), fmt.Sprintf("promise %s lets no smaller model stand in", m.Promise.Name))
 	}
 }
@@ -53,7 +53,7 @@
 	if m.Resume && m.Once {
 		p.bad(said["resume"], "resume sends the request again, which once forbids")
 	}
-	if m.Pause > 0 && !m.Stream {
+	if m.MaxEventGap > 0 && !m.Stream {
 		p.bad(said["pause"], "a pause needs stream")
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	switch {
 	case len(m.Split) == 0:
-	case len(m.Split) < len(m.To):
+	case len(m.Split) < len(m.Services):
 		p.bad(to, "some services have a share and some have none")
 	case sum == 0:
 		p.bad(to, "the shares sum to 0")
--- a/internal/config/parse_clause.go
+++ b/internal/config/parse_clause.go
@@ -26,10 +26,10 @@
 		return p.services(m)
 	case "step":
 		s, ok := p.want('n', "a service")
-		if ok && m.Step != "" {
+		if ok && m.FallbackService != "" {
 			return p.bad(s, "a second step")
 		}
-		m.Step = s.text
+		m.FallbackService = s.text
 		return ok
 	case "promise":
 		s, ok := p.want('n', "a promise")
@@ -57,11 +57,11 @@
 	case "once":
 		m.Once = true
 	case "tries":
-		m.Tries = p.count(1, 9)
+		m.MaxWorkers = p.count(1, 9)
 	case "rank":
 		m.Rank = p.count(0, 9)
 	case "pause":
-		m.Pause = ms(p.count(1, 600000))
+		m.MaxEventGap = ms(p.count(1, 600000))
 	case "stream":
 		m.Stream = true
 	case "resume":
@@ -92,12 +92,12 @@
 		if !ok {
 			return false
 		}
-		x := routing.Match{}
+		x := routing.Condition{}
 		switch t.text {
 		case "path":
 			x.Op = routing.OpPath
 		case "under":
-			x.Op = routing.OpUnder
+			x.Op = routing.OpPrefix
 		case "host":
 			x.Op = routing.OpHost
 		case "header":
@@ -126,7 +126,7 @@
 		case x.Op != routing.OpHeader && (x.Text == "" || x.Text[0] != '/'):
 			p.bad(v, "a path begins with /")
 		}
-		m.Match = append(m.Match, x)
+		m.Conditions = append(m.Conditions, x)
 		if t := p.peek(); t.kind != 'n' || t.text != "and" {
 			return true
 		}
@@ -160,7 +160,7 @@
 			}
 			m.Split = append(m.Split, Target{s.text, p.count(0, 1000000)})
 		}
-		m.To = append(m.To, s.text)
+		m.Services = append(m.Services, s.text)
 		if p.peek().kind != ',' {
 			return true
 		}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -36,7 +36,7 @@
 		if k == 0 {
 			p.Warnings = append(p.Warnings, "pool "+s.Pool+" has no worker known: its prompts would be refused")
 		}
-		if s.Allow == "open" {
+		if s.AdmissionPolicy == "open" {
 			p.Warnings = append(p.Warnings, "service "+n+" admits without a cap: for comparisons only")
 		}
 	}
@@ -49,7 +49,7 @@
 	for _, n := range sorted(next.Promises) {
 		o := old.Promises[n]
 		if x := next.Promises[n]; o == nil || *o != *x {
-			p.Changes = append(p.Changes, fmt.Sprintf("promise %s: first words in %v, longest wait %v, smaller model %v, worth %d", n, x.First, x.Longest, x.Smaller, x.Worth))
+			p.Changes = append(p.Changes, fmt.Sprintf("promise %s: first words in %v, longest wait %v, smaller model %v, worth %d", n, x.MaxFirstTokenTime, x.Deadline, x.AllowSmaller, x.Worth))
 		}
 	}
 	return p
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -13,11 +13,11 @@
 	"seamshunt/internal/resultcode"
 )
 
-// Read takes an operator's bytes to a compiled configuration, or to all its faults.
-func Read(b []byte) (*Config, []*resultcode.Fault) {
+// Parse takes an operator's bytes to a compiled configuration, or to all its faults.
+func Parse(b []byte) (*Config, []*resultcode.Fault) {
 	var f faults
-	if len(b) > MaxConfig {
-		f.add(resultcode.ConfigTooLarge, "", fmt.Sprintf("%d bytes; the most is %d", len(b), MaxConfig))
+	if len(b) > MaxConfigBytes {
+		f.add(resultcode.ConfigTooLarge, "", fmt.Sprintf("%d bytes; the most is %d", len(b), MaxConfigBytes))
 		return nil, f.list
 	}
 	v, err := fastjson.ParseBytes(b)
--- a/internal/config/routing/routing.go
+++ b/internal/config/routing/routing.go
@@ -9,47 +9,47 @@
 // Matching operations first, then those that act.
 const (
 	OpPath Op = 1 + iota
-	OpUnder
+	OpPrefix
 	OpHeader
 	OpHost
-	OpLimit
+	OpDeadline
 	OpClaim
-	OpShare
-	OpTry
+	OpSplit
+	OpDispatch
 	OpRefuse
 )
 
-// Match is one condition of a way.
-type Match struct {
+// Condition is one condition of a way.
+type Condition struct {
 	Op   Op
 	Name string
 	Text string
 }
 
-// Instr is one step that acts; Mapping names the route that it belongs to.
-type Instr struct {
+// Action is one step that acts; Mapping names the route that it belongs to.
+type Action struct {
 	Op      Op
 	Arg     int
 	Text    string
 	Mapping int
 }
 
-// Way is a route: its conditions, then what is done.
-type Way struct {
-	Match []Match
-	Do    []Instr
+// Route is a route: its conditions, then what is done.
+type Route struct {
+	Conditions []Condition
+	Actions    []Action
 }
 
 // Program is all ways, with an index over exact paths and one over hosts and prefixes.
 type Program struct {
-	ways  []Way
+	ways  []Route
 	exact map[string][]int          // path to ways, in order
 	loose []int                     // ways without an exact path
 	hosts map[string]map[string]int // host, then a prefix, to the way: the longest one wins
 }
 
 // Build indexes the ways.
-func Build(ways []Way) *Program {
+func Build(ways []Route) *Program {
 	p := &Program{ways: ways, exact: map[string][]int{}, hosts: map[string]map[string]int{}}
 	for i, w := range ways {
 		if host, under, ok := w.place(); ok {
@@ -58,7 +58,7 @@
 			continue
 		}
 		at := ""
-		for _, m := range w.Match {
+		for _, m := range w.Conditions {
 			if m.Op == OpPath {
 				at = m.Text
 			}
@@ -85,15 +85,15 @@
 }
 
 // place says whether a way is one of a host and a prefix and nothing else.
-func (w *Way) place() (host, under string, ok bool) {
-	if len(w.Match) != 2 {
+func (w *Route) place() (host, under string, ok bool) {
+	if len(w.Conditions) != 2 {
 		return "", "", false
 	}
-	for _, m := range w.Match {
+	for _, m := range w.Conditions {
 		switch m.Op {
 		case OpHost:
 			host = m.Text
-		case OpUnder:
+		case OpPrefix:
 			under = m.Text
 		}
 	}
@@ -111,17 +111,17 @@
 	return 0, false
 }
 
-// Ask is what the rules can look at.
-type Ask struct {
+// Request is what the rules can look at.
+type Request struct {
 	Host   string
 	Path   string
 	Header func(string) string
 }
 
 // Find gives the first way, in the configuration's order, whose conditions all hold.
-func (p *Program) Find(a Ask) ([]Instr, bool) {
+func (p *Program) Find(a Request) ([]Action, bool) {
 	if i, ok := p.longest(a.Host, a.Path); ok {
-		return p.ways[i].Do, true
+		return p.ways[i].Actions, true
 	}
 	best := -1
 	for _, i := range p.exact[a.Path] {
@@ -142,18 +142,18 @@
 	if best < 0 {
 		return nil, false
 	}
-	return p.ways[best].Do, true
+	return p.ways[best].Actions, true
 }
 
-func (w *Way) holds(a Ask) bool {
-	for _, m := range w.Match {
+func (w *Route) holds(a Request) bool {
+	for _, m := range w.Conditions {
 		ok := false
 		switch m.Op {
 		case OpPath:
 			ok = a.Path == m.Text
 		case OpHost:
 			ok = a.Host == m.Text
-		case OpUnder:
+		case OpPrefix:
 			ok = a.Path == m.Text || strings.HasPrefix(a.Path, strings.TrimSuffix(m.Text, "/")+"/")
 		case OpHeader:
 			ok = a.Header(m.Name) == m.Text
@@ -165,28 +165,28 @@
 	return true
 }
 
-// Hands do what the steps say; each says whether the request's way ends there.
-type Hands struct {
-	Limit  func(ms int) bool
-	Claim  func() bool
-	Share  func() bool // draws the service among those that share the mapping, and tries it
-	Try    func(service string) bool
-	Refuse func()
+// Handlers do what the steps say; each says whether the request's way ends there.
+type Handlers struct {
+	Deadline func(ms int) bool
+	Claim    func() bool
+	Split    func() bool // draws the service among those that share the mapping, and tries it
+	Dispatch func(service string) bool
+	Refuse   func()
 }
 
 // Run takes a request along a way to its end.
-func Run(do []Instr, h Hands) {
+func Run(do []Action, h Handlers) {
 	for _, in := range do {
 		end := false
 		switch in.Op {
-		case OpLimit:
-			end = h.Limit(in.Arg)
+		case OpDeadline:
+			end = h.Deadline(in.Arg)
 		case OpClaim:
 			end = h.Claim()
-		case OpShare:
-			end = h.Share()
-		case OpTry:
-			end = h.Try(in.Text)
+		case OpSplit:
+			end = h.Split()
+		case OpDispatch:
+			end = h.Dispatch(in.Text)
 		case OpRefuse:
 			h.Refuse()
 			end = true
--- a/internal/config/words_test.go
+++ b/internal/config/words_test.go
@@ -26,30 +26,30 @@
  "mapping any { when under = \"/chat\" to small 1 promise p once }"]}`
 
 func TestWords(t *testing.T) {
-	c, fs := Read([]byte(every))
+	c, fs := Parse([]byte(every))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
 	if want := (Limits{4096, 65536, 3 * time.Second, 15 * time.Second}); c.Version != 7 || c.Limits != want {
 		t.Errorf("version %d, limits %+v", c.Version, c.Limits)
 	}
-	big := Service{Name: "big", Pool: "main", Place: "home", Memory: 654078, Share: 0.8, Reads: 90, Pairs: 0.25, Warm: 3 * time.Second, WarmRate: 2.5,
-		Conns: 640, Lax: true, Allow: "knee", Prefix: 1024, Spread: 4, Floor: 1, WaitAim: 100 * time.Millisecond,
-		RetryAfter: 500 * time.Millisecond, Jitter: time.Second, First: 160 * time.Millisecond}
+	big := Service{Name: "big", Pool: "main", PlacementPolicy: "home", MemoryTokens: 654078, MemoryShare: 0.8, PrefillRate: 90, AttentionCost: 0.25, WarmUp: 3 * time.Second, WarmUpRate: 2.5,
+		MaxConns: 640, QuickTakeover: true, AdmissionPolicy: "knee", PrefixBytes: 1024, PreferredCount: 4, MinCapacity: 1, TargetWait: 100 * time.Millisecond,
+		RetryAfter: 500 * time.Millisecond, RetryJitter: time.Second, FirstTokenTime: 160 * time.Millisecond}
 	if !reflect.DeepEqual(*c.Services["big"], big) {
 		t.Errorf("big is\n%+v, want\n%+v", *c.Services["big"], big)
 	}
-	usual := Service{Memory: 1000}
-	Defaults(&usual)
-	if s := c.Services["spare"]; s.Share != 0.85 || s.Reads != usual.Reads || s.Pairs != usual.Pairs || s.Waitlist != 9 || s.Lax || s.Place != "prefix" {
+	usual := Service{MemoryTokens: 1000}
+	SetDefaults(&usual)
+	if s := c.Services["spare"]; s.MemoryShare != 0.85 || s.PrefillRate != usual.PrefillRate || s.AttentionCost != usual.AttentionCost || s.MaxWaiting != 9 || s.QuickTakeover || s.PlacementPolicy != "prefix" {
 		t.Errorf("spare is %+v", *s)
 	}
 	m := c.Mappings[0]
-	if m.Tries != 2 || m.Rank != 1 || !m.Stream || !m.Resume || m.Pause != 400*time.Millisecond || m.Once || m.Single || m.Step != "spare" ||
+	if m.MaxWorkers != 2 || m.Rank != 1 || !m.Stream || !m.Resume || m.MaxEventGap != 400*time.Millisecond || m.Once || m.Single || m.FallbackService != "spare" ||
 		!reflect.DeepEqual(m.Split, []Target{{"big", 90}, {"small", 10}, {"spare", 0}}) {
 		t.Errorf("chat is %+v", *m)
 	}
-	if m := c.Mappings[2]; m.Split != nil || m.To[0] != "small" {
+	if m := c.Mappings[2]; m.Split != nil || m.Services[0] != "small" {
 		t.Errorf("any is %+v", *m)
 	}
 	for _, x := range []struct{ host, path, want, steps string }{
@@ -60,7 +60,7 @@
 		{"b.example", "/chat/x", "any", "limit claim try small refuse"},
 		{"b.example", "/x", "", ""},
 	} {
-		do, ok := c.Program.Find(routing.Ask{Host: x.host, Path: x.path, Header: func(string) string { return "" }})
+		do, ok := c.Program.Find(routing.Request{Host: x.host, Path: x.path, Header: func(string) string { return "" }})
 		if !ok {
 			if x.want != "" {
 				t.Errorf("%v: nothing takes it", x)
@@ -74,25 +74,25 @@
 }
 
 // steps walks a way to its end.
-func steps(do []routing.Instr) (l []string) {
+func steps(do []routing.Action) (l []string) {
 	note := func(s ...string) bool { l = append(l, s...); return false }
-	routing.Run(do, routing.Hands{
-		Limit:  func(int) bool { return note("limit") },
-		Claim:  func() bool { return note("claim") },
-		Share:  func() bool { return note("share") },
-		Try:    func(s string) bool { return note("try", s) },
-		Refuse: func() { note("refuse") },
+	routing.Run(do, routing.Handlers{
+		Deadline: func(int) bool { return note("limit") },
+		Claim:    func() bool { return note("claim") },
+		Split:    func() bool { return note("share") },
+		Dispatch: func(s string) bool { return note("try", s) },
+		Refuse:   func() { note("refuse") },
 	})
 	return l
 }
 
 // Where the worker list tells the slots, they are the cap and the waitlist goes by them.
 func TestSlots(t *testing.T) {
-	c, fs := Read([]byte(every))
+	c, fs := Parse([]byte(every))
 	if len(fs) > 0 {
 		t.Fatal(fs)
 	}
-	ws := c.Keep(map[string][]Worker{"main": {{ID: "w", Slots: 12}, {ID: "x"}}, "side": {{ID: "w", Slots: 12}}, "rest": {{ID: "w", Slots: 5}}},
+	ws := c.CapacityWorkers(map[string][]Worker{"main": {{ID: "w", Slots: 12}, {ID: "x"}}, "side": {{ID: "w", Slots: 12}}, "rest": {{ID: "w", Slots: 5}}},
 		map[string]units.Time{}, nil)
 	for n, want := range map[string][2]int{"big/w": {12, 24}, "big/x": {1, 2}, "small/w": {8, 16}, "spare/w": {5, 9}} {
 		if w := ws[n]; w.Capacity != want[0] || w.MaxWaiting != want[1] {
@@ -143,7 +143,7 @@
 		{"host empty", swap(`\"a.example\"`, `\"\"`), resultcode.InvalidRule, "layout line 3 column 28"},
 		{"same host and prefix", swap(`under = \"/\"`, `under = \"/chat\"`), resultcode.Duplicate, "layout line 3 column 9"},
 	} {
-		c, fs := Read([]byte(x.text))
+		c, fs := Parse([]byte(x.text))
 		if c != nil || len(fs) == 0 {
 			t.Errorf("%s: taken", x.name)
 			continue
@@ -156,8 +156,8 @@
 
 // A plan names each of these by what it was and will be.
 func TestPlanOfWords(t *testing.T) {
-	old, _ := Read([]byte(every))
-	next, fs := Read([]byte(strings.NewReplacer(`"version": 7`, `"version": 8`, "65536", "32768", `"share": 80`, `"share": 70`, "2.5", "3", "640", "320",
+	old, _ := Parse([]byte(every))
+	next, fs := Parse([]byte(strings.NewReplacer(`"version": 7`, `"version": 8`, "65536", "32768", `"share": 80`, `"share": 70`, "2.5", "3", "640", "320",
 		"small 10", "small 20", "tries 2", "tries 3", " resume pause 400", "", "rest { when", `rest { when header \"X\" = \"y\" and`,
 		"small 1 promise p once", "small 1 promise p once single").Replace(every)))
 	if len(fs) > 0 {
@@ -176,9 +176,9 @@
 	if p := Compare(old, old, func(string) int { return 1 }); len(p.Changes) != 0 {
 		t.Errorf("nothing changes, and yet %v", p.Changes)
 	}
-	seen := map[string]Seen{"chat": {Asked: 9, PerSecond: 100, Held: time.Second}}
+	seen := map[string]PromiseStats{"chat": {Requests: 9, RequestRate: 100, SlotTime: time.Second}}
 	p = Plan{}
-	p.Foresee(nil, old, func(string) int { return 1 }, seen)
+	p.AddForecast(nil, old, func(string) int { return 1 }, seen)
 	if len(p.Warnings) != 1 || !strings.Contains(p.Warnings[0], "service small: what came in the last minute fills 10.0 slots, and there would be 8") {
 		t.Errorf("%q", p.Warnings)
 	}
@@ -190,7 +190,7 @@
 	f.Add([]byte(every))
 	f.Add([]byte(strings.Replace(every, `\"/chat\"`, `\"/\"`, 1)))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, fs := Read(b)
+		c, fs := Parse(b)
 		if (c == nil) == (len(fs) == 0) {
 			t.Fatalf("%v with %v", c, fs)
 		}
@@ -208,26 +208,26 @@
 		}
 		Compare(nil, c, func(string) int { return 1 })
 		Compare(c, c, func(string) int { return 1 })
-		c.Keep(nil, nil, nil)
+		c.CapacityWorkers(nil, nil, nil)
 	})
 }
 
 // meets makes up a request that meets all conditions; they may contradict one another.
-func meets(m *Mapping) (routing.Ask, bool) {
-	a, heads := routing.Ask{Host: "h.example", Path: "/"}, map[string]string{}
+func meets(m *Mapping) (routing.Request, bool) {
+	a, heads := routing.Request{Host: "h.example", Path: "/"}, map[string]string{}
 	a.Header = func(n string) string { return heads[n] }
-	for _, x := range m.Match {
+	for _, x := range m.Conditions {
 		switch x.Op {
 		case routing.OpHost:
 			a.Host = x.Text
 		case routing.OpHeader:
 			heads[x.Name] = x.Text
-		case routing.OpUnder, routing.OpPath:
+		case routing.OpPrefix, routing.OpPath:
 			if len(x.Text) >= len(a.Path) {
 				a.Path = x.Text
 			}
 		}
 	}
-	_, ok := routing.Build([]routing.Way{{Match: m.Match}}).Find(a)
+	_, ok := routing.Build([]routing.Route{{Conditions: m.Conditions}}).Find(a)
 	return a, ok
 }
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -11,19 +11,19 @@
 
 // Worker is one back end as the platform lists it.
 type Worker struct {
-	ID      string
-	Addr    string
-	Zone    string
-	Leaving bool
-	Age     time.Duration // how long it ran when listed; short ones are still warming
-	Service string        // the service that it serves, where one list holds several
-	Slots   int           // requests that it works on at once, if the list says so
-	Cold    time.Duration // how much longer it stays cold, as listed
-	Life    uint64        // grows whenever it is seen to have started again; none of the platform's
+	ID           string
+	Addr         string
+	Zone         string
+	Draining     bool
+	Age          time.Duration // how long it ran when listed; short ones are still warming
+	Service      string        // the service that it serves, where one list holds several
+	Slots        int           // requests that it works on at once, if the list says so
+	WarmingUpFor time.Duration // how much longer it stays cold, as listed
+	Incarnation  uint64        // grows whenever it is seen to have started again; none of the platform's
 }
 
-// ReadWorkers reads the platform's list of a pool.
-func ReadWorkers(b []byte) ([]Worker, error) {
+// ParseWorkers reads the platform's list of a pool.
+func ParseWorkers(b []byte) ([]Worker, error) {
 	v, err := fastjson.ParseBytes(b)
 	if err != nil {
 		return nil, fmt.Errorf("config: worker list: %w", err)
@@ -36,8 +36,8 @@
 	seen := map[string]bool{}
 	for i, w := range x.GetArray() {
 		y := Worker{ID: string(w.GetStringBytes("id")), Addr: string(w.GetStringBytes("addr")), Zone: string(w.GetStringBytes("zone")),
-			Leaving: w.GetBool("leaving"), Age: time.Duration(w.GetInt64("age_ms")) * time.Millisecond, Life: w.GetUint64("life"),
-			Service: string(w.GetStringBytes("service")), Slots: w.GetInt("slots"), Cold: time.Duration(w.GetInt64("cold_ms")) * time.Millisecond}
+			Draining: w.GetBool("leaving"), Age: time.Duration(w.GetInt64("age_ms")) * time.Millisecond, Incarnation: w.GetUint64("life"),
+			Service: string(w.GetStringBytes("service")), Slots: w.GetInt("slots"), WarmingUpFor: time.Duration(w.GetInt64("cold_ms")) * time.Millisecond}
 		if y.ID == "" || y.Addr == "" || seen[y.ID] {
 			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or stands twice", i)
 		}
@@ -47,8 +47,8 @@
 	return l, nil
 }
 
-// PackWorkers writes a list as the platform does.
-func PackWorkers(l []Worker) []byte { return WorkersValue(&fastjson.Arena{}, l).MarshalTo(nil) }
+// MarshalWorkers writes a list as the platform does.
+func MarshalWorkers(l []Worker) []byte { return WorkersValue(&fastjson.Arena{}, l).MarshalTo(nil) }
 
 // WorkersValue lays a list out.
 func WorkersValue(a *fastjson.Arena, l []Worker) *fastjson.Value {
@@ -58,7 +58,7 @@
 		o.Set("id", a.NewString(w.ID))
 		o.Set("addr", a.NewString(w.Addr))
 		o.Set("zone", a.NewString(w.Zone))
-		if w.Leaving {
+		if w.Draining {
 			o.Set("leaving", a.NewTrue())
 		}
 		o.Set("age_ms", a.NewNumberInt(int(w.Age.Milliseconds())))
@@ -68,11 +68,11 @@
 		if w.Slots > 0 {
 			o.Set("slots", a.NewNumberInt(w.Slots))
 		}
-		if w.Cold > 0 {
-			o.Set("cold_ms", a.NewNumberInt(int(w.Cold.Milliseconds())))
+		if w.WarmingUpFor > 0 {
+			o.Set("cold_ms", a.NewNumberInt(int(w.WarmingUpFor.Milliseconds())))
 		}
-		if w.Life > 0 {
-			o.Set("life", a.NewNumberString(strconv.FormatUint(w.Life, 10)))
+		if w.Incarnation > 0 {
+			o.Set("life", a.NewNumberString(strconv.FormatUint(w.Incarnation, 10)))
 		}
 		arr.SetArrayItem(i, o)
 	}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,30 +12,30 @@
 
 	"github.com/spf13/cobra"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 )
 
 // Version of the programs.
 const Version = "0.1.0"
 
-// ErrPromise ends a command with exit code 1: it ran, and what it looked for does not hold.
-var ErrPromise = errors.New("a promise does not hold")
+// ErrCheckFailed ends a command with exit code 1: it ran, and what it looked for does not hold.
+var ErrCheckFailed = errors.New("a promise does not hold")
 
-// Root begins a program's command line.
-func Root(name, short string) *cobra.Command {
+// NewRootCommand begins a program's command line.
+func NewRootCommand(name, short string) *cobra.Command {
 	c := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true}
 	c.AddCommand(&cobra.Command{Use: "version", Short: "say which version this is", Args: cobra.NoArgs,
 		Run: func(*cobra.Command, []string) { fmt.Println(name, Version) }})
 	return c
 }
 
-// Main runs a command line: 0 for good, 1 for a promise that fails, 2 for bad input.
-func Main(c *cobra.Command) {
+// Execute runs a command line: 0 for good, 1 for a promise that fails, 2 for bad input.
+func Execute(c *cobra.Command) {
 	err := c.Execute()
 	switch {
 	case err == nil:
-	case errors.Is(err, ErrPromise):
+	case errors.Is(err, ErrCheckFailed):
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	default:
@@ -52,8 +52,8 @@
 	Drain()
 }
 
-// Serve adds the command that runs a program where an adapter says what its place is (design 11).
-func Serve(read func() (*boot.Boot, error), create func(*boot.Boot) (Daemon, error), again func(Daemon, *boot.Boot), dump func(Daemon)) *cobra.Command {
+// NewServeCommand adds the command that runs a program where an adapter says what its place is (design 11).
+func NewServeCommand(read func() (*settings.Settings, error), create func(*settings.Settings) (Daemon, error), again func(Daemon, *settings.Settings), dump func(Daemon)) *cobra.Command {
 	return &cobra.Command{Use: "serve", Short: "run on the users' platform until a warning (SIGTERM)", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s := handleSignals()
@@ -71,19 +71,19 @@
 }
 
 // settle keeps the process inside what it may use: the collector works harder near the memory's end.
-func settle(b *boot.Boot) {
-	if b.Memory > 0 {
-		debug.SetMemoryLimit(int64(b.Memory) << 20 * 7 / 10)
+func settle(b *settings.Settings) {
+	if b.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(b.MemoryMB) << 20 * 7 / 10)
 	}
 }
 
-// Run adds the command that runs a program from its boot file.
-func Run(name string, create func(*boot.Boot) (Daemon, error), dump func(Daemon)) *cobra.Command {
+// NewRunCommand adds the command that runs a program from its boot file.
+func NewRunCommand(name string, create func(*settings.Settings) (Daemon, error), dump func(Daemon)) *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: "run", Short: "run with a boot file until a warning (SIGTERM)", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s := handleSignals()
-			b, err := boot.Read(path, name)
+			b, err := settings.Read(path, name)
 			if err != nil {
 				return err
 			}
@@ -108,7 +108,7 @@
 }
 
 // live runs a daemon to its end. Its place is read again at a hang-up signal, and now and then without one.
-func live(d Daemon, s signals, read func() (*boot.Boot, error), again func(Daemon, *boot.Boot), dump func(Daemon)) error {
+func live(d Daemon, s signals, read func() (*settings.Settings, error), again func(Daemon, *settings.Settings), dump func(Daemon)) error {
 	warn := newSignals(syscall.SIGTERM, syscall.SIGINT)
 	if err := d.Start(); err != nil {
 		return err
@@ -144,15 +144,15 @@
 	return c
 }
 
-// Look checks one more kind of file, which an adapter knows.
-type Look struct {
-	Flag, What string
-	At         func(path string) error
-	path       string
+// FileCheck checks one more kind of file, which an adapter knows.
+type FileCheck struct {
+	Flag, Usage string
+	Check       func(path string) error
+	path        string
 }
 
-// Check adds the command that checks files and starts nothing.
-func Check(name string, more ...*Look) *cobra.Command {
+// NewCheckCommand adds the command that checks files and starts nothing.
+func NewCheckCommand(name string, more ...*FileCheck) *cobra.Command {
 	var bootPath, configPath string
 	c := &cobra.Command{Use: "check", Short: "check files: a boot file, a configuration, or what else the flags name", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -160,14 +160,14 @@
 			some := bootPath != "" || configPath != ""
 			for _, l := range more {
 				if some = some || l.path != ""; l.path != "" {
-					bad = append(bad, l.At(l.path))
+					bad = append(bad, l.Check(l.path))
 				}
 			}
 			if !some {
 				return errors.New("a file is wanted, by one of the flags of check --help")
 			}
 			if bootPath != "" {
-				if _, err := boot.Read(bootPath, name); err != nil {
+				if _, err := settings.Read(bootPath, name); err != nil {
 					bad = append(bad, err)
 				}
 			}
@@ -175,7 +175,7 @@
 				b, err := os.ReadFile(configPath)
 				if err != nil {
 					bad = append(bad, err)
-				} else if _, fs := config.Read(b); len(fs) > 0 {
+				} else if _, fs := config.Parse(b); len(fs) > 0 {
 					for _, f := range fs {
 						bad = append(bad, fmt.Errorf("%s: %w", configPath, f))
 					}
@@ -190,7 +190,7 @@
 	c.Flags().StringVar(&bootPath, "boot", "", "a boot file")
 	c.Flags().StringVar(&configPath, "config", "", "a configuration")
 	for _, l := range more {
-		c.Flags().StringVar(&l.path, l.Flag, "", l.What)
+		c.Flags().StringVar(&l.path, l.Flag, "", l.Usage)
 	}
 	return c
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -4,7 +4,7 @@
 	"syscall"
 	"testing"
 
-	"seamshunt/internal/boot"
+	"seamshunt/internal/settings"
 )
 
 // fakeDaemon ends at once when it is started: its own warning comes with the start.
@@ -21,7 +21,7 @@
 // handler either signal ends it.
 func TestSignalsWhileStarting(t *testing.T) {
 	d := &fakeDaemon{}
-	create := func(*boot.Boot) (Daemon, error) {
+	create := func(*settings.Settings) (Daemon, error) {
 		for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1} {
 			if err := syscall.Kill(syscall.Getpid(), s); err != nil {
 				return nil, err
@@ -29,8 +29,8 @@
 		}
 		return d, nil
 	}
-	read := func() (*boot.Boot, error) { return &boot.Boot{}, nil }
-	c := Serve(read, create, func(Daemon, *boot.Boot) {}, func(Daemon) {})
+	read := func() (*settings.Settings, error) { return &settings.Settings{}, nil }
+	c := NewServeCommand(read, create, func(Daemon, *settings.Settings) {}, func(Daemon) {})
 	c.SetArgs(nil)
 	if err := c.Execute(); err != nil {
 		t.Fatal(err)
--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -20,32 +20,32 @@
 	Digests = message.KindAntiEntropy + iota
 	Ranges
 	Root
-	Verdict
+	Outcome
 )
 
-// Gap between two comparisons by one member that has nothing to catch up with (start).
-const Gap = 1500 * time.Millisecond
+// Interval between two comparisons by one member that has nothing to catch up with (start).
+const Interval = 1500 * time.Millisecond
 
-// Mend sends a key's accepted value to another member.
-type Mend func(to units.NodeID, key string) message.Effects
+// Repair sends a key's accepted value to another member.
+type Repair func(to units.NodeID, key string) message.Effects
 
 // Syncer is one member's state machine of the comparison. It isn't safe for concurrent use.
 type Syncer struct {
-	self    units.NodeID
-	next    units.Time
-	turn    int            // whom of the members to compare with next
-	others  []units.NodeID // the other members at the last tick; none while this node is no member itself
-	member  bool           // was in the quorum at the last tick
-	healthy bool           // could take part at the last tick
-	catchUp *catchUp
-	Mended  int // copies of others that were older than the ones here
-	Ignored int // messages of who is no member
+	self     units.NodeID
+	next     units.Time
+	turn     int            // whom of the members to compare with next
+	others   []units.NodeID // the other members at the last tick; none while this node is no member itself
+	member   bool           // was in the quorum at the last tick
+	healthy  bool           // could take part at the last tick
+	catchUp  *catchUp
+	Repaired int // copies of others that were older than the ones here
+	Ignored  int // messages of who is no member
 }
 
 // New gives one that begins after a random part of the gap, with a random member. It was just started, so it catches up
 // first.
 func New(self units.NodeID, now units.Time, rng *rand.Rand) *Syncer {
-	s := &Syncer{self: self, next: now.Add(time.Duration(rng.Int64N(int64(Gap)))), turn: rng.IntN(1 << 16), healthy: true}
+	s := &Syncer{self: self, next: now.Add(time.Duration(rng.Int64N(int64(Interval)))), turn: rng.IntN(1 << 16), healthy: true}
 	return s
 }
 
@@ -53,7 +53,7 @@
 // asks nobody; it may miss writes meanwhile, and catches up afterwards.
 func (s *Syncer) SetHealthy(ok bool) {
 	if ok && !s.healthy {
-		s.CatchUp()
+		s.StartCatchUp()
 	}
 	s.healthy = ok
 }
@@ -67,14 +67,14 @@
 	}
 	if !s.member {
 		s.member = true
-		s.CatchUp()
+		s.StartCatchUp()
 	}
 	s.others = slices.DeleteFunc(slices.Clone(members), func(n units.NodeID) bool { return n == s.self })
 	if len(s.others) == 0 || !s.healthy {
 		return out
 	}
 	if s.catchUp != nil && s.catchUp.done(s.others) {
-		s.catchUp, s.next = nil, now.Add(Gap)
+		s.catchUp, s.next = nil, now.Add(Interval)
 	}
 	if !s.ready(now) {
 		return out
@@ -88,14 +88,14 @@
 	} else {
 		to = s.others[s.turn%len(s.others)]
 		s.turn++
-		s.next = now.Add(Gap)
+		s.next = now.Add(Interval)
 	}
 	out.Send(to, Root, message.Pack(head))
 	return out
 }
 
 // Step takes one message; of a node that is no member, none.
-func (s *Syncer) Step(n message.Message, states map[string]*register.State, mend Mend) (out message.Effects) {
+func (s *Syncer) Step(n message.Message, states map[string]*register.State, mend Repair) (out message.Effects) {
 	if !slices.Contains(s.others, n.From) {
 		s.Ignored++
 		return out
@@ -108,7 +108,7 @@
 		err = compareDigests(n, states, &out)
 	case Ranges:
 		err = s.compareRanges(n, states, mend, &out)
-	case Verdict:
+	case Outcome:
 		err = s.judged(n)
 	}
 	out.AddError(err)
@@ -125,7 +125,7 @@
 	case mine.root() != h.Sum:
 		out.Send(n.From, Digests, message.Pack(mine))
 	case h.Answer == 1:
-		out.Send(n.From, Verdict, message.Pack(verdictHead{}))
+		out.Send(n.From, Outcome, message.Pack(verdictHead{}))
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 }
 
 // compareRanges mends what is older there, and shows its own part back when something is older here.
-func (s *Syncer) compareRanges(n message.Message, states map[string]*register.State, mend Mend, out *message.Effects) error {
+func (s *Syncer) compareRanges(n message.Message, states map[string]*register.State, mend Repair, out *message.Effects) error {
 	h, theirs, err := unpackRanges(n.Body)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 		switch c := order(states[key], theirs[key]); {
 		case c > 0:
 			ahead = true
-			s.Mended++
+			s.Repaired++
 			out.Append(mend(n.From, key))
 		case c < 0:
 			behind = true
@@ -176,7 +176,7 @@
 	if ahead {
 		verdict.Newer = 1
 	}
-	out.Send(n.From, Verdict, message.Pack(verdict))
+	out.Send(n.From, Outcome, message.Pack(verdict))
 	return nil
 }
 
--- a/internal/control/antientropy/catchup.go
+++ b/internal/control/antientropy/catchup.go
@@ -22,8 +22,8 @@
 	wait   bool // newer copies are on their way: the next question waits for them
 }
 
-// CatchUp begins to compare with every other member, at once: this node may have missed writes.
-func (s *Syncer) CatchUp() {
+// StartCatchUp begins to compare with every other member, at once: this node may have missed writes.
+func (s *Syncer) StartCatchUp() {
 	s.catchUp = &catchUp{clean: map[units.NodeID]bool{}, silent: map[units.NodeID]int{}, pause: shortPause}
 	s.next = 0
 }
@@ -43,7 +43,7 @@
 // behind takes that another member holds something newer, which is on its way.
 func (s *Syncer) behind(from units.NodeID) {
 	if s.catchUp == nil {
-		s.CatchUp()
+		s.StartCatchUp()
 	}
 	c := s.catchUp
 	clear(c.clean)
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -6,11 +6,11 @@
 	"seamshunt/internal/units"
 )
 
-// Parts is how many ranges the keys fall into, by hash.
-const Parts = 16
+// RangeCount is how many ranges the keys fall into, by hash.
+const RangeCount = 16
 
 // digests holds one sum over each range of keys.
-type digests struct{ Sum [Parts]uint64 }
+type digests struct{ Sum [RangeCount]uint64 }
 
 // rootHead opens a comparison: one sum over all keys, and whether equal copies are to be confirmed.
 type rootHead struct {
@@ -30,7 +30,7 @@
 // keyHead is how new one key's copy is.
 type keyHead struct{ N, By, Seq uint64 }
 
-func part(key string) int { return int(units.Mix(key) % Parts) }
+func part(key string) int { return int(units.Mix(key) % RangeCount) }
 
 // held says whether a value was ever accepted here; a promise alone is no copy.
 func held(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
@@ -56,7 +56,7 @@
 
 // differing gives the ranges whose sums differ.
 func (d digests) differing(other digests) (mask uint64) {
-	for p := range Parts {
+	for p := range RangeCount {
 		if d.Sum[p] != other.Sum[p] {
 			mask |= 1 << p
 		}
--- a/internal/control/antientropy/syncer_test.go
+++ b/internal/control/antientropy/syncer_test.go
@@ -116,7 +116,7 @@
 		}
 		for from, to := range asked {
 			for _, id := range g.members {
-				if id != from && to[id] < int(span/Gap)/(n-1)-1 {
+				if id != from && to[id] < int(span/Interval)/(n-1)-1 {
 					t.Errorf("%d members: %d asked %d only %d times", n, from, id, to[id])
 				}
 			}
@@ -178,7 +178,7 @@
 	for i, id := range g.members[1:] {
 		g.write(fmt.Sprint("key", i), 5, id)
 	}
-	g.run(Gap + 4*shortPause + 100*time.Millisecond)
+	g.run(Interval + 4*shortPause + 100*time.Millisecond)
 	if !g.alike(1) {
 		t.Errorf("it holds %d of 4 keys", len(g.copies[1]))
 	}
@@ -201,7 +201,7 @@
 			t.Fatal("an unhealthy member asks")
 		}
 	}
-	if most := int(span/Gap) + 5; g.mends > most {
+	if most := int(span/Interval) + 5; g.mends > most {
 		t.Errorf("%d copies sent to it in %v, %d are the bound", g.mends, span, most)
 	}
 }
@@ -212,7 +212,7 @@
 	g.run(10 * time.Second)
 	g.write("config", 5, 1)
 	mend := func(units.NodeID, string) message.Effects { t.Fatal("mended"); return message.Effects{} }
-	for k := message.Kind(Digests); k <= Verdict; k++ {
+	for k := message.Kind(Digests); k <= Outcome; k++ {
 		if out := g.syncers[1].Step(message.Message{From: 99, Kind: k, Body: message.Pack(digests{})}, g.copies[1], mend); len(out.Messages) > 0 {
 			t.Errorf("a stranger's kind %d is answered", k)
 		}
--- a/internal/control/changelog/changelog.go
+++ b/internal/control/changelog/changelog.go
@@ -25,11 +25,11 @@
 
 // Entry is one acknowledged change, as a line of the log; Unix is the time of day in seconds.
 type Entry struct {
-	Unix   int64  `json:"unix"`
-	Key    string `json:"key"`
-	Number uint64 `json:"number"`
-	Plan   string `json:"plan,omitempty"`
-	SHA256 string `json:"sha256"`
+	Unix    int64  `json:"unix"`
+	Key     string `json:"key"`
+	Version uint64 `json:"number"`
+	Plan    string `json:"plan,omitempty"`
+	SHA256  string `json:"sha256"`
 }
 
 // hashes keeps the log's stored hashes in memory.
@@ -106,8 +106,8 @@
 	}
 }
 
-// Add records a change, syncs it, and signs a new checkpoint.
-func (l *Log) Add(x Entry) error {
+// Append records a change, syncs it, and signs a new checkpoint.
+func (l *Log) Append(x Entry) error {
 	b, err := json.Marshal(x)
 	if err != nil {
 		return fmt.Errorf("changelog: %w", err)
--- a/internal/control/changelog/changelog_test.go
+++ b/internal/control/changelog/changelog_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	for n := from; n < to; n++ {
-		if err := l.Add(Entry{Unix: int64(n), Key: "config", Number: n, SHA256: strings.Repeat("ab", 32)}); err != nil {
+		if err := l.Append(Entry{Unix: int64(n), Key: "config", Version: n, SHA256: strings.Repeat("ab", 32)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/control/controller/adapter_calls.go
+++ b/internal/control/controller/adapter_calls.go
@@ -20,7 +20,7 @@
 
 // Control returns the calls that an adapter's HTTP handler makes (docs/design.md, section 13).
 func (c *Controller) Control() adapter.Control {
-	return adapter.Control{Read: c.readConfig, Put: c.putConfig, Change: c.changeConfig, Zone: c.handleZoneRequest}
+	return adapter.Control{Read: c.readConfig, Put: c.putConfig, Change: c.changeConfig, EvacuateZone: c.handleZoneRequest}
 }
 
 // parseConfig parses a configuration in the adapter's format or, without an adapter, in the built-in one.
@@ -28,7 +28,7 @@
 	if c.adapter != nil {
 		return c.adapter.Config(data)
 	}
-	return config.Read(data)
+	return config.Parse(data)
 }
 
 // parsedConfig caches what is needed of the newest stored configuration, so that it is parsed once. storedVersion counts the
@@ -62,7 +62,7 @@
 func (p *parsedConfig) store(storedVersion units.Version, cfg *config.Config) (uint64, map[string]time.Duration) {
 	warmup := make(map[string]time.Duration, len(cfg.Services))
 	for name, service := range cfg.Services {
-		warmup[name] = service.Warm
+		warmup[name] = service.WarmUp
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/controller/adapter_calls_test.go
+++ b/internal/control/controller/adapter_calls_test.go
@@ -11,9 +11,9 @@
 	"github.com/valyala/fastjson"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/config"
 	"seamshunt/internal/resultcode"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -33,7 +33,7 @@
 			if len(faults) > 0 {
 				return nil, faults
 			}
-			return &config.Config{Version: version, Services: map[string]*config.Service{"s": {Name: "s", Warm: 3 * time.Second}}}, nil
+			return &config.Config{Version: version, Services: map[string]*config.Service{"s": {Name: "s", WarmUp: 3 * time.Second}}}, nil
 		},
 		Change: func(old, change []byte) ([]byte, []*resultcode.Fault) {
 			_, oldText, _ := read(old)
@@ -49,11 +49,11 @@
 // startSeededControllers starts n controllers that bootstrap from seeds and waits until all know the whole quorum set.
 func startSeededControllers(t *testing.T, n int, siteAdapter *adapter.Adapter) []*Controller {
 	t.Helper()
-	var settingsList []*boot.Boot
+	var settingsList []*settings.Settings
 	var seeds []string
 	for i := range n {
-		nodeSettings := &boot.Boot{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: t.TempDir(), Platform: testutil.Addr(t),
-			PollMs: 500, Reserve: 64 << 10, Grow: true, First: true, Counts: true, Zones: []string{"z0", "z9"}, LostMachines: (n - 1) / 2}
+		nodeSettings := &settings.Settings{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: t.TempDir(), Platform: testutil.Addr(t),
+			PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true, Zones: []string{"z0", "z9"}, MaxLostMachines: (n - 1) / 2}
 		settingsList = append(settingsList, nodeSettings)
 		if len(seeds) < 3 {
 			seeds = append(seeds, nodeSettings.Addr)
@@ -224,13 +224,13 @@
 	controllers := startSeededControllers(t, 3, testAdapter())
 	for i, evacuated := range []bool{true, true, false, false, true, false} {
 		code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) {
-			return controllers[i%3].Control().Zone(nil, "z9", evacuated), nil
+			return controllers[i%3].Control().EvacuateZone(nil, "z9", evacuated), nil
 		})
 		if _, b := sendRequest(t, controllers[(i+1)%3], "GET", "/v1/zones/z9", ""); code != resultcode.OK || string(b) != fmt.Sprintf(`{"evacuated":%v}`, evacuated) {
 			t.Errorf("set to %v: %d, read back %s", evacuated, code, b)
 		}
 	}
-	if code := controllers[0].Control().Zone(nil, "z1", true); code != resultcode.UnknownZone {
+	if code := controllers[0].Control().EvacuateZone(nil, "z1", true); code != resultcode.UnknownZone {
 		t.Errorf("a zone that the settings don't list: %d", code)
 	}
 }
--- a/internal/control/controller/audit.go
+++ b/internal/control/controller/audit.go
@@ -50,10 +50,10 @@
 		case entry := <-c.auditQueue:
 			var err error
 			if auditLog == nil {
-				auditLog, err = changelog.Open(c.Settings.Data, c.Settings.Name)
+				auditLog, err = changelog.Open(c.Settings.DataDir, c.Settings.Name)
 			}
 			if err == nil {
-				err = auditLog.Add(entry.record)
+				err = auditLog.Append(entry.record)
 			}
 			if err != nil {
 				if auditLog != nil { // a file can't be used after a failed sync: the next entry reopens it
--- a/internal/control/controller/controller.go
+++ b/internal/control/controller/controller.go
@@ -12,7 +12,6 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/discovery"
 	"seamshunt/internal/cluster/membership"
@@ -23,6 +22,7 @@
 	"seamshunt/internal/listener"
 	"seamshunt/internal/node"
 	"seamshunt/internal/router/idempotency"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/units"
 )
 
@@ -62,7 +62,7 @@
 }
 
 // New opens the disk, which holds the node's identity, and builds the controller. siteAdapter may be nil.
-func New(nodeSettings *boot.Boot, siteAdapter *adapter.Adapter) (*Controller, error) {
+func New(nodeSettings *settings.Settings, siteAdapter *adapter.Adapter) (*Controller, error) {
 	opened, err := openDisk(nodeSettings)
 	if err != nil {
 		return nil, err
@@ -73,17 +73,17 @@
 	c.disk.file = walLog
 	c.disk.wake = make(chan struct{}, 1)
 	c.replica = register.New(self, node.RandomID())
-	if err := c.replica.Load(walLog.Live()); err != nil {
+	if err := c.replica.Load(walLog.Records()); err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
 	c.pollStatus.wasPausedSince = c.WasPausedSince
-	c.bootstrapSeeds, c.originalSeeds = bootstrapSeeds(nodeSettings, walLog.Live()), originalSeeds(walLog.Live())
-	c.SetFlag(membership.MayVote, nodeSettings.Counts || !nodeSettings.Grow)
-	c.SetFlag(membership.Bootstrap, nodeSettings.Grow && c.bootstrapSeeds.Participates)
+	c.bootstrapSeeds, c.originalSeeds = bootstrapSeeds(nodeSettings, walLog.Records()), originalSeeds(walLog.Records())
+	c.SetFlag(membership.MayVote, nodeSettings.MayVote || !nodeSettings.GrowVoters)
+	c.SetFlag(membership.Bootstrap, nodeSettings.GrowVoters && c.bootstrapSeeds.Participates)
 	if siteAdapter != nil && siteAdapter.Control != nil {
 		c.adapterHandler = siteAdapter.Control(c.Control())
 	}
-	c.claims = idempotency.LoadRegistry(self, c.Tasks.Now(), walLog.Live())
+	c.claims = idempotency.LoadRegistry(self, c.Tasks.Now(), walLog.Records())
 	if opened.damage != nil {
 		c.reportDamage(opened.damage)
 	}
@@ -105,7 +105,7 @@
 		c.leaseMu.Unlock()
 		c.replicaMu.Lock()
 		c.replica.Resume(now)
-		c.syncer.CatchUp()
+		c.syncer.StartCatchUp()
 		c.replicaMu.Unlock()
 	}
 	c.OnPeersEnded = func(now units.Time, l []units.NodeID) {
@@ -137,7 +137,7 @@
 
 // Start opens the listeners, starts the loops and returns.
 func (c *Controller) Start() error {
-	ln, err := listener.Listen(c.Settings.Web)
+	ln, err := listener.Listen(c.Settings.HTTPAddr)
 	if err != nil {
 		return fmt.Errorf("controller: %w", err)
 	}
--- a/internal/control/controller/delayed_connection_test.go
+++ b/internal/control/controller/delayed_connection_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	controllers := startSeededControllers(t, 3, siteAdapter)
-	conn, err := net.Dial("tcp", controllers[0].Settings.Web)
+	conn, err := net.Dial("tcp", controllers[0].Settings.HTTPAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/controller/delayed_request_test.go
+++ b/internal/control/controller/delayed_request_test.go
@@ -34,7 +34,7 @@
 			if ctx.IsGet() {
 				return
 			}
-			if control.Zone(ctx.Conn(), testZone, ctx.IsPost()) != resultcode.OK {
+			if control.EvacuateZone(ctx.Conn(), testZone, ctx.IsPost()) != resultcode.OK {
 				ctx.SetStatusCode(503)
 			}
 		}
@@ -48,7 +48,9 @@
 // setZoneUntilClear sets the zone's state through a controller and retries until the outcome is clear.
 func setZoneUntilClear(t *testing.T, c *Controller, evacuated bool) {
 	t.Helper()
-	if code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Zone(nil, testZone, evacuated), nil }); code != resultcode.OK {
+	if code := retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) {
+		return c.Control().EvacuateZone(nil, testZone, evacuated), nil
+	}); code != resultcode.OK {
 		t.Fatalf("set to %v: %d", evacuated, code)
 	}
 }
@@ -204,7 +206,7 @@
 	controllers := startSeededControllers(t, 3, zoneAdapter())
 	for _, first := range []string{"", readRequest} {
 		t.Run(fmt.Sprintf("behind %d bytes", len(first)), func(t *testing.T) {
-			conn, err := net.Dial("tcp", controllers[0].Settings.Web)
+			conn, err := net.Dial("tcp", controllers[0].Settings.HTTPAddr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -213,7 +215,7 @@
 			if first != "" {
 				exchange(t, conn, answers, first)
 			}
-			probeHealth(t, controllers[0].Settings.Web) // by then conn has been accepted
+			probeHealth(t, controllers[0].Settings.HTTPAddr) // by then conn has been accepted
 			latest := toggleZone(t, controllers[1], controllers[0], true)
 			if status := exchange(t, conn, answers, withdrawal); status != 503 {
 				t.Errorf("answered %d", status)
--- a/internal/control/controller/disk.go
+++ b/internal/control/controller/disk.go
@@ -73,7 +73,7 @@
 			err = d.file.Append(records)
 		}
 		d.mu.Lock()
-		d.onReserve = d.file.Low()
+		d.onReserve = d.file.DiskFull()
 		d.lastWriteDuration = c.Tasks.Now().Sub(d.writeStartedAt)
 		d.writeStartedAt = 0
 		d.failed = d.failed || err != nil && !errors.Is(err, wal.ErrFull)
@@ -106,7 +106,7 @@
 		c.reportDamage(opened.damage)
 	}
 	if err == nil && !opened.uninitialized {
-		err = opened.log.Renew()
+		err = opened.log.Rewrite()
 	}
 	if err != nil || opened.uninitialized {
 		c.Log.Error("the disk can't be opened again: this node stops voting")
--- a/internal/control/controller/disk_test.go
+++ b/internal/control/controller/disk_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/control/changelog"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/storage/wal"
 	"seamshunt/internal/testutil"
 )
@@ -23,7 +23,7 @@
 // startSingle starts the only controller of a fleet. The edits are applied before its start.
 func startSingle(t *testing.T, dir string, edit ...func(*Controller)) *Controller {
 	t.Helper()
-	nodeSettings := &boot.Boot{Name: "c", Zone: "z", Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: dir, Founders: 1, Platform: testutil.Addr(t), Pools: []string{"main"}, PollMs: 500, Reserve: 64 << 10}
+	nodeSettings := &settings.Settings{Name: "c", Zone: "z", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: dir, BootstrapDisks: 1, Platform: testutil.Addr(t), Pools: []string{"main"}, PollMs: 500, ReserveBytes: 64 << 10}
 	nodeSettings.Seeds = []string{nodeSettings.Addr}
 	c, err := New(nodeSettings, nil)
 	if err != nil {
@@ -41,7 +41,7 @@
 func sendRequest(t *testing.T, c *Controller, method, path, body string) (int, []byte) {
 	t.Helper()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	req.SetRequestURI("http://" + c.Settings.Web + path)
+	req.SetRequestURI("http://" + c.Settings.HTTPAddr + path)
 	req.Header.SetMethod(method)
 	req.SetBodyString(body)
 	if err := fasthttp.DoTimeout(req, resp, 10*time.Second); err != nil {
@@ -115,12 +115,12 @@
 // file is kept.
 func TestDamagedDiskStartsUninitialized(t *testing.T) {
 	dir := t.TempDir()
-	nodeSettings := &boot.Boot{Data: dir}
+	nodeSettings := &settings.Settings{DataDir: dir}
 	first, err := openDisk(nodeSettings)
 	if err != nil || !first.uninitialized || first.damage != nil {
 		t.Fatal(first.uninitialized, first.damage, err)
 	}
-	if err := first.log.Append(first.log.Live()); err != nil {
+	if err := first.log.Append(first.log.Records()); err != nil {
 		t.Fatal(err)
 	}
 	first.log.Close()
--- a/internal/control/controller/linearizability_test.go
+++ b/internal/control/controller/linearizability_test.go
@@ -110,7 +110,9 @@
 	t.Parallel()
 	controllers := startSeededControllers(t, 3, testAdapter())
 	set := func(c *Controller, evacuated bool) resultcode.Code {
-		return retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) { return c.Control().Zone(nil, "z9", evacuated), nil })
+		return retryUntilClear(t, func() (resultcode.Code, []*resultcode.Fault) {
+			return c.Control().EvacuateZone(nil, "z9", evacuated), nil
+		})
 	}
 	if a, b := set(controllers[0], true), set(controllers[1], false); a != resultcode.OK || b != resultcode.OK {
 		t.Fatalf("evacuated and withdrawn: %d, %d", a, b)
--- a/internal/control/controller/open_disk.go
+++ b/internal/control/controller/open_disk.go
@@ -3,10 +3,10 @@
 import (
 	"errors"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/node"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/storage/wal"
 	"seamshunt/internal/units"
 )
@@ -22,19 +22,19 @@
 
 // openDisk reads the log. A disk whose log is missing or damaged gets a new identity, which has no vote (docs/design.md,
 // sections 2 and 3).
-func openDisk(nodeSettings *boot.Boot) (opened openedDisk, err error) {
-	opened.log, err = wal.Open(nodeSettings.Data, int64(nodeSettings.Reserve))
+func openDisk(nodeSettings *settings.Settings) (opened openedDisk, err error) {
+	opened.log, err = wal.Open(nodeSettings.DataDir, int64(nodeSettings.ReserveBytes))
 	if errors.Is(err, wal.ErrDamaged) {
 		opened.damage = err
-		if err = wal.SetAside(nodeSettings.Data); err == nil {
-			opened.log, err = wal.Open(nodeSettings.Data, int64(nodeSettings.Reserve))
+		if err = wal.SetAside(nodeSettings.DataDir); err == nil {
+			opened.log, err = wal.Open(nodeSettings.DataDir, int64(nodeSettings.ReserveBytes))
 		}
 	}
 	if err != nil {
 		return openedDisk{damage: opened.damage}, err
 	}
-	opened.setAside = wal.HasSetAside(nodeSettings.Data)
-	for _, r := range opened.log.Live() {
+	opened.setAside = wal.HasSetAside(nodeSettings.DataDir)
+	for _, r := range opened.log.Records() {
 		var head identityHead
 		if r.Kind == recordIdentity && (message.Unpack(r.Data, &head, new([]byte)) == nil || message.Unpack(r.Data, &head) == nil) {
 			opened.self = units.NodeID(head.ID)
@@ -43,7 +43,7 @@
 	}
 	opened.self, opened.uninitialized = node.RandomID(), true
 	var seeds []string
-	if nodeSettings.Grow && nodeSettings.First && nodeSettings.Counts && !opened.setAside {
+	if nodeSettings.GrowVoters && nodeSettings.Bootstrap && nodeSettings.MayVote && !opened.setAside {
 		seeds = nodeSettings.Seeds
 	}
 	return opened, opened.log.Append([]message.Record{identityRecord(opened.self, seeds)})
@@ -88,10 +88,10 @@
 
 // bootstrapSeeds returns how this node takes part in a bootstrap from seeds. A node whose disk doesn't count has nothing
 // stored of the first start: it belongs to it only if this process was started with that setting.
-func bootstrapSeeds(nodeSettings *boot.Boot, records []message.Record) register.SeedBootstrap {
+func bootstrapSeeds(nodeSettings *settings.Settings, records []message.Record) register.SeedBootstrap {
 	seeds := register.SeedBootstrap{Addr: nodeSettings.Addr, SeedAddrs: originalSeeds(records), Participates: len(originalSeeds(records)) > 0}
-	if !nodeSettings.Counts {
-		seeds.SeedAddrs, seeds.Participates = nodeSettings.Seeds, nodeSettings.First
+	if !nodeSettings.MayVote {
+		seeds.SeedAddrs, seeds.Participates = nodeSettings.Seeds, nodeSettings.Bootstrap
 	}
 	return seeds
 }
--- a/internal/control/controller/operator_conn.go
+++ b/internal/control/controller/operator_conn.go
@@ -66,7 +66,7 @@
 // refuseAbandoned reports whether a request is a change whose client has disconnected, and refuses it if so: the client
 // no longer waits for the result, so nobody would learn of the change.
 func (c *Controller) refuseAbandoned(ctx *fasthttp.RequestCtx) bool {
-	if ctx.IsGet() || ctx.IsHead() || !socket.HungUp(ctx.Conn()) {
+	if ctx.IsGet() || ctx.IsHead() || !socket.PeerClosed(ctx.Conn()) {
 		return false
 	}
 	c.abandonedRequests.Add(1)
--- a/internal/control/controller/partition_test.go
+++ b/internal/control/controller/partition_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/cluster/transport"
 	"seamshunt/internal/control/register"
 	"seamshunt/internal/resultcode"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 	"seamshunt/internal/units"
 )
@@ -21,7 +21,7 @@
 // owns every key. It knows a configuration with stored version 3 and document version 5. Its connections aren't opened.
 func newPartitioned(t *testing.T) *Controller {
 	t.Helper()
-	c, err := New(&boot.Boot{Name: "c", Zone: "z0", Addr: "nowhere:1", Data: t.TempDir(), Reserve: 64 << 10, Grow: true, Counts: true}, testAdapter())
+	c, err := New(&settings.Settings{Name: "c", Zone: "z0", Addr: "nowhere:1", DataDir: t.TempDir(), ReserveBytes: 64 << 10, GrowVoters: true, MayVote: true}, testAdapter())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,15 +55,15 @@
 	}
 	return append(l, controlCall{"PUT of the known configuration", func(c adapter.Control) resultcode.Code { code, _ := c.Put(5, []byte(`{"v":5,"x":"a"}`)); return code }},
 		controlCall{"GET", func(c adapter.Control) resultcode.Code { _, _, code := c.Read(); return code }},
-		controlCall{"evacuation", func(c adapter.Control) resultcode.Code { return c.Zone(nil, "z0", true) }},
-		controlCall{"withdrawal", func(c adapter.Control) resultcode.Code { return c.Zone(nil, "z0", false) }})
+		controlCall{"evacuation", func(c adapter.Control) resultcode.Code { return c.EvacuateZone(nil, "z0", true) }},
+		controlCall{"withdrawal", func(c adapter.Control) resultcode.Code { return c.EvacuateZone(nil, "z0", false) }})
 }
 
 // TestPartitionedControllerAnswersInTime checks that every call on a partitioned controller gets a 5xx within
 // AnswerTimeout of virtual time, however many requests the call would make, and at once when the controller knows that no
 // majority answers. No call is confirmed or refused.
 func TestPartitionedControllerAnswersInTime(t *testing.T) {
-	unknown := controlCall{"evacuation of a zone without known members", func(c adapter.Control) resultcode.Code { return c.Zone(nil, "z7", true) }}
+	unknown := controlCall{"evacuation of a zone without known members", func(c adapter.Control) resultcode.Code { return c.EvacuateZone(nil, "z7", true) }}
 	for _, call := range append(partitionedCalls(), unknown) {
 		t.Run(call.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/control/controller/plan.go
+++ b/internal/control/controller/plan.go
@@ -65,7 +65,7 @@
 		}
 		diff = config.Compare(old, next, c.activeWorkers)
 		stats, _, _ := c.collectPromiseStats(callCtx)
-		diff.Foresee(old, next, c.activeWorkers, stats)
+		diff.AddForecast(old, next, c.activeWorkers, stats)
 	} else {
 		diff = c.compareZone(callCtx, strings.TrimPrefix(p.key, "zone/"), result.Data, body)
 	}
@@ -105,7 +105,7 @@
 func (c *Controller) activeWorkers(pool string) int {
 	count := 0
 	for _, w := range c.knownWorkers(pool) {
-		if !w.Leaving {
+		if !w.Draining {
 			count++
 		}
 	}
@@ -126,7 +126,7 @@
 	inZone, total := 0, 0
 	for _, p := range c.Settings.Pools {
 		for _, w := range c.knownWorkers(p) {
-			if w.Leaving || c.zoneEvacuated(w.Zone) && w.Zone != zone {
+			if w.Draining || c.zoneEvacuated(w.Zone) && w.Zone != zone {
 				continue
 			}
 			total++
@@ -137,9 +137,9 @@
 	}
 	if cfg := c.knownConfig(); evacuate && cfg != nil {
 		stats, _, _ := c.collectPromiseStats(callCtx)
-		diff.Foresee(cfg, cfg, func(pool string) (count int) {
+		diff.AddForecast(cfg, cfg, func(pool string) (count int) {
 			for _, w := range c.knownWorkers(pool) {
-				if !w.Leaving && w.Zone != zone && !c.zoneEvacuated(w.Zone) {
+				if !w.Draining && w.Zone != zone && !c.zoneEvacuated(w.Zone) {
 					count++
 				}
 			}
--- a/internal/control/controller/platform_poll.go
+++ b/internal/control/controller/platform_poll.go
@@ -19,14 +19,14 @@
 // reloadReplica rebuilds the replica and the claims from the records on disk and discards the effects that are queued.
 func (c *Controller) reloadReplica(walLog *wal.Log) {
 	replica := register.New(c.Self, node.RandomID())
-	if err := replica.Load(walLog.Live()); err != nil {
+	if err := replica.Load(walLog.Records()); err != nil {
 		c.Log.WithError(err).Error("the records on disk can't be loaded")
 		return
 	}
 	c.replicaMu.Lock()
 	defer c.replicaMu.Unlock()
-	c.replica, c.claims = replica, idempotency.LoadRegistry(c.Self, c.Tasks.Now(), walLog.Live())
-	c.syncer.CatchUp()
+	c.replica, c.claims = replica, idempotency.LoadRegistry(c.Self, c.Tasks.Now(), walLog.Records())
+	c.syncer.StartCatchUp()
 	c.disk.mu.Lock()
 	c.disk.queue = nil // the queued messages depend on writes that aren't on disk
 	c.disk.mu.Unlock()
--- a/internal/control/controller/promises.go
+++ b/internal/control/controller/promises.go
@@ -20,8 +20,8 @@
 
 // collectPromiseStats requests the promise statistics of every live router in parallel, within the deadline of ctx. It
 // returns the sums and the numbers of routers that were asked and that answered.
-func (c *Controller) collectPromiseStats(ctx context.Context) (stats map[string]config.Seen, asked, answered int) {
-	type answer map[string]config.Seen
+func (c *Controller) collectPromiseStats(ctx context.Context) (stats map[string]config.PromiseStats, asked, answered int) {
+	type answer map[string]config.PromiseStats
 	var addrs []string
 	for _, member := range c.Members() {
 		if member.Role == membership.Router && member.State <= membership.Suspect {
@@ -43,7 +43,7 @@
 			answers <- parsePromiseStats(body)
 		})
 	}
-	stats = map[string]config.Seen{}
+	stats = map[string]config.PromiseStats{}
 	for range addrs {
 		answer := <-answers
 		if answer == nil {
@@ -59,12 +59,12 @@
 	return stats, len(addrs), answered
 }
 
-func parsePromiseStats(body []byte) map[string]config.Seen {
+func parsePromiseStats(body []byte) map[string]config.PromiseStats {
 	doc, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil
 	}
-	stats := map[string]config.Seen{}
+	stats := map[string]config.PromiseStats{}
 	promises := doc.GetObject("promises")
 	if promises == nil {
 		return stats
@@ -73,10 +73,10 @@
 		return time.Duration(x.GetInt64(name)) * time.Millisecond
 	}
 	promises.Visit(func(k []byte, x *fastjson.Value) {
-		stats[string(k)] = config.Seen{Promise: string(x.GetStringBytes("promise")), Service: string(x.GetStringBytes("service")),
-			Asked: x.GetInt("asked"), Kept: x.GetInt("first_kept"), Missed: x.GetInt("first_missed"), OnTime: x.GetInt("on_time"),
-			Refused: x.GetInt("refused"), Again: x.GetInt("again"), Ended: x.GetInt("ended"), PerSecond: x.GetFloat64("per_second"),
-			Waited: duration(x, "refused_after_ms"), Held: duration(x, "held_ms"), First95: duration(x, "first_ms_95th")}
+		stats[string(k)] = config.PromiseStats{Promise: string(x.GetStringBytes("promise")), Service: string(x.GetStringBytes("service")),
+			Requests: x.GetInt("asked"), FirstTokenKept: x.GetInt("first_kept"), FirstTokenMissed: x.GetInt("first_missed"), OnTime: x.GetInt("on_time"),
+			Refused: x.GetInt("refused"), Retries: x.GetInt("again"), Finished: x.GetInt("ended"), RequestRate: x.GetFloat64("per_second"),
+			RefusalWait: duration(x, "refused_after_ms"), SlotTime: duration(x, "held_ms"), FirstTokenP95: duration(x, "first_ms_95th")}
 	})
 	return stats
 }
@@ -95,14 +95,14 @@
 		promise := stats[k]
 		x := a.NewObject()
 		x.Set("promise", a.NewString(promise.Promise))
-		x.Set("asked", a.NewNumberInt(promise.Asked))
-		x.Set("per_second", a.NewNumberFloat64(promise.PerSecond))
-		x.Set("first_words_kept_percent", a.NewNumberFloat64(config.Share(promise.Kept, promise.Kept+promise.Missed)))
-		x.Set("first_ms_95th", a.NewNumberInt(int(promise.First95.Milliseconds())))
-		x.Set("on_time_percent", a.NewNumberFloat64(config.Share(promise.OnTime, promise.Asked)))
+		x.Set("asked", a.NewNumberInt(promise.Requests))
+		x.Set("per_second", a.NewNumberFloat64(promise.RequestRate))
+		x.Set("first_words_kept_percent", a.NewNumberFloat64(config.Percent(promise.FirstTokenKept, promise.FirstTokenKept+promise.FirstTokenMissed)))
+		x.Set("first_ms_95th", a.NewNumberInt(int(promise.FirstTokenP95.Milliseconds())))
+		x.Set("on_time_percent", a.NewNumberFloat64(config.Percent(promise.OnTime, promise.Requests)))
 		x.Set("refused", a.NewNumberInt(promise.Refused))
-		x.Set("refused_after_ms", a.NewNumberInt(int(promise.Waited.Milliseconds())))
-		x.Set("further_tries_percent", a.NewNumberFloat64(100*float64(promise.Again)/float64(max(1, promise.Asked))))
+		x.Set("refused_after_ms", a.NewNumberInt(int(promise.RefusalWait.Milliseconds())))
+		x.Set("further_tries_percent", a.NewNumberFloat64(100*float64(promise.Retries)/float64(max(1, promise.Requests))))
 		list.Set(k, x)
 	}
 	o.Set("mappings", list)
--- a/internal/control/controller/quorum.go
+++ b/internal/control/controller/quorum.go
@@ -3,19 +3,19 @@
 import (
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/units"
 )
 
 // updateQuorum bootstraps the first quorum set and requests changes to the members that the planner wants. replicaMu must
 // be held.
 func (c *Controller) updateQuorum(now units.Time, view register.ControllerView) {
-	if c.Settings.Grow {
+	if c.Settings.GrowVoters {
 		c.replica.BootstrapFromSeeds(c.bootstrapSeeds.Proposal(now, view))
 	} else {
 		view.FleetExists = view.FleetExists || c.damageSetAside
-		c.replica.BootstrapFixed(c.Settings.Founders, view)
+		c.replica.BootstrapFixed(c.Settings.BootstrapDisks, view)
 	}
 	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), view))
 	c.checkTolerance(now, view)
@@ -34,7 +34,7 @@
 // checkTolerance updates the shortfall and logs it once after shortfallReportDelay. A quorum set with a shortfall serves
 // requests as usual. replicaMu must be held.
 func (c *Controller) checkTolerance(now units.Time, view register.ControllerView) {
-	wanted := register.Tolerance{Machines: c.Settings.LostMachines, Zones: c.Settings.LostZones}
+	wanted := register.Tolerance{Machines: c.Settings.MaxLostMachines, Zones: c.Settings.MaxLostZones}
 	text := wanted.Shortfall(c.replica.Quorum(), view)
 	if text != c.shortfall.text {
 		c.shortfall = shortfall{text: text, since: now}
@@ -46,9 +46,9 @@
 }
 
 // newPlanner returns the planner of the quorum set for a node's settings.
-func newPlanner(nodeSettings *boot.Boot) register.Planner {
-	if !nodeSettings.Grow {
-		return register.Planner{FixedSize: nodeSettings.Founders, ReplaceAfter: register.ReplaceFixedAfter}
+func newPlanner(nodeSettings *settings.Settings) register.Planner {
+	if !nodeSettings.GrowVoters {
+		return register.Planner{FixedSize: nodeSettings.BootstrapDisks, ReplaceAfter: register.ReplaceFixedAfter}
 	}
-	return register.Planner{MinSize: 2*nodeSettings.LostMachines + 1, ReplaceAfter: register.ReplaceAfter}
+	return register.Planner{MinSize: 2*nodeSettings.MaxLostMachines + 1, ReplaceAfter: register.ReplaceAfter}
 }
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -22,8 +22,8 @@
 	dir := t.TempDir()
 	var full atomic.Bool
 	fill := func(c *Controller) {
-		room := c.disk.file.Room
-		c.disk.file.Room = func(f *os.File, off, n int64) error {
+		room := c.disk.file.Allocate
+		c.disk.file.Allocate = func(f *os.File, off, n int64) error {
 			if full.Load() {
 				return syscall.ENOSPC
 			}
@@ -83,7 +83,7 @@
 	var seed string
 	start := func(dir string) *Controller {
 		return startSingle(t, dir, func(c *Controller) {
-			c.Settings.Founders, c.planner.FixedSize = 2, 2
+			c.Settings.BootstrapDisks, c.planner.FixedSize = 2, 2
 			if seed == "" {
 				seed = c.Settings.Addr
 			}
@@ -102,8 +102,8 @@
 		t.Errorf("a change before the bootstrap: %d %s", code, b)
 	}
 	late := startSingle(t, t.TempDir(), func(x *Controller) {
-		x.Settings.Founders, x.planner.FixedSize = 2, 2
-		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.Web, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
+		x.Settings.BootstrapDisks, x.planner.FixedSize = 2, 2
+		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.HTTPAddr, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
 	testutil.Until(t, "both are voters", reports(`"state":"voter"`))
--- a/internal/control/controller/seed_bootstrap_test.go
+++ b/internal/control/controller/seed_bootstrap_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -21,33 +21,33 @@
 // does.
 func TestDiskOfTheFirstStartKeepsItsSeeds(t *testing.T) {
 	dir := t.TempDir()
-	seedsOf := func(nodeSettings *boot.Boot) (bool, []string) {
+	seedsOf := func(nodeSettings *settings.Settings) (bool, []string) {
 		opened, err := openDisk(nodeSettings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer opened.log.Close()
-		bootstrap := bootstrapSeeds(nodeSettings, opened.log.Live())
+		bootstrap := bootstrapSeeds(nodeSettings, opened.log.Records())
 		return bootstrap.Participates, bootstrap.SeedAddrs
 	}
 	first := []string{"a", "b", "c"}
-	if ok, l := seedsOf(&boot.Boot{Data: dir, Grow: true, First: true, Counts: true, Seeds: first}); !ok || !slices.Equal(l, first) {
+	if ok, l := seedsOf(&settings.Settings{DataDir: dir, GrowVoters: true, Bootstrap: true, MayVote: true, Seeds: first}); !ok || !slices.Equal(l, first) {
 		t.Error(ok, l)
 	}
-	if ok, l := seedsOf(&boot.Boot{Data: dir, Grow: true, Counts: true, Seeds: []string{"x"}}); !ok || !slices.Equal(l, first) {
+	if ok, l := seedsOf(&settings.Settings{DataDir: dir, GrowVoters: true, MayVote: true, Seeds: []string{"x"}}); !ok || !slices.Equal(l, first) {
 		t.Error(ok, l)
 	}
-	for name, nodeSettings := range map[string]*boot.Boot{
-		"a disk that is new at a later start":    {Grow: true, Counts: true, Seeds: first},
-		"a fleet of a fixed size":                {First: true, Counts: true, Seeds: first},
-		"a later start whose disk doesn't count": {Grow: true, Seeds: first},
+	for name, nodeSettings := range map[string]*settings.Settings{
+		"a disk that is new at a later start":    {GrowVoters: true, MayVote: true, Seeds: first},
+		"a fleet of a fixed size":                {Bootstrap: true, MayVote: true, Seeds: first},
+		"a later start whose disk doesn't count": {GrowVoters: true, Seeds: first},
 	} {
-		nodeSettings.Data = t.TempDir()
+		nodeSettings.DataDir = t.TempDir()
 		if ok, _ := seedsOf(nodeSettings); ok {
 			t.Errorf("%s takes part in a bootstrap", name)
 		}
 	}
-	if ok, _ := seedsOf(&boot.Boot{Data: t.TempDir(), Grow: true, First: true, Seeds: first}); !ok {
+	if ok, _ := seedsOf(&settings.Settings{DataDir: t.TempDir(), GrowVoters: true, Bootstrap: true, Seeds: first}); !ok {
 		t.Error("a process of the first start must take part even if its disk doesn't count")
 	}
 }
@@ -56,13 +56,13 @@
 // a first start.
 func TestBootstrapAfterARestart(t *testing.T) {
 	t.Parallel()
-	var settingsList []*boot.Boot
+	var settingsList []*settings.Settings
 	var seeds []string
 	for i := range 3 {
-		nodeSettings := &boot.Boot{Name: fmt.Sprint("c", i), Zone: "z", Addr: testutil.Addr(t), Web: testutil.Addr(t), Data: t.TempDir(), Platform: testutil.Addr(t), PollMs: 500, Reserve: 64 << 10, Grow: true, First: true, Counts: true}
+		nodeSettings := &settings.Settings{Name: fmt.Sprint("c", i), Zone: "z", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: t.TempDir(), Platform: testutil.Addr(t), PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true}
 		settingsList, seeds = append(settingsList, nodeSettings), append(seeds, nodeSettings.Addr)
 	}
-	start := func(nodeSettings *boot.Boot) *Controller {
+	start := func(nodeSettings *settings.Settings) *Controller {
 		c, err := New(nodeSettings, nil)
 		if err == nil {
 			err = c.Start()
@@ -83,7 +83,7 @@
 	})
 	id := one.Self
 	one.Drain()
-	settingsList[0].First, settingsList[0].Seeds = false, []string{settingsList[1].Addr}
+	settingsList[0].Bootstrap, settingsList[0].Seeds = false, []string{settingsList[1].Addr}
 	one = start(settingsList[0])
 	t.Cleanup(one.Drain)
 	three := start(settingsList[2])
@@ -135,7 +135,7 @@
 				var w config.Worker
 				var ms int
 				if k, _ := fmt.Sscan(s, &w.ID, &w.Service, &ms); k == 3 {
-					w.Addr, w.Cold = "a:"+w.ID, time.Duration(ms)*time.Millisecond
+					w.Addr, w.WarmingUpFor = "a:"+w.ID, time.Duration(ms)*time.Millisecond
 					l = append(l, w)
 				}
 			}
--- a/internal/control/controller/shortfall_test.go
+++ b/internal/control/controller/shortfall_test.go
@@ -11,7 +11,7 @@
 // status and metrics report the shortfall.
 func TestShortfallIsReported(t *testing.T) {
 	t.Parallel()
-	c := startSingle(t, t.TempDir(), func(c *Controller) { c.Settings.LostMachines = 1 })
+	c := startSingle(t, t.TempDir(), func(c *Controller) { c.Settings.MaxLostMachines = 1 })
 	t.Cleanup(c.Drain)
 	testutil.Until(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
--- a/internal/control/controller/stall_test.go
+++ b/internal/control/controller/stall_test.go
@@ -72,7 +72,7 @@
 		c.disk.mu.Lock()
 		c.disk.injectedFault = nil // once
 		c.disk.mu.Unlock()
-		return fmt.Errorf("%w: injected", wal.ErrSick)
+		return fmt.Errorf("%w: injected", wal.ErrFailed)
 	}
 	c.disk.mu.Unlock()
 	code, _ := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+"   ")
--- a/internal/control/controller/status.go
+++ b/internal/control/controller/status.go
@@ -113,20 +113,20 @@
 	switch {
 	case quorum.Has(c.Self):
 		return "voter"
-	case c.Settings.Grow:
+	case c.Settings.GrowVoters:
 		return c.describeSeedState(quorum, view)
 	case quorum.Version > 0 || view.FleetExists || c.damageSetAside:
 		return "learner: it joins once a voter has been gone for 5 s, or one is missing"
-	case len(view.Uninitialized) > c.Settings.Founders:
-		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(view.Uninitialized), c.Settings.Founders)
+	case len(view.Uninitialized) > c.Settings.BootstrapDisks:
+		return fmt.Sprintf("founding: %d blank disks seen, %d wanted: end those that are too many", len(view.Uninitialized), c.Settings.BootstrapDisks)
 	}
-	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(view.Uninitialized), c.Settings.Founders)
+	return fmt.Sprintf("founding: %d of %d blank disks seen; a blank one at any address will do", len(view.Uninitialized), c.Settings.BootstrapDisks)
 }
 
 // describeSeedState is describeState for fleets that are bootstrapped from seeds (docs/design.md, section 13).
 func (c *Controller) describeSeedState(quorum register.QuorumSet, view register.ControllerView) string {
 	switch {
-	case !c.Settings.Counts:
+	case !c.Settings.MayVote:
 		return "its disk does not count: it never votes"
 	case quorum.Version > 0 || view.FleetExists:
 		return "learner: it joins the voters"
--- a/internal/control/controller/submit.go
+++ b/internal/control/controller/submit.go
@@ -65,7 +65,7 @@
 // leaveQuorum waits until this node is removed from the quorum set, if the set can spare it. By then, values that only
 // this disk and a few others hold have been copied to a majority of the next set.
 func (c *Controller) leaveQuorum() {
-	deadline := c.Tasks.Now().Add(min(leaveQuorumTimeout, c.Settings.Bounds.Grace/2))
+	deadline := c.Tasks.Now().Add(min(leaveQuorumTimeout, c.Settings.Bounds.GracePeriod/2))
 	for c.Tasks.Now() < deadline && c.isBeingRemoved() {
 		c.Tasks.Sleep(leaveQuorumPollInterval)
 	}
@@ -102,7 +102,7 @@
 	result := c.Submit(ctx, request)
 	if result.Code == resultcode.OK {
 		sum := sha256.Sum256(request.Data)
-		c.appendAudit(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: request.Key, Number: uint64(result.Version), Plan: request.RequestID, SHA256: hex.EncodeToString(sum[:])})
+		c.appendAudit(ctx, changelog.Entry{Unix: time.Now().Unix(), Key: request.Key, Version: uint64(result.Version), Plan: request.RequestID, SHA256: hex.EncodeToString(sum[:])})
 	}
 	return result
 }
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -36,7 +36,7 @@
 	if code != 200 {
 		return nil, fmt.Errorf("status %d", code)
 	}
-	workers, err := config.ReadWorkers(body)
+	workers, err := config.ParseWorkers(body)
 	if err == nil && len(workers) == 0 {
 		err = errors.New("an empty list is not believed")
 	}
@@ -58,12 +58,12 @@
 	var warmup map[string]time.Duration
 	for i := range workers {
 		w := &workers[i]
-		if w.Age = warmWorkerAge; w.Cold > 0 {
+		if w.Age = warmWorkerAge; w.WarmingUpFor > 0 {
 			if warmup == nil {
 				storedVersion, data := c.knownValue(keyConfig)
 				_, warmup = c.configDocVersion(storedVersion, data)
 			}
-			w.Age = max(0, warmup[w.Service]-w.Cold)
+			w.Age = max(0, warmup[w.Service]-w.WarmingUpFor)
 		}
 	}
 	return workers, err
--- a/internal/fleet/drill.go
+++ b/internal/fleet/drill.go
@@ -103,13 +103,13 @@
 	if err != nil || code != 200 {
 		return fmt.Errorf("%w: no configuration can be read: %d %v", ErrShort, code, err)
 	}
-	c, faults := config.Read(b)
+	c, faults := config.Parse(b)
 	if len(faults) > 0 {
 		return faults[0]
 	}
 	for _, m := range c.Mappings {
-		if !m.Once && len(m.Match) == 1 && m.Match[0].Op == routing.OpPath {
-			d.path = m.Match[0].Text
+		if !m.Once && len(m.Conditions) == 1 && m.Conditions[0].Op == routing.OpPath {
+			d.path = m.Conditions[0].Text
 			return nil
 		}
 	}
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -159,7 +159,7 @@
 		f.Platform.Remove(f.Dep.Pool, e.On)
 		return nil
 	}
-	w.Leaving = true
+	w.Draining = true
 	f.Platform.Set(f.Dep.Pool, w)
 	return nil
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -116,19 +116,19 @@
 	if edit != nil {
 		b = edit(b)
 	}
-	c, faults := config.Read(b)
+	c, faults := config.Parse(b)
 	if len(faults) > 0 {
 		return u, faults[0]
 	}
 	for _, m := range c.Mappings {
 		u.Once[m.Name] = m.Once
-		for _, s := range m.To {
+		for _, s := range m.Services {
 			u.Pools[m.Name] = append(u.Pools[m.Name], c.Services[s].Pool)
 		}
 	}
 	for _, s := range c.Services {
-		if s.Allow == "knee" {
-			u.Cap = max(u.Cap, s.Cap)
+		if s.AdmissionPolicy == "knee" {
+			u.Cap = max(u.Cap, s.Capacity)
 		}
 	}
 	return u, nil
--- a/internal/hollow/load.go
+++ b/internal/hollow/load.go
@@ -126,7 +126,7 @@
 	s := v.config.Services[fmt.Sprintf("m%02d", w.rng.IntN(w.Models))]
 	cands, keepers := v.cands(now, s, units.Mix("prefix", fmt.Sprint(w.rng.IntN(prefixes))))
 	v.tag++
-	out := v.queue.Submit(now, admission.Request{Tag: v.tag, Policy: s.Allow, Candidates: cands, MaxCandidates: s.Spread + 4, Deadline: now.Add(deadline), FirstTokenTime: s.First,
+	out := v.queue.Submit(now, admission.Request{Tag: v.tag, Policy: s.AdmissionPolicy, Candidates: cands, MaxCandidates: s.PreferredCount + 4, Deadline: now.Add(deadline), FirstTokenTime: s.FirstTokenTime,
 		Coordinator: func(n string) units.NodeID { return keepers[n] }})
 	v.tell()
 	return out
--- a/internal/hollow/vane.go
+++ b/internal/hollow/vane.go
@@ -78,7 +78,7 @@
 	out.Append(v.ledger.Tick(now))
 	var longest time.Duration
 	if v.config != nil {
-		longest = max(time.Second, v.config.Longest(true))
+		longest = max(time.Second, v.config.MaxDeadline(true))
 	}
 	var peers []units.NodeID
 	for _, m := range v.n.membership.All() {
@@ -110,14 +110,14 @@
 	if v.config == nil {
 		return
 	}
-	v.ledger.SetWorkers(v.config.Keep(v.pools, v.sky.StartTimes(), v.out))
-	v.ledger.SetRouters(peers, v.watch.RunDeadlines(v.config.Longest(false)))
+	v.ledger.SetWorkers(v.config.CapacityWorkers(v.pools, v.sky.StartTimes(), v.out))
+	v.ledger.SetRouters(peers, v.watch.RunDeadlines(v.config.MaxDeadline(false)))
 }
 
 func (v *router) news(now units.Time, it configpush.Item) {
 	switch kind, _, _ := strings.Cut(it.Key, "/"); kind {
 	case "config":
-		if c, faults := config.Read(it.Data); len(faults) == 0 {
+		if c, faults := config.Parse(it.Data); len(faults) == 0 {
 			v.config = c
 			v.n.w.inForce(it.Version, now)
 		}
@@ -148,11 +148,11 @@
 
 // cands is the daemon's own search for a prompt's workers and their keepers.
 func (v *router) cands(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
-	q := placement.Query{Prefix: prefix, Zone: v.n.zone, PreferredCount: s.Spread}
+	q := placement.Query{Prefix: prefix, Zone: v.n.zone, PreferredCount: s.PreferredCount}
 	keepers := map[string]units.NodeID{}
 	for _, x := range v.pools[s.Pool] {
 		name := s.Name + "/" + x.ID
-		if x.Leaving || v.out[x.Zone] || x.Service != "" && x.Service != s.Name {
+		if x.Draining || v.out[x.Zone] || x.Service != "" && x.Service != s.Name {
 			continue
 		}
 		keepers[name] = capacity.Coordinator(v.peers, name, x.Zone)
@@ -162,5 +162,5 @@
 		}
 		q.Candidates = append(q.Candidates, spot)
 	}
-	return v.placer.Rank(s.Place, q), keepers
+	return v.placer.Rank(s.PlacementPolicy, q), keepers
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,12 +15,12 @@
 	"github.com/apex/log"
 	"github.com/jonboulle/clockwork"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/cluster/transport"
 	"seamshunt/internal/logring"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/tasks"
 	"seamshunt/internal/units"
 )
@@ -28,7 +28,7 @@
 // Base is the shared part of a router and a controller. Lock order: membership, configpush, control state, rules,
 // admission queue, capacity ledger, idempotency claimant, disk queue, transport.
 type Base struct {
-	Settings  *boot.Boot
+	Settings  *settings.Settings
 	Self      units.NodeID
 	Tasks     *tasks.Group
 	Transport *transport.Transport
@@ -63,11 +63,11 @@
 }
 
 // New returns the shared part of a process. It does nothing before Start.
-func New(nodeSettings *boot.Boot, self units.NodeID, role membership.Role) *Base {
+func New(nodeSettings *settings.Settings, self units.NodeID, role membership.Role) *Base {
 	t := &Base{Settings: nodeSettings, Self: self, Tasks: tasks.New(clockwork.NewRealClock(), 4), LogRing: logring.New(512, os.Stderr),
 		Feed: configpush.New(self), MessageHandlers: map[message.Kind]func(units.Time, message.Message){}}
 	t.Log = &log.Logger{Handler: t.LogRing, Level: log.DebugLevel}
-	member := membership.Member{Node: self, Incarnation: uint64(time.Now().UnixMilli()), Role: role, Addr: nodeSettings.Addr, HTTPAddr: nodeSettings.Web, Zone: nodeSettings.Zone}
+	member := membership.Member{Node: self, Incarnation: uint64(time.Now().UnixMilli()), Role: role, Addr: nodeSettings.Addr, HTTPAddr: nodeSettings.HTTPAddr, Zone: nodeSettings.Zone}
 	t.Gossip = membership.New(member, nodeSettings.Seeds, mrand.New(mrand.NewPCG(uint64(RandomID()), 0)))
 	return t
 }
@@ -184,7 +184,7 @@
 }
 
 // Reload applies changed settings. Only the seeds can change while a process runs.
-func (t *Base) Reload(newSettings *boot.Boot) {
+func (t *Base) Reload(newSettings *settings.Settings) {
 	t.GossipMu.Lock()
 	t.Gossip.SetSeeds(newSettings.Seeds)
 	t.GossipMu.Unlock()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -43,8 +43,8 @@
 // MaxClientConnections returns the limit of clients' connections: half of the file descriptors. The rest is for other
 // nodes, workers, the platform and files; without them a process would neither receive updates nor reach a worker.
 func (t *Base) MaxClientConnections() int {
-	if t.Settings.Files == 0 {
+	if t.Settings.MaxDescriptors == 0 {
 		return defaultMaxConnections
 	}
-	return max(1, t.Settings.Files/2)
+	return max(1, t.Settings.MaxDescriptors/2)
 }
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/listener"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
 // TestServerThatEndsIsStartedAgain checks that a server is restarted at the same address until StopServing is called.
 func TestServerThatEndsIsStartedAgain(t *testing.T) {
-	b := New(&boot.Boot{Name: "n"}, 1, membership.Router)
+	b := New(&settings.Settings{Name: "n"}, 1, membership.Router)
 	defer b.Tasks.Stop(time.Second)
 	addr := testutil.Addr(t)
 	ln, err := listener.Listen(addr)
--- a/internal/rig/simulator/core.go
+++ b/internal/rig/simulator/core.go
@@ -87,7 +87,7 @@
 			Woke: func(now units.Time) {
 				c.Lease.Resign()
 				c.Replica.Resume(now)
-				c.Syncer.CatchUp()
+				c.Syncer.StartCatchUp()
 			}}
 		c.Reload = func() {
 			c.Replica = register.New(self, units.NodeID(s.Rng.Uint64()))
@@ -96,7 +96,7 @@
 			}
 			c.Roll = idempotency.LoadRegistry(self, s.Now, h.Disk.Records())
 			if c.Syncer != nil {
-				c.Syncer.CatchUp()
+				c.Syncer.StartCatchUp()
 			}
 		}
 		h.Disk.open()
--- a/internal/rig/simulator/edge.go
+++ b/internal/rig/simulator/edge.go
@@ -123,8 +123,8 @@
 	peers, _ := e.watch.Update(now, all)
 	e.peers = peers
 	if e.Config != nil {
-		e.ledger.SetWorkers(e.Config.Keep(e.Pools, e.sky.StartTimes(), e.Out))
-		e.ledger.SetRouters(peers, e.watch.RunDeadlines(e.Config.Longest(false)))
+		e.ledger.SetWorkers(e.Config.CapacityWorkers(e.Pools, e.sky.StartTimes(), e.Out))
+		e.ledger.SetRouters(peers, e.watch.RunDeadlines(e.Config.MaxDeadline(false)))
 	}
 	var others []units.NodeID
 	for _, m := range all {
@@ -134,7 +134,7 @@
 	}
 	if e.Config != nil {
 		e.claimant.SetVoters(e.voters)
-		out.Append(e.claimant.Tick(now, others, e.Config.Longest(true)))
+		out.Append(e.claimant.Tick(now, others, e.Config.MaxDeadline(true)))
 	}
 	out.Append(e.queue.Tick(now))
 	out.Append(e.ledger.Tick(now))
@@ -147,7 +147,7 @@
 	kind, name, _ := strings.Cut(it.Key, "/")
 	switch kind {
 	case "config":
-		if c, faults := config.Read(it.Data); len(faults) == 0 {
+		if c, faults := config.Parse(it.Data); len(faults) == 0 {
 			e.Config, e.Num = c, it.Version
 		}
 	case "zone":
--- a/internal/rig/simulator/full_test.go
+++ b/internal/rig/simulator/full_test.go
@@ -96,7 +96,7 @@
 		}
 		return strings.Replace(configText(n), `promise p20 repeat }"`, `promise p20 repeat }`+b.String()+`"`, 1)
 	}
-	if c, faults := config.Read([]byte(large(1))); len(faults) > 0 || len(c.Mappings) != 1003 {
+	if c, faults := config.Parse([]byte(large(1))); len(faults) > 0 || len(c.Mappings) != 1003 {
 		t.Fatal(faults)
 	}
 	w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
--- a/internal/rig/simulator/load.go
+++ b/internal/rig/simulator/load.go
@@ -127,11 +127,11 @@
 
 func (w *World) admit(e *Edge, until units.Time, topic int, key string) {
 	s := e.Config.Services["advice"]
-	q := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(topic)), Zone: e.H.Zone, PreferredCount: s.Spread}
+	q := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(topic)), Zone: e.H.Zone, PreferredCount: s.PreferredCount}
 	keepers := map[string]units.NodeID{}
 	for _, x := range e.Pools[s.Pool] {
 		name := s.Name + "/" + x.ID
-		if x.Leaving || e.Out[x.Zone] || x.Service != "" && x.Service != s.Name {
+		if x.Draining || e.Out[x.Zone] || x.Service != "" && x.Service != s.Name {
 			continue
 		}
 		load := 0.0
@@ -144,8 +144,8 @@
 	e.tag++
 	tag := e.tag
 	e.verdict[tag] = func(v admission.Decision) { w.verdict(e, tag, until, key, v) }
-	out := e.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: s.Allow, Candidates: e.placer.Rank(s.Place, q), MaxCandidates: s.Spread + 4, Deadline: until,
-		FirstTokenTime: s.First, Coordinator: func(n string) units.NodeID { return keepers[n] }})
+	out := e.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: s.AdmissionPolicy, Candidates: e.placer.Rank(s.PlacementPolicy, q), MaxCandidates: s.PreferredCount + 4, Deadline: until,
+		FirstTokenTime: s.FirstTokenTime, Coordinator: func(n string) units.NodeID { return keepers[n] }})
 	e.tell()
 	w.out(e.H, out)
 }
@@ -177,7 +177,7 @@
 func closed(e *Edge, id string) bool {
 	for _, y := range e.Pools["main"] {
 		if y.ID == id {
-			return y.Leaving || e.Out[y.Zone]
+			return y.Draining || e.Out[y.Zone]
 		}
 	}
 	return true
--- a/internal/rig/simulator/mishap.go
+++ b/internal/rig/simulator/mishap.go
@@ -142,10 +142,10 @@
 
 func (w *World) leave() {
 	i := w.Rng.IntN(len(w.listed))
-	if w.listed[i].Leaving {
+	if w.listed[i].Draining {
 		return
 	}
-	w.listed[i].Leaving = true
+	w.listed[i].Draining = true
 	w.workers[w.listed[i].ID].leaving = w.Now
 	w.addWorker(w.listed[i].Zone, 0)
 }
--- a/internal/rig/simulator/play.go
+++ b/internal/rig/simulator/play.go
@@ -159,7 +159,7 @@
 		e := w.edges[h]
 		tags, got := map[string]uint64{}, map[string]resultcode.Code{}
 		for _, l := range w.listed {
-			if !e.Ready || l.Leaving || e.Out[l.Zone] || !w.workers[l.ID].up {
+			if !e.Ready || l.Draining || e.Out[l.Zone] || !w.workers[l.ID].up {
 				continue
 			}
 			name := "advice/" + l.ID
--- a/internal/rig/simulator/workers.go
+++ b/internal/rig/simulator/workers.go
@@ -61,7 +61,7 @@
 	if x.leaving > 0 || !x.up {
 		return
 	}
-	w.listed[i].Leaving = true
+	w.listed[i].Draining = true
 	x.leaving = w.Now
 	w.After(d, func() { w.drop(x) })
 	w.After(d+time.Second, func() {
@@ -88,7 +88,7 @@
 			x := w.workers[y.ID]
 			for i := range w.listed {
 				if w.listed[i].ID == y.ID && x.leaving == 0 {
-					w.listed[i].Leaving = true
+					w.listed[i].Draining = true
 					x.leaving = w.Now
 					w.addWorker(x.zone, 0)
 					w.After(4*time.Second, func() { w.drop(x) })
--- a/internal/router/candidates.go
+++ b/internal/router/candidates.go
@@ -11,13 +11,13 @@
 
 // candidates asks the placement policy for the workers' order, and finds each one's keeper.
 func (v *Router) candidates(now units.Time, s *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
-	q := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: s.Spread}
+	q := placement.Query{Prefix: prefix, Zone: v.Settings.Zone, PreferredCount: s.PreferredCount}
 	keepers := map[string]units.NodeID{}
 	var over []placement.Candidate // passed over, but better than none
 	v.tableMu.Lock()
 	for _, x := range v.table.pools[s.Pool] {
 		name := s.Name + "/" + x.ID
-		if x.Leaving || v.table.evacuated[x.Zone] || x.Service != "" && x.Service != s.Name {
+		if x.Draining || v.table.evacuated[x.Zone] || x.Service != "" && x.Service != s.Name {
 			continue
 		}
 		keepers[name] = capacity.Coordinator(v.table.peers, name, x.Zone)
@@ -38,7 +38,7 @@
 		}
 	}
 	v.queueMu.Unlock()
-	return v.placer.Rank(s.Place, q), keepers
+	return v.placer.Rank(s.PlacementPolicy, q), keepers
 }
 
 // cut gives a permit back whose run this node broke off.
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -29,7 +29,7 @@
 func (v *Router) screenTick(now units.Time) {
 	var longest time.Duration
 	if r := v.rules.Load(); r != nil {
-		longest = max(time.Second, r.Longest(true))
+		longest = max(time.Second, r.MaxDeadline(true))
 	}
 	var peers []units.NodeID
 	for _, m := range v.Members() {
--- a/internal/router/client_left_test.go
+++ b/internal/router/client_left_test.go
@@ -89,7 +89,7 @@
 	taken(t, v)
 	c.leave(t)
 	list := []config.Worker{{ID: w.id, Addr: w.addr, Zone: "z1", Age: time.Hour, Service: "svc", Slots: relaySlots}}
-	take(t, v, configpush.Item{Key: "workers/" + platform.Pool, Version: 2, Data: config.PackWorkers(list)})
+	take(t, v, configpush.Item{Key: "workers/" + platform.Pool, Version: 2, Data: config.MarshalWorkers(list)})
 	idle(t, v)
 	v.pool.CloseIdle(w.id)
 	return w
--- a/internal/router/clientwatch/clientwatch.go
+++ b/internal/router/clientwatch/clientwatch.go
@@ -88,7 +88,7 @@
 
 // Check looks at the client now, and gives why the request is cancelled; nil while somebody waits for it.
 func (r *Request) Check() error {
-	if r.Err() == nil && socket.HungUp(r.conn) {
+	if r.Err() == nil && socket.PeerClosed(r.conn) {
 		r.cancel(ErrClientDisconnected)
 	}
 	return r.Cause()
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/boot"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -17,7 +17,7 @@
 // told so at once, and one that leaves makes room.
 func TestClientsLeaveDescriptorsToTheFleet(t *testing.T) {
 	const files = 8
-	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Files: files}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, MaxDescriptors: files}
 	v := New(b, nil)
 	v.OnResume = nil
 	if err := v.Start(); err != nil {
@@ -26,7 +26,7 @@
 	t.Cleanup(v.Close)
 	dial := func() net.Conn {
 		t.Helper()
-		c, err := net.Dial("tcp", b.Web)
+		c, err := net.Dial("tcp", b.HTTPAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/late_worker.go
+++ b/internal/router/late_worker.go
@@ -56,7 +56,7 @@
 			noted = true
 			v.markDown(name)
 		}
-		if !w.m.Once && w.more(1) && w.until.Sub(now) > 2*s.First && !w.paid && w.again(s.Name, now) {
+		if !w.m.Once && w.more(1) && w.until.Sub(now) > 2*s.FirstTokenTime && !w.paid && w.again(s.Name, now) {
 			w.paid = true
 			t.Cancel()
 			return upstream.Event{Outcome: upstream.Unknown, Err: errLate}
--- a/internal/router/late_worker_test.go
+++ b/internal/router/late_worker_test.go
@@ -82,7 +82,7 @@
 		defer v.tableMu.Unlock()
 		return len(v.table.down) == 0
 	})
-	_, body, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/status")
+	_, body, err := fasthttp.Get(nil, "http://"+v.Settings.HTTPAddr+"/status")
 	var x struct {
 		Promises map[string]struct {
 			Asked  int `json:"asked"`
@@ -101,7 +101,7 @@
 	a, _ := scripted(t)
 	v := rig(t, a)
 	ready := func() bool {
-		code, _, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/healthz")
+		code, _, err := fasthttp.Get(nil, "http://"+v.Settings.HTTPAddr+"/healthz")
 		return err == nil && code == 200
 	}
 	if !ready() {
--- a/internal/router/leave_random_test.go
+++ b/internal/router/leave_random_test.go
@@ -75,7 +75,7 @@
 	var c *workerConn
 	for n := 0; ; n++ {
 		if c == nil {
-			nc, err := net.Dial("tcp", v.Settings.Web)
+			nc, err := net.Dial("tcp", v.Settings.HTTPAddr)
 			if err != nil {
 				return
 			}
--- a/internal/router/own_interface.go
+++ b/internal/router/own_interface.go
@@ -84,14 +84,14 @@
 	if !w.read() {
 		return
 	}
-	do, ok := w.rules.Program.Find(routing.Ask{Host: hostOf(ctx), Path: path, Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	do, ok := w.rules.Program.Find(routing.Request{Host: hostOf(ctx), Path: path, Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
 	if !ok {
 		v.refuse(ctx, resultcode.NoMapping, "no mapping takes this request", true, 0)
 		return
 	}
 	w.m = w.rules.Mappings[do[0].Mapping]
 	v.tallies.count(w.m, func(t *tally) { t.ask(w.begun) })
-	routing.Run(do, routing.Hands{Limit: w.limit, Claim: w.claim, Share: w.share, Try: w.try, Refuse: w.refuse})
+	routing.Run(do, routing.Handlers{Deadline: w.limit, Claim: w.claim, Split: w.share, Dispatch: w.try, Refuse: w.refuse})
 }
 
 // read checks what every prompt must bring.
--- a/internal/router/own_request.go
+++ b/internal/router/own_request.go
@@ -65,18 +65,18 @@
 }
 
 // more says whether the mapping lets the prompt go to another worker, besides those that have it now.
-func (w *ownRequest) more(now int) bool { return w.m.Tries == 0 || w.sent+now < w.m.Tries }
+func (w *ownRequest) more(now int) bool { return w.m.MaxWorkers == 0 || w.sent+now < w.m.MaxWorkers }
 
 // try offers the prompt to one service. True ends the request's way.
 func (w *ownRequest) try(service string) bool {
 	s := w.rules.Services[service]
 	v := w.v
-	for range max(triesMost, w.m.Tries) {
+	for range max(triesMost, w.m.MaxWorkers) {
 		now := v.Tasks.Now()
 		if w.cancelled() {
 			return w.end()
 		}
-		if w.until.Sub(now) < s.First {
+		if w.until.Sub(now) < s.FirstTokenTime {
 			w.why = resultcode.DeadlineExceeded
 			return w.sent > 0 && w.end()
 		}
@@ -111,11 +111,11 @@
 func (w *ownRequest) admit(now units.Time, tag uint64, s *config.Service) verdict {
 	v := w.v
 	w.at = stageAdmission
-	cands, keepers := v.candidates(now, s, placement.Fingerprint(w.text, s.Prefix))
+	cands, keepers := v.candidates(now, s, placement.Fingerprint(w.text, s.PrefixBytes))
 	c := make(chan verdict, 1)
 	v.queueMu.Lock()
 	v.waiting[tag] = c
-	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: s.Allow, Candidates: cands, MaxCandidates: s.Spread + 4, Deadline: w.until, FirstTokenTime: s.First, Worth: uint16(w.m.Promise.Worth),
+	out := v.queue.Submit(now, admission.Request{Tag: tag, Policy: s.AdmissionPolicy, Candidates: cands, MaxCandidates: s.PreferredCount + 4, Deadline: w.until, FirstTokenTime: s.FirstTokenTime, Worth: uint16(w.m.Promise.Worth),
 		Coordinator: func(n string) units.NodeID { return keepers[n] }})
 	v.deliverVerdicts(now)
 	v.queueMu.Unlock()
@@ -136,7 +136,7 @@
 	defer v.tableMu.Unlock()
 	for _, x := range v.table.pools[s.Pool] {
 		if s.Name+"/"+x.ID == name {
-			return x.Addr, x.Zone, !x.Leaving && !v.table.evacuated[x.Zone]
+			return x.Addr, x.Zone, !x.Draining && !v.table.evacuated[x.Zone]
 		}
 	}
 	return "", "", false
@@ -146,7 +146,7 @@
 func (w *ownRequest) handOver(tag uint64, name string, s *config.Service) bool {
 	v := w.v
 	addr, zone, ok := v.address(name, s)
-	if !ok || !w.m.Reaches(s.Name) {
+	if !ok || !w.m.MayReach(s.Name) {
 		v.done(tag, false)
 		w.why = resultcode.NoWorker
 		return false
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -75,7 +75,7 @@
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	do, ok := w.rules.Program.Find(routing.Ask{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
+	do, ok := w.rules.Program.Find(routing.Request{Host: host, Path: string(path), Header: func(n string) string { return string(ctx.Request.Header.Peek(n)) }})
 	if !ok {
 		w.end(resultcode.NoMapping, 0)
 		return
@@ -88,7 +88,7 @@
 	}
 	w.read()
 	v.tallies.count(w.m, func(t *tally) { t.ask(w.begun) })
-	routing.Run(do, routing.Hands{Limit: w.limit, Claim: func() bool { return false }, Share: w.share, Try: w.try, Refuse: w.refuse})
+	routing.Run(do, routing.Handlers{Deadline: w.limit, Claim: func() bool { return false }, Split: w.share, Dispatch: w.try, Refuse: w.refuse})
 }
 
 // over lets go of the client; nothing may be under way for it any more.
@@ -116,11 +116,11 @@
 
 // read takes what the headers tell.
 func (w *relay) read() {
-	n, h := &w.v.Adapter.Names, &w.ctx.Request.Header
-	w.id = string(h.Peek(n.Try))
-	w.last = string(h.Peek(n.After))
-	w.left = w.m.Promise.Longest
-	if ms, err := strconv.ParseFloat(string(h.Peek(n.Left)), 64); err == nil && ms >= 0 && ms < 1e9 {
+	n, h := &w.v.Adapter.Headers, &w.ctx.Request.Header
+	w.id = string(h.Peek(n.AttemptID))
+	w.last = string(h.Peek(n.LastEventID))
+	w.left = w.m.Promise.Deadline
+	if ms, err := strconv.ParseFloat(string(h.Peek(n.TimeLeft)), 64); err == nil && ms >= 0 && ms < 1e9 {
 		w.left = time.Duration(ms * float64(time.Millisecond))
 	}
 	w.body = bytes.Clone(w.ctx.PostBody()) // outlives the handler
@@ -166,7 +166,7 @@
 
 // over says whether a request is larger than the limits in force allow.
 func over(ctx *fasthttp.RequestCtx, l config.Limits) bool {
-	return l.Body > 0 && len(ctx.PostBody()) > l.Body || l.Head > 0 && len(ctx.Request.Header.RawHeaders()) > l.Head
+	return l.BodyBytes > 0 && len(ctx.PostBody()) > l.BodyBytes || l.HeaderBytes > 0 && len(ctx.Request.Header.RawHeaders()) > l.HeaderBytes
 }
 
 // refuse is the last step of every way: the final answer, at once, with when to come back if it has not run.
@@ -189,8 +189,8 @@
 	case c == resultcode.ClientDisconnected:
 		w.end(c, 0)
 	default:
-		s := w.rules.Services[w.m.To[0]]
-		w.end(c, back(s.RetryAfter, s.Jitter, w.due))
+		s := w.rules.Services[w.m.Services[0]]
+		w.end(c, back(s.RetryAfter, s.RetryJitter, w.due))
 	}
 }
 
--- a/internal/router/relay_descriptors_test.go
+++ b/internal/router/relay_descriptors_test.go
@@ -42,7 +42,7 @@
 		taken = taken[:len(taken)-1]
 	}
 	give()
-	late, err := net.Dial("tcp", v.Settings.Web) // takes the last descriptor, so nobody can accept it
+	late, err := net.Dial("tcp", v.Settings.HTTPAddr) // takes the last descriptor, so nobody can accept it
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/relay_rig_test.go
+++ b/internal/router/relay_rig_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 	"seamshunt/platform"
 )
@@ -106,7 +106,7 @@
 // relayRig is one router alone in the platform's words; it keeps all workers itself. Its budget allows further tries.
 func relayRig(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
-	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1, RetryRatio: 1}}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, platform.New("", "router"))
 	v.OnResume = nil // alone, it could never confirm its news again if the machine stood still for a second
@@ -120,7 +120,7 @@
 	}
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(relayConfig)})
-	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.PackWorkers(l)})
+	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.MarshalWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router keeps its workers", func() bool {
@@ -148,7 +148,7 @@
 // clientConn dials the router's front.
 func clientConn(t testing.TB, v *Router) *workerConn {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Settings.Web)
+	c, err := net.Dial("tcp", v.Settings.HTTPAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/relay_size.go
+++ b/internal/router/relay_size.go
@@ -12,11 +12,11 @@
 // place orders the workers for one request, and says what each would have to read and hold.
 func (v *Router) place(now units.Time, s *config.Service, w *relay, q *admission.Request) ([]string, map[string]units.NodeID) {
 	w.urge = byRank(w.m)
-	if w.sized && s.Memory > 0 {
+	if w.sized && s.MemoryTokens > 0 {
 		size(w.prompt, s, q)
 		w.urge = urgency(q.PrefillTime)
-		if aim := w.m.Promise.First * soon / 100; q.PrefillTime < aim {
-			q.MaxFirstTokenTime = max(0, aim-now.Sub(w.begun)-s.First)
+		if aim := w.m.Promise.MaxFirstTokenTime * soon / 100; q.PrefillTime < aim {
+			q.MaxFirstTokenTime = max(0, aim-now.Sub(w.begun)-s.FirstTokenTime)
 		}
 	}
 	q.Priority = w.urge
@@ -41,7 +41,7 @@
 // reads is how long a usual worker takes to read tokens of which so many others stand before.
 func reads(s *config.Service, own, before int) time.Duration {
 	n, b := float64(own), float64(before)
-	return time.Duration((n/s.Reads + s.Pairs*n*(b+n/2)/1e6) * float64(time.Millisecond))
+	return time.Duration((n/s.PrefillRate + s.AttentionCost*n*(b+n/2)/1e6) * float64(time.Millisecond))
 }
 
 // size works out what a prompt costs a worker that holds its shared parts, and one that doesn't (design 12).
@@ -52,9 +52,9 @@
 			shared += x.Tokens
 		}
 	}
-	shared = min(shared, p.In)
-	q.PreferredCount, q.FullPrefillTime, q.PrefillTime = 1, reads(s, p.In, 0), reads(s, p.In-shared, shared)
-	q.MemoryTokens = uint32(p.In - shared + p.Out)
+	shared = min(shared, p.InputTokens)
+	q.PreferredCount, q.FullPrefillTime, q.PrefillTime = 1, reads(s, p.InputTokens, 0), reads(s, p.InputTokens-shared, shared)
+	q.MemoryTokens = uint32(p.InputTokens - shared + p.MaxOutputTokens)
 	q.NonPreferredPenalty = 4*(q.FullPrefillTime-q.PrefillTime) + 1
 }
 
@@ -75,11 +75,11 @@
 
 // connsOf is this node's part of the connections that a worker accepts from all nodes together.
 func (v *Router) connsOf(s *config.Service) int {
-	if s.Conns == 0 {
+	if s.MaxConns == 0 {
 		return 0
 	}
 	v.tableMu.Lock()
 	n := len(v.table.peers)
 	v.tableMu.Unlock()
-	return max(2, s.Conns*8/10/max(1, n))
+	return max(2, s.MaxConns*8/10/max(1, n))
 }
--- a/internal/router/relay_try.go
+++ b/internal/router/relay_try.go
@@ -15,8 +15,8 @@
 
 // most is how many workers the request may be sent to.
 func (w *relay) most() int {
-	if w.m.Tries > 0 {
-		return w.m.Tries
+	if w.m.MaxWorkers > 0 {
+		return w.m.MaxWorkers
 	}
 	return triesMost
 }
@@ -49,7 +49,7 @@
 	s, v := w.rules.Services[service], w.v
 	for n := 0; n < triesMost+2; n++ { // what never left this node may look further as well
 		now := v.Tasks.Now()
-		if w.until.Sub(now) < s.First {
+		if w.until.Sub(now) < s.FirstTokenTime {
 			w.why = resultcode.DeadlineExceeded
 			return false
 		}
@@ -99,7 +99,7 @@
 func (w *relay) admit(now units.Time, s *config.Service) (verdict, uint64) {
 	v, tag := w.v, w.v.tag.Add(1)
 	w.at = w.standing(stageAdmission)
-	q := admission.Request{Tag: tag, Policy: s.Allow, Deadline: w.until, FirstTokenTime: s.First, Worth: uint16(w.m.Promise.Worth), MaxCandidates: 3}
+	q := admission.Request{Tag: tag, Policy: s.AdmissionPolicy, Deadline: w.until, FirstTokenTime: s.FirstTokenTime, Worth: uint16(w.m.Promise.Worth), MaxCandidates: 3}
 	cands, keepers := v.place(now, s, w, &q)
 	q.Candidates, q.Coordinator = cands, func(n string) units.NodeID { return keepers[n] }
 	c := make(chan verdict, 1)
@@ -121,18 +121,18 @@
 
 // request lays out what goes to the worker: the client's bytes, and what the worker is told besides.
 func (w *relay) request(worker string, left time.Duration) *fasthttp.Request {
-	n, r := &w.v.Adapter.Names, fasthttp.AcquireRequest()
+	n, r := &w.v.Adapter.Headers, fasthttp.AcquireRequest()
 	w.ctx.Request.Header.CopyTo(&r.Header)
 	for _, h := range hops {
 		r.Header.Del(h)
 	}
 	r.Header.ResetConnectionClose()
 	r.Header.SetNoDefaultContentType(true)
-	r.Header.Set(n.Left, strconv.Itoa(int(max(1, left/time.Millisecond))))
-	r.Header.Set(n.Expect, worker)
+	r.Header.Set(n.TimeLeft, strconv.Itoa(int(max(1, left/time.Millisecond))))
+	r.Header.Set(n.ExpectedWorker, worker)
 	r.Header.Set(n.Urgency, strconv.Itoa(int(w.urge)))
 	if w.last != "" {
-		r.Header.Set(n.After, w.last)
+		r.Header.Set(n.LastEventID, w.last)
 	}
 	r.SetBodyRaw(w.body)
 	return r
@@ -145,7 +145,7 @@
 func (w *relay) handOver(tag uint64, name string, s *config.Service) *run {
 	v := w.v
 	addr, zone, ok := v.address(name, s)
-	if !ok || !w.m.Reaches(s.Name) {
+	if !ok || !w.m.MayReach(s.Name) {
 		v.done(tag, false)
 		w.why = resultcode.NoWorker
 		return nil
@@ -218,5 +218,5 @@
 
 // retries says whether a worker's own failure is worth another worker: only where the request may run again.
 func (w *relay) retries(status int) bool {
-	return status >= 500 && !w.m.Once && w.sent < w.most() && w.v.Tasks.Now().Add(w.m.Promise.First/4) < w.until
+	return status >= 500 && !w.m.Once && w.sent < w.most() && w.v.Tasks.Now().Add(w.m.Promise.MaxFirstTokenTime/4) < w.until
 }
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -168,7 +168,7 @@
 	r.run.tag = 0
 	for {
 		now := w.v.Tasks.Now()
-		if w.until.Sub(now) < r.service.First || !w.may(r.service.Name, now) {
+		if w.until.Sub(now) < r.service.FirstTokenTime || !w.may(r.service.Name, now) {
 			return false
 		}
 		x, tag := w.admit(now, r.service)
--- a/internal/router/rig_test.go
+++ b/internal/router/rig_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/configpush"
 	"seamshunt/internal/config"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/testutil"
 )
 
@@ -90,7 +90,7 @@
 // rigOf is a rig with a configuration of its own.
 func rigOf(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
-	b := &boot.Boot{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), Web: testutil.Addr(t), DrainMs: 1000, Bounds: boot.Bounds{WarmExcess: 1}}
+	b := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
 	b.Seeds = []string{b.Addr}
 	v := New(b, nil)
 	v.OnResume = nil // alone, it could never confirm its news again if the machine stood still for a second
@@ -104,7 +104,7 @@
 	}
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "config", Version: 1, Data: []byte(configText)})
-	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.PackWorkers(l)})
+	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.MarshalWorkers(l)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
 	testutil.Until(t, "the router keeps its workers", func() bool {
@@ -134,7 +134,7 @@
 
 func dial(t *testing.T, v *Router) *caller {
 	t.Helper()
-	c, err := net.Dial("tcp", v.Settings.Web)
+	c, err := net.Dial("tcp", v.Settings.HTTPAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,7 +10,6 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/boot"
 	"seamshunt/internal/cluster/membership"
 	"seamshunt/internal/cluster/message"
 	"seamshunt/internal/listener"
@@ -22,6 +21,7 @@
 	"seamshunt/internal/router/idempotency"
 	"seamshunt/internal/router/placement"
 	"seamshunt/internal/router/upstream"
+	"seamshunt/internal/settings"
 	"seamshunt/internal/tasks"
 	"seamshunt/internal/units"
 )
@@ -70,10 +70,10 @@
 }
 
 // New builds a router; with an adapter it speaks that world's words to clients and workers (design 11).
-func New(b *boot.Boot, outside *adapter.Adapter) *Router {
+func New(b *settings.Settings, outside *adapter.Adapter) *Router {
 	v := &Router{Base: node.New(b, node.RandomID(), membership.Router), waiting: map[uint64]chan verdict{}, claims: map[uint64]chan resultcode.Code{}}
 	if v.Adapter = outside; outside != nil {
-		v.pool = upstream.NewPool(outside.Names)
+		v.pool = upstream.NewPool(outside.Headers)
 	}
 	v.clients = clientwatch.New(v.clientLooks.By)
 	v.queue = admission.New(v.Self)
@@ -94,7 +94,7 @@
 
 // Start opens everything and returns.
 func (v *Router) Start() error {
-	ln, err := listener.Listen(v.Settings.Web)
+	ln, err := listener.Listen(v.Settings.HTTPAddr)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -62,11 +62,11 @@
 	if r == nil {
 		return
 	}
-	ws := r.Keep(t.pools, t.catalog.StartTimes(), t.evacuated)
+	ws := r.CapacityWorkers(t.pools, t.catalog.StartTimes(), t.evacuated)
 	v.ledgerMu.Lock()
 	v.ledger.SetWorkers(ws)
-	v.ledger.SetRateLimits(v.Settings.Bounds.WarmExcess, v.Settings.Bounds.WarmSlack, t.watch.RateShare(now, len(peers)))
-	v.ledger.SetRouters(peers, t.watch.RunDeadlines(r.Longest(false)))
+	v.ledger.SetRateLimits(v.Settings.Bounds.WarmUpFactor, v.Settings.Bounds.WarmUpSlack, t.watch.RateShare(now, len(peers)))
+	v.ledger.SetRouters(peers, t.watch.RunDeadlines(r.MaxDeadline(false)))
 	v.ledgerMu.Unlock()
 }
 
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -29,9 +29,9 @@
 }
 
 func TestSizeCountsAttentionAndWhatAHomeHolds(t *testing.T) {
-	s := &config.Service{Memory: 600000}
-	config.Defaults(s)
-	p := adapter.Prompt{In: 50000, Out: 1000, Parts: []adapter.Part{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
+	s := &config.Service{MemoryTokens: 600000}
+	config.SetDefaults(s)
+	p := adapter.Prompt{InputTokens: 50000, MaxOutputTokens: 1000, Parts: []adapter.PromptPart{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 4500}, {ID: "c", Tokens: 45000}}}
 	var q admission.Request
 	size(p, s, &q)
 	// 45,000 tokens at 75 a millisecond, and 45,000 x 27,500 pairs; away from home 5,000 more, and all pairs.
@@ -42,7 +42,7 @@
 	if q.MemoryTokens != 46000 || q.PreferredCount != 1 || q.NonPreferredPenalty <= q.FullPrefillTime-q.PrefillTime {
 		t.Errorf("%+v", q)
 	}
-	p.In = 100 // parts that claim more than the whole
+	p.InputTokens = 100 // parts that claim more than the whole
 	if size(p, s, &q); q.PrefillTime != 0 || q.MemoryTokens != 1000 || q.FullPrefillTime <= 0 {
 		t.Errorf("%+v", q)
 	}
--- a/internal/router/steps_test.go
+++ b/internal/router/steps_test.go
@@ -51,7 +51,7 @@
 	b, small := scripted(t)
 	v := rig(t, a)
 	take(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(stepConfig)},
-		configpush.Item{Key: "workers/side", Version: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
+		configpush.Item{Key: "workers/side", Version: 1, Data: config.MarshalWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
 	testutil.Until(t, "both workers are kept", func() bool {
 		v.ledgerMu.Lock()
 		defer v.ledgerMu.Unlock()
@@ -146,7 +146,7 @@
 	if len(kept) != 1 || kept[0].InUse != 0 {
 		t.Errorf("kept %+v", kept)
 	}
-	if _, b, err := fasthttp.Get(nil, "http://"+v.Settings.Web+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
+	if _, b, err := fasthttp.Get(nil, "http://"+v.Settings.HTTPAddr+"/metrics"); err != nil || !strings.Contains(string(b), "seamshunt_bad_notes_total 6\n") {
 		t.Errorf("%v %s", err, b)
 	}
 }
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -36,8 +36,8 @@
 		t.refused++
 		t.waited += w.v.Tasks.Now().Sub(w.begun)
 	})
-	s := w.rules.Services[w.m.To[0]]
-	w.v.refuse(w.ctx, c, reasons[c], true, back(s.RetryAfter, s.Jitter, w.due))
+	s := w.rules.Services[w.m.Services[0]]
+	w.v.refuse(w.ctx, c, reasons[c], true, back(s.RetryAfter, s.RetryJitter, w.due))
 }
 
 var reasons = map[resultcode.Code]string{
--- a/internal/router/tally.go
+++ b/internal/router/tally.go
@@ -54,7 +54,7 @@
 		}
 		t.by[m.Name] = x
 	}
-	x.promise, x.service, x.aim = m.Promise.Name, m.To[0], m.Promise.First
+	x.promise, x.service, x.aim = m.Promise.Name, m.Services[0], m.Promise.MaxFirstTokenTime
 	f(x)
 }
 
--- a/internal/router/toll_test.go
+++ b/internal/router/toll_test.go
@@ -51,7 +51,7 @@
 	for _, x := range []struct {
 		name, addr, path string
 		fresh            bool
-	}{{"direct, held wire", worker, "/v1/generate", false}, {"direct, a wire each", worker, "/v1/generate", true}, {"by a router", v.Settings.Web, "/chat", false}} {
+	}{{"direct, held wire", worker, "/v1/generate", false}, {"direct, a wire each", worker, "/v1/generate", true}, {"by a router", v.Settings.HTTPAddr, "/chat", false}} {
 		for _, callers := range []int{1, 2} {
 			b.Run(fmt.Sprintf("%s/callers=%d", x.name, callers), func(b *testing.B) {
 				c := &fasthttp.HostClient{Addr: x.addr, MaxConns: 64, MaxIdemponentCallAttempts: 1}
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -37,7 +37,7 @@
 		return nil, p.dialFailed(ctx, err, left)
 	}
 	p.Stats.Connected.Add(1)
-	socket.GiveUpAfter(nc, ackMost)
+	socket.SetUserTimeout(nc, ackMost)
 	now := time.Now()
 	return &conn{Conn: nc, at: now, until: now.Add(idleFor)}, nil
 }
--- a/internal/router/upstream/exchange.go
+++ b/internal/router/upstream/exchange.go
@@ -125,7 +125,7 @@
 }
 
 // await reads heads until one is this request's.
-func (x *Exchange) await(n adapter.Names) error {
+func (x *Exchange) await(n adapter.HeaderNames) error {
 	surplus, interim := 0, 0
 	for {
 		if err := x.head(); err != nil {
@@ -139,7 +139,7 @@
 			}
 			continue
 		}
-		ids := h.PeekAll(n.Try)
+		ids := h.PeekAll(n.AttemptID)
 		if len(ids) > 1 {
 			return fmt.Errorf("upstream: an answer of %d ids", len(ids))
 		}
@@ -164,7 +164,7 @@
 }
 
 // judge says what an answer means that is no other request's. A success without the id is never passed on.
-func (x *Exchange) judge(n adapter.Names, s int, named bool) error {
+func (x *Exchange) judge(n adapter.HeaderNames, s int, named bool) error {
 	h := &x.Response.Header
 	head := x.o.Request.Header.IsHead()
 	if head {
--- a/internal/router/upstream/pool.go
+++ b/internal/router/upstream/pool.go
@@ -25,7 +25,7 @@
 // same address (design 8 and 11). Idle ones hold no buffers.
 type Pool struct {
 	Stats Stats
-	n     adapter.Names
+	n     adapter.HeaderNames
 	mu    sync.Mutex
 	hosts map[string]*host
 }
@@ -39,7 +39,7 @@
 }
 
 // NewPool makes an empty one.
-func NewPool(n adapter.Names) *Pool { return &Pool{n: n, hosts: map[string]*host{}} }
+func NewPool(n adapter.HeaderNames) *Pool { return &Pool{n: n, hosts: map[string]*host{}} }
 
 // Idle gives how many connections to a worker wait for use.
 func (p *Pool) Idle(worker string) int {
@@ -137,7 +137,7 @@
 		if !fresh {
 			if c = h.pop(o, now); c != nil {
 				p.mu.Unlock()
-				if socket.Peek(c.Conn) == socket.Quiet {
+				if socket.Peek(c.Conn) == socket.Idle {
 					return c, true, nil
 				}
 				p.drop(c)
--- a/internal/router/upstream/worker_test.go
+++ b/internal/router/upstream/worker_test.go
@@ -14,7 +14,7 @@
 	"seamshunt/internal/adapter"
 )
 
-var names = adapter.Names{Try: "Attempt-Id", NotRun: "Not-Run"}
+var names = adapter.HeaderNames{AttemptID: "Attempt-Id", NotRun: "Not-Run"}
 
 const soon = 10 * time.Second // what never comes in a test that passes
 
--- a/internal/router/with_adapter.go
+++ b/internal/router/with_adapter.go
@@ -59,10 +59,10 @@
 
 // serveReadiness answers at an address of its own whether this node is ready.
 func (v *Router) serveReadiness() error {
-	if v.Settings.Ready == "" {
+	if v.Settings.ReadyAddr == "" {
 		return nil
 	}
-	ln, err := listener.Listen(v.Settings.Ready)
+	ln, err := listener.Listen(v.Settings.ReadyAddr)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
@@ -77,7 +77,7 @@
 		v.status(ctx)
 	case "/metrics":
 		v.metrics(ctx)
-	case v.Adapter.Ready:
+	case v.Adapter.ReadyPath:
 		if !v.ready.Load() || v.leaving() || v.alone() {
 			ctx.SetStatusCode(503)
 			return
@@ -93,5 +93,5 @@
 	if v.Adapter != nil {
 		return v.Adapter.Config(b)
 	}
-	return config.Read(b)
+	return config.Parse(b)
 }
--- a/internal/router/words_test.go
+++ b/internal/router/words_test.go
@@ -27,7 +27,7 @@
 	b, small := scripted(t)
 	v = rigOf(t, wordsConfig, a)
 	v.FeedMu.Lock()
-	v.Feed.Apply(configpush.Item{Key: "workers/side", Version: 1, Data: config.PackWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: time.Hour}})})
+	v.Feed.Apply(configpush.Item{Key: "workers/side", Version: 1, Data: config.MarshalWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: time.Hour}})})
 	v.FeedMu.Unlock()
 	testutil.Until(t, "the router keeps both workers", func() bool {
 		v.ledgerMu.Lock()
--- a/internal/boot/boot.go
+++ b/internal/settings/boot.go
@@ -1,5 +1,5 @@
-// Package boot reads a process's boot file and names all its faults at once (docs/boot.md).
-package boot
+// Package settings reads a process's boot file and names all its faults at once (docs/boot.md).
+package settings
 
 import (
 	"fmt"
@@ -14,51 +14,51 @@
 	"seamshunt/internal/resultcode"
 )
 
-// Boot is a process's place in the world.
-type Boot struct {
-	Name     string
-	Zone     string
-	Addr     string   // for the system's own processes
-	Web      string   // HTTP for callers, or for operators
-	Seeds    []string // three other processes
-	Data     string   // controller: the one data folder
-	Founders int      // controller: how many blank disks found the fleet
-	Platform string   // controller: where the platform lists workers
-	Pools    []string // controller: the pools to ask for
-	PollMs   int      // controller: least gap between two questions to the platform
-	DrainMs  int      // how long streams may last after a warning
-	Reserve  int      // controller: bytes kept free on the disk for a rewrite
-	Ready    string   // router: an address of its own for the question whether it is ready; on Web if empty
-	First    bool     // the system's very first start, with empty disks
-	Counts   bool     // controller: its disk counts among those that vote
-	Grow     bool     // controller: founded by the seeds, voters grow to every disk that counts
-	Zones    []string // all zones there are; empty when nobody said
+// Settings is a process's place in the world.
+type Settings struct {
+	Name           string
+	Zone           string
+	Addr           string   // for the system's own processes
+	HTTPAddr       string   // HTTP for callers, or for operators
+	Seeds          []string // three other processes
+	DataDir        string   // controller: the one data folder
+	BootstrapDisks int      // controller: how many blank disks found the fleet
+	Platform       string   // controller: where the platform lists workers
+	Pools          []string // controller: the pools to ask for
+	PollMs         int      // controller: least gap between two questions to the platform
+	DrainMs        int      // how long streams may last after a warning
+	ReserveBytes   int      // controller: bytes kept free on the disk for a rewrite
+	ReadyAddr      string   // router: an address of its own for the question whether it is ready; on Web if empty
+	Bootstrap      bool     // the system's very first start, with empty disks
+	MayVote        bool     // controller: its disk counts among those that vote
+	GrowVoters     bool     // controller: founded by the seeds, voters grow to every disk that counts
+	Zones          []string // all zones there are; empty when nobody said
 
-	LostMachines int // how many machines whose disks count may be lost at once
-	LostZones    int // how many zones may be lost at once
+	MaxLostMachines int // how many machines whose disks count may be lost at once
+	MaxLostZones    int // how many zones may be lost at once
 
-	Memory int // MB that the process may use; 0 when nobody said
-	Files  int // descriptors that it may use; 0 when nobody said
-	Bounds Bounds
+	MemoryMB       int // MB that the process may use; 0 when nobody said
+	MaxDescriptors int // descriptors that it may use; 0 when nobody said
+	Bounds         Bounds
 }
 
 // Bounds are what an operator's world allows, in its own time.
 type Bounds struct {
-	RetryRatio  float64 // further tries against first ones, over RetryWindow and all nodes
-	RetryWindow time.Duration
-	RetrySlack  int
-	WarmExcess  float64 // a cold worker's rate may be exceeded by this factor
-	WarmSlack   int     // and by so many requests, in any one second
-	Apply       time.Duration
-	Grace       time.Duration // from the warning to the kill
-	Contact     time.Duration
-	CatchUp     time.Duration // a lost disk counts as lost for so long after its return
-	Drain       time.Duration // a leaving worker gets nothing new after it
+	RetryRatio   float64 // further tries against first ones, over RetryWindow and all nodes
+	RetryWindow  time.Duration
+	RetrySlack   int
+	WarmUpFactor float64 // a cold worker's rate may be exceeded by this factor
+	WarmUpSlack  int     // and by so many requests, in any one second
+	Apply        time.Duration
+	GracePeriod  time.Duration // from the warning to the kill
+	Contact      time.Duration
+	CatchUp      time.Duration // a lost disk counts as lost for so long after its return
+	Drain        time.Duration // a leaving worker gets nothing new after it
 }
 
-// Usual are the bounds when nobody said others.
-func Usual() Bounds {
-	return Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, WarmExcess: 1, Apply: 2 * time.Second, Grace: 20 * time.Second,
+// DefaultBounds are the bounds when nobody said others.
+func DefaultBounds() Bounds {
+	return Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, WarmUpFactor: 1, Apply: 2 * time.Second, GracePeriod: 20 * time.Second,
 		Contact: 3 * time.Second, CatchUp: 5 * time.Second, Drain: 3 * time.Second}
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Read checks a boot file for one of the two programs.
-func Read(path, program string) (*Boot, error) {
+func Read(path, program string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, Faults{fmt.Sprintf("%d %v", resultcode.InvalidSettings, err)}
@@ -134,14 +134,14 @@
 		}
 		return n
 	}
-	c := &Boot{Bounds: Usual(), Name: text("name", true), Zone: text("zone", true), Addr: text("addr", true), Web: text("web", true), Seeds: list("seeds")}
+	c := &Settings{Bounds: DefaultBounds(), Name: text("name", true), Zone: text("zone", true), Addr: text("addr", true), HTTPAddr: text("web", true), Seeds: list("seeds")}
 	addr := func(at, s string) {
 		if h, _, err := net.SplitHostPort(s); s != "" && (err != nil || net.ParseIP(h) == nil) {
 			bad(at, "an IP number with a port is wanted, not "+s)
 		}
 	}
 	addr("addr", c.Addr)
-	addr("web", c.Web)
+	addr("web", c.HTTPAddr)
 	if len(c.Seeds) == 0 {
 		bad("seeds", "at least one address is wanted")
 	}
@@ -150,15 +150,15 @@
 	}
 	c.DrainMs = number("drain_ms", 20000, 0, 600000)
 	if program == "controller" {
-		c.Data = text("data", true)
+		c.DataDir = text("data", true)
 		c.Platform = text("platform", true)
 		addr("platform", c.Platform)
 		if c.Pools = list("pools"); len(c.Pools) == 0 {
 			bad("pools", "at least one pool is wanted")
 		}
-		c.Founders = number("founders", 0, 1, 9)
+		c.BootstrapDisks = number("founders", 0, 1, 9)
 		c.PollMs = number("poll_ms", 500, 50, 60000)
-		c.Reserve = number("reserve_bytes", 1<<20, 0, 1<<30)
+		c.ReserveBytes = number("reserve_bytes", 1<<20, 0, 1<<30)
 	}
 	if len(f) > 0 {
 		return nil, f
--- a/internal/boot/choose.go
+++ b/internal/settings/choose.go
@@ -1,4 +1,4 @@
-package boot
+package settings
 
 import "time"
 
@@ -7,9 +7,9 @@
 // The list of workers is asked for neither more nor less often, unless its rate is low.
 const pollLeast, pollMost = 500, 900 // ms
 
-// PollGap is three tenths of the time that a worker may still be used after the list has shown that it leaves, within
+// PollIntervalMs is three tenths of the time that a worker may still be used after the list has shown that it leaves, within
 // bounds; it leaves room for four pages at a quarter of the platform's rate, in calls a second.
-func PollGap(drain time.Duration, rate float64) int {
+func PollIntervalMs(drain time.Duration, rate float64) int {
 	gap := max(pollLeast, min(pollMost, float64(drain/time.Millisecond)*0.3))
 	if rate > 0 {
 		gap = max(gap, 4*4*1000/rate+1)
@@ -17,11 +17,11 @@
 	return int(min(60000, gap))
 }
 
-// DrainFor leaves the last moments of the grace for going away.
-func DrainFor(grace time.Duration) int { return max(500, int(grace.Milliseconds())-700) }
+// DrainMsWithin leaves the last moments of the grace for going away.
+func DrainMsWithin(grace time.Duration) int { return max(500, int(grace.Milliseconds())-700) }
 
-// ReserveOn is what is kept free for a rewrite: an eighth of the disk at the most, if its size is told.
-func ReserveOn(disk int) int {
+// ReserveForDisk is what is kept free for a rewrite: an eighth of the disk at the most, if its size is told.
+func ReserveForDisk(disk int) int {
 	if disk <= 0 {
 		return 1 << 20
 	}
--- a/internal/socket/options.go
+++ b/internal/socket/options.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// GiveUpAfter has the kernel end a connection once what was sent on it has gone unacknowledged for so long (TCP_USER_TIMEOUT). It does
+// SetUserTimeout has the kernel end a connection once what was sent on it has gone unacknowledged for so long (TCP_USER_TIMEOUT). It does
 // nothing to what is no TCP connection.
-func GiveUpAfter(c net.Conn, unacknowledged time.Duration) {
+func SetUserTimeout(c net.Conn, unacknowledged time.Duration) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return
--- a/internal/socket/options_test.go
+++ b/internal/socket/options_test.go
@@ -11,7 +11,7 @@
 // The kernel is told in milliseconds; what is no socket is left alone.
 func TestGiveUpAfter(t *testing.T) {
 	here, _ := pair(t)
-	GiveUpAfter(here, 1500*time.Millisecond)
+	SetUserTimeout(here, 1500*time.Millisecond)
 	raw, err := here.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -25,5 +25,5 @@
 		t.Errorf("%d ms", set)
 	}
 	other, _ := net.Pipe()
-	GiveUpAfter(other, time.Second)
+	SetUserTimeout(other, time.Second)
 }
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -13,7 +13,7 @@
 
 // What there is to see.
 const (
-	Quiet    State = iota // open, and nothing to read
+	Idle     State = iota // open, and nothing to read
 	Readable              // bytes wait to be read
 	Closed                // closed or reset by the other side, even behind bytes, or closed here
 	Unknown               // no socket that can be looked at
@@ -46,7 +46,7 @@
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
-			return Quiet
+			return Idle
 		case err != nil || n == 0:
 			return Closed
 		case endLiesBehind(fd):
@@ -68,6 +68,6 @@
 	}
 }
 
-// HungUp looks, without waiting or taking anything, whether the other side has closed its connection. Closing the
+// PeerClosed looks, without waiting or taking anything, whether the other side has closed its connection. Closing the
 // write side alone looks the same.
-func HungUp(c net.Conn) bool { return Peek(c) == Closed }
+func PeerClosed(c net.Conn) bool { return Peek(c) == Closed }
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -43,12 +43,12 @@
 func TestHungUp(t *testing.T) {
 	here, there := pair(t)
 	_ = here.SetReadDeadline(time.Now().Add(-time.Hour))
-	if HungUp(here) || Peek(here) != Quiet {
+	if PeerClosed(here) || Peek(here) != Idle {
 		t.Error("a passed deadline is taken for a hang-up")
 	}
 	_, _ = there.Write([]byte("POST"))
 	until(t, here, Readable)
-	if HungUp(here) {
+	if PeerClosed(here) {
 		t.Error("a next request is taken for a hang-up")
 	}
 	_ = there.CloseWrite()
@@ -62,10 +62,10 @@
 	until(t, here, Closed)
 	here, _ = pair(t)
 	here.Close()
-	if !HungUp(here) {
+	if !PeerClosed(here) {
 		t.Error("one that was closed here is open")
 	}
-	if c, _ := net.Pipe(); HungUp(c) {
+	if c, _ := net.Pipe(); PeerClosed(c) {
 		t.Error("what is no socket can't be looked at")
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -144,5 +144,5 @@
 	for i := range l {
 		l[i].Age = time.Since(p.born[l[i].ID])
 	}
-	return config.PackWorkers(l)
+	return config.MarshalWorkers(l)
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -120,7 +120,7 @@
 // pause waits a step; it says false when the caller is gone or the time is out.
 func (w *Worker) pause(conn net.Conn, d time.Duration, due time.Time) bool {
 	for d = time.Duration(float64(d) * w.slow()); d > 0; d -= 50 * time.Millisecond {
-		if time.Now().After(due) || socket.HungUp(conn) {
+		if time.Now().After(due) || socket.PeerClosed(conn) {
 			return false
 		}
 		time.Sleep(min(d, 50*time.Millisecond))
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		if rewritten && i == 1 {
-			if err := a.rewrite(); err != nil {
+			if err := a.compact(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -150,7 +150,7 @@
 		}
 	}
 	oldLog, oldMark := readFile(t, dir, name), readFile(t, dir, markName)
-	if err := a.rewrite(); err != nil {
+	if err := a.compact(); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
@@ -194,7 +194,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 		a := open(t, dir)
-		if len(a.Live()) > 0 {
+		if len(a.Records()) > 0 {
 			t.Errorf("%s: not blank once set aside", what)
 		}
 		a.Close()
@@ -222,7 +222,7 @@
 func TestLogStaysBounded(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	a.Long = 256 << 10
+	a.CompactionSize = 256 << 10
 	longest := int64(0)
 	for i := range 5000 {
 		size := 200
@@ -236,9 +236,9 @@
 		longest = max(longest, a.Size())
 	}
 	const batch = 21 << 10
-	if most := max(a.Long, 4*16*(batch+100)) + batch; longest > most || len(a.Live()) != 32 {
-		t.Errorf("%d bytes at the longest, %d are the bound; %d records of 16 keys live", longest, most, len(a.Live()))
+	if most := max(a.CompactionSize, 4*16*(batch+100)) + batch; longest > most || len(a.Records()) != 32 {
+		t.Errorf("%d bytes at the longest, %d are the bound; %d records of 16 keys live", longest, most, len(a.Records()))
 	}
-	t.Logf("5,000 changes of 16 keys: %d bytes at the longest, %d at the end, %d live, %d records in memory, %d rewrites", longest, a.Size(), a.lives(), len(a.Live()), a.generation)
+	t.Logf("5,000 changes of 16 keys: %d bytes at the longest, %d at the end, %d live, %d records in memory, %d rewrites", longest, a.Size(), a.lives(), len(a.Records()), a.generation)
 	a.Close()
 }
--- a/internal/storage/wal/rewrite.go
+++ b/internal/storage/wal/rewrite.go
@@ -14,10 +14,10 @@
 
 // trim rewrites the file when it got long; the room kept in reserve makes that possible on a full disk.
 func (a *Log) trim() error {
-	if a.size < a.Long || a.size < 4*a.lives() {
+	if a.size < a.CompactionSize || a.size < 4*a.lives() {
 		return nil
 	}
-	return a.rewrite()
+	return a.compact()
 }
 
 // lives counts the bytes that a rewrite would keep.
@@ -28,28 +28,28 @@
 	return n
 }
 
-// Renew writes all that lives into a new file. After a sync that failed the kernel may take what it could not write for clean, so
+// Rewrite writes all that lives into a new file. After a sync that failed the kernel may take what it could not write for clean, so
 // that a further sync of the old file proves nothing.
-func (a *Log) Renew() error {
+func (a *Log) Rewrite() error {
 	before := a.generation
-	if err := a.rewrite(); err != nil {
+	if err := a.compact(); err != nil {
 		return err
 	}
 	if a.generation == before {
 		a.sick = true
-		return fmt.Errorf("%w: it can't be written anew", ErrSick)
+		return fmt.Errorf("%w: it can't be written anew", ErrFailed)
 	}
 	return nil
 }
 
-func (a *Log) rewrite() error {
+func (a *Log) compact() error {
 	_ = os.Remove(filepath.Join(a.dir, reserve))
 	tmp := filepath.Join(a.dir, newName)
 	f, err := os.Create(tmp)
 	if err != nil {
 		return a.keepReserve() // no descriptor, or no room for a name: the old file still holds everything
 	}
-	rs := a.Live()
+	rs := a.Records()
 	slices.SortFunc(rs, func(x, y message.Record) int { return strings.Compare(id(x), id(y)) })
 	b := laySnapshot(rs, a.generation+1)
 	_, err = f.Write(b)
@@ -68,7 +68,7 @@
 	if err != nil {
 		f.Close()
 		a.sick = true
-		return fmt.Errorf("%w: rename: %w", ErrSick, err)
+		return fmt.Errorf("%w: rename: %w", ErrFailed, err)
 	}
 	a.f.Close()
 	a.f, a.size, a.seq, a.end = f, int64(len(b)), uint32(len(rs))+1, int64(len(b))
@@ -104,14 +104,14 @@
 		if to <= a.end {
 			break
 		}
-		err := a.Room(a.f, a.end, to-a.end)
+		err := a.Allocate(a.f, a.end, to-a.end)
 		if err == nil {
 			a.end = to
 			break
 		}
 		if !errors.Is(err, syscall.ENOSPC) && !errors.Is(err, syscall.EDQUOT) && !errors.Is(err, syscall.EFBIG) {
 			a.sick = true
-			return fmt.Errorf("%w: %w", ErrSick, err)
+			return fmt.Errorf("%w: %w", ErrFailed, err)
 		}
 	}
 	if a.low = a.end < need+a.spare; a.end < need {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Low says whether the disk gives no more room, so that only what must be written should be.
-func (a *Log) Low() bool { return a.low }
+// DiskFull says whether the disk gives no more room, so that only what must be written should be.
+func (a *Log) DiskFull() bool { return a.low }
 
 // keepReserve holds room on the disk for one rewrite.
 func (a *Log) keepReserve() error {
@@ -133,7 +133,7 @@
 		return nil
 	}
 	defer f.Close()
-	_ = a.Room(f, 0, a.spare) // without it, the next rewrite tries again
+	_ = a.Allocate(f, 0, a.spare) // without it, the next rewrite tries again
 	return nil
 }
 
--- a/internal/storage/wal/start_test.go
+++ b/internal/storage/wal/start_test.go
@@ -40,7 +40,7 @@
 		}
 		a.Close()
 		after := open(t, folder(t, disk.synced, nil))
-		for _, r := range a.Live() {
+		for _, r := range a.Records() {
 			if got := value(after, r.Key); got != string(r.Data) {
 				t.Fatalf("%d bytes written: %s was given out as %q, and is %q after a loss of power", cut, r.Key, r.Data, got)
 			}
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	disk.synced = nil
-	if err := a.Renew(); err != nil {
+	if err := a.Rewrite(); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
@@ -111,10 +111,10 @@
 		t.Fatal(err)
 	}
 	disk.fault = errors.New("input/output error")
-	if err := a.Renew(); !errors.Is(err, ErrSick) {
+	if err := a.Rewrite(); !errors.Is(err, ErrFailed) {
 		t.Errorf("a file that can't be written anew: %v", err)
 	}
-	if err := a.Append([]message.Record{rec("a", 8)}); !errors.Is(err, ErrSick) {
+	if err := a.Append([]message.Record{rec("a", 8)}); !errors.Is(err, ErrFailed) {
 		t.Errorf("it is written on: %v", err)
 	}
 }
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -16,7 +16,7 @@
 var (
 	ErrDamaged  = errors.New("wal: damaged: not all that was synced is there")
 	ErrFull     = errors.New("wal: disk full")
-	ErrSick     = errors.New("wal: a sync failed; this file is not trusted any more")
+	ErrFailed   = errors.New("wal: a sync failed; this file is not trusted any more")
 	ErrTooLarge = errors.New("wal: a record is too large to be read back")
 )
 
@@ -31,21 +31,21 @@
 
 // Log is one open log file. It isn't safe for concurrent use.
 type Log struct {
-	dir        string
-	f          *os.File
-	size       int64
-	live       map[string]message.Record
-	seq        uint32 // the number of the next record
-	generation uint64 // how often the file was rewritten
-	mark       *os.File
-	sick       bool
-	Long       int64 // the file is rewritten when longer than this and than four times what lives
-	spare      int64
-	end        int64 // till where the disk's room is ours, written or not
-	low        bool  // the disk gives no more room: this file lives from what it has
-	sync       func(*os.File) error
-	// Room claims room for a file's bytes from off on; tests stand in for it.
-	Room func(f *os.File, off, n int64) error
+	dir            string
+	f              *os.File
+	size           int64
+	live           map[string]message.Record
+	seq            uint32 // the number of the next record
+	generation     uint64 // how often the file was rewritten
+	mark           *os.File
+	sick           bool
+	CompactionSize int64 // the file is rewritten when longer than this and than four times what lives
+	spare          int64
+	end            int64 // till where the disk's room is ours, written or not
+	low            bool  // the disk gives no more room: this file lives from what it has
+	sync           func(*os.File) error
+	// Allocate claims room for a file's bytes from off on; tests stand in for it.
+	Allocate func(f *os.File, off, n int64) error
 }
 
 func id(r message.Record) string { return string(rune(r.Kind)) + r.Key }
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("wal: %w", err)
 	}
-	a := &Log{dir: dir, f: f, Long: 4 << 20, spare: spare, Room: allocate, sync: sync}
+	a := &Log{dir: dir, f: f, CompactionSize: 4 << 20, spare: spare, Allocate: allocate, sync: sync}
 	if err := a.load(); err != nil {
 		f.Close()
 		return nil, err
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// Live gives the newest record of each kind and key.
-func (a *Log) Live() []message.Record {
+// Records gives the newest record of each kind and key.
+func (a *Log) Records() []message.Record {
 	l := make([]message.Record, 0, len(a.live))
 	for _, r := range a.live {
 		l = append(l, r)
@@ -121,7 +121,7 @@
 // Append writes records and syncs. After a failed sync the file is never written again.
 func (a *Log) Append(rs []message.Record) error {
 	if a.sick {
-		return ErrSick
+		return ErrFailed
 	}
 	for _, r := range rs {
 		if len(r.Key) > math.MaxUint16 || len(r.Data) > most {
@@ -136,7 +136,7 @@
 	}
 	b := a.lay(rs)
 	err := a.claim(a.size + int64(len(b)))
-	if errors.Is(err, ErrFull) && a.size > 2*a.lives() && a.rewrite() == nil {
+	if errors.Is(err, ErrFull) && a.size > 2*a.lives() && a.compact() == nil {
 		b = a.lay(rs)
 		err = a.claim(a.size + int64(len(b)))
 	}
@@ -151,11 +151,11 @@
 			return fmt.Errorf("%w: %w", ErrFull, err)
 		}
 		a.sick = true
-		return fmt.Errorf("%w: %w", ErrSick, err)
+		return fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 	if err := a.sync(a.f); err != nil {
 		a.sick = true
-		return fmt.Errorf("%w: %w", ErrSick, err)
+		return fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 	a.size += int64(len(b))
 	a.seq += uint32(len(rs))
--- a/internal/storage/wal/wal_test.go
+++ b/internal/storage/wal/wal_test.go
@@ -25,7 +25,7 @@
 }
 
 func value(a *Log, k string) string {
-	for _, r := range a.Live() {
+	for _, r := range a.Records() {
 		if r.Key == k {
 			return string(r.Data)
 		}
@@ -106,7 +106,7 @@
 func TestRewrite(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	a.Long = 2000
+	a.CompactionSize = 2000
 	for i := range 500 {
 		if err := a.Append([]message.Record{rec("a", i), rec("b", i)}); err != nil {
 			t.Fatal(err)
@@ -131,11 +131,11 @@
 	}
 	good := a.f
 	a.f.Close() // every use of the handle fails from here on
-	if err := a.Append([]message.Record{rec("a", 2)}); !errors.Is(err, ErrSick) {
+	if err := a.Append([]message.Record{rec("a", 2)}); !errors.Is(err, ErrFailed) {
 		t.Fatalf("a failed write gives %v", err)
 	}
 	a.f, _ = os.OpenFile(good.Name(), os.O_RDWR, 0o644)
-	if err := a.Append([]message.Record{rec("a", 3)}); !errors.Is(err, ErrSick) {
+	if err := a.Append([]message.Record{rec("a", 3)}); !errors.Is(err, ErrFailed) {
 		t.Errorf("a sick file takes a write: %v", err)
 	}
 	b := open(t, dir)
@@ -157,7 +157,7 @@
 	good := a.f
 	a.f = full
 	err = a.Append([]message.Record{rec("a", 2)})
-	if !errors.Is(err, ErrFull) && !errors.Is(err, ErrSick) {
+	if !errors.Is(err, ErrFull) && !errors.Is(err, ErrFailed) {
 		t.Fatalf("a full disk gives %v", err)
 	}
 	a.f = good
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	full := false
-	a.Room = func(f *os.File, off, n int64) error {
+	a.Allocate = func(f *os.File, off, n int64) error {
 		if full {
 			return syscall.ENOSPC
 		}
@@ -190,8 +190,8 @@
 	big := func(k string, n int) message.Record {
 		return message.Record{Kind: 3, Key: k, Data: append(fmt.Appendf(nil, "%d ", n), make([]byte, 2000)...)}
 	}
-	if err := a.Append([]message.Record{big("a", 0)}); err != nil || a.Low() {
-		t.Fatal(err, a.Low())
+	if err := a.Append([]message.Record{big("a", 0)}); err != nil || a.DiskFull() {
+		t.Fatal(err, a.DiskFull())
 	}
 	full = true
 	taken := 0
@@ -204,7 +204,7 @@
 		}
 		taken = i
 	}
-	if !a.Low() {
+	if !a.DiskFull() {
 		t.Error("a full disk is not seen")
 	}
 	if least := spare / 2100; taken < least {
@@ -218,7 +218,7 @@
 	if want := fmt.Sprintf("%d ", taken); value(a, "a")[:len(want)] != want {
 		t.Errorf("read back %.8q, %s was taken last", value(a, "a"), want)
 	}
-	a.Room = func(*os.File, int64, int64) error { return syscall.ENOSPC }
+	a.Allocate = func(*os.File, int64, int64) error { return syscall.ENOSPC }
 	a.end, a.low = a.size, true
 	if err := a.Append([]message.Record{big("b", 1)}); !errors.Is(err, ErrFull) {
 		t.Errorf("with the reserve used up: %v", err)
@@ -226,9 +226,9 @@
 	if a.size > 3000 {
 		t.Errorf("what is old was not thrown away: %d bytes", a.size)
 	}
-	a.Room = allocate
-	if err := a.Append(nil); err != nil || a.Low() {
-		t.Errorf("with room again: %v, low %v", err, a.Low())
+	a.Allocate = allocate
+	if err := a.Append(nil); err != nil || a.DiskFull() {
+		t.Errorf("with room again: %v, low %v", err, a.DiskFull())
 	}
 	if err := a.Append([]message.Record{big("b", 2)}); err != nil || value(a, "b")[:2] != "2 " {
 		t.Errorf("with room again: %v", err)
