--- a/cmd/testbed/play.go
+++ b/cmd/testbed/play.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"seamshunt/internal/fleet"
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 	"seamshunt/platform"
 	"seamshunt/platform/standin"
 )
--- a/internal/control/controller/delayed_connection_test.go
+++ b/internal/control/controller/delayed_connection_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"seamshunt/internal/adapter"
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 )
 
 // EVAC: a controller accepted the connection of a withdrawal late, without having been paused for long. Meanwhile the
--- a/internal/control/controller/linearizability_test.go
+++ b/internal/control/controller/linearizability_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"seamshunt/internal/linearizability"
 	"seamshunt/internal/resultcode"
-	"seamshunt/internal/rig/linearizability"
 )
 
 // operator makes an adapter's calls. Each answer is lost with a probability of lossProbability.
@@ -41,7 +41,7 @@
 		from := o.now()
 		data, version, code := o.pick().Control().Read()
 		if code == resultcode.OK || code == resultcode.NotFound {
-			o.recordCall(linearizability.Call{From: from, To: o.now(), Position: version, Data: string(data), Outcome: linearizability.Done})
+			o.recordCall(linearizability.Call{CalledAt: from, ReturnedAt: o.now(), Version: version, Data: string(data), Outcome: linearizability.Succeeded})
 			return version
 		}
 	}
@@ -55,15 +55,15 @@
 	base := o.readVersion()
 	next := base + 1 + uint64(o.rng.IntN(3))
 	text := fmt.Sprint(serial)
-	change := linearizability.Call{Kind: linearizability.Write, From: o.now(), Builds: base, Position: next, Data: fmt.Sprintf(`{"v":%d,"x":%q}`, next, text)}
+	change := linearizability.Call{Kind: linearizability.Write, CalledAt: o.now(), ExpectedVersion: base, Version: next, Data: fmt.Sprintf(`{"v":%d,"x":%q}`, next, text)}
 	acknowledged, refused := false, false
 	for range 30 {
 		code, _ := o.pick().Control().Put(base, []byte(change.Data))
 		acknowledged, refused = acknowledged || code == resultcode.OK, refused || code == resultcode.VersionConflict
 		if isClear := code == resultcode.OK || code == resultcode.VersionConflict; isClear && o.rng.Float64() >= o.lossProbability {
-			change.To, change.Outcome = o.now(), linearizability.Refused
+			change.ReturnedAt, change.Outcome = o.now(), linearizability.Rejected
 			if code == resultcode.OK {
-				change.Outcome = linearizability.Done
+				change.Outcome = linearizability.Succeeded
 			}
 			break
 		}
@@ -94,7 +94,7 @@
 	wg.Wait()
 	done := 0
 	for _, c := range calls {
-		if c.Kind == linearizability.Write && c.Outcome == linearizability.Done {
+		if c.Kind == linearizability.Write && c.Outcome == linearizability.Succeeded {
 			done++
 		}
 	}
--- a/internal/rig/linearizability/register.go
+++ b/internal/linearizability/register.go
@@ -22,19 +22,19 @@
 
 // The outcomes. An Unclear write may or may not have happened, at any time from its call on.
 const (
-	Unclear Outcome = iota
-	Done
-	Refused
+	Unknown Outcome = iota
+	Succeeded
+	Rejected
 )
 
 // Call is one call with its answer. A caller who sends the same call again, until it has a clear answer, makes one call.
 type Call struct {
-	Kind     Kind
-	From, To int64 // To counts only with a clear outcome
-	Builds   uint64
-	Position uint64 // the version that a write brings, or a read found
-	Data     string // likewise
-	Outcome  Outcome
+	Kind                 Kind
+	CalledAt, ReturnedAt int64 // To counts only with a clear outcome
+	ExpectedVersion      uint64
+	Version              uint64 // the version that a write brings, or a read found
+	Data                 string // likewise
+	Outcome              Outcome
 }
 
 // version is the register's state.
@@ -48,14 +48,14 @@
 func Check(calls []Call, limit time.Duration) porcupine.CheckResult {
 	history := make([]porcupine.Operation, 0, len(calls))
 	for _, c := range calls {
-		if c.Kind == Read && c.Outcome != Done {
+		if c.Kind == Read && c.Outcome != Succeeded {
 			continue // says nothing
 		}
-		end := c.To
-		if c.Outcome == Unclear {
+		end := c.ReturnedAt
+		if c.Outcome == Unknown {
 			end = math.MaxInt64
 		}
-		history = append(history, porcupine.Operation{Input: c, Call: c.From, Return: end})
+		history = append(history, porcupine.Operation{Input: c, Call: c.CalledAt, Return: end})
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{version{}} },
@@ -66,18 +66,18 @@
 
 // step gives the states that a call may leave; none if its answer is impossible here.
 func step(now version, c Call) []any {
-	next := version{c.Position, c.Data}
-	fits := now.position == c.Builds
+	next := version{c.Version, c.Data}
+	fits := now.position == c.ExpectedVersion
 	switch {
 	case c.Kind == Read && now == next:
 		return []any{now}
 	case c.Kind == Read:
 		return nil
-	case c.Outcome == Unclear && fits:
+	case c.Outcome == Unknown && fits:
 		return []any{now, next}
-	case c.Outcome == Unclear, c.Outcome == Refused && !fits:
+	case c.Outcome == Unknown, c.Outcome == Rejected && !fits:
 		return []any{now}
-	case c.Outcome == Done && fits:
+	case c.Outcome == Succeeded && fits:
 		return []any{next}
 	}
 	return nil
--- a/internal/rig/netfault/deferred.go
+++ b/internal/netfault/deferred.go
@@ -13,17 +13,17 @@
 // deferSeconds is how long the kernel waits for the first bytes on a connection before it completes it without them.
 const deferSeconds = 60
 
-// Deferred is a listener on loopback that holds connections up between the answer to their first packet and their completion, as a
+// DeferredListener is a listener on loopback that holds connections up between the answer to their first packet and their completion, as a
 // lossy link does: those who connect find themselves connected and send, and the listener hears of it after Release, when their
 // kernel sends once more.
-type Deferred struct {
+type DeferredListener struct {
 	net.Listener
 	mu     sync.Mutex
 	filler net.Conn // fills the queue of completed connections
 }
 
 // ListenDeferred opens one.
-func ListenDeferred() (*Deferred, error) {
+func ListenDeferred() (*DeferredListener, error) {
 	inner, err := listenWithoutQueue()
 	if err != nil {
 		return nil, fmt.Errorf("netfault: %w", err)
@@ -38,11 +38,11 @@
 		inner.Close()
 		return nil, fmt.Errorf("netfault: %w", err)
 	}
-	return &Deferred{Listener: inner}, nil
+	return &DeferredListener{Listener: inner}, nil
 }
 
 // Hold fills the queue, so that none of the connections made before is completed until Release.
-func (l *Deferred) Hold() error {
+func (l *DeferredListener) Hold() error {
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err == nil {
 		_, err = c.Write([]byte{0})
@@ -57,7 +57,7 @@
 }
 
 // Accept gives the next connection. The first call releases what is held.
-func (l *Deferred) Accept() (net.Conn, error) {
+func (l *DeferredListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil || !l.release(c) {
@@ -67,7 +67,7 @@
 }
 
 // release says whether a connection is the one that fills the queue, and closes it then.
-func (l *Deferred) release(c net.Conn) bool {
+func (l *DeferredListener) release(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.filler == nil || l.filler.LocalAddr().String() != c.RemoteAddr().String() {
@@ -80,7 +80,7 @@
 }
 
 // Close ends it.
-func (l *Deferred) Close() error {
+func (l *DeferredListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.filler != nil {
--- a/internal/rig/netfault/listener.go
+++ b/internal/netfault/listener.go
@@ -57,8 +57,8 @@
 	return net.FileListener(file)
 }
 
-// Silence fills the queue of new connections; the kernel then drops what else comes.
-func (l *Listener) Silence() error {
+// Blackhole fills the queue of new connections; the kernel then drops what else comes.
+func (l *Listener) Blackhole() error {
 	l.mu.Lock()
 	l.silent = true
 	accepting := l.accepting
@@ -123,8 +123,8 @@
 	return info.Unacked > info.Sacked, nil
 }
 
-// Wake ends the silence; connections that were made meanwhile are closed.
-func (l *Listener) Wake() {
+// Restore ends the silence; connections that were made meanwhile are closed.
+func (l *Listener) Restore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent = false
--- a/internal/rig/netfault/listener_test.go
+++ b/internal/netfault/listener_test.go
@@ -43,7 +43,7 @@
 			t.Fatal("another connection was given out")
 		}
 		c.Close()
-		if err := l.Silence(); err != nil {
+		if err := l.Blackhole(); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
@@ -51,6 +51,6 @@
 				t.Fatal("it answers in its silence")
 			}
 		}
-		l.Wake()
+		l.Restore()
 	}
 }
--- a/internal/rig/netfault/silent.go
+++ b/internal/netfault/silent.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// Silent gives a test a listener that is silent until Wake.
-func Silent(t testing.TB) *Listener {
+// BlackholeListener gives a test a listener that is silent until Wake.
+func BlackholeListener(t testing.TB) *Listener {
 	t.Helper()
 	l, err := Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	if err := l.Silence(); err != nil {
+	if err := l.Blackhole(); err != nil {
 		t.Fatal(err)
 	}
 	return l
--- a/internal/router/client_left_rig_test.go
+++ b/internal/router/client_left_rig_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 	"seamshunt/internal/testutil"
 )
 
@@ -20,13 +20,13 @@
 
 func newSilentWorker(t testing.TB, id string) *silentWorker {
 	t.Helper()
-	l := netfault.Silent(t)
+	l := netfault.BlackholeListener(t)
 	return &silentWorker{&scriptedWorker{id: id, addr: l.Addr().String(), conns: make(chan *workerConn, 256)}, l}
 }
 
 // wake has the worker take connections from now on.
 func (w *silentWorker) wake() {
-	w.listener.Wake()
+	w.listener.Restore()
 	go w.accept(w.listener)
 }
 
--- a/internal/router/upstream/cancel_test.go
+++ b/internal/router/upstream/cancel_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 )
 
 // testCaller is a caller that a test cancels.
@@ -104,7 +104,7 @@
 // A caller that leaves while a connection is made ends the attempt; nothing is held against the worker.
 func TestCallerLeavesWhileConnecting(t *testing.T) {
 	caller, leave := cancellable(t)
-	p, l := NewPool(names), netfault.Silent(t)
+	p, l := NewPool(names), netfault.BlackholeListener(t)
 	got := make(chan *Exchange)
 	go func() { got <- p.Do(caller, order(l.Addr().String(), "a")) }()
 	leave()
@@ -120,7 +120,7 @@
 
 // A worker that answers no attempt to connect within the whole span is down; one that had less time may not be.
 func TestSilentWorkerIsDown(t *testing.T) {
-	l := netfault.Silent(t)
+	l := netfault.BlackholeListener(t)
 	p := NewPool(names)
 	if x := wantKind(t, p, order(l.Addr().String(), "a"), NotSent); !x.Unreachable {
 		t.Error("not down after the whole span", x.Err)
--- a/internal/rig/simulator/catchup_cost_test.go
+++ b/internal/simulator/catchup_cost_test.go
@@ -15,7 +15,7 @@
 type controlBytes struct{ register, compare, push int }
 
 func (w *World) controlBytes() controlBytes {
-	return controlBytes{w.Between[message.KindRegister], w.Between[message.KindAntiEntropy], w.Between[message.KindConfigPush]}
+	return controlBytes{w.InterZoneBytes[message.KindRegister], w.InterZoneBytes[message.KindAntiEntropy], w.InterZoneBytes[message.KindConfigPush]}
 }
 
 func (b controlBytes) less(o controlBytes) controlBytes {
@@ -66,7 +66,7 @@
 	c.restBefore = w.during(30 * time.Second).compare
 	lost := w.coreH[int(seed)%3]
 	w.Kill(lost)
-	w.Refuse(lost)
+	w.RefuseConnections(lost)
 	w.Run(w.Now.Add(time.Second))
 	for k := range m.keys {
 		w.store(t, fmt.Sprintf("zone/%d", k), strings.Repeat("y", 200))
--- a/internal/rig/simulator/catchup_test.go
+++ b/internal/simulator/catchup_test.go
@@ -37,7 +37,7 @@
 }
 
 var memberLosses = []memberLoss{
-	{"down", func(w *World, i int) { w.Kill(w.coreH[i]); w.Refuse(w.coreH[i]) }, startAgain},
+	{"down", func(w *World, i int) { w.Kill(w.coreH[i]); w.RefuseConnections(w.coreH[i]) }, startAgain},
 	{"power lost", func(w *World, i int) { w.Kill(w.coreH[i]) }, startAgain},
 	{"wiped", func(w *World, i int) { w.Kill(w.coreH[i]); w.coreH[i].Disk.Wipe() }, startAgain},
 	{"replaced at another address", func(w *World, i int) {
@@ -48,8 +48,8 @@
 	{"stalled disk", func(w *World, i int) { w.coreH[i].Disk.Stalled = true }, func(w *World, i int) { w.coreH[i].Disk.Stalled = false }},
 	{"full disk", func(w *World, i int) { w.coreH[i].Disk.Full, w.coreH[i].Disk.used = true, reserve+1 },
 		func(w *World, i int) { w.coreH[i].Disk.Full = false }},
-	{"frozen", func(w *World, i int) { w.Freeze(w.coreH[i]) }, func(w *World, i int) { w.Thaw(w.coreH[i]) }},
-	{"cut off", func(w *World, i int) { w.coreH[i].Dark = true }, func(w *World, i int) { w.coreH[i].Dark = false }},
+	{"frozen", func(w *World, i int) { w.Pause(w.coreH[i]) }, func(w *World, i int) { w.Resume(w.coreH[i]) }},
+	{"cut off", func(w *World, i int) { w.coreH[i].Isolated = true }, func(w *World, i int) { w.coreH[i].Isolated = false }},
 	{"restarted repeatedly", func(w *World, i int) {
 		for k := range 4 {
 			w.After(time.Duration(k)*250*time.Millisecond, func() { w.Kill(w.coreH[i]) })
@@ -69,9 +69,9 @@
 }
 
 func newCatchUpRun(seed uint64, disks, changes int) *catchUpRun {
-	p := Place{Name: fmt.Sprintf("catch-up%d", disks), Grow: true}
+	p := Deployment{Name: fmt.Sprintf("catch-up%d", disks), GrowsFromSeeds: true}
 	for i := range disks {
-		p.Cores = append(p.Cores, fmt.Sprintf("z%d", i%4+1))
+		p.ControllerZones = append(p.ControllerZones, fmt.Sprintf("z%d", i%4+1))
 	}
 	r := &catchUpRun{World: NewWorld(p, seed), changes: changes, most: 3 * time.Second}
 	if changes >= 1000 {
@@ -164,7 +164,7 @@
 	}
 	r.Run(r.Now.Add(10 * time.Second))
 	r.alike()
-	for _, f := range append(r.Faults, Linear(r.History)...) {
+	for _, f := range append(r.Violations, CheckHistory(r.History)...) {
 		t.Errorf("%s: %s", r.Name, f)
 	}
 	for _, h := range r.coreH {
@@ -198,7 +198,7 @@
 					r.play(t, l)
 					took = append(took, r.took...)
 				}
-				t.Logf("%d disks, %s: caught up %s after the return", disks, l.name, Spread(took))
+				t.Logf("%d disks, %s: caught up %s after the return", disks, l.name, Percentiles(took))
 			})
 		}
 	}
@@ -212,7 +212,9 @@
 	for _, disks := range []int{3, 4, 5, 6} {
 		var mu sync.Mutex
 		var took []time.Duration
-		t.Cleanup(func() { t.Logf("%d disks, a thousand changes: caught up %s after the return", disks, Spread(took)) })
+		t.Cleanup(func() {
+			t.Logf("%d disks, a thousand changes: caught up %s after the return", disks, Percentiles(took))
+		})
 		for seed := range uint64(*catchUpLong) {
 			t.Run(fmt.Sprintf("%d disks seed %d", disks, *from+seed), func(t *testing.T) {
 				t.Parallel()
--- a/internal/rig/simulator/core.go
+++ b/internal/simulator/core.go
@@ -35,56 +35,56 @@
 	return all, out
 }
 
-// Core is a simulated controller.
-type Core struct {
+// Controller is a simulated controller.
+type Controller struct {
 	common
 	*Proc
-	H            *Host
-	Replica      *register.Replica
-	Lease        *lease.Lease
-	seedFounder  register.SeedBootstrap
-	planner      register.Planner
-	founders     int
-	Syncer       *antientropy.Syncer
-	Roll         *idempotency.Registry
-	catalog      *discovery.Catalog
-	turn         discovery.Schedule
-	pollPlatform func(*Core, units.Time) // asks the world's platform
-	waits        map[uint64]func(register.Result)
-	tag          uint64
-	Drain        bool
+	Host          *Host
+	Replica       *register.Replica
+	Lease         *lease.Lease
+	seedFounder   register.SeedBootstrap
+	planner       register.Planner
+	founders      int
+	Syncer        *antientropy.Syncer
+	ClaimRegistry *idempotency.Registry
+	catalog       *discovery.Catalog
+	turn          discovery.Schedule
+	pollPlatform  func(*Controller, units.Time) // asks the world's platform
+	waits         map[uint64]func(register.Result)
+	tag           uint64
+	Draining      bool
 }
 
-// Core adds a machine with a disk; cores finds the machine that runs there now. With grow, voters are founded from seeds.
-func (s *Sim) Core(addr, zone string, founders int, seeds []string, grow *Growth, cores map[*Host]*Core) *Host {
+// AddController adds a machine with a disk; cores finds the machine that runs there now. With grow, voters are founded from seeds.
+func (s *Sim) AddController(addr, zone string, founders int, seeds []string, grow *BootstrapSettings, cores map[*Host]*Controller) *Host {
 	return s.Add(addr, zone, NewDisk(), func(h *Host) *Proc {
-		h.Grow = grow
-		if g := h.Grow; h.Disk.ID == 0 {
+		h.Bootstrap = grow
+		if g := h.Bootstrap; h.Disk.ID == 0 {
 			h.Disk.ID = units.NodeID(s.Rng.Uint64() | 1)
-			if g != nil && g.First && g.Counts {
-				h.Disk.Born = slices.Clone(g.Seeds)
+			if g != nil && g.FirstStart && g.MayVote {
+				h.Disk.InitialSeeds = slices.Clone(g.Seeds)
 			}
 		}
 		self, seeds := h.Disk.ID, seeds
-		if h.Grow != nil {
-			seeds = h.Grow.Seeds
+		if h.Bootstrap != nil {
+			seeds = h.Bootstrap.Seeds
 		}
-		c := &Core{common: s.common(h, self, membership.Controller, seeds), H: h, founders: founders, planner: planner(h.Grow, founders), catalog: discovery.New(), pollPlatform: s.Poll, waits: map[uint64]func(register.Result){}}
-		c.gossip.SetFlag(membership.MayVote, h.Grow == nil || h.Grow.Counts)
-		if g := h.Grow; g != nil {
-			c.seedFounder = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.Born, Participates: h.Disk.Born != nil}
-			if !g.Counts {
-				c.seedFounder.SeedAddrs, c.seedFounder.Participates = slices.Clone(g.Seeds), g.First
+		c := &Controller{common: s.common(h, self, membership.Controller, seeds), Host: h, founders: founders, planner: planner(h.Bootstrap, founders), catalog: discovery.New(), pollPlatform: s.PollPlatform, waits: map[uint64]func(register.Result){}}
+		c.gossip.SetFlag(membership.MayVote, h.Bootstrap == nil || h.Bootstrap.MayVote)
+		if g := h.Bootstrap; g != nil {
+			c.seedFounder = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.InitialSeeds, Participates: h.Disk.InitialSeeds != nil}
+			if !g.MayVote {
+				c.seedFounder.SeedAddrs, c.seedFounder.Participates = slices.Clone(g.Seeds), g.FirstStart
 			}
 			c.gossip.SetFlag(membership.Bootstrap, c.seedFounder.Participates)
-			g.First = false
+			g.FirstStart = false
 		}
-		c.Proc = &Proc{Self: self, Step: c.step, Tick: c.tick, Refused: func(now units.Time, a string) {
+		c.Proc = &Proc{Self: self, Step: c.step, Tick: c.tick, OnConnectionRefused: func(now units.Time, a string) {
 			for _, n := range c.gossip.ConnectionRefused(now, a) {
 				c.Lease.HolderStopped(now, n)
 			}
 		},
-			Woke: func(now units.Time) {
+			OnResume: func(now units.Time) {
 				c.Lease.Resign()
 				c.Replica.Resume(now)
 				c.Syncer.StartCatchUp()
@@ -94,7 +94,7 @@
 			if err := c.Replica.Load(h.Disk.Records()); err != nil {
 				panic(err)
 			}
-			c.Roll = idempotency.LoadRegistry(self, s.Now, h.Disk.Records())
+			c.ClaimRegistry = idempotency.LoadRegistry(self, s.Now, h.Disk.Records())
 			if c.Syncer != nil {
 				c.Syncer.StartCatchUp()
 			}
@@ -110,14 +110,14 @@
 }
 
 // planner gives what package controller makes of a boot file.
-func planner(grow *Growth, founders int) register.Planner {
+func planner(grow *BootstrapSettings, founders int) register.Planner {
 	if grow == nil {
 		return register.Planner{FixedSize: founders, ReplaceAfter: register.ReplaceFixedAfter}
 	}
-	return register.Planner{MinSize: 2*grow.Tolerates + 1, ReplaceAfter: register.ReplaceAfter}
+	return register.Planner{MinSize: 2*grow.ToleratedLosses + 1, ReplaceAfter: register.ReplaceAfter}
 }
 
-func (c *Core) step(now units.Time, n message.Message) message.Effects {
+func (c *Controller) step(now units.Time, n message.Message) message.Effects {
 	switch n.Kind &^ 15 {
 	case message.KindMembership:
 		return c.gossip.Step(now, n)
@@ -128,7 +128,7 @@
 	case message.KindAntiEntropy:
 		return c.Syncer.Step(n, c.Replica.States(), c.Replica.Resend)
 	case message.KindClaim:
-		return c.Roll.Step(now, n, c.Replica.QuorumVersion())
+		return c.ClaimRegistry.Step(now, n, c.Replica.QuorumVersion())
 	case message.KindRegister:
 		out := c.Replica.Step(now, n)
 		c.drain(now, &out)
@@ -137,30 +137,30 @@
 	return message.Effects{}
 }
 
-func (c *Core) tick(now units.Time) message.Effects {
-	unfit := c.H.Disk.Unfit(now) || !c.Replica.ReachesMajority(now)
+func (c *Controller) tick(now units.Time) message.Effects {
+	unfit := c.Host.Disk.Unfit(now) || !c.Replica.ReachesMajority(now)
 	c.gossip.SetFlag(membership.DiskUnfit, unfit)
-	c.gossip.SetFlag(membership.Draining, c.Drain)
+	c.gossip.SetFlag(membership.Draining, c.Draining)
 	all, out := c.beat(now, c.Self)
 	look := register.NewControllerView(all)
 	if it := c.feed.Items[register.KeyQuorum]; it != nil {
 		out.Append(c.Replica.LearnQuorum(it.Data))
 	}
 	c.Replica.SetEligible(look.Eligible, look.Draining...)
-	if c.H.Grow != nil {
+	if c.Host.Bootstrap != nil {
 		c.Replica.BootstrapFromSeeds(c.seedFounder.Proposal(now, look))
 	} else {
 		c.Replica.BootstrapFixed(c.founders, look)
 	}
 	c.Replica.ChangeMembers(c.planner.NextMembers(now, c.Replica.Quorum(), look))
 	out.Append(c.Replica.Tick(now))
-	c.Roll.DiskFull = c.H.Disk.Full
-	out.Append(c.Roll.Tick(now, c.Replica.Quorum()))
+	c.ClaimRegistry.DiskFull = c.Host.Disk.Full
+	out.Append(c.ClaimRegistry.Tick(now, c.Replica.Quorum()))
 	voter := c.Replica.Quorum().Has(c.Self)
 	c.gossip.SetFlag(membership.Voter, voter)
 	c.drain(now, &out)
 	c.Lease.SetSeatExpiry(c.planner.SeatValidUntil(c.Replica.LastMajorityContact(now)))
-	out.Append(c.Lease.Tick(now, voter && !c.Drain))
+	out.Append(c.Lease.Tick(now, voter && !c.Draining))
 	c.Syncer.SetHealthy(!unfit)
 	out.Append(c.Syncer.Tick(now, c.Replica.Quorum().All(), c.Replica.States()))
 	for _, it := range c.feed.Changes {
@@ -169,13 +169,13 @@
 		}
 	}
 	c.feed.Changes = nil
-	if c.pollPlatform != nil && !c.Drain && c.turn.Due(now, c.Lease.Share(now), pollGap) {
+	if c.pollPlatform != nil && !c.Draining && c.turn.Due(now, c.Lease.Share(now), pollGap) {
 		c.pollPlatform(c, now)
 	}
 	return out
 }
 
-func (c *Core) drain(now units.Time, out *message.Effects) {
+func (c *Controller) drain(now units.Time, out *message.Effects) {
 	for _, r := range c.Replica.Results {
 		if f := c.waits[r.Tag]; f != nil {
 			delete(c.waits, r.Tag)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (c *Core) spread(now units.Time, it configpush.Item, out *message.Effects) {
+func (c *Controller) spread(now units.Time, it configpush.Item, out *message.Effects) {
 	var to []units.NodeID
 	for _, m := range c.gossip.All() {
 		if m.State <= membership.Suspect && m.Node != c.Self {
@@ -202,12 +202,12 @@
 
 // Submit brings an operator's request to this machine. done gets the result, or after register.RequestTimeout Unsure for a
 // write and NoMajority for a read.
-func (c *Core) Submit(s *Sim, a register.Request, done func(register.Result)) {
+func (c *Controller) Submit(s *Sim, a register.Request, done func(register.Result)) {
 	c.tag++
 	a.Tag = c.tag
 	tag := a.Tag
 	c.waits[tag] = done
-	s.Inject(c.H, func(now units.Time) message.Effects {
+	s.Inject(c.Host, func(now units.Time) message.Effects {
 		out := c.Replica.Submit(now, a)
 		c.drain(now, &out)
 		return out
--- a/internal/rig/simulator/cut_off_controller_test.go
+++ b/internal/simulator/cut_off_controller_test.go
@@ -122,7 +122,7 @@
 
 // noOldStart judges every router that serves, also one that the cut parts from the core: it never starts with an older
 // configuration than one that was acknowledged 2 s before its start.
-func (r *cutOffRun) noOldStart(seen map[*Edge]bool) {
+func (r *cutOffRun) noOldStart(seen map[*Router]bool) {
 	for _, h := range r.edgeH {
 		e := r.edges[h]
 		if h.Proc == nil || !e.Ready || seen[e] {
@@ -130,8 +130,8 @@
 		}
 		seen[e] = true
 		for _, a := range r.acked {
-			if a.num > e.Num && r.Now.Sub(a.at) > 2*time.Second {
-				r.fault("%s starts to serve with %d, %d was acknowledged at %v", h.Addr, e.Num, a.num, a.at)
+			if a.num > e.ConfigVersion && r.Now.Sub(a.at) > 2*time.Second {
+				r.fault("%s starts to serve with %d, %d was acknowledged at %v", h.Addr, e.ConfigVersion, a.num, a.at)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 			r.cut = h
 		}
 	}
-	r.noOldStart(map[*Edge]bool{})
+	r.noOldStart(map[*Router]bool{})
 	r.began = r.Now
 	end := r.Now.Add(cutSpan)
 	part(r.World, r.cut)
@@ -168,11 +168,11 @@
 
 // judge adds the history's faults to the run's, and leaves out a lease that two held for its term after false refusals.
 func (r *cutOffRun) judge(kind string) {
-	r.Faults = append(r.Faults, Linear(r.History)...)
+	r.Violations = append(r.Violations, CheckHistory(r.History)...)
 	if kind != refused {
 		return
 	}
-	r.Faults = slices.DeleteFunc(r.Faults, func(f string) bool {
+	r.Violations = slices.DeleteFunc(r.Violations, func(f string) bool {
 		var at float64
 		_, err := fmt.Sscanf(f, "%f s: 2 nodes hold one duty", &at)
 		return err == nil && at < time.Duration(r.began.Add(leaseTerm)).Seconds()
@@ -191,14 +191,14 @@
 				r := &cutOffRun{World: grown(seed, disks), t: t, passes: kind.passes, calls: calls}
 				r.play(kind.part)
 				r.judge(kind.name)
-				for _, f := range r.Faults {
+				for _, f := range r.Violations {
 					t.Errorf("%d disks, seed %d: %s", disks, seed, f)
 				}
 				mu.Lock()
 				long = append(long, r.longAt)
 				mu.Unlock()
 			}
-			t.Logf("%d seeds, answers %v; longest time of an order at the others: %s", cutOffSeeds, calls, Spread(long))
+			t.Logf("%d seeds, answers %v; longest time of an order at the others: %s", cutOffSeeds, calls, Percentiles(long))
 		})
 	}
 }
--- a/internal/rig/simulator/cut_off_kinds_test.go
+++ b/internal/simulator/cut_off_kinds_test.go
@@ -52,8 +52,8 @@
 	{"restarted with other seeds", func(w *World, cut *Host) {
 		w.dark(cut, cutSpan)
 		w.After(5*time.Second, func() {
-			if cut.Grow != nil {
-				cut.Grow.Seeds = []string{w.edgeH[0].Addr, "nowhere", cut.Addr}
+			if cut.Bootstrap != nil {
+				cut.Bootstrap.Seeds = []string{w.edgeH[0].Addr, "nowhere", cut.Addr}
 			}
 			w.bounce(cut, 300*time.Millisecond, false)
 		})
@@ -66,8 +66,8 @@
 		return
 	}
 	for _, h := range w.Hosts {
-		if h != cut && h.Proc != nil && h.Proc.Refused != nil {
-			h.Proc.Refused(w.Now, cut.Addr)
+		if h != cut && h.Proc != nil && h.Proc.OnConnectionRefused != nil {
+			h.Proc.OnConnectionRefused(w.Now, cut.Addr)
 		}
 	}
 	w.After(250*time.Millisecond, func() { w.refuseAgain(cut, until) })
@@ -75,7 +75,7 @@
 
 // order calls a controller as an adapter's caller does: an answer within register.AnswerTimeout, NoMajority at once from
 // a controller that knows that it does not reach one. It mirrors controller.Submit.
-func (w *World) order(c *Core, a register.Request, answered func(register.Result)) {
+func (w *World) order(c *Controller, a register.Request, answered func(register.Result)) {
 	if !c.Replica.ReachesMajority(w.Now) {
 		answered(register.Result{Code: resultcode.NoMajority})
 		return
@@ -88,11 +88,11 @@
 		}
 	}
 	i := len(w.History)
-	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, From: w.Now, Expect: a.ExpectedVersion, Data: string(a.Data), at: c.H.Addr})
+	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, CalledAt: w.Now, ExpectedVersion: a.ExpectedVersion, Data: string(a.Data), at: c.Host.Addr})
 	c.Submit(w.Sim, a, func(r register.Result) {
 		o := &w.History[i]
-		if o.Code, o.Num = r.Code, r.Version; open {
-			o.To = w.Now
+		if o.Code, o.Version = r.Code, r.Version; open {
+			o.ReturnedAt = w.Now
 		}
 		if !a.Write {
 			o.Data = string(r.Data)
--- a/internal/rig/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -11,16 +11,16 @@
 
 // Disk keeps synced records, and in its page cache those that were written and not synced; it can be slow, stalled, full or lost.
 type Disk struct {
-	ID      units.NodeID // zero while blank
-	Born    []string     // the seeds of the very first start, on a disk that was blank then
-	Delay   time.Duration
-	Stalled bool
-	Full    bool // lives from the reserve
-	used    int  // records written to the reserve
-	live    map[string]message.Record
-	writing []message.Record // written, and the sync is under way
-	cache   []message.Record // written by processes that have died since, and never synced
-	wait    []message.Effects
+	ID           units.NodeID // zero while blank
+	InitialSeeds []string     // the seeds of the very first start, on a disk that was blank then
+	Delay        time.Duration
+	Stalled      bool
+	Full         bool // lives from the reserve
+	used         int  // records written to the reserve
+	live         map[string]message.Record
+	writing      []message.Record // written, and the sync is under way
+	cache        []message.Record // written by processes that have died since, and never synced
+	wait         []message.Effects
 	// TrustsCache plants a fault: a process that starts takes what it reads for synced.
 	TrustsCache bool
 	busy        bool
@@ -85,7 +85,7 @@
 func (d *Disk) Wipe() {
 	d.crash()
 	d.cache = nil
-	d.ID, d.Born, d.live, d.Stalled, d.Full = 0, nil, map[string]message.Record{}, false, false
+	d.ID, d.InitialSeeds, d.live, d.Stalled, d.Full = 0, nil, map[string]message.Record{}, false, false
 }
 
 // reserve is how many records the reserve bears here.
--- a/internal/rig/simulator/edge.go
+++ b/internal/simulator/edge.go
@@ -19,43 +19,43 @@
 	"seamshunt/internal/units"
 )
 
-// Edge is a simulated router.
-type Edge struct {
+// Router is a simulated router.
+type Router struct {
 	common
 	*Proc
-	H        *Host
-	Config   *config.Config
-	Num      units.Version
-	Ready    bool
-	Pools    map[string][]config.Worker
-	Out      map[string]bool
-	sky      *discovery.Catalog
-	voters   register.QuorumSet
-	queue    *admission.Queue
-	ledger   *capacity.Ledger
-	watch    *capacity.RouterTracker
-	claimant *idempotency.Claimant
-	claims   map[uint64]func(resultcode.Code, bool)
-	placer   placement.Placer
-	peers    []capacity.Peer
-	began    units.Time
-	verdict  map[uint64]func(admission.Decision)
-	tag      uint64
-	Drain    bool
+	Host          *Host
+	Config        *config.Config
+	ConfigVersion units.Version
+	Ready         bool
+	Pools         map[string][]config.Worker
+	Evacuated     map[string]bool
+	sky           *discovery.Catalog
+	voters        register.QuorumSet
+	queue         *admission.Queue
+	ledger        *capacity.Ledger
+	watch         *capacity.RouterTracker
+	claimant      *idempotency.Claimant
+	claims        map[uint64]func(resultcode.Code, bool)
+	placer        placement.Placer
+	peers         []capacity.Peer
+	began         units.Time
+	verdict       map[uint64]func(admission.Decision)
+	tag           uint64
+	Draining      bool
 }
 
-// Edge adds a machine without a disk.
-func (s *Sim) Edge(addr, zone string, seeds []string, edges map[*Host]*Edge) *Host {
+// AddRouter adds a machine without a disk.
+func (s *Sim) AddRouter(addr, zone string, seeds []string, edges map[*Host]*Router) *Host {
 	return s.Add(addr, zone, nil, func(h *Host) *Proc {
 		self := units.NodeID(s.Rng.Uint64() | 1)
-		e := &Edge{common: s.common(h, self, membership.Router, seeds), H: h, Pools: map[string][]config.Worker{}, Out: map[string]bool{},
+		e := &Router{common: s.common(h, self, membership.Router, seeds), Host: h, Pools: map[string][]config.Worker{}, Evacuated: map[string]bool{},
 			sky: discovery.New(), queue: admission.New(self), ledger: capacity.New(self), watch: capacity.NewRouterTracker(), claimant: idempotency.New(self, s.Now), claims: map[uint64]func(resultcode.Code, bool){}, began: s.Now,
 			verdict: map[uint64]func(admission.Decision){}, tag: s.Rng.Uint64() >> 8}
-		e.Proc = &Proc{Self: self, Step: e.step, Tick: e.tick, Woke: func(now units.Time) {
+		e.Proc = &Proc{Self: self, Step: e.step, Tick: e.tick, OnResume: func(now units.Time) {
 			e.unready()
 			e.queue.ProcessResumed(now)
 			e.ledger = capacity.New(self)
-		}, Refused: func(now units.Time, a string) {
+		}, OnConnectionRefused: func(now units.Time, a string) {
 			for _, n := range e.gossip.ConnectionRefused(now, a) {
 				e.ledger.ProcessEnded(now, n)
 				e.watch.ProcessEnded(now, n)
@@ -66,13 +66,13 @@
 	})
 }
 
-func (e *Edge) unready() {
+func (e *Router) unready() {
 	e.Ready = false
 	e.gossip.SetFlag(membership.Ready, false)
 	clear(e.feed.Confirmations)
 }
 
-func (e *Edge) step(now units.Time, n message.Message) (out message.Effects) {
+func (e *Router) step(now units.Time, n message.Message) (out message.Effects) {
 	switch n.Kind &^ 15 {
 	case message.KindMembership:
 		return e.gossip.Step(now, n)
@@ -93,7 +93,7 @@
 	return out
 }
 
-func (e *Edge) tell() {
+func (e *Router) tell() {
 	l := e.queue.Decisions
 	e.queue.Decisions = nil
 	for _, v := range l {
@@ -112,9 +112,9 @@
 	}
 }
 
-func (e *Edge) tick(now units.Time) message.Effects {
+func (e *Router) tick(now units.Time) message.Effects {
 	all, out := e.beat(now, e.Self)
-	e.gossip.SetFlag(membership.Draining, e.Drain)
+	e.gossip.SetFlag(membership.Draining, e.Draining)
 	fresh := e.feed.Changes
 	e.feed.Changes = nil
 	for _, it := range fresh {
@@ -123,7 +123,7 @@
 	peers, _ := e.watch.Update(now, all)
 	e.peers = peers
 	if e.Config != nil {
-		e.ledger.SetWorkers(e.Config.CapacityWorkers(e.Pools, e.sky.StartTimes(), e.Out))
+		e.ledger.SetWorkers(e.Config.CapacityWorkers(e.Pools, e.sky.StartTimes(), e.Evacuated))
 		e.ledger.SetRouters(peers, e.watch.RunDeadlines(e.Config.MaxDeadline(false)))
 	}
 	var others []units.NodeID
@@ -143,15 +143,15 @@
 	return out
 }
 
-func (e *Edge) news(now units.Time, it configpush.Item) {
+func (e *Router) news(now units.Time, it configpush.Item) {
 	kind, name, _ := strings.Cut(it.Key, "/")
 	switch kind {
 	case "config":
 		if c, faults := config.Parse(it.Data); len(faults) == 0 {
-			e.Config, e.Num = c, it.Version
+			e.Config, e.ConfigVersion = c, it.Version
 		}
 	case "zone":
-		e.Out[name] = fastjson.GetBool(it.Data, "evacuated")
+		e.Evacuated[name] = fastjson.GetBool(it.Data, "evacuated")
 	case "workers":
 		if pool, err := e.sky.Apply(now, it.Key, it.Version, it.Data); err == nil {
 			e.Pools[pool] = e.sky.List(pool)
@@ -163,8 +163,8 @@
 	}
 }
 
-func (e *Edge) confirm(now units.Time, all []membership.Member, out *message.Effects) {
-	if e.Ready || e.Drain || e.Config == nil {
+func (e *Router) confirm(now units.Time, all []membership.Member, out *message.Effects) {
+	if e.Ready || e.Draining || e.Config == nil {
 		return
 	}
 	ok, asks := e.feed.Confirm(now, all, e.Self, e.voters.Members, e.began)
--- a/internal/rig/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -36,8 +36,8 @@
 			var back *Op
 			w.Call(register.Request{Key: key}, func(r *Op) { back = r })
 			w.Run(w.Now.Add(time.Second))
-			if back == nil || back.Code != resultcode.OK || back.Num != o.Num || back.Data != o.Data {
-				t.Errorf("seed %d: %s acknowledged as %d, read back %+v", seed, key, o.Num, back)
+			if back == nil || back.Code != resultcode.OK || back.Version != o.Version || back.Data != o.Data {
+				t.Errorf("seed %d: %s acknowledged as %d, read back %+v", seed, key, o.Version, back)
 			}
 		}
 		for _, h := range w.coreH {
@@ -56,8 +56,8 @@
 // is, changes and reads go on at the others.
 func TestCutOffFromTheCoreAlone(t *testing.T) {
 	t.Parallel()
-	for _, p := range []Place{Vatuloa, Council} {
-		for i := range p.Cores {
+	for _, p := range []Deployment{Vatuloa, Council} {
+		for i := range p.ControllerZones {
 			w := NewWorld(p, *from)
 			w.Run(units.Time(5 * time.Second))
 			w.change("config", configText(0), nil)
@@ -100,14 +100,14 @@
 		t.Fatal(faults)
 	}
 	w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
-	w.At(units.Time(8*time.Second), w.Load)
+	w.At(units.Time(8*time.Second), w.GenerateLoad)
 	for i := range 30 {
 		w.At(units.Time(10*time.Second)+units.Time(i)*units.Time(100*time.Millisecond), func() { w.change("config", large(i), nil) })
 	}
 	w.At(units.Time(11*time.Second), func() { w.bounce(w.coreH[1], 2*time.Second, true) })
 	w.Run(units.Time(25 * time.Second))
 	w.end()
-	if len(w.acked) < 10 || len(w.Faults) > 0 {
-		t.Errorf("%d acknowledged, %v", len(w.acked), w.Faults[:min(3, len(w.Faults))])
+	if len(w.acked) < 10 || len(w.Violations) > 0 {
+		t.Errorf("%d acknowledged, %v", len(w.acked), w.Violations[:min(3, len(w.Violations))])
 	}
 }
--- a/internal/rig/simulator/grow_loss_test.go
+++ b/internal/simulator/grow_loss_test.go
@@ -19,10 +19,10 @@
 	if moved {
 		w.serial++
 		h.Addr = fmt.Sprintf("core%d.%d", i+1, w.serial)
-		h.Grow.Seeds = nil // its own boot file names seeds of now
+		h.Bootstrap.Seeds = nil // its own boot file names seeds of now
 		for _, o := range w.coreH[:min(4, len(w.coreH))] {
 			if o != h {
-				h.Grow.Seeds = append(h.Grow.Seeds, o.Addr)
+				h.Bootstrap.Seeds = append(h.Bootstrap.Seeds, o.Addr)
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 				}
 				w.readBack(t, text, num)
 			}
-			t.Logf("%d disks in %d zones, diskless %v, %d lost at once, moved %v, back after %v: voting and filled %s after the return", x.n, x.zones, x.diskless, x.lost, x.moved, x.back, Spread(took))
+			t.Logf("%d disks in %d zones, diskless %v, %d lost at once, moved %v, back after %v: voting and filled %s after the return", x.n, x.zones, x.diskless, x.lost, x.moved, x.back, Percentiles(took))
 		})
 	}
 }
@@ -145,7 +145,7 @@
 						if o.Code != resultcode.OK {
 							return
 						}
-						num = o.Num
+						num = o.Version
 						for i, h := range w.coreH {
 							if w.Kill(h); (i+round+int(seed))%x.n < x.lost {
 								h.Disk.Wipe()
@@ -179,7 +179,7 @@
 			w := grown(seed, n)
 			w.Run(units.Time(5 * time.Second))
 			_, num := w.put(t, 0)
-			var owner, other *Core
+			var owner, other *Controller
 			for _, h := range w.coreH {
 				if c := w.cores[h]; c.Replica.Owner("config") == c.Self {
 					owner = c
@@ -187,13 +187,13 @@
 					other = c
 				}
 			}
-			write := func(c *Core, text string) {
+			write := func(c *Controller, text string) {
 				w.callAt(c, register.Request{Key: "config", Write: true, ExpectedVersion: num, RequestID: text, Data: []byte(text)}, nil)
 			}
 			write(owner, configText(1))
-			w.After(time.Duration(w.Rng.Int64N(int64(15*time.Millisecond))), func() { w.Freeze(owner.H) })
+			w.After(time.Duration(w.Rng.Int64N(int64(15*time.Millisecond))), func() { w.Pause(owner.Host) })
 			w.After(50*time.Millisecond, func() { write(other, configText(2)) })
-			w.After(3*time.Second, func() { w.Thaw(owner.H) })
+			w.After(3*time.Second, func() { w.Resume(owner.Host) })
 			w.Run(w.Now.Add(10 * time.Second))
 			ok := 0
 			for _, o := range w.History[len(w.History)-2:] {
@@ -206,7 +206,7 @@
 			}
 			w.change("config", configText(3), nil)
 			w.Run(w.Now.Add(3 * time.Second))
-			for _, f := range Linear(w.History) {
+			for _, f := range CheckHistory(w.History) {
 				t.Errorf("%d disks, seed %d: %s", n, seed, f)
 			}
 		}
@@ -219,12 +219,12 @@
 // The troubles of the deployments, with voters founded from seeds that grow.
 func TestTroublesWhileGrown(t *testing.T) {
 	six := Council
-	six.Name, six.Cores, six.Lame = "six", []string{"t1", "t2", "t3", "t4", "t1", "t2"}, []int{1}
-	for _, x := range Troubles {
+	six.Name, six.ControllerZones, six.NonVoting = "six", []string{"t1", "t2", "t3", "t4", "t1", "t2"}, []int{1}
+	for _, x := range Faults {
 		t.Run(x.Name, func(t *testing.T) {
 			t.Parallel()
-			for _, p := range []Place{Vatuloa, six} {
-				p.Name, p.Grow = p.Name+" grown", true
+			for _, p := range []Deployment{Vatuloa, six} {
+				p.Name, p.GrowsFromSeeds = p.Name+" grown", true
 				play(t, p, *from, x.Name)
 			}
 		})
--- a/internal/rig/simulator/grow_power_test.go
+++ b/internal/simulator/grow_power_test.go
@@ -73,7 +73,7 @@
 					next, nextNum := configText(round), units.Version(0)
 					w.change("config", next, func(o *Op) {
 						if o.Code == resultcode.OK {
-							nextNum = o.Num
+							nextNum = o.Version
 						}
 					})
 					if w.Rng.IntN(2) == 0 {
@@ -87,7 +87,7 @@
 					w.Run(w.Now.Add(300 * time.Millisecond))
 					if nextNum > 0 {
 						w.readBack(t, next, nextNum)
-					} else if got := w.readNewest(t); got.Data != text && got.Data != next || got.Num < num {
+					} else if got := w.readNewest(t); got.Data != text && got.Data != next || got.Version < num {
 						t.Fatalf("%+v, seed %d: acknowledged %d, read back %+v", x, seed, num, got)
 					}
 					if data, ok := w.zoneReadBack("z2"); !ok || data != `{"evacuated":true}` {
@@ -98,7 +98,7 @@
 					}
 					text, num = w.put(t, 10+round)
 				}
-				for _, f := range w.Faults {
+				for _, f := range w.Violations {
 					t.Errorf("%+v, seed %d: %s", x, seed, f)
 				}
 			}
@@ -113,7 +113,7 @@
 	text, num := configText(round), units.Version(0)
 	w.change("config", text, func(o *Op) {
 		if o.Code == resultcode.OK {
-			num = o.Num
+			num = o.Version
 		}
 	})
 	writes := func() bool {
@@ -157,7 +157,7 @@
 		w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
 		w.Run(w.Now.Add(time.Second))
 		if got != nil && got.Code == resultcode.OK {
-			return got.Num > num || got.Num == num && got.Data == text
+			return got.Version > num || got.Version == num && got.Data == text
 		}
 	}
 	return false
--- a/internal/rig/simulator/grow_test.go
+++ b/internal/simulator/grow_test.go
@@ -15,9 +15,9 @@
 
 // grownIn is the same in so many zones.
 func grownIn(seed uint64, n, zones int, lame ...int) *World {
-	p := Place{Name: fmt.Sprintf("grown%d", n), Edges: []string{"z1", "z2"}, Work: []string{"z1"}, Grow: true, Lame: lame}
+	p := Deployment{Name: fmt.Sprintf("grown%d", n), RouterZones: []string{"z1", "z2"}, WorkerZones: []string{"z1"}, GrowsFromSeeds: true, NonVoting: lame}
 	for i := range n {
-		p.Cores = append(p.Cores, fmt.Sprintf("z%d", i%zones+1))
+		p.ControllerZones = append(p.ControllerZones, fmt.Sprintf("z%d", i%zones+1))
 	}
 	return NewWorld(p, seed)
 }
@@ -29,7 +29,7 @@
 	counted, members := 0, 0
 	for i, h := range w.coreH {
 		lame := false
-		for _, l := range w.Lame {
+		for _, l := range w.NonVoting {
 			lame = lame || l == i
 		}
 		if h.Proc == nil || w.cores[h].Replica.Quorum().Version != v.Version || v.Has(h.Disk.ID) && lame || v.Joint() {
@@ -63,7 +63,7 @@
 	text = configText(n)
 	w.change("config", text, func(o *Op) {
 		if o.Code == resultcode.OK {
-			num = o.Num
+			num = o.Version
 		}
 	})
 	if _, ok := w.until(6*time.Second, func() bool { return num > 0 }); !ok {
@@ -74,7 +74,7 @@
 
 func (w *World) readBack(t *testing.T, text string, num units.Version) {
 	t.Helper()
-	if got := w.readNewest(t); got.Num != num || got.Data != text {
+	if got := w.readNewest(t); got.Version != num || got.Data != text {
 		t.Fatalf("%s: acknowledged %d, read back %+v; voters %v", w.Name, num, got, w.voters())
 	}
 }
@@ -148,7 +148,7 @@
 					}
 					w.At(units.Time(w.Rng.Int64N(int64(500*time.Millisecond))), func() {
 						if h.Proc != nil && w.Rng.IntN(3) > 0 {
-							h.Grow.Seeds = []string{pick(w, w.coreH).Addr, pick(w, w.coreH).Addr, pick(w, w.coreH).Addr}
+							h.Bootstrap.Seeds = []string{pick(w, w.coreH).Addr, pick(w, w.coreH).Addr, pick(w, w.coreH).Addr}
 							w.bounce(h, 100*time.Millisecond+time.Duration(w.Rng.Int64N(int64(time.Second))), true)
 						}
 					})
--- a/internal/rig/simulator/linearizable_test.go
+++ b/internal/simulator/linearizable_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"seamshunt/internal/linearizability"
 	"seamshunt/internal/resultcode"
-	"seamshunt/internal/rig/linearizability"
 )
 
 // linearizable checks the operators' calls of a world, key by key, beside Linear: also that each refusal had its cause, and
@@ -15,17 +15,17 @@
 func linearizable(history []Op) (bad []string) {
 	calls := map[string][]linearizability.Call{}
 	for _, o := range history {
-		c := linearizability.Call{Kind: linearizability.Read, From: int64(o.From), To: int64(o.To), Position: uint64(o.Num), Data: o.Data}
+		c := linearizability.Call{Kind: linearizability.Read, CalledAt: int64(o.CalledAt), ReturnedAt: int64(o.ReturnedAt), Version: uint64(o.Version), Data: o.Data}
 		if o.Write {
-			c.Kind, c.Builds, c.Position = linearizability.Write, uint64(o.Expect), uint64(o.Expect)+1
+			c.Kind, c.ExpectedVersion, c.Version = linearizability.Write, uint64(o.ExpectedVersion), uint64(o.ExpectedVersion)+1
 		}
 		switch {
-		case o.To != 0 && o.Code == resultcode.OK && o.Write && o.Num != o.Expect+1:
-			bad = append(bad, fmt.Sprintf("%s: a write on %d got number %d", o.Key, o.Expect, o.Num))
-		case o.To != 0 && o.Code == resultcode.OK:
-			c.Outcome = linearizability.Done
-		case o.To != 0 && o.Code == resultcode.VersionConflict:
-			c.Outcome = linearizability.Refused
+		case o.ReturnedAt != 0 && o.Code == resultcode.OK && o.Write && o.Version != o.ExpectedVersion+1:
+			bad = append(bad, fmt.Sprintf("%s: a write on %d got number %d", o.Key, o.ExpectedVersion, o.Version))
+		case o.ReturnedAt != 0 && o.Code == resultcode.OK:
+			c.Outcome = linearizability.Succeeded
+		case o.ReturnedAt != 0 && o.Code == resultcode.VersionConflict:
+			c.Outcome = linearizability.Rejected
 		}
 		calls[o.Key] = append(calls[o.Key], c)
 	}
--- a/internal/rig/simulator/mishap.go
+++ b/internal/simulator/mishap.go
@@ -20,8 +20,8 @@
 	}
 	v := w.voters()
 	full := len(w.coreH)
-	if w.Grow {
-		full = quorumSize(full - len(w.Lame))
+	if w.GrowsFromSeeds {
+		full = quorumSize(full - len(w.NonVoting))
 	}
 	for _, n := range v.Members {
 		if !disks[n] || len(v.Members) != full || v.Joint() {
@@ -86,7 +86,7 @@
 			return false // one was lost before, and is not replaced yet
 		}
 	}
-	return w.Loss == 0 && w.mood == "" && len(w.cuts) == 0 && len(w.shut) == 0
+	return w.LossRate == 0 && w.mood == "" && len(w.cuts) == 0 && len(w.shut) == 0
 }
 
 // voters is the newest set that any core machine knows.
@@ -106,7 +106,7 @@
 			return false
 		}
 	}
-	return w.Loss == 0 && w.mood == "" && len(w.shut) == 0 && len(w.cuts) == 0
+	return w.LossRate == 0 && w.mood == "" && len(w.shut) == 0 && len(w.cuts) == 0
 }
 
 // roll restarts every process of the product, one by one.
@@ -122,7 +122,7 @@
 	if !w.alive(h) {
 		return
 	}
-	e.Drain = true
+	e.Draining = true
 	e.unready()
 	life, end := h.life, w.Now.Add(20*time.Second)
 	var look func()
--- a/internal/rig/simulator/net.go
+++ b/internal/simulator/net.go
@@ -61,9 +61,9 @@
 	s.Trace = s.Trace*1099511628211 + f.Sum64() + uint64(n.Kind) + uint64(s.Now)
 	to := s.find(n)
 	if to != nil && to.Zone != h.Zone {
-		s.Between[n.Kind&^15] += 24 + len(n.Body)
+		s.InterZoneBytes[n.Kind&^15] += 24 + len(n.Body)
 	}
-	if to == nil || to != h && (h.Dark || to.Dark || s.Cut(h, to) || s.Loss > 0 && s.Rng.Float64() < s.Loss) {
+	if to == nil || to != h && (h.Isolated || to.Isolated || s.Partitioned(h, to) || s.LossRate > 0 && s.Rng.Float64() < s.LossRate) {
 		return
 	}
 	life := to.life
@@ -73,7 +73,7 @@
 			return
 		case to.life != life:
 			return // the wire broke when the process ended
-		case to.Frozen:
+		case to.Paused:
 			to.held = append(to.held, n)
 		default:
 			s.out(to, to.Proc.Step(s.Now, n))
@@ -81,13 +81,13 @@
 	})
 }
 
-// Refuse tells everyone that still sends to a killed process's address that nobody listens there.
-func (s *Sim) Refuse(dead *Host) {
+// RefuseConnections tells everyone that still sends to a killed process's address that nobody listens there.
+func (s *Sim) RefuseConnections(dead *Host) {
 	for _, h := range s.Hosts {
-		if h != dead && h.Proc != nil && !h.Dark && !dead.Dark && !s.Cut(h, dead) && h.Proc.Refused != nil {
+		if h != dead && h.Proc != nil && !h.Isolated && !dead.Isolated && !s.Partitioned(h, dead) && h.Proc.OnConnectionRefused != nil {
 			s.After(50*time.Millisecond+s.delay(h, dead), func() {
-				if h.Proc != nil && !h.Frozen && dead.Proc == nil {
-					h.Proc.Refused(s.Now, dead.Addr)
+				if h.Proc != nil && !h.Paused && dead.Proc == nil {
+					h.Proc.OnConnectionRefused(s.Now, dead.Addr)
 				}
 			})
 		}
--- a/internal/rig/simulator/notes_test.go
+++ b/internal/simulator/notes_test.go
@@ -20,9 +20,9 @@
 	}
 	for _, size := range sizes {
 		p := Council
-		for len(p.Cores)+len(p.Edges) < size {
-			p.Edges = append(p.Edges, p.Cores[len(p.Edges)%4])
-			p.Work = append(p.Work, p.Cores[len(p.Work)%4])
+		for len(p.ControllerZones)+len(p.RouterZones) < size {
+			p.RouterZones = append(p.RouterZones, p.ControllerZones[len(p.RouterZones)%4])
+			p.WorkerZones = append(p.WorkerZones, p.ControllerZones[len(p.WorkerZones)%4])
 		}
 		w := NewWorld(p, 1)
 		w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
@@ -31,24 +31,24 @@
 		for _, rate := range []float64{0, 40} {
 			w.rate = rate
 			if rate > 0 {
-				w.Load()
+				w.GenerateLoad()
 			}
-			clear(w.Between)
+			clear(w.InterZoneBytes)
 			w.Run(w.Now.Add(20 * time.Second))
 			all := 0
-			for _, k := range message.SortedKeys(w.Between) {
-				all += w.Between[k]
+			for _, k := range message.SortedKeys(w.InterZoneBytes) {
+				all += w.InterZoneBytes[k]
 			}
 			line += fmt.Sprintf("; %v prompts a second: %.2f kB/s, of it membership %.2f, news %.2f, control %.2f, permits %.2f, claims %.2f", rate, float64(all)/20e3,
-				float64(w.Between[message.KindMembership])/20e3, float64(w.Between[message.KindConfigPush])/20e3, float64(w.Between[message.KindRegister]+w.Between[message.KindLease]+w.Between[message.KindAntiEntropy])/20e3,
-				float64(w.Between[message.KindCapacity])/20e3, float64(w.Between[message.KindClaim])/20e3)
+				float64(w.InterZoneBytes[message.KindMembership])/20e3, float64(w.InterZoneBytes[message.KindConfigPush])/20e3, float64(w.InterZoneBytes[message.KindRegister]+w.InterZoneBytes[message.KindLease]+w.InterZoneBytes[message.KindAntiEntropy])/20e3,
+				float64(w.InterZoneBytes[message.KindCapacity])/20e3, float64(w.InterZoneBytes[message.KindClaim])/20e3)
 			if rate == 0 {
-				quiet[size] = float64(w.Between[message.KindMembership]) / float64(size)
+				quiet[size] = float64(w.InterZoneBytes[message.KindMembership]) / float64(size)
 			}
 		}
 		t.Logf("%d nodes%s", size, line)
-		if len(w.Faults) > 0 {
-			t.Errorf("%d nodes: %v", size, w.Faults[:min(3, len(w.Faults))])
+		if len(w.Violations) > 0 {
+			t.Errorf("%d nodes: %v", size, w.Violations[:min(3, len(w.Violations))])
 		}
 	}
 	for size, x := range quiet {
--- a/internal/rig/simulator/old_quorum_test.go
+++ b/internal/simulator/old_quorum_test.go
@@ -35,7 +35,7 @@
 func (q *oldQuorum) replaceMember(old *Host) {
 	q.t.Helper()
 	q.former = append(q.former, old)
-	fresh := q.Core(fmt.Sprintf("core%d", len(q.coreH)+1), "z4", 3, nil, &Growth{Counts: true, Seeds: q.seeds}, q.cores)
+	fresh := q.AddController(fmt.Sprintf("core%d", len(q.coreH)+1), "z4", 3, nil, &BootstrapSettings{MayVote: true, Seeds: q.seeds}, q.cores)
 	q.coreH = append(q.coreH, fresh)
 	replaced := func() bool { return q.voters().Has(fresh.Disk.ID) && !q.voters().Has(old.Disk.ID) }
 	if _, ok := q.until(20*time.Second, replaced); !ok {
@@ -51,7 +51,7 @@
 	acked := func() bool {
 		q.callAt(q.cores[q.coreH[2]], request, func(o *Op) {
 			if o.Code == resultcode.OK {
-				num = o.Num
+				num = o.Version
 			}
 		})
 		q.Run(q.Now.Add(500 * time.Millisecond))
@@ -82,18 +82,18 @@
 		q.replaceMember(w.coreH[1])
 		newest := q.write(base)
 		w.Run(w.Now.Add(3 * time.Second))
-		w.Loss = 0.3 // so that news and vouching come in any order
+		w.LossRate = 0.3 // so that news and vouching come in any order
 		w.Start(q.router)
 		w.Run(w.Now.Add(400 * time.Millisecond))
 		if _, served := w.until(10*time.Second, func() bool { return w.edges[q.router].Ready }); served {
-			t.Errorf("seed %d: the router serves with %d, %d was acknowledged", seed, w.edges[q.router].Num, newest)
+			t.Errorf("seed %d: the router serves with %d, %d was acknowledged", seed, w.edges[q.router].ConfigVersion, newest)
 		}
 		if w.edges[q.router].Config != nil {
 			heardOld++
 		}
-		healed, w.Loss = true, 0
-		if took, ok := w.until(4*time.Second, func() bool { return w.edges[q.router].Ready }); !ok || w.edges[q.router].Num != newest {
-			t.Errorf("seed %d: back in touch for %v, the router serves: %v, with %d", seed, took, ok, w.edges[q.router].Num)
+		healed, w.LossRate = true, 0
+		if took, ok := w.until(4*time.Second, func() bool { return w.edges[q.router].Ready }); !ok || w.edges[q.router].ConfigVersion != newest {
+			t.Errorf("seed %d: back in touch for %v, the router serves: %v, with %d", seed, took, ok, w.edges[q.router].ConfigVersion)
 		}
 	}
 	if heardOld < 30 {
--- a/internal/rig/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -12,14 +12,14 @@
 
 // Op is one operator's call, as its history has it.
 type Op struct {
-	Key      string
-	Write    bool
-	From, To units.Time // To is zero while it is open
-	Expect   units.Version
-	Code     resultcode.Code
-	Num      units.Version
-	Data     string
-	at       string
+	Key                  string
+	Write                bool
+	CalledAt, ReturnedAt units.Time // To is zero while it is open
+	ExpectedVersion      units.Version
+	Code                 resultcode.Code
+	Version              units.Version
+	Data                 string
+	at                   string
 }
 
 type ackedConfig struct {
@@ -37,7 +37,7 @@
 }
 
 // anyCore picks a machine that an operator can reach.
-func (w *World) anyCore() *Core {
+func (w *World) anyCore() *Controller {
 	var l []*Host
 	for _, h := range w.coreH {
 		if w.alive(h) {
@@ -53,15 +53,15 @@
 // Call is one operator's call; its outcome goes into the history.
 func (w *World) Call(a register.Request, done func(*Op)) { w.callAt(w.anyCore(), a, done) }
 
-func (w *World) callAt(c *Core, a register.Request, done func(*Op)) {
+func (w *World) callAt(c *Controller, a register.Request, done func(*Op)) {
 	if c == nil {
 		return
 	}
 	i := len(w.History)
-	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, From: w.Now, Expect: a.ExpectedVersion, Data: string(a.Data), at: c.H.Addr})
+	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, CalledAt: w.Now, ExpectedVersion: a.ExpectedVersion, Data: string(a.Data), at: c.Host.Addr})
 	c.Submit(w.Sim, a, func(r register.Result) {
 		o := &w.History[i]
-		o.To, o.Code, o.Num = w.Now, r.Code, r.Version
+		o.ReturnedAt, o.Code, o.Version = w.Now, r.Code, r.Version
 		if !a.Write && r.Code == resultcode.OK {
 			o.Data = string(r.Data)
 		}
@@ -80,24 +80,24 @@
 		if o.Code != resultcode.OK {
 			return
 		}
-		w.Call(register.Request{Key: key, Write: true, ExpectedVersion: o.Num, RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
+		w.Call(register.Request{Key: key, Write: true, ExpectedVersion: o.Version, RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
 	})
 }
 
-// Operators race each other over the configuration for a span: calls from two sides at random moments.
-func (w *World) Operators(until units.Time, gap time.Duration) {
+// RunOperators race each other over the configuration for a span: calls from two sides at random moments.
+func (w *World) RunOperators(until units.Time, gap time.Duration) {
 	if w.Now > until {
 		return
 	}
 	w.serial++
 	w.change("config", configText(w.serial), nil)
-	w.After(time.Duration(w.Rng.Int64N(int64(2*gap))), func() { w.Operators(until, gap) })
+	w.After(time.Duration(w.Rng.Int64N(int64(2*gap))), func() { w.RunOperators(until, gap) })
 }
 
 // Evacuate sets or withdraws a zone's evacuation; the promise counts from the acknowledgement.
 func (w *World) Evacuate(zone string, on bool) {
 	if w.evac[zone] > 0 {
-		w.Figures.Evacs = append(w.Figures.Evacs, w.lateZ[zone])
+		w.Stats.LastRunsAfterEvacuation = append(w.Stats.LastRunsAfterEvacuation, w.lateZ[zone])
 	}
 	w.evac[zone] = 0
 	w.change("zone/"+zone, fmt.Sprintf(`{"evacuated":%v}`, on), func(o *Op) {
@@ -116,23 +116,23 @@
 		if e == nil || !w.alive(h) || !e.Ready {
 			continue
 		}
-		if e.Num < w.nums[e] {
-			w.fault("%s slid back from configuration %d to %d", h.Addr, w.nums[e], e.Num)
+		if e.ConfigVersion < w.nums[e] {
+			w.fault("%s slid back from configuration %d to %d", h.Addr, w.nums[e], e.ConfigVersion)
 		}
 		for _, a := range w.acked {
-			if a.num > w.nums[e] && a.num <= e.Num && w.nums[e] > 0 {
-				w.Figures.InForce = append(w.Figures.InForce, max(0, w.Now.Sub(max(a.at, w.cutAt[h]))))
+			if a.num > w.nums[e] && a.num <= e.ConfigVersion && w.nums[e] > 0 {
+				w.Stats.ConfigDelays = append(w.Stats.ConfigDelays, max(0, w.Now.Sub(max(a.at, w.cutAt[h]))))
 			}
 		}
-		w.nums[e] = e.Num
+		w.nums[e] = e.ConfigVersion
 		for i := len(w.acked) - 1; i >= 0; i-- {
 			a := w.acked[i]
 			late := w.Now.Sub(max(a.at, w.cutAt[h]))
-			if a.num <= e.Num || late <= 2*time.Second {
+			if a.num <= e.ConfigVersion || late <= 2*time.Second {
 				continue
 			}
 			if !w.excused(a.at, w.Now) {
-				w.fault("%s serves with configuration %d, %v after %d was acknowledged", h.Addr, e.Num, late, a.num)
+				w.fault("%s serves with configuration %d, %v after %d was acknowledged", h.Addr, e.ConfigVersion, late, a.num)
 			}
 			break
 		}
@@ -141,10 +141,10 @@
 
 // fresh: what serves a prompt must not stand on a configuration older than one acknowledged 2 s before, however the
 // process came to serve: started, woken or running.
-func (w *World) fresh(e *Edge) {
+func (w *World) fresh(e *Router) {
 	for _, a := range w.acked {
-		if w.Now.Sub(max(a.at, w.cutAt[e.H])) > 2*time.Second && a.num > e.Num && !w.excused(a.at, w.Now) {
-			w.fault("%s takes a prompt with configuration %d; %d was acknowledged %v ago", e.H.Addr, e.Num, a.num, w.Now.Sub(a.at))
+		if w.Now.Sub(max(a.at, w.cutAt[e.Host])) > 2*time.Second && a.num > e.ConfigVersion && !w.excused(a.at, w.Now) {
+			w.fault("%s takes a prompt with configuration %d; %d was acknowledged %v ago", e.Host.Addr, e.ConfigVersion, a.num, w.Now.Sub(a.at))
 			return
 		}
 	}
--- a/internal/rig/simulator/platform.go
+++ b/internal/simulator/platform.go
@@ -15,16 +15,16 @@
 
 // poll is one question of a core machine to the platform, which sees the world at the middle of its way. What comes
 // back to a frozen process waits for it; a process that was started again never hears of it.
-func (w *World) poll(c *Core, now units.Time) {
+func (w *World) poll(c *Controller, now units.Time) {
 	a := c.catalog.NewQuery(now, "main", c.Self, int64(now)/int64(time.Millisecond))
 	w.judgeRate(now)
-	life := c.H.life
+	life := c.Host.life
 	way := 2*time.Millisecond + time.Duration(w.Rng.Int64N(int64(8*time.Millisecond)))
 	switch {
-	case w.shut[c.H] || c.H.Dark || w.mood == "gone":
+	case w.shut[c.Host] || c.Host.Isolated || w.mood == "gone":
 		w.After(time.Second, func() { // no answer in time
-			w.Inject(c.H, func(now units.Time) message.Effects {
-				if c.H.life == life && c.Lease.Holds(now) {
+			w.Inject(c.Host, func(now units.Time) message.Effects {
+				if c.Host.life == life && c.Lease.Holds(now) {
 					return c.Lease.Yield(now)
 				}
 				return message.Effects{}
@@ -48,15 +48,15 @@
 	})
 }
 
-func (w *World) answer(c *Core, life int, a discovery.Query, l []config.Worker) {
-	if c.H.Frozen && c.H.life == life {
+func (w *World) answer(c *Controller, life int, a discovery.Query, l []config.Worker) {
+	if c.Host.Paused && c.Host.life == life {
 		w.After(10*time.Millisecond, func() { w.answer(c, life, a, l) })
 		return
 	}
-	if c.H.life != life {
+	if c.Host.life != life {
 		return
 	}
-	w.Inject(c.H, func(now units.Time) (out message.Effects) {
+	w.Inject(c.Host, func(now units.Time) (out message.Effects) {
 		if data, news := c.catalog.RecordAnswer(a, l); news {
 			c.spread(now, configpush.Item{Key: discovery.Key("main", c.Self), Version: a.Version, Data: data}, &out)
 		}
@@ -82,7 +82,7 @@
 	got := map[*Host]bool{h: true}
 	for list := []*Host{h}; len(list) > 0; list = list[1:] {
 		for _, o := range all {
-			if !got[o] && w.alive(o) && w.alive(list[0]) && !w.Cut(list[0], o) && !w.Cut(o, list[0]) {
+			if !got[o] && w.alive(o) && w.alive(list[0]) && !w.Partitioned(list[0], o) && !w.Partitioned(o, list[0]) {
 				got[o] = true
 				list = append(list, o)
 			}
@@ -108,10 +108,10 @@
 		}
 	}
 	for _, h := range all {
-		if !seen[h] && !h.Frozen && h.Proc != nil {
+		if !seen[h] && !h.Paused && h.Proc != nil {
 			w.cutAt[h] = w.Now
 		}
-		if !marks[h] && !h.Frozen && h.Proc != nil {
+		if !marks[h] && !h.Paused && h.Proc != nil {
 			w.markAt[h] = w.Now
 		}
 	}
--- a/internal/rig/simulator/play.go
+++ b/internal/simulator/play.go
@@ -13,27 +13,27 @@
 	"seamshunt/internal/units"
 )
 
-// Play runs a world from its start to its judgement: troubles drawn from the seed, everything healed at the
+// Simulate runs a world from its start to its judgement: troubles drawn from the seed, everything healed at the
 // end but for a closing fault, then the read-back.
-func Play(p Place, seed uint64, names ...string) *World {
+func Simulate(p Deployment, seed uint64, names ...string) *World {
 	w := NewWorld(p, seed)
 	w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
-	w.At(units.Time(6*time.Second), func() { w.Operators(units.Time(55*time.Second), 2*time.Second) })
-	w.At(units.Time(10*time.Second), w.Load)
-	var l []Trouble
-	for _, t := range Troubles {
+	w.At(units.Time(6*time.Second), func() { w.RunOperators(units.Time(55*time.Second), 2*time.Second) })
+	w.At(units.Time(10*time.Second), w.GenerateLoad)
+	var l []Fault
+	for _, t := range Faults {
 		if slices.Contains(names, t.Name) {
 			l = append(l, t)
 		}
 	}
 	for len(names) == 0 && len(l) < 4 {
-		l = append(l, pick(w, Troubles))
+		l = append(l, pick(w, Faults))
 	}
 	for _, t := range l {
 		at := units.Time(12*time.Second) + units.Time(w.Rng.Int64N(int64(30*time.Second)))
 		span := 2*time.Second + time.Duration(w.Rng.Int64N(int64(6*time.Second)))
-		w.Plan = append(w.Plan, fmt.Sprintf("%v %s for %v", time.Duration(at).Round(time.Millisecond), t.Name, span.Round(time.Millisecond)))
-		w.At(at, func() { t.Do(w, span) })
+		w.FaultSchedule = append(w.FaultSchedule, fmt.Sprintf("%v %s for %v", time.Duration(at).Round(time.Millisecond), t.Name, span.Round(time.Millisecond)))
+		w.At(at, func() { t.Inject(w, span) })
 	}
 	w.Run(units.Time(70 * time.Second))
 	w.end()
@@ -67,20 +67,20 @@
 	switch {
 	case last == nil || last.Code != resultcode.OK:
 		w.fault("the configuration can't be read back")
-	case last.Num < newest.num || last.Num == newest.num && last.Data != newest.data:
-		w.fault("read back number %d, acknowledged %d", last.Num, newest.num)
+	case last.Version < newest.num || last.Version == newest.num && last.Data != newest.data:
+		w.fault("read back number %d, acknowledged %d", last.Version, newest.num)
 	case len(w.acked) == 0:
 		w.fault("no configuration was ever acknowledged")
 	}
 	for _, id := range message.SortedKeys(w.workers) {
 		if x := w.workers[id]; x.leaving > 0 {
-			w.Figures.Leaves = append(w.Figures.Leaves, x.late)
+			w.Stats.LastRunsAfterDraining = append(w.Stats.LastRunsAfterDraining, x.late)
 		}
 	}
-	if w.Figures.Runs == 0 {
+	if w.Stats.Runs == 0 {
 		w.fault("no prompt ever ran")
 	}
-	w.Faults = append(w.Faults, Linear(w.History)...)
+	w.Violations = append(w.Violations, CheckHistory(w.History)...)
 	w.alike()
 	w.kept()
 }
@@ -94,16 +94,16 @@
 	}
 	mild := []fault{
 		{"router killed", func() { w.Kill(edge) }},
-		{"router frozen", func() { w.Freeze(edge) }},
-		{"router cut off", func() { edge.Dark = true }},
+		{"router frozen", func() { w.Pause(edge) }},
+		{"router cut off", func() { edge.Isolated = true }},
 		{"platform gone", func() { w.mood = "gone" }},
 		{"crowd", func() { w.rate *= 3 }},
 		{"every disk full", func() { w.fill(time.Minute) }},
 	}
 	hard := []fault{
 		{"core machine killed", func() { w.Kill(core) }},
-		{"core machine frozen", func() { w.Freeze(core) }},
-		{"core machine cut off", func() { core.Dark = true }},
+		{"core machine frozen", func() { w.Pause(core) }},
+		{"core machine cut off", func() { core.Isolated = true }},
 		{"disk stalled", func() { core.Disk.Stalled = true }},
 		{"disk slow", func() { core.Disk.Delay = 300 * time.Millisecond }},
 		{"core machine cut off from the core", func() {
@@ -111,7 +111,7 @@
 		}},
 	}
 	for _, f := range []fault{pick(w, mild), pick(w, hard)} {
-		w.Plan = append(w.Plan, "at the end "+f.name)
+		w.FaultSchedule = append(w.FaultSchedule, "at the end "+f.name)
 		f.do()
 	}
 }
@@ -139,7 +139,7 @@
 
 // state hashes what all hosts hold, for comparing two runs of a seed.
 func (w *World) state() string {
-	s := fmt.Sprintf("%d notes, trace %x, runs %d, refused %d", w.Sent, w.Trace, w.Figures.Runs, w.Figures.Refused)
+	s := fmt.Sprintf("%d notes, trace %x, runs %d, refused %d", w.Sent, w.Trace, w.Stats.Runs, w.Stats.Refused)
 	for _, h := range w.coreH {
 		for _, r := range h.Disk.Records() {
 			s += fmt.Sprintf(" %d%s%x", r.Kind, r.Key, units.Mix(string(r.Data)))
@@ -159,7 +159,7 @@
 		e := w.edges[h]
 		tags, got := map[string]uint64{}, map[string]resultcode.Code{}
 		for _, l := range w.listed {
-			if !e.Ready || l.Draining || e.Out[l.Zone] || !w.workers[l.ID].up {
+			if !e.Ready || l.Draining || e.Evacuated[l.Zone] || !w.workers[l.ID].up {
 				continue
 			}
 			name := "advice/" + l.ID
@@ -181,8 +181,8 @@
 	}
 }
 
-// Spread gives the median, the 99th of a hundred, and the most.
-func Spread(l []time.Duration) string {
+// Percentiles gives the median, the 99th of a hundred, and the most.
+func Percentiles(l []time.Duration) string {
 	if len(l) == 0 {
 		return "none"
 	}
--- a/internal/rig/simulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -18,28 +18,28 @@
 	from  = flag.Uint64("from", 1, "the first seed")
 )
 
-func play(t *testing.T, p Place, seed uint64, names ...string) *World {
+func play(t *testing.T, p Deployment, seed uint64, names ...string) *World {
 	t.Helper()
-	w := Play(p, seed, names...)
-	for i, f := range w.Faults {
+	w := Simulate(p, seed, names...)
+	for i, f := range w.Violations {
 		if i < 5 {
-			t.Errorf("%s seed %d %v: %s", p.Name, seed, w.Plan, f)
+			t.Errorf("%s seed %d %v: %s", p.Name, seed, w.FaultSchedule, f)
 		}
 	}
 	for _, f := range linearizable(w.History) {
-		t.Errorf("%s seed %d %v: %s", p.Name, seed, w.Plan, f)
+		t.Errorf("%s seed %d %v: %s", p.Name, seed, w.FaultSchedule, f)
 	}
 	return w
 }
 
 // Troubles drawn from seeds, several a run, with traffic and operators' changes running (docs/promises.md).
 func TestSeeds(t *testing.T) {
-	for _, p := range []Place{Vatuloa, Council} {
-		var f Figures
+	for _, p := range []Deployment{Vatuloa, Council} {
+		var f Statistics
 		var mu sync.Mutex
 		t.Cleanup(func() {
 			t.Logf("%s, %d seeds: %d runs, at most %d at once; median / 99th / most: last run after leaving %s, after evacuation %s, configuration in force %s, back after a full loss %s, without a keeper %s; of %d claims %d without the disks, %d refused",
-				p.Name, *seeds, f.Runs, f.MostAtOnce, Spread(f.Leaves), Spread(f.Evacs), Spread(f.InForce), Spread(f.Backs), Spread(f.Gaps), f.Claims, f.Weak, f.NoClaims)
+				p.Name, *seeds, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining), Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes), Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
 		})
 		for s := *from; s < *from+uint64(*seeds); s++ {
 			t.Run(fmt.Sprint(p.Name, s), func(t *testing.T) {
@@ -47,7 +47,7 @@
 				w := play(t, p, s)
 				mu.Lock()
 				defer mu.Unlock()
-				f.add(&w.Figures)
+				f.add(&w.Stats)
 			})
 		}
 	}
@@ -58,8 +58,8 @@
 	if *pairs == 0 {
 		t.Skip("-pairs 0")
 	}
-	for i, x := range Troubles {
-		for _, y := range Troubles[i:] {
+	for i, x := range Faults {
+		for _, y := range Faults[i:] {
 			t.Run(x.Name+" and "+y.Name, func(t *testing.T) {
 				t.Parallel()
 				for s := range uint64(*pairs) {
@@ -73,7 +73,7 @@
 
 // Each trouble alone.
 func TestEachTrouble(t *testing.T) {
-	for _, x := range Troubles {
+	for _, x := range Faults {
 		t.Run(x.Name, func(t *testing.T) {
 			t.Parallel()
 			play(t, Vatuloa, *from, x.Name)
@@ -84,11 +84,11 @@
 
 // A failing seed must replay: the same seed gives the same notes at the same times and the same disks.
 func TestReplay(t *testing.T) {
-	a, b := Play(Council, 5), Play(Council, 5)
+	a, b := Simulate(Council, 5), Simulate(Council, 5)
 	if a.state() != b.state() {
 		t.Errorf("two runs of one seed differ:\n%s\n%s", a.state(), b.state())
 	}
-	if c := Play(Council, 6); c.state() == a.state() {
+	if c := Simulate(Council, 6); c.state() == a.state() {
 		t.Error("two seeds give the same run: the seed has no say")
 	}
 }
@@ -97,21 +97,21 @@
 func TestLinearSeesViolations(t *testing.T) {
 	ok := resultcode.OK
 	good := []Op{
-		{Key: "k", Write: true, From: 1, To: 2, Expect: 0, Num: 1, Data: "a", Code: ok},
-		{Key: "k", From: 3, To: 4, Num: 1, Data: "a", Code: ok},
-		{Key: "k", Write: true, From: 3, To: 6, Expect: 1, Num: 2, Data: "b", Code: ok},
-		{Key: "k", From: 5, To: 7, Num: 1, Data: "a", Code: ok},
+		{Key: "k", Write: true, CalledAt: 1, ReturnedAt: 2, ExpectedVersion: 0, Version: 1, Data: "a", Code: ok},
+		{Key: "k", CalledAt: 3, ReturnedAt: 4, Version: 1, Data: "a", Code: ok},
+		{Key: "k", Write: true, CalledAt: 3, ReturnedAt: 6, ExpectedVersion: 1, Version: 2, Data: "b", Code: ok},
+		{Key: "k", CalledAt: 5, ReturnedAt: 7, Version: 1, Data: "a", Code: ok},
 	}
-	if bad := append(Linear(good), linearizable(good)...); len(bad) > 0 {
+	if bad := append(CheckHistory(good), linearizable(good)...); len(bad) > 0 {
 		t.Fatalf("a good history is refused: %v", bad)
 	}
 	for name, o := range map[string]Op{
-		"lost write":      {Key: "k", From: 8, To: 9, Num: 1, Data: "a", Code: ok},
-		"other bytes":     {Key: "k", From: 8, To: 9, Num: 2, Data: "x", Code: ok},
-		"two of a number": {Key: "k", Write: true, From: 3, To: 9, Expect: 1, Num: 2, Data: "b", Code: ok},
-		"gap":             {Key: "k", Write: true, From: 8, To: 9, Expect: 2, Num: 5, Data: "e", Code: ok},
+		"lost write":      {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 1, Data: "a", Code: ok},
+		"other bytes":     {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 2, Data: "x", Code: ok},
+		"two of a number": {Key: "k", Write: true, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2, Data: "b", Code: ok},
+		"gap":             {Key: "k", Write: true, CalledAt: 8, ReturnedAt: 9, ExpectedVersion: 2, Version: 5, Data: "e", Code: ok},
 	} {
-		if len(Linear(append(append([]Op(nil), good...), o))) == 0 {
+		if len(CheckHistory(append(append([]Op(nil), good...), o))) == 0 {
 			t.Errorf("%s is not seen", name)
 		}
 		if len(linearizable(append(append([]Op(nil), good...), o))) == 0 {
@@ -123,7 +123,7 @@
 // Power lost on the whole core in the very moment of an acknowledgement: what was acknowledged is there again, as sent.
 func TestPowerLostAfterAck(t *testing.T) {
 	t.Parallel()
-	for _, p := range []Place{Vatuloa, Council} {
+	for _, p := range []Deployment{Vatuloa, Council} {
 		for seed := *from; seed < *from+4; seed++ {
 			w := NewWorld(p, seed)
 			w.Run(units.Time(4 * time.Second))
@@ -132,7 +132,7 @@
 				acked := units.Version(0)
 				w.change("config", text, func(o *Op) {
 					if o.Code == resultcode.OK {
-						acked = o.Num
+						acked = o.Version
 						for _, h := range w.coreH {
 							w.Kill(h)
 						}
@@ -149,7 +149,7 @@
 				w.Run(w.Now.Add(4 * time.Second))
 				w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
 				w.Run(w.Now.Add(4 * time.Second))
-				if got == nil || got.Code != resultcode.OK || got.Num != acked || got.Data != text {
+				if got == nil || got.Code != resultcode.OK || got.Version != acked || got.Data != text {
 					t.Fatalf("%s seed %d: acknowledged %d, after the power came back %+v", p.Name, seed, acked, got)
 				}
 			}
@@ -164,13 +164,13 @@
 		w := NewWorld(Vatuloa, seed)
 		w.rate = 200
 		w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
-		w.At(units.Time(6*time.Second), w.Load)
+		w.At(units.Time(6*time.Second), w.GenerateLoad)
 		for i := range 4 {
 			w.At(units.Time(9+2*i)*units.Time(time.Second), func() { w.drain(w.edgeH[2*i]) })
 		}
 		w.Run(units.Time(20 * time.Second))
-		if w.Figures.Runs < 500 || len(w.Faults) > 0 {
-			t.Errorf("seed %d: %d runs, %v", seed, w.Figures.Runs, w.Faults[:min(3, len(w.Faults))])
+		if w.Stats.Runs < 500 || len(w.Violations) > 0 {
+			t.Errorf("seed %d: %d runs, %v", seed, w.Stats.Runs, w.Violations[:min(3, len(w.Violations))])
 		}
 	}
 }
--- a/internal/rig/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -15,7 +15,7 @@
 		w.Run(units.Time(5 * time.Second))
 		lost := w.coreH[int(seed)%3]
 		w.Kill(lost)
-		w.Refuse(lost)
+		w.RefuseConnections(lost)
 		w.Run(w.Now.Add(2 * time.Second))
 		for i, z := range []string{"v1", "v2", "v3"} {
 			w.After(time.Duration(i)*300*time.Millisecond, func() { w.Evacuate(z, true) })
@@ -29,8 +29,8 @@
 		if now := len(w.cores[lost].Replica.StoredVersions()); behind >= now || now != 5 {
 			t.Errorf("seed %d: %d keys when it came back, %d after repair, 5 there are", seed, behind, now)
 		}
-		if len(w.Faults) > 0 {
-			t.Errorf("seed %d: %v", seed, w.Faults)
+		if len(w.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, w.Violations)
 		}
 	}
 }
--- a/internal/rig/simulator/replace_member_test.go
+++ b/internal/simulator/replace_member_test.go
@@ -21,11 +21,11 @@
 // joinCore starts a further core machine with an empty disk.
 func (w *World) joinCore(zone string, counts bool) *Host {
 	w.serial++
-	g := &Growth{Counts: counts, Tolerates: w.coreH[0].Grow.Tolerates}
+	g := &BootstrapSettings{MayVote: counts, ToleratedLosses: w.coreH[0].Bootstrap.ToleratedLosses}
 	for _, h := range w.coreH[:min(3, len(w.coreH))] {
 		g.Seeds = append(g.Seeds, h.Addr)
 	}
-	h := w.Core(fmt.Sprintf("core.%d", w.serial), zone, 0, g.Seeds, g, w.cores)
+	h := w.AddController(fmt.Sprintf("core.%d", w.serial), zone, 0, g.Seeds, g, w.cores)
 	w.coreH = append(w.coreH, h)
 	return h
 }
@@ -42,7 +42,7 @@
 // meanwhile does not.
 func (w *World) leaveInOrder(h *Host, end func()) {
 	c, life, began := w.cores[h], h.life, w.Now
-	c.Drain = true
+	c.Draining = true
 	ifAlive := func(then func()) func() {
 		return func() {
 			if h.life == life {
@@ -78,7 +78,7 @@
 		if o.Code != resultcode.OK {
 			return
 		}
-		num = o.Num
+		num = o.Version
 		for i, h := range w.coreH {
 			if w.Kill(h); (i-first%len(w.coreH)+len(w.coreH))%len(w.coreH) < lost {
 				h.Disk.Wipe()
@@ -117,7 +117,7 @@
 				if _, ok := w.until(20*time.Second, w.settled); !ok {
 					t.Errorf("%d disks, seed %d: the set is not whole again: %v", x.disks, seed, w.voters())
 				}
-				for _, f := range Linear(w.History) {
+				for _, f := range CheckHistory(w.History) {
 					t.Errorf("%d disks, seed %d: %s", x.disks, seed, f)
 				}
 			}
@@ -186,7 +186,7 @@
 					w.leaveAndReturn(h)
 					w.Run(w.Now.Add(time.Duration(w.Rng.Int64N(int64(time.Second)))))
 					other := pick(w, slices.DeleteFunc(slices.Clone(w.coreH), func(o *Host) bool { return o == h }))
-					if w.cores[h].Drain && w.voters().Has(h.Disk.ID) {
+					if w.cores[h].Draining && w.voters().Has(h.Disk.ID) {
 						other = nil // its seat is not taken yet: the loss waits its turn
 					}
 					if other != nil && other.Proc != nil {
@@ -221,14 +221,14 @@
 		if !read {
 			w.Call(register.Request{Key: "config"}, func(o *Op) {
 				if o.Code == resultcode.OK && !read {
-					read, write.ExpectedVersion = true, o.Num
+					read, write.ExpectedVersion = true, o.Version
 				}
 			})
 			return
 		}
 		w.Call(write, func(o *Op) {
 			if o.Code == resultcode.OK {
-				num = o.Num
+				num = o.Version
 			}
 		})
 	}
--- a/internal/rig/simulator/resend_test.go
+++ b/internal/simulator/resend_test.go
@@ -9,8 +9,8 @@
 	"github.com/anishathalye/porcupine"
 
 	"seamshunt/internal/control/register"
+	"seamshunt/internal/linearizability"
 	"seamshunt/internal/resultcode"
-	"seamshunt/internal/rig/linearizability"
 	"seamshunt/internal/units"
 )
 
@@ -45,8 +45,8 @@
 			w.After(200*time.Millisecond, func() { p.read(then) })
 			return
 		}
-		p.reads = append(p.reads, linearizability.Call{From: int64(from), To: int64(w.Now), Position: uint64(o.Num), Data: o.Data, Outcome: linearizability.Done})
-		then(o.Num)
+		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(from), ReturnedAt: int64(w.Now), Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
+		then(o.Version)
 	})
 }
 
@@ -118,13 +118,13 @@
 func (p *operators) linear() []string {
 	calls := p.reads
 	for _, x := range p.orders {
-		c := linearizability.Call{Kind: linearizability.Write, From: int64(x.from), To: int64(x.to), Builds: uint64(x.request.ExpectedVersion),
-			Position: uint64(x.request.ExpectedVersion) + 1, Data: string(x.request.Data)}
+		c := linearizability.Call{Kind: linearizability.Write, CalledAt: int64(x.from), ReturnedAt: int64(x.to), ExpectedVersion: uint64(x.request.ExpectedVersion),
+			Version: uint64(x.request.ExpectedVersion) + 1, Data: string(x.request.Data)}
 		switch x.heard.Code {
 		case resultcode.OK:
-			c.Outcome = linearizability.Done
+			c.Outcome = linearizability.Succeeded
 		case resultcode.VersionConflict:
-			c.Outcome = linearizability.Refused
+			c.Outcome = linearizability.Rejected
 		}
 		calls = append(calls, c)
 	}
@@ -156,7 +156,7 @@
 	if w.Rng.IntN(3) == 0 {
 		h = pick(w, w.coreH)
 	}
-	if !w.healthy() || h.Proc == nil || h.Frozen || h.Dark {
+	if !w.healthy() || h.Proc == nil || h.Paused || h.Isolated {
 		return
 	}
 	span := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(4*time.Second)))
--- a/internal/rig/simulator/sim.go
+++ b/internal/simulator/sim.go
@@ -34,62 +34,62 @@
 
 // Proc is one process: its step machines behind two functions.
 type Proc struct {
-	Self    units.NodeID
-	Step    func(units.Time, message.Message) message.Effects
-	Tick    func(units.Time) message.Effects
-	Refused func(units.Time, string)
-	Woke    func(units.Time)
-	Reload  func() // the disk refused a write: the machines begin again from what it holds
+	Self                units.NodeID
+	Step                func(units.Time, message.Message) message.Effects
+	Tick                func(units.Time) message.Effects
+	OnConnectionRefused func(units.Time, string)
+	OnResume            func(units.Time)
+	Reload              func() // the disk refused a write: the machines begin again from what it holds
 }
 
 // Host is one machine.
 type Host struct {
-	Addr   string
-	Zone   string
-	Disk   *Disk
-	Proc   *Proc
-	Dark   bool // its network is gone: no refusal comes back either
-	Frozen bool
-	life   int
-	Grow   *Growth // where voters grow: what its boot file says
-	held   []message.Message
-	start  func(h *Host) *Proc
-}
-
-// Growth is the part of a boot file that founding from seeds goes by (design 13).
-type Growth struct {
-	Counts bool
-	First  bool
-	Seeds  []string
-	// Tolerates is how many machines with a disk may be lost at once.
-	Tolerates int
+	Addr      string
+	Zone      string
+	Disk      *Disk
+	Proc      *Proc
+	Isolated  bool // its network is gone: no refusal comes back either
+	Paused    bool
+	life      int
+	Bootstrap *BootstrapSettings // where voters grow: what its boot file says
+	held      []message.Message
+	start     func(h *Host) *Proc
+}
+
+// BootstrapSettings is the part of a boot file that founding from seeds goes by (design 13).
+type BootstrapSettings struct {
+	MayVote    bool
+	FirstStart bool
+	Seeds      []string
+	// ToleratedLosses is how many machines with a disk may be lost at once.
+	ToleratedLosses int
 }
 
 // Sim is one world.
 type Sim struct {
-	Now   units.Time
-	Rng   *rand.Rand
-	Hosts []*Host
-	Loss  float64
-	cuts  []*func(from, to *Host) bool
-	Sent  int
-	// Between counts the bytes of notes between zones, by range of kinds.
-	Between map[message.Kind]int
-	Poll    func(*Core, units.Time) // the world's platform, for cores that may ask it
-	Trace   uint64
-	queue   events
-	seq     uint64
+	Now      units.Time
+	Rng      *rand.Rand
+	Hosts    []*Host
+	LossRate float64
+	cuts     []*func(from, to *Host) bool
+	Sent     int
+	// InterZoneBytes counts the bytes of notes between zones, by range of kinds.
+	InterZoneBytes map[message.Kind]int
+	PollPlatform   func(*Controller, units.Time) // the world's platform, for cores that may ask it
+	Trace          uint64
+	queue          events
+	seq            uint64
 }
 
 const tickGap = 25 * time.Millisecond
 
 // New gives an empty world for a seed.
 func New(seed uint64) *Sim {
-	return &Sim{Between: map[message.Kind]int{}, Rng: rand.New(rand.NewPCG(seed, 11))}
+	return &Sim{InterZoneBytes: map[message.Kind]int{}, Rng: rand.New(rand.NewPCG(seed, 11))}
 }
 
-// Cut says whether nothing gets from one machine to the other.
-func (s *Sim) Cut(from, to *Host) bool {
+// Partitioned says whether nothing gets from one machine to the other.
+func (s *Sim) Partitioned(from, to *Host) bool {
 	for _, f := range s.cuts {
 		if (*f)(from, to) {
 			return true
@@ -128,7 +128,7 @@
 // Start runs a fresh process on a machine, from what its disk holds.
 func (s *Sim) Start(h *Host) {
 	h.life++
-	h.held, h.Frozen = nil, false
+	h.held, h.Paused = nil, false
 	h.Proc = h.start(h)
 	life := h.life
 	var tick func()
@@ -136,7 +136,7 @@
 		if h.life != life || h.Proc == nil {
 			return
 		}
-		if !h.Frozen {
+		if !h.Paused {
 			s.out(h, h.Proc.Tick(s.Now))
 		}
 		s.After(tickGap, tick)
@@ -147,23 +147,23 @@
 // Kill ends a process; what its disk has not synced is lost.
 func (s *Sim) Kill(h *Host) {
 	h.life++
-	h.Proc, h.Frozen, h.held = nil, false, nil
+	h.Proc, h.Paused, h.held = nil, false, nil
 	if h.Disk != nil {
 		h.Disk.crash()
 	}
 }
 
-// Freeze stops a process; the wires keep what comes.
-func (s *Sim) Freeze(h *Host) { h.Frozen = h.Proc != nil }
+// Pause stops a process; the wires keep what comes.
+func (s *Sim) Pause(h *Host) { h.Paused = h.Proc != nil }
 
-// Thaw wakes it: it first notices the gap, then finds all that came.
-func (s *Sim) Thaw(h *Host) {
-	if !h.Frozen || h.Proc == nil {
+// Resume wakes it: it first notices the gap, then finds all that came.
+func (s *Sim) Resume(h *Host) {
+	if !h.Paused || h.Proc == nil {
 		return
 	}
-	h.Frozen = false
-	if h.Proc.Woke != nil {
-		h.Proc.Woke(s.Now)
+	h.Paused = false
+	if h.Proc.OnResume != nil {
+		h.Proc.OnResume(s.Now)
 	}
 	held := h.held
 	h.held = nil
@@ -174,7 +174,7 @@
 
 // Inject gives a host's machines something from outside the net, such as an operator's wish.
 func (s *Sim) Inject(h *Host, f func(now units.Time) message.Effects) {
-	if h.Proc != nil && !h.Frozen {
+	if h.Proc != nil && !h.Paused {
 		s.out(h, f(s.Now))
 	}
 }
--- a/internal/rig/simulator/trouble.go
+++ b/internal/simulator/trouble.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Trouble is one failure that can be brought about; each heals itself.
-type Trouble struct {
-	Name string
-	Do   func(w *World, span time.Duration)
+// Fault is one failure that can be brought about; each heals itself.
+type Fault struct {
+	Name   string
+	Inject func(w *World, span time.Duration)
 }
 
 func pick[T any](w *World, l []T) T { return l[w.Rng.IntN(len(l))] }
 
-// Troubles are all of them, for scripts drawn from a seed.
-var Troubles = []Trouble{
+// Faults are all of them, for scripts drawn from a seed.
+var Faults = []Fault{
 	{"kill router", func(w *World, d time.Duration) { w.bounce(pick(w, w.edgeH), d, true) }},
 	{"kill controller", func(w *World, d time.Duration) { w.bounce(pick(w, w.coreH), d, true) }},
 	{"power lost on a controller", func(w *World, d time.Duration) { w.bounce(pick(w, w.coreH), d, false) }},
@@ -31,7 +31,7 @@
 		w.After(d, func() { h.Disk.Stalled = false })
 	}},
 	{"full disk", func(w *World, d time.Duration) {
-		if !w.Fills {
+		if !w.DisksCanFill {
 			return
 		}
 		h := pick(w, w.coreH)
@@ -44,15 +44,15 @@
 		w.cut(d, func(a, b *Host) bool { return (a.Disk != nil) != (b.Disk != nil) })
 	}},
 	{"zone cut", func(w *World, d time.Duration) {
-		z := pick(w, w.Cores)
+		z := pick(w, w.ControllerZones)
 		w.cut(d, func(a, b *Host) bool { return (a.Zone == z) != (b.Zone == z) })
 	}},
 	{"lossy net", func(w *World, d time.Duration) {
-		w.Loss = 0.1
-		w.After(d, func() { w.Loss = 0 })
+		w.LossRate = 0.1
+		w.After(d, func() { w.LossRate = 0 })
 	}},
 	{"zone lost", func(w *World, d time.Duration) {
-		z := pick(w, w.Cores)
+		z := pick(w, w.ControllerZones)
 		for _, h := range append(slices.Clone(w.coreH), w.edgeH...) {
 			if h.Zone == z {
 				w.bounce(h, d, false)
@@ -72,11 +72,11 @@
 	{"worker leaves", func(w *World, _ time.Duration) { w.leave() }},
 	{"worker lost and replaced", func(w *World, d time.Duration) { w.crash(d) }},
 	{"evacuation and withdrawal", func(w *World, d time.Duration) {
-		z := pick(w, w.Cores)
+		z := pick(w, w.ControllerZones)
 		w.Evacuate(z, true)
 		w.After(max(d, 8*time.Second), func() { w.Evacuate(z, false) })
 	}},
-	{"storm of configurations", func(w *World, _ time.Duration) { w.Operators(w.Now.Add(3*time.Second), 60*time.Millisecond) }},
+	{"storm of configurations", func(w *World, _ time.Duration) { w.RunOperators(w.Now.Add(3*time.Second), 60*time.Millisecond) }},
 	{"platform fails", func(w *World, d time.Duration) { w.platform("refuse", d) }},
 	{"platform answers empty", func(w *World, d time.Duration) { w.platform("empty", d) }},
 	{"platform can't be reached", func(w *World, d time.Duration) { w.platform("gone", d) }},
@@ -104,7 +104,7 @@
 		w.After(d, func() { w.hot, w.rate = 0, w.rate/2 })
 	}},
 	{"core machine lost while another's disk is full", func(w *World, d time.Duration) {
-		if i := w.Rng.IntN(len(w.coreH)); w.Fills {
+		if i := w.Rng.IntN(len(w.coreH)); w.DisksCanFill {
 			h := w.coreH[(i+1)%len(w.coreH)]
 			h.Disk.Full = true
 			w.After(d, func() { h.Disk.Full = false })
@@ -134,7 +134,7 @@
 	w.full = 0 // the limit after a full loss is not for one with more losses behind it
 	w.Kill(h)
 	if refused {
-		w.Refuse(h)
+		w.RefuseConnections(h)
 	}
 	w.After(d, func() {
 		if h.Proc == nil {
@@ -144,22 +144,22 @@
 }
 
 func (w *World) freeze(h *Host, d time.Duration) {
-	if h.Proc == nil || h.Frozen {
+	if h.Proc == nil || h.Paused {
 		return
 	}
 	w.full = 0 // the limit after a full loss is not for one with more losses behind it
-	w.Freeze(h)
+	w.Pause(h)
 	life := h.life
 	w.After(d, func() {
 		if h.life == life {
-			w.Thaw(h)
+			w.Resume(h)
 		}
 	})
 }
 
 func (w *World) dark(h *Host, d time.Duration) {
-	h.Dark, w.full = true, 0
-	w.After(d, func() { h.Dark = false })
+	h.Isolated, w.full = true, 0
+	w.After(d, func() { h.Isolated = false })
 }
 
 func (w *World) slow(h *Host, by, d time.Duration) {
--- a/internal/rig/simulator/words_test.go
+++ b/internal/simulator/words_test.go
@@ -21,11 +21,11 @@
 	}
 	w := NewWorld(Vatuloa, *from)
 	w.At(units.Time(3*time.Second), func() { w.change("config", text, nil) })
-	w.At(units.Time(8*time.Second), w.Load)
+	w.At(units.Time(8*time.Second), w.GenerateLoad)
 	w.At(units.Time(12*time.Second), func() { w.bounce(w.coreH[1], 2*time.Second, true) })
 	w.Run(units.Time(25 * time.Second))
 	w.end()
-	if len(w.acked) == 0 || w.Figures.Runs < 100 || len(w.Faults) > 0 {
-		t.Errorf("%d acknowledged, %d runs, %v", len(w.acked), w.Figures.Runs, w.Faults[:min(3, len(w.Faults))])
+	if len(w.acked) == 0 || w.Stats.Runs < 100 || len(w.Violations) > 0 {
+		t.Errorf("%d acknowledged, %d runs, %v", len(w.acked), w.Stats.Runs, w.Violations[:min(3, len(w.Violations))])
 	}
 }
--- a/internal/rig/simulator/workers.go
+++ b/internal/simulator/workers.go
@@ -30,7 +30,7 @@
 // fill fills every disk that can fill.
 func (w *World) fill(d time.Duration) {
 	for _, h := range w.coreH {
-		if w.Fills {
+		if w.DisksCanFill {
 			h.Disk.Full = true
 			w.After(d, func() { h.Disk.Full = false })
 		}
@@ -47,7 +47,7 @@
 	for r := range x.runs {
 		delete(x.runs, r)
 		w.After(50*time.Millisecond, func() {
-			if r.edge.H.life == r.life && !r.edge.H.Frozen {
+			if r.edge.Host.life == r.life && !r.edge.Host.Paused {
 				w.done(r.edge, r.tag, false)
 			}
 		})
--- a/internal/socket/age_test.go
+++ b/internal/socket/age_test.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"seamshunt/internal/rig/netfault"
+	"seamshunt/internal/netfault"
 )
 
 // A connection that its caller's kernel completes late is as old as the answer to its first packet, not as its acceptance.
