--- a/internal/linearizability/register.go
+++ b/internal/linearizability/register.go
@@ -39,8 +39,8 @@
 
 // version is the register's state.
 type version struct {
-	position uint64
-	data     string
+	number uint64
+	data   string
 }
 
 // Check says whether an order of the calls exists that agrees with real time and in which each write that was done, or
@@ -67,7 +67,7 @@
 // step gives the states that a call may leave; none if its answer is impossible here.
 func step(now version, c Call) []any {
 	next := version{c.Version, c.Data}
-	fits := now.position == c.ExpectedVersion
+	fits := now.number == c.ExpectedVersion
 	switch {
 	case c.Kind == Read && now == next:
 		return []any{now}
--- a/internal/netfault/deferred.go
+++ b/internal/netfault/deferred.go
@@ -60,14 +60,14 @@
 func (l *DeferredListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
-		if err != nil || !l.release(c) {
+		if err != nil || !l.closeFiller(c) {
 			return c, err
 		}
 	}
 }
 
-// release says whether a connection is the one that fills the queue, and closes it then.
-func (l *DeferredListener) release(c net.Conn) bool {
+// closeFiller says whether a connection is the one that fills the queue, and closes it then.
+func (l *DeferredListener) closeFiller(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.filler == nil || l.filler.LocalAddr().String() != c.RemoteAddr().String() {
--- a/internal/netfault/listener.go
+++ b/internal/netfault/listener.go
@@ -13,21 +13,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// fillerLimit is how long an attempt to connect may take while the queue is filled; on loopback one that is answered takes far
+// fillerTimeout is how long an attempt to connect may take while the queue is filled; on loopback one that is answered takes far
 // less.
-const fillerLimit = 100 * time.Millisecond
+const fillerTimeout = 100 * time.Millisecond
 
 // Listener is a listener on loopback that can fall silent: then it answers no attempt to connect, like a machine without
 // power.
 type Listener struct {
 	net.Listener
-	mu        sync.Mutex
-	changed   sync.Cond
-	silent    bool
-	closed    bool
-	accepting int                 // calls of Accept that take the next connection, silent or not
-	fillers   map[string]net.Conn // connections that fill the queue, by their own address
-	held      []net.Conn          // what was accepted as it fell silent
+	mu         sync.Mutex
+	changed    sync.Cond
+	blackholed bool
+	closed     bool
+	accepting  int                 // calls of Accept that take the next connection, silent or not
+	fillers    map[string]net.Conn // connections that fill the queue, by their own address
+	held       []net.Conn          // what was accepted as it fell silent
 }
 
 // Listen opens one that is not silent. Its queue of new connections is the shortest that the kernel allows.
@@ -60,32 +60,32 @@
 // Blackhole fills the queue of new connections; the kernel then drops what else comes.
 func (l *Listener) Blackhole() error {
 	l.mu.Lock()
-	l.silent = true
+	l.blackholed = true
 	accepting := l.accepting
 	l.mu.Unlock()
 	for range accepting { // each takes one more
-		if err := l.fill(); err != nil {
+		if err := l.addFiller(); err != nil {
 			return err
 		}
 	}
 	l.awaitAccepted()
 	for {
-		full, err := l.full()
+		full, err := l.queueFull()
 		if err != nil {
 			return fmt.Errorf("netfault: %w", err)
 		}
 		if full {
 			return nil
 		}
-		if err := l.fill(); err != nil {
+		if err := l.addFiller(); err != nil {
 			return err
 		}
 	}
 }
 
-// fill puts one connection into the queue, unless that is full.
-func (l *Listener) fill() error {
-	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerLimit)
+// addFiller puts one connection into the queue, unless that is full.
+func (l *Listener) addFiller() error {
+	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerTimeout)
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 		return nil
 	}
@@ -107,17 +107,17 @@
 	}
 }
 
-// full asks the kernel whether the queue of new connections is full: for a listener it counts them as unacked, and gives their
+// queueFull asks the kernel whether the queue of new connections is full: for a listener it counts them as unacked, and gives their
 // most as sacked.
-func (l *Listener) full() (bool, error) {
+func (l *Listener) queueFull() (bool, error) {
 	raw, err := l.Listener.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false, err
 	}
 	var info *unix.TCPInfo
-	var asked error
-	err = raw.Control(func(fd uintptr) { info, asked = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-	if err = errors.Join(err, asked); err != nil {
+	var optionError error
+	err = raw.Control(func(fd uintptr) { info, optionError = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	if err = errors.Join(err, optionError); err != nil {
 		return false, err
 	}
 	return info.Unacked > info.Sacked, nil
@@ -127,13 +127,13 @@
 func (l *Listener) Restore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = false
-	l.release()
+	l.blackholed = false
+	l.closeHeld()
 	l.changed.Broadcast()
 }
 
-// release closes what fills the queue. Callers hold the lock.
-func (l *Listener) release() {
+// closeHeld closes what fills the queue. Callers hold the lock.
+func (l *Listener) closeHeld() {
 	for _, c := range l.fillers {
 		c.Close()
 	}
@@ -146,46 +146,46 @@
 // Accept gives the next connection that comes while it is not silent.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		l.await()
+		l.beginAccept()
 		c, err := l.Listener.Accept()
-		keeps := err == nil && l.keeps(c)
-		l.accepted()
+		deliver := err == nil && l.shouldDeliver(c)
+		l.endAccept()
 		if err != nil {
 			return nil, err
 		}
-		if keeps {
+		if deliver {
 			return c, nil
 		}
 	}
 }
 
-// await waits while it is silent. A connection is taken then, until accepted is called.
-func (l *Listener) await() {
+// beginAccept waits while it is silent. A connection is taken then, until accepted is called.
+func (l *Listener) beginAccept() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.silent && !l.closed {
+	for l.blackholed && !l.closed {
 		l.changed.Wait()
 	}
 	l.accepting++
 }
 
-func (l *Listener) accepted() {
+func (l *Listener) endAccept() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.accepting--
 	l.changed.Broadcast()
 }
 
-// keeps says whether a connection is for the caller of Accept; one that came in the silence is held.
-func (l *Listener) keeps(c net.Conn) bool {
+// shouldDeliver says whether a connection is for the caller of Accept; one that came in the silence is held.
+func (l *Listener) shouldDeliver(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	from := c.RemoteAddr().String()
+	remote := c.RemoteAddr().String()
 	switch {
-	case l.silent:
+	case l.blackholed:
 		l.held = append(l.held, c)
-	case l.fillers[from] != nil:
-		delete(l.fillers, from)
+	case l.fillers[remote] != nil:
+		delete(l.fillers, remote)
 		c.Close()
 	default:
 		return true
@@ -198,7 +198,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.release()
+	l.closeHeld()
 	l.changed.Broadcast()
 	return l.Listener.Close()
 }
--- a/internal/netfault/listener_test.go
+++ b/internal/netfault/listener_test.go
@@ -8,7 +8,7 @@
 
 // answers says whether an attempt to connect is answered soon.
 func answers(l *Listener) bool {
-	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerLimit)
+	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerTimeout)
 	if err != nil {
 		return false
 	}
@@ -17,7 +17,7 @@
 }
 
 // A silent listener answers no attempt to connect; before and behind its silence it gives out every connection.
-func TestSilence(t *testing.T) {
+func TestBlackhole(t *testing.T) {
 	l, err := Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/anti_entropy_test.go
@@ -8,12 +8,12 @@
 )
 
 // A voter that missed writes is mended though nobody writes those keys again (design 2).
-func TestRepair(t *testing.T) {
+func TestAntiEntropyRepair(t *testing.T) {
 	t.Parallel()
-	for seed := *from; seed < *from+3; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+3; seed++ {
 		w := NewWorld(Vatuloa, seed)
 		w.Run(units.Time(5 * time.Second))
-		lost := w.coreH[int(seed)%3]
+		lost := w.controllerHosts[int(seed)%3]
 		w.Kill(lost)
 		w.RefuseConnections(lost)
 		w.Run(w.Now.Add(2 * time.Second))
@@ -23,10 +23,10 @@
 		w.change("config", configText(1), nil)
 		w.Run(w.Now.Add(2 * time.Second))
 		w.Start(lost)
-		behind := len(w.cores[lost].Replica.StoredVersions())
+		behind := len(w.controllers[lost].Replica.StoredVersions())
 		w.Run(w.Now.Add(20 * time.Second))
-		w.alike()
-		if now := len(w.cores[lost].Replica.StoredVersions()); behind >= now || now != 5 {
+		w.checkReplicasAgree()
+		if now := len(w.controllers[lost].Replica.StoredVersions()); behind >= now || now != 5 {
 			t.Errorf("seed %d: %d keys when it came back, %d after repair, 5 there are", seed, behind, now)
 		}
 		if len(w.Violations) > 0 {
--- /dev/null
+++ b/internal/simulator/catch_up_test.go
@@ -0,0 +1,231 @@
+package simulator
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"seamshunt/internal/cluster/message"
+	"seamshunt/internal/control/register"
+	"seamshunt/internal/resultcode"
+	"seamshunt/internal/units"
+)
+
+var (
+	catchUpSeeds   = flag.Int("catch-up-seeds", 5, "seeds of each deployment and kind of loss in TestCatchUp")
+	catchUpChanges = flag.Int("catch-up-changes", 50, "changes of each such seed")
+	catchUpLong    = flag.Int("catch-up-long", 0, "seeds of each deployment with a thousand changes")
+)
+
+// catchUpBound is catch_up_s of the deployments: a lost member counts as lost for so long after its return.
+const catchUpBound = 4 * time.Second
+
+// A memberLoss takes one member away; heal brings it back.
+type memberLoss struct {
+	name   string
+	inject func(w *World, i int)
+	heal   func(w *World, i int)
+}
+
+func startStopped(w *World, i int) {
+	if h := w.controllerHosts[i]; h.Proc == nil {
+		w.Start(h)
+	}
+}
+
+var memberLosses = []memberLoss{
+	{"down", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.RefuseConnections(w.controllerHosts[i]) }, startStopped},
+	{"power lost", func(w *World, i int) { w.Kill(w.controllerHosts[i]) }, startStopped},
+	{"wiped", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.controllerHosts[i].Disk.Wipe() }, startStopped},
+	{"replaced at another address", func(w *World, i int) {
+		w.loseDisk(i, time.Hour, true) // this test starts it
+	}, startStopped},
+	{"slow disk", func(w *World, i int) { w.controllerHosts[i].Disk.Delay = 150 * time.Millisecond },
+		func(w *World, i int) { w.controllerHosts[i].Disk.Delay = NewDisk().Delay }},
+	{"stalled disk", func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = true }, func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = false }},
+	{"full disk", func(w *World, i int) {
+		w.controllerHosts[i].Disk.Full, w.controllerHosts[i].Disk.reserveUsed = true, reserveRecords+1
+	},
+		func(w *World, i int) { w.controllerHosts[i].Disk.Full = false }},
+	{"frozen", func(w *World, i int) { w.Pause(w.controllerHosts[i]) }, func(w *World, i int) { w.Resume(w.controllerHosts[i]) }},
+	{"cut off", func(w *World, i int) { w.controllerHosts[i].Isolated = true }, func(w *World, i int) { w.controllerHosts[i].Isolated = false }},
+	{"restarted repeatedly", func(w *World, i int) {
+		for k := range 4 {
+			w.After(time.Duration(k)*250*time.Millisecond, func() { w.Kill(w.controllerHosts[i]) })
+			w.After(time.Duration(k)*250*time.Millisecond+120*time.Millisecond, func() { startStopped(w, i) })
+		}
+	}, startStopped},
+}
+
+// A catchUpRun has operators change the configuration and the zones while members are lost and come back.
+type catchUpRun struct {
+	*World
+	changes             int // how many are to be acknowledged
+	acknowledgedChanges int
+	paused              bool          // no change is begun: nobody writes again what the lost ones missed
+	maxAbsence          time.Duration // the longest absence
+	catchUpTimes        []time.Duration
+}
+
+func newCatchUpRun(seed uint64, disks, changes int) *catchUpRun {
+	p := Deployment{Name: fmt.Sprintf("catch-up%d", disks), GrowsFromSeeds: true}
+	for i := range disks {
+		p.ControllerZones = append(p.ControllerZones, fmt.Sprintf("z%d", i%4+1))
+	}
+	r := &catchUpRun{World: NewWorld(p, seed), changes: changes, maxAbsence: 3 * time.Second}
+	if changes >= 1000 {
+		r.maxAbsence = 20 * time.Second // hundreds of changes go by
+	}
+	r.Run(units.Time(6 * time.Second))
+	return r
+}
+
+// randomValue gives bytes of mixed sizes: mostly small, some of a page, few of a large configuration.
+func (r *catchUpRun) randomValue() string {
+	r.lastSerial++
+	size := 50 + r.Rng.IntN(800)
+	switch x := r.Rng.IntN(100); {
+	case x == 0:
+		size = 100 << 10
+	case x < 10:
+		size = 4 << 10
+	}
+	return fmt.Sprintf("%d %s", r.lastSerial, strings.Repeat("x", size))
+}
+
+func (r *catchUpRun) runOperator() {
+	if r.acknowledgedChanges >= r.changes {
+		return
+	}
+	key := "config"
+	if x := r.Rng.IntN(8); x < 4 {
+		key = fmt.Sprintf("zone/z%d", x+1)
+	}
+	if !r.paused {
+		r.change(key, r.randomValue(), func(o *Op) {
+			if o.Code == resultcode.OK {
+				r.acknowledgedChanges++
+			}
+		})
+	}
+	r.After(20*time.Millisecond+time.Duration(r.Rng.Int64N(int64(60*time.Millisecond))), r.runOperator)
+}
+
+// readFromReturned has the member that came back answer a read, at once and a little later: from old state it must not.
+func (r *catchUpRun) readFromReturned(i int) {
+	for _, d := range []time.Duration{0, 20 * time.Millisecond, 200 * time.Millisecond, time.Second} {
+		r.After(d, func() {
+			if h := r.controllerHosts[i]; r.alive(h) {
+				r.callAt(r.controllers[h], register.Request{Key: "config"}, nil)
+			}
+		})
+	}
+}
+
+// runRound loses some members in one way, has them back, and measures until each holds all that anyone holds.
+func (r *catchUpRun) runRound(t *testing.T, l memberLoss) {
+	t.Helper()
+	lost := []int{r.Rng.IntN(len(r.controllerHosts))}
+	if len(r.controllerHosts) > 4 && r.Rng.IntN(2) == 0 {
+		lost = append(lost, (lost[0]+1+r.Rng.IntN(len(r.controllerHosts)-1))%len(r.controllerHosts))
+	}
+	for _, i := range lost {
+		l.inject(r.World, i)
+	}
+	r.Run(r.Now.Add(time.Second + time.Duration(r.Rng.Int64N(int64(r.maxAbsence)))))
+	r.paused = r.Rng.IntN(2) == 0
+	for _, i := range lost {
+		l.heal(r.World, i)
+		r.readFromReturned(i)
+	}
+	d, ok := r.runUntil(20*time.Second, func() bool {
+		for _, i := range lost {
+			if !r.caughtUp(i) {
+				return false
+			}
+		}
+		return true
+	})
+	r.catchUpTimes = append(r.catchUpTimes, d)
+	if !ok || d > catchUpBound {
+		t.Errorf("%s: %s of %v at change %d: caught up after %v; voters %v", r.Name, l.name, lost, r.acknowledgedChanges, d, r.newestQuorum())
+	}
+	r.Run(r.Now.Add(max(0, catchUpBound-d)))
+	r.paused = false
+}
+
+// runAndCheck runs all changes, then judges the histories and what is kept.
+func (r *catchUpRun) runAndCheck(t *testing.T, losses ...memberLoss) {
+	t.Helper()
+	r.runOperator()
+	for k := 0; r.acknowledgedChanges < r.changes && k < r.changes; k++ {
+		r.runRound(t, losses[(k+r.Rng.IntN(len(losses)))%len(losses)])
+	}
+	r.Run(r.Now.Add(10 * time.Second))
+	r.checkReplicasAgree()
+	for _, f := range append(r.Violations, CheckHistory(r.History)...) {
+		t.Errorf("%s: %s", r.Name, f)
+	}
+	for _, h := range r.controllerHosts {
+		keys := len(message.SortedKeys(r.controllers[h].Replica.States())) // a machine that stands by holds fewer than a member
+		if n := controlRecords(h.Disk); n > 2*keys+2 {                     // a promise and a value of each, the set of voters, the founding vote
+			t.Errorf("%s: %s keeps %d records of %d keys after %d changes", r.Name, h.Addr, n, keys, r.acknowledgedChanges)
+		}
+	}
+}
+
+// controlRecords counts the control state's records on a disk; claims have others.
+func controlRecords(d *Disk) (n int) {
+	for _, x := range d.Records() {
+		if x.Kind >= register.RecordPromise && x.Kind <= register.RecordBootstrapVote {
+			n++
+		}
+	}
+	return n
+}
+
+// Members that are lost in any way while changes go on hold every key's newest value within catch_up_s of their return,
+// and no answer comes from old state (design 2).
+func TestCatchUp(t *testing.T) {
+	for _, disks := range []int{3, 4, 5, 6} {
+		for _, l := range memberLosses {
+			t.Run(fmt.Sprintf("%d disks %s", disks, l.name), func(t *testing.T) {
+				t.Parallel()
+				var took []time.Duration
+				for seed := range uint64(*catchUpSeeds) {
+					r := newCatchUpRun(*firstSeed+seed, disks, *catchUpChanges)
+					r.runAndCheck(t, l)
+					took = append(took, r.catchUpTimes...)
+				}
+				t.Logf("%d disks, %s: caught up %s after the return", disks, l.name, Percentiles(took))
+			})
+		}
+	}
+}
+
+// The same with a thousand changes and every kind of loss, off the CI path: -catch-up-long with how many seeds.
+func TestCatchUpAfterAThousandChanges(t *testing.T) {
+	if *catchUpLong == 0 {
+		t.Skip("-catch-up-long 0")
+	}
+	for _, disks := range []int{3, 4, 5, 6} {
+		var mu sync.Mutex
+		var took []time.Duration
+		t.Cleanup(func() {
+			t.Logf("%d disks, a thousand changes: caught up %s after the return", disks, Percentiles(took))
+		})
+		for seed := range uint64(*catchUpLong) {
+			t.Run(fmt.Sprintf("%d disks seed %d", disks, *firstSeed+seed), func(t *testing.T) {
+				t.Parallel()
+				r := newCatchUpRun(*firstSeed+seed, disks, 1000)
+				r.runAndCheck(t, memberLosses...)
+				mu.Lock()
+				defer mu.Unlock()
+				took = append(took, r.catchUpTimes...)
+			})
+		}
+	}
+}
--- a/internal/simulator/history.go
+++ b/internal/simulator/check_history.go
@@ -10,16 +10,16 @@
 // CheckHistory checks the operators' histories. Each key is a register whose every write gets the next number, so
 // that an order exists if numbers agree with real time, no two acknowledged writes share one, an acknowledged
 // write stands on just the number that it built on, and equal numbers mean equal bytes.
-func CheckHistory(h []Op) []string {
+func CheckHistory(history []Op) []string {
 	var bad []string
-	by := map[string][]Op{}
-	for _, o := range h {
+	byKey := map[string][]Op{}
+	for _, o := range history {
 		if o.ReturnedAt != 0 && o.Code == resultcode.OK {
-			by[o.Key] = append(by[o.Key], o)
+			byKey[o.Key] = append(byKey[o.Key], o)
 		}
 	}
-	for key, l := range by {
-		data, writer := map[units.Version]string{}, map[units.Version]bool{}
+	for key, l := range byKey {
+		data, written := map[units.Version]string{}, map[units.Version]bool{}
 		for _, o := range l {
 			if d, ok := data[o.Version]; ok && d != o.Data {
 				bad = append(bad, fmt.Sprintf("%s: number %d has two values", key, o.Version))
@@ -28,10 +28,10 @@
 			if !o.Write {
 				continue
 			}
-			if writer[o.Version] {
+			if written[o.Version] {
 				bad = append(bad, fmt.Sprintf("%s: two writes got number %d", key, o.Version))
 			}
-			writer[o.Version] = true
+			written[o.Version] = true
 			if o.Version != o.ExpectedVersion+1 {
 				bad = append(bad, fmt.Sprintf("%s: a write on %d got number %d", key, o.ExpectedVersion, o.Version))
 			}
--- a/internal/simulator/core.go
+++ b/internal/simulator/controller.go
@@ -16,49 +16,49 @@
 	"seamshunt/internal/units"
 )
 
-// common is what both programs share, as package node has it in the daemons.
-type common struct {
-	gossip *membership.Gossip
-	feed   *configpush.Feed
+// process is what both programs share, as package node has it in the daemons.
+type process struct {
+	gossip     *membership.Gossip
+	configFeed *configpush.Feed
 }
 
-func (s *Sim) common(h *Host, self units.NodeID, role membership.Role, seeds []string) common {
+func (s *Sim) newProcess(h *Host, self units.NodeID, role membership.Role, seeds []string) process {
 	me := membership.Member{Node: self, Incarnation: uint64(s.Now) + 1, Role: role, Addr: h.Addr, Zone: h.Zone}
-	return common{membership.New(me, seeds, rand.New(rand.NewPCG(s.Rng.Uint64(), 3))), configpush.New(self)}
+	return process{membership.New(me, seeds, rand.New(rand.NewPCG(s.Rng.Uint64(), 3))), configpush.New(self)}
 }
 
-func (c *common) beat(now units.Time, self units.NodeID) ([]membership.Member, message.Effects) {
-	c.gossip.FeedDigest = c.feed.Digest
+func (c *process) heartbeat(now units.Time, self units.NodeID) ([]membership.Member, message.Effects) {
+	c.gossip.FeedDigest = c.configFeed.Digest
 	out := c.gossip.Tick(now)
 	all := c.gossip.All()
-	out.Append(c.feed.PushAndPull(now, all, self))
+	out.Append(c.configFeed.PushAndPull(now, all, self))
 	return all, out
 }
 
 // Controller is a simulated controller.
 type Controller struct {
-	common
+	process
 	*Proc
-	Host          *Host
-	Replica       *register.Replica
-	Lease         *lease.Lease
-	seedFounder   register.SeedBootstrap
-	planner       register.Planner
-	founders      int
-	Syncer        *antientropy.Syncer
-	ClaimRegistry *idempotency.Registry
-	catalog       *discovery.Catalog
-	turn          discovery.Schedule
-	pollPlatform  func(*Controller, units.Time) // asks the world's platform
-	waits         map[uint64]func(register.Result)
-	tag           uint64
-	Draining      bool
+	Host            *Host
+	Replica         *register.Replica
+	Lease           *lease.Lease
+	seedBootstrap   register.SeedBootstrap
+	planner         register.Planner
+	fixedQuorumSize int
+	Syncer          *antientropy.Syncer
+	ClaimRegistry   *idempotency.Registry
+	catalog         *discovery.Catalog
+	pollSchedule    discovery.Schedule
+	pollPlatform    func(*Controller, units.Time) // asks the world's platform
+	pendingRequests map[uint64]func(register.Result)
+	lastTag         uint64
+	Draining        bool
 }
 
 // AddController adds a machine with a disk; cores finds the machine that runs there now. With grow, voters are founded from seeds.
-func (s *Sim) AddController(addr, zone string, founders int, seeds []string, grow *BootstrapSettings, cores map[*Host]*Controller) *Host {
+func (s *Sim) AddController(addr, zone string, fixedQuorumSize int, seeds []string, bootstrap *BootstrapSettings, controllers map[*Host]*Controller) *Host {
 	return s.Add(addr, zone, NewDisk(), func(h *Host) *Proc {
-		h.Bootstrap = grow
+		h.Bootstrap = bootstrap
 		if g := h.Bootstrap; h.Disk.ID == 0 {
 			h.Disk.ID = units.NodeID(s.Rng.Uint64() | 1)
 			if g != nil && g.FirstStart && g.MayVote {
@@ -69,14 +69,14 @@
 		if h.Bootstrap != nil {
 			seeds = h.Bootstrap.Seeds
 		}
-		c := &Controller{common: s.common(h, self, membership.Controller, seeds), Host: h, founders: founders, planner: planner(h.Bootstrap, founders), catalog: discovery.New(), pollPlatform: s.PollPlatform, waits: map[uint64]func(register.Result){}}
+		c := &Controller{process: s.newProcess(h, self, membership.Controller, seeds), Host: h, fixedQuorumSize: fixedQuorumSize, planner: quorumPlanner(h.Bootstrap, fixedQuorumSize), catalog: discovery.New(), pollPlatform: s.PollPlatform, pendingRequests: map[uint64]func(register.Result){}}
 		c.gossip.SetFlag(membership.MayVote, h.Bootstrap == nil || h.Bootstrap.MayVote)
 		if g := h.Bootstrap; g != nil {
-			c.seedFounder = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.InitialSeeds, Participates: h.Disk.InitialSeeds != nil}
+			c.seedBootstrap = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.InitialSeeds, Participates: h.Disk.InitialSeeds != nil}
 			if !g.MayVote {
-				c.seedFounder.SeedAddrs, c.seedFounder.Participates = slices.Clone(g.Seeds), g.FirstStart
+				c.seedBootstrap.SeedAddrs, c.seedBootstrap.Participates = slices.Clone(g.Seeds), g.FirstStart
 			}
-			c.gossip.SetFlag(membership.Bootstrap, c.seedFounder.Participates)
+			c.gossip.SetFlag(membership.Bootstrap, c.seedBootstrap.Participates)
 			g.FirstStart = false
 		}
 		c.Proc = &Proc{Self: self, Step: c.step, Tick: c.tick, OnConnectionRefused: func(now units.Time, a string) {
@@ -99,22 +99,22 @@
 				c.Syncer.StartCatchUp()
 			}
 		}
-		h.Disk.open()
+		h.Disk.syncOnStart()
 		c.Reload()
 		c.Lease = lease.New(self, "platform", func() []units.NodeID { return c.Replica.Quorum().Members }, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
 		c.Syncer = antientropy.New(self, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 6)))
-		c.feed.StoredVersions = func() map[string]units.Version { return c.Replica.KnownVersions() }
-		cores[h] = c
+		c.configFeed.StoredVersions = func() map[string]units.Version { return c.Replica.KnownVersions() }
+		controllers[h] = c
 		return c.Proc
 	})
 }
 
-// planner gives what package controller makes of a boot file.
-func planner(grow *BootstrapSettings, founders int) register.Planner {
-	if grow == nil {
-		return register.Planner{FixedSize: founders, ReplaceAfter: register.ReplaceFixedAfter}
+// quorumPlanner gives what package controller makes of a boot file.
+func quorumPlanner(bootstrap *BootstrapSettings, fixedSize int) register.Planner {
+	if bootstrap == nil {
+		return register.Planner{FixedSize: fixedSize, ReplaceAfter: register.ReplaceFixedAfter}
 	}
-	return register.Planner{MinSize: 2*grow.ToleratedLosses + 1, ReplaceAfter: register.ReplaceAfter}
+	return register.Planner{MinSize: 2*bootstrap.ToleratedLosses + 1, ReplaceAfter: register.ReplaceAfter}
 }
 
 func (c *Controller) step(now units.Time, n message.Message) message.Effects {
@@ -122,7 +122,7 @@
 	case message.KindMembership:
 		return c.gossip.Step(now, n)
 	case message.KindConfigPush:
-		return c.feed.Step(now, n)
+		return c.configFeed.Step(now, n)
 	case message.KindLease:
 		return c.Lease.Step(now, n)
 	case message.KindAntiEntropy:
@@ -131,7 +131,7 @@
 		return c.ClaimRegistry.Step(now, n, c.Replica.QuorumVersion())
 	case message.KindRegister:
 		out := c.Replica.Step(now, n)
-		c.drain(now, &out)
+		c.handleResults(now, &out)
 		return out
 	}
 	return message.Effects{}
@@ -141,81 +141,81 @@
 	unfit := c.Host.Disk.Unfit(now) || !c.Replica.ReachesMajority(now)
 	c.gossip.SetFlag(membership.DiskUnfit, unfit)
 	c.gossip.SetFlag(membership.Draining, c.Draining)
-	all, out := c.beat(now, c.Self)
-	look := register.NewControllerView(all)
-	if it := c.feed.Items[register.KeyQuorum]; it != nil {
+	all, out := c.heartbeat(now, c.Self)
+	view := register.NewControllerView(all)
+	if it := c.configFeed.Items[register.KeyQuorum]; it != nil {
 		out.Append(c.Replica.LearnQuorum(it.Data))
 	}
-	c.Replica.SetEligible(look.Eligible, look.Draining...)
+	c.Replica.SetEligible(view.Eligible, view.Draining...)
 	if c.Host.Bootstrap != nil {
-		c.Replica.BootstrapFromSeeds(c.seedFounder.Proposal(now, look))
+		c.Replica.BootstrapFromSeeds(c.seedBootstrap.Proposal(now, view))
 	} else {
-		c.Replica.BootstrapFixed(c.founders, look)
+		c.Replica.BootstrapFixed(c.fixedQuorumSize, view)
 	}
-	c.Replica.ChangeMembers(c.planner.NextMembers(now, c.Replica.Quorum(), look))
+	c.Replica.ChangeMembers(c.planner.NextMembers(now, c.Replica.Quorum(), view))
 	out.Append(c.Replica.Tick(now))
 	c.ClaimRegistry.DiskFull = c.Host.Disk.Full
 	out.Append(c.ClaimRegistry.Tick(now, c.Replica.Quorum()))
 	voter := c.Replica.Quorum().Has(c.Self)
 	c.gossip.SetFlag(membership.Voter, voter)
-	c.drain(now, &out)
+	c.handleResults(now, &out)
 	c.Lease.SetSeatExpiry(c.planner.SeatValidUntil(c.Replica.LastMajorityContact(now)))
 	out.Append(c.Lease.Tick(now, voter && !c.Draining))
 	c.Syncer.SetHealthy(!unfit)
 	out.Append(c.Syncer.Tick(now, c.Replica.Quorum().All(), c.Replica.States()))
-	for _, it := range c.feed.Changes {
+	for _, it := range c.configFeed.Changes {
 		if strings.HasPrefix(it.Key, discovery.KeyPrefix) {
 			_, _ = c.catalog.Apply(now, it.Key, it.Version, it.Data)
 		}
 	}
-	c.feed.Changes = nil
-	if c.pollPlatform != nil && !c.Draining && c.turn.Due(now, c.Lease.Share(now), pollGap) {
+	c.configFeed.Changes = nil
+	if c.pollPlatform != nil && !c.Draining && c.pollSchedule.Due(now, c.Lease.Share(now), pollInterval) {
 		c.pollPlatform(c, now)
 	}
 	return out
 }
 
-func (c *Controller) drain(now units.Time, out *message.Effects) {
+func (c *Controller) handleResults(now units.Time, out *message.Effects) {
 	for _, r := range c.Replica.Results {
-		if f := c.waits[r.Tag]; f != nil {
-			delete(c.waits, r.Tag)
+		if f := c.pendingRequests[r.Tag]; f != nil {
+			delete(c.pendingRequests, r.Tag)
 			f(r)
 		}
 	}
 	c.Replica.Results = nil
-	fresh := c.Replica.Chosen
+	chosen := c.Replica.Chosen
 	c.Replica.Chosen = nil
-	for _, x := range fresh {
-		c.spread(now, configpush.Item{Key: x.Key, Version: x.Version, Data: slices.Clone(x.Data)}, out)
+	for _, x := range chosen {
+		c.publish(now, configpush.Item{Key: x.Key, Version: x.Version, Data: slices.Clone(x.Data)}, out)
 	}
 }
 
-func (c *Controller) spread(now units.Time, it configpush.Item, out *message.Effects) {
+func (c *Controller) publish(now units.Time, item configpush.Item, out *message.Effects) {
 	var to []units.NodeID
 	for _, m := range c.gossip.All() {
 		if m.State <= membership.Suspect && m.Node != c.Self {
 			to = append(to, m.Node)
 		}
 	}
-	out.Append(c.feed.Publish(now, it, to))
+	out.Append(c.configFeed.Publish(now, item, to))
 }
 
 // Submit brings an operator's request to this machine. done gets the result, or after register.RequestTimeout Unsure for a
 // write and NoMajority for a read.
-func (c *Controller) Submit(s *Sim, a register.Request, done func(register.Result)) {
-	c.tag++
-	a.Tag = c.tag
-	tag := a.Tag
-	c.waits[tag] = done
+func (c *Controller) Submit(s *Sim, request register.Request, done func(register.Result)) {
+	c.lastTag++
+	request.Tag = c.lastTag
+	tag := request.Tag
+	c.pendingRequests[tag] = done
 	s.Inject(c.Host, func(now units.Time) message.Effects {
-		out := c.Replica.Submit(now, a)
-		c.drain(now, &out)
+		out := c.Replica.Submit(now, request)
+		c.handleResults(now, &out)
 		return out
 	})
 	s.After(register.RequestTimeout, func() {
-		if f := c.waits[tag]; f != nil {
-			delete(c.waits, tag)
-			f(register.Result{Code: a.TimeoutCode()})
+		if pending := c.pendingRequests[tag]; pending != nil {
+			delete(c.pendingRequests, tag)
+			pending(register.Result{Code: request.TimeoutCode()})
 		}
 	})
 }
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -16,137 +16,137 @@
 	Delay        time.Duration
 	Stalled      bool
 	Full         bool // lives from the reserve
-	used         int  // records written to the reserve
-	live         map[string]message.Record
+	reserveUsed  int  // records written to the reserve
+	synced       map[string]message.Record
 	writing      []message.Record // written, and the sync is under way
-	cache        []message.Record // written by processes that have died since, and never synced
-	wait         []message.Effects
+	unsynced     []message.Record // written by processes that have died since, and never synced
+	waiting      []message.Effects
 	// TrustsCache plants a fault: a process that starts takes what it reads for synced.
-	TrustsCache bool
-	busy        bool
-	life        int
-	since       units.Time
+	TrustsCache   bool
+	syncing       bool
+	generation    int
+	syncStartedAt units.Time
 }
 
 // NewDisk gives a blank one.
-func NewDisk() *Disk { return &Disk{Delay: 2 * time.Millisecond, live: map[string]message.Record{}} }
+func NewDisk() *Disk { return &Disk{Delay: 2 * time.Millisecond, synced: map[string]message.Record{}} }
 
 // Records gives what a process reads: what was written, synced or not.
 func (d *Disk) Records() []message.Record {
-	read := maps.Clone(d.live)
-	for _, r := range d.cache {
-		keep(read, r)
+	records := maps.Clone(d.synced)
+	for _, r := range d.unsynced {
+		applyRecord(records, r)
 	}
-	l := make([]message.Record, 0, len(read))
-	for _, k := range message.SortedKeys(read) {
-		l = append(l, read[k])
+	list := make([]message.Record, 0, len(records))
+	for _, k := range message.SortedKeys(records) {
+		list = append(list, records[k])
 	}
-	return l
+	return list
 }
 
-// keep has the newest record of a key live; an empty one ends its key.
-func keep(live map[string]message.Record, r message.Record) {
-	if live[string(rune(r.Kind))+r.Key] = r; len(r.Data) == 0 {
-		delete(live, string(rune(r.Kind))+r.Key)
+// applyRecord has the newest record of a key live; an empty one ends its key.
+func applyRecord(records map[string]message.Record, r message.Record) {
+	if records[string(rune(r.Kind))+r.Key] = r; len(r.Data) == 0 {
+		delete(records, string(rune(r.Kind))+r.Key)
 	}
 }
 
-// open has a process that starts sync what it reads.
-func (d *Disk) open() {
+// syncOnStart has a process that starts sync what it reads.
+func (d *Disk) syncOnStart() {
 	if d.TrustsCache {
 		return
 	}
-	for _, r := range d.cache {
-		keep(d.live, r)
+	for _, r := range d.unsynced {
+		applyRecord(d.synced, r)
 	}
-	d.cache = nil
+	d.unsynced = nil
 }
 
-// crash is the death of the process: what it has written stays, what it only meant to write is gone.
-func (d *Disk) crash() {
-	d.cache = append(d.cache, d.writing...)
-	d.writing, d.wait, d.busy = nil, nil, false
-	d.life++
+// processKilled is the death of the process: what it has written stays, what it only meant to write is gone.
+func (d *Disk) processKilled() {
+	d.unsynced = append(d.unsynced, d.writing...)
+	d.writing, d.waiting, d.syncing = nil, nil, false
+	d.generation++
 }
 
-// powerOff is the loss of power: each write that wasn't synced is there or missing, at some losses every one.
-func (d *Disk) powerOff(rng *rand.Rand) {
-	d.crash()
-	all := rng.IntN(3) == 0
-	for _, r := range d.cache {
-		if !all && rng.IntN(2) == 0 {
-			keep(d.live, r)
+// losePower is the loss of power: each write that wasn't synced is there or missing, at some losses every one.
+func (d *Disk) losePower(rng *rand.Rand) {
+	d.processKilled()
+	allWritten := rng.IntN(3) == 0
+	for _, r := range d.unsynced {
+		if !allWritten && rng.IntN(2) == 0 {
+			applyRecord(d.synced, r)
 		}
 	}
-	d.cache = nil
+	d.unsynced = nil
 }
 
 // Wipe loses everything, the identity too.
 func (d *Disk) Wipe() {
-	d.crash()
-	d.cache = nil
-	d.ID, d.InitialSeeds, d.live, d.Stalled, d.Full = 0, nil, map[string]message.Record{}, false, false
+	d.processKilled()
+	d.unsynced = nil
+	d.ID, d.InitialSeeds, d.synced, d.Stalled, d.Full = 0, nil, map[string]message.Record{}, false, false
 }
 
-// reserve is how many records the reserve bears here.
-const reserve = 300
+// reserveRecords is how many records the reserve bears here.
+const reserveRecords = 300
 
-// out says whether the disk is full and its reserve used up.
-func (d *Disk) out() bool { return d.Full && d.used > reserve }
+// reserveExhausted says whether the disk is full and its reserve used up.
+func (d *Disk) reserveExhausted() bool { return d.Full && d.reserveUsed > reserveRecords }
 
 // Unfit is what the daemon's own disk watch would say.
 func (d *Disk) Unfit(now units.Time) bool {
-	return d.out() || d.busy && now.Sub(d.since) > 500*time.Millisecond
+	return d.reserveExhausted() || d.syncing && now.Sub(d.syncStartedAt) > 500*time.Millisecond
 }
 
-func (d *Disk) queue(s *Sim, h *Host, o message.Effects) {
-	d.wait = append(d.wait, o)
-	if !d.busy {
-		d.write(s, h)
+func (d *Disk) enqueue(s *Sim, h *Host, o message.Effects) {
+	d.waiting = append(d.waiting, o)
+	if !d.syncing {
+		d.syncWaiting(s, h)
 	}
 }
 
-// write syncs all that waits at once, then lets the replies go.
-func (d *Disk) write(s *Sim, h *Host) {
-	batch := d.wait
-	d.wait = nil
-	d.busy, d.since = true, s.Now
-	for _, o := range batch {
-		d.writing = append(d.writing, o.Writes...)
+// syncWaiting syncs all that waits at once, then lets the replies go.
+func (d *Disk) syncWaiting(s *Sim, h *Host) {
+	batch := d.waiting
+	d.waiting = nil
+	d.syncing, d.syncStartedAt = true, s.Now
+	for _, effects := range batch {
+		d.writing = append(d.writing, effects.Writes...)
 	}
-	life, disk := h.life, d.life
+	hostGeneration, diskGeneration := h.generation, d.generation
 	var done func()
 	done = func() {
-		if h.life != life || d.life != disk {
+		if h.generation != hostGeneration || d.generation != diskGeneration {
 			return
 		}
 		if d.Stalled {
 			s.After(50*time.Millisecond, done)
 			return
 		}
-		var notes []message.Message
+		var messages []message.Message
 		d.writing = nil
-		for _, o := range batch {
-			if d.used += len(o.Writes); !d.Full {
-				d.used = 0
+		for _, effects := range batch {
+			if d.reserveUsed += len(effects.Writes); !d.Full {
+				d.reserveUsed = 0
 			}
-			if d.out() && len(o.Writes) > 0 {
+			if d.reserveExhausted() && len(effects.Writes) > 0 {
 				// Nothing behind a refused write may be said either.
-				d.wait = nil
+				d.waiting = nil
 				h.Proc.Reload()
 				break
 			}
-			for _, r := range o.Writes {
-				keep(d.live, r)
+			for _, r := range effects.Writes {
+				applyRecord(d.synced, r)
 			}
-			notes = append(notes, o.AfterSync...)
+			messages = append(messages, effects.AfterSync...)
 		}
-		d.busy = false
-		for _, n := range notes {
+		d.syncing = false
+		for _, n := range messages {
 			s.send(h, n)
 		}
-		if len(d.wait) > 0 {
-			d.write(s, h)
+		if len(d.waiting) > 0 {
+			d.syncWaiting(s, h)
 		}
 	}
 	s.After(d.Delay+time.Duration(s.Rng.Int64N(int64(d.Delay)+1)), done)
--- a/internal/simulator/grow_loss_test.go
+++ b/internal/simulator/disk_loss_test.go
@@ -13,14 +13,14 @@
 
 // loseDisk ends a core machine and brings it back with an empty disk, at its address or at another.
 func (w *World) loseDisk(i int, back time.Duration, moved bool) {
-	h := w.coreH[i]
+	h := w.controllerHosts[i]
 	w.Kill(h)
 	h.Disk.Wipe()
 	if moved {
-		w.serial++
-		h.Addr = fmt.Sprintf("core%d.%d", i+1, w.serial)
+		w.lastSerial++
+		h.Addr = fmt.Sprintf("core%d.%d", i+1, w.lastSerial)
 		h.Bootstrap.Seeds = nil // its own boot file names seeds of now
-		for _, o := range w.coreH[:min(4, len(w.coreH))] {
+		for _, o := range w.controllerHosts[:min(4, len(w.controllerHosts))] {
 			if o != h {
 				h.Bootstrap.Seeds = append(h.Bootstrap.Seeds, o.Addr)
 			}
@@ -29,23 +29,23 @@
 	w.After(back, func() { w.Start(h) })
 }
 
-// filled says whether the set is whole: of its full size, every member's disk is there, and this machine, if it is a
+// caughtUp says whether the set is whole: of its full size, every member's disk is there, and this machine, if it is a
 // member, has every key that is stored anywhere.
-func (w *World) filled(i int) bool {
-	h := w.coreH[i]
-	v := w.voters()
-	if h.Proc == nil || v.Joint() || len(v.Members) != quorumSize(len(w.coreH)) || !w.disksThere(v) {
+func (w *World) caughtUp(i int) bool {
+	h := w.controllerHosts[i]
+	v := w.newestQuorum()
+	if h.Proc == nil || v.Joint() || len(v.Members) != quorumSize(len(w.controllerHosts)) || !w.membersExist(v) {
 		return false
 	}
 	if !v.Has(h.Disk.ID) {
 		return true
 	}
-	mine := w.cores[h].Replica.StoredVersions()
-	for _, o := range w.coreH {
+	mine := w.controllers[h].Replica.StoredVersions()
+	for _, o := range w.controllerHosts {
 		if o.Proc == nil {
 			continue
 		}
-		for k, n := range w.cores[o].Replica.StoredVersions() {
+		for k, n := range w.controllers[o].Replica.StoredVersions() {
 			if mine[k] < n {
 				return false
 			}
@@ -54,10 +54,10 @@
 	return true
 }
 
-// disksThere says whether each member's disk is in a machine.
-func (w *World) disksThere(v register.QuorumSet) bool {
+// membersExist says whether each member's disk is in a machine.
+func (w *World) membersExist(v register.QuorumSet) bool {
 	for _, n := range v.Members {
-		if !slices.ContainsFunc(w.coreH, func(h *Host) bool { return h.Disk.ID == n }) {
+		if !slices.ContainsFunc(w.controllerHosts, func(h *Host) bool { return h.Disk.ID == n }) {
 			return false
 		}
 	}
@@ -66,7 +66,7 @@
 
 // A lost disk is replaced, and its successor filled, before catch_up_s is over: then the next may be lost, and what was
 // acknowledged still stands (design 13).
-func TestReplacedInTime(t *testing.T) {
+func TestDiskReplacedInTime(t *testing.T) {
 	t.Parallel()
 	const catchUp = 4 * time.Second
 	for _, x := range []struct {
@@ -83,16 +83,16 @@
 		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
 			t.Parallel()
 			var took []time.Duration
-			for seed := *from; seed < *from+12; seed++ {
+			for seed := *firstSeed; seed < *firstSeed+12; seed++ {
 				var lame []int
 				for i := range x.n {
 					if x.diskless {
 						lame = append(lame, i)
 					}
 				}
-				w := grownIn(seed, x.n, x.zones, lame...)
+				w := bootstrappedIn(seed, x.n, x.zones, lame...)
 				w.Run(units.Time(8 * time.Second))
-				text, num := w.put(t, 1)
+				text, num := w.writeConfig(t, 1)
 				for _, z := range []string{"z1", "z2", "z3"} {
 					w.Evacuate(z, true)
 				}
@@ -104,9 +104,9 @@
 						w.loseDisk(at[k], x.back, x.moved)
 					}
 					w.Run(w.Now.Add(x.back))
-					d, ok := w.until(20*time.Second, func() bool {
+					d, ok := w.runUntil(20*time.Second, func() bool {
 						for _, i := range at {
-							if !w.filled(i) {
+							if !w.caughtUp(i) {
 								return false
 							}
 						}
@@ -114,14 +114,14 @@
 					})
 					took = append(took, d)
 					if !ok || d > catchUp {
-						t.Errorf("%d disks in %d zones, diskless %v, %d lost, moved %v, seed %d round %d: replaced after %v; voters %v", x.n, x.zones, x.diskless, x.lost, x.moved, seed, round, d, w.voters())
+						t.Errorf("%d disks in %d zones, diskless %v, %d lost, moved %v, seed %d round %d: replaced after %v; voters %v", x.n, x.zones, x.diskless, x.lost, x.moved, seed, round, d, w.newestQuorum())
 						break
 					}
 					if w.Run(w.Now.Add(catchUp - d)); round == 1 {
-						text, num = w.put(t, 2)
+						text, num = w.writeConfig(t, 2)
 					}
 				}
-				w.readBack(t, text, num)
+				w.checkReadBack(t, text, num)
 			}
 			t.Logf("%d disks in %d zones, diskless %v, %d lost at once, moved %v, back after %v: voting and filled %s after the return", x.n, x.zones, x.diskless, x.lost, x.moved, x.back, Percentiles(took))
 		})
@@ -130,13 +130,13 @@
 
 // In the moment of an acknowledgement as many disks are lost as the core bears, while all other machines that count lose
 // power: what was acknowledged is there again, as sent.
-func TestDisksLostAfterAck(t *testing.T) {
+func TestDisksLostAfterAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct{ n, lost int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}, {9, 4}} {
 		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
 			t.Parallel()
-			for seed := *from; seed < *from+12; seed++ {
-				w := grown(seed, x.n)
+			for seed := *firstSeed; seed < *firstSeed+12; seed++ {
+				w := bootstrappedWorld(seed, x.n)
 				w.Run(units.Time(5 * time.Second))
 				for round := range 4 {
 					text := configText(round)
@@ -146,22 +146,22 @@
 							return
 						}
 						num = o.Version
-						for i, h := range w.coreH {
+						for i, h := range w.controllerHosts {
 							if w.Kill(h); (i+round+int(seed))%x.n < x.lost {
 								h.Disk.Wipe()
 							}
 						}
 					})
-					if _, ok := w.until(6*time.Second, func() bool { return num > 0 }); !ok {
+					if _, ok := w.runUntil(6*time.Second, func() bool { return num > 0 }); !ok {
 						t.Fatalf("%d disks, seed %d: write %d was not acknowledged", x.n, seed, round)
 					}
 					w.Run(w.Now.Add(time.Second))
-					for _, h := range w.coreH {
+					for _, h := range w.controllerHosts {
 						w.Start(h)
 					}
-					w.readBack(t, text, num)
-					if _, ok := w.until(12*time.Second, w.settled); !ok {
-						t.Fatalf("%d disks, seed %d: never whole again: %v", x.n, seed, w.voters())
+					w.checkReadBack(t, text, num)
+					if _, ok := w.runUntil(12*time.Second, w.quorumComplete); !ok {
+						t.Fatalf("%d disks, seed %d: never whole again: %v", x.n, seed, w.newestQuorum())
 					}
 				}
 			}
@@ -171,17 +171,17 @@
 
 // The owner freezes at any moment of a write, another writes on the same number meanwhile, and the owner wakes with all
 // answers that came: at most one of the two is acknowledged, and that one is read back.
-func TestFrozenOwnerWakes(t *testing.T) {
+func TestPausedOwnerResumes(t *testing.T) {
 	t.Parallel()
 	both := 0
 	for _, n := range []int{3, 4, 6} {
-		for seed := *from; seed < *from+30; seed++ {
-			w := grown(seed, n)
+		for seed := *firstSeed; seed < *firstSeed+30; seed++ {
+			w := bootstrappedWorld(seed, n)
 			w.Run(units.Time(5 * time.Second))
-			_, num := w.put(t, 0)
+			_, num := w.writeConfig(t, 0)
 			var owner, other *Controller
-			for _, h := range w.coreH {
-				if c := w.cores[h]; c.Replica.Owner("config") == c.Self {
+			for _, h := range w.controllerHosts {
+				if c := w.controllers[h]; c.Replica.Owner("config") == c.Self {
 					owner = c
 				} else {
 					other = c
@@ -217,7 +217,7 @@
 }
 
 // The troubles of the deployments, with voters founded from seeds that grow.
-func TestTroublesWhileGrown(t *testing.T) {
+func TestEachFaultWithSeedBootstrap(t *testing.T) {
 	six := Council
 	six.Name, six.ControllerZones, six.NonVoting = "six", []string{"t1", "t2", "t3", "t4", "t1", "t2"}, []int{1}
 	for _, x := range Faults {
@@ -225,7 +225,7 @@
 			t.Parallel()
 			for _, p := range []Deployment{Vatuloa, six} {
 				p.Name, p.GrowsFromSeeds = p.Name+" grown", true
-				play(t, p, *from, x.Name)
+				simulate(t, p, *firstSeed, x.Name)
 			}
 		})
 	}
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_disk_test.go
@@ -16,10 +16,10 @@
 // all power; a leaving mark reaches every router (TestEachTrouble); beyond the reserve a change is refused.
 func TestEveryDiskFull(t *testing.T) {
 	t.Parallel()
-	for seed := *from; seed < *from+4; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+4; seed++ {
 		w := NewWorld(Vatuloa, seed)
 		w.Run(units.Time(4 * time.Second))
-		w.fill(time.Minute)
+		w.fillDisks(time.Minute)
 		got := map[string]*Op{}
 		w.change("zone/v2", `{"evacuated":true}`, func(o *Op) { got["zone/v2"] = o })
 		w.change("config", configText(1), func(o *Op) { got["config"] = o })
@@ -27,7 +27,7 @@
 		if a, b := got["zone/v2"], got["config"]; a == nil || b == nil || a.Code != resultcode.OK || b.Code != resultcode.OK {
 			t.Fatalf("seed %d: on full disks: %+v, %+v", seed, a, b)
 		}
-		for _, h := range w.coreH {
+		for _, h := range w.controllerHosts {
 			w.Kill(h)
 			w.Start(h)
 		}
@@ -40,8 +40,8 @@
 				t.Errorf("seed %d: %s acknowledged as %d, read back %+v", seed, key, o.Version, back)
 			}
 		}
-		for _, h := range w.coreH {
-			h.Disk.used = reserve + 1
+		for _, h := range w.controllerHosts {
+			h.Disk.reserveUsed = reserveRecords + 1
 		}
 		w.change("config", configText(2), func(o *Op) {
 			if o.Code == resultcode.OK {
@@ -54,26 +54,26 @@
 
 // One core machine is cut off from the others alone, so that everybody still sees it by way of the routers: whichever it
 // is, changes and reads go on at the others.
-func TestCutOffFromTheCoreAlone(t *testing.T) {
+func TestIsolatedFromOtherControllersOnly(t *testing.T) {
 	t.Parallel()
 	for _, p := range []Deployment{Vatuloa, Council} {
 		for i := range p.ControllerZones {
-			w := NewWorld(p, *from)
+			w := NewWorld(p, *firstSeed)
 			w.Run(units.Time(5 * time.Second))
 			w.change("config", configText(0), nil)
 			w.Run(w.Now.Add(time.Second))
-			lone := w.coreH[i]
-			w.cut(time.Hour, func(a, b *Host) bool { return (a == lone) != (b == lone) && a.Disk != nil && b.Disk != nil })
+			lone := w.controllerHosts[i]
+			w.partition(time.Hour, func(a, b *Host) bool { return (a == lone) != (b == lone) && a.Disk != nil && b.Disk != nil })
 			w.Run(w.Now.Add(6 * time.Second))
 			for _, key := range []string{"config", "zone/t1", "zone/v1"} {
-				for j, h := range w.coreH {
+				for j, h := range w.controllerHosts {
 					if j == i {
 						continue
 					}
 					var r, wr register.Result
-					w.cores[h].Submit(w.Sim, register.Request{Key: key}, func(x register.Result) { r = x })
+					w.controllers[h].Submit(w.Sim, register.Request{Key: key}, func(x register.Result) { r = x })
 					w.Run(w.Now.Add(time.Second))
-					w.cores[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: r.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { wr = x })
+					w.controllers[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: r.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { wr = x })
 					w.Run(w.Now.Add(time.Second))
 					if r.Code != resultcode.OK || wr.Code != resultcode.OK {
 						t.Errorf("%s without %s: %s read at %s: %d, written: %d", p.Name, lone.Addr, key, h.Addr, r.Code, wr.Code)
@@ -86,9 +86,9 @@
 
 // A storm of configurations of a thousand mappings each, with a core machine killed in it: each that is acknowledged is
 // in force in time on every router, none slides back, and the last is read back.
-func TestStormOfLargeConfigurations(t *testing.T) {
+func TestRapidLargeConfigurations(t *testing.T) {
 	t.Parallel()
-	w := NewWorld(Council, *from)
+	w := NewWorld(Council, *firstSeed)
 	large := func(n int) string {
 		var b strings.Builder
 		for i := range 1000 {
@@ -104,10 +104,10 @@
 	for i := range 30 {
 		w.At(units.Time(10*time.Second)+units.Time(i)*units.Time(100*time.Millisecond), func() { w.change("config", large(i), nil) })
 	}
-	w.At(units.Time(11*time.Second), func() { w.bounce(w.coreH[1], 2*time.Second, true) })
+	w.At(units.Time(11*time.Second), func() { w.restart(w.controllerHosts[1], 2*time.Second, true) })
 	w.Run(units.Time(25 * time.Second))
-	w.end()
-	if len(w.acked) < 10 || len(w.Violations) > 0 {
-		t.Errorf("%d acknowledged, %v", len(w.acked), w.Violations[:min(3, len(w.Violations))])
+	w.checkFinalState()
+	if len(w.acknowledged) < 10 || len(w.Violations) > 0 {
+		t.Errorf("%d acknowledged, %v", len(w.acknowledged), w.Violations[:min(3, len(w.Violations))])
 	}
 }
--- a/internal/simulator/notes_test.go
+++ b/internal/simulator/inter_zone_traffic_test.go
@@ -11,11 +11,11 @@
 
 // What the system's own notes cost between zones, quiet and under load, at three sizes; a node's part must not grow
 // with the fleet (design 5).
-func TestNotesBetweenZones(t *testing.T) {
+func TestTrafficBetweenZones(t *testing.T) {
 	t.Parallel()
 	quiet := map[int]float64{}
 	sizes := []int{11, 50}
-	if *seeds > 2 { // off the CI path
+	if *seedCount > 2 { // off the CI path
 		sizes = append(sizes, 100)
 	}
 	for _, size := range sizes {
@@ -29,7 +29,7 @@
 		w.Run(units.Time(15 * time.Second))
 		line := ""
 		for _, rate := range []float64{0, 40} {
-			w.rate = rate
+			w.requestRate = rate
 			if rate > 0 {
 				w.GenerateLoad()
 			}
--- a/internal/simulator/orders_core_test.go
+++ b/internal/simulator/interleaving_controller_test.go
@@ -14,20 +14,20 @@
 
 // Two nodes that each believe to own one key write it at once: no order gives two values one number, and what was
 // acknowledged is what a third owner finds (design 2).
-func TestOrdersOwnership(t *testing.T) {
-	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
-		m := voted(b, map[units.NodeID]units.NodeID{1: 1, 2: 2, 3: 3})
+func TestInterleavingsOfTwoOwners(t *testing.T) {
+	n := interleavings(6, func(choose func(int) int) {
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
+		m := newVoters(b, map[units.NodeID]units.NodeID{1: 1, 2: 2, 3: 3})
 		for _, x := range []units.NodeID{1, 2} {
-			b.put(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, ExpectedVersion: 0, Data: []byte{byte(x)}}))
+			b.send(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, ExpectedVersion: 0, Data: []byte{byte(x)}}))
 		}
-		b.run(choose, func() {})
+		b.deliverAll(choose, func() {})
 		// Both try again as their ticks would, then all is quiet.
 		for round := range 6 {
 			b.now = units.Time(round+1) * units.Time(time.Second)
 			for _, x := range []units.NodeID{1, 2} {
-				b.put(x, m[x].Tick(b.now))
-				b.run(func(int) int { return 0 }, func() {})
+				b.send(x, m[x].Tick(b.now))
+				b.deliverAll(func(int) int { return 0 }, func() {})
 			}
 		}
 		acked := map[units.Version]byte{}
@@ -43,11 +43,11 @@
 		}
 		m[3].Results = nil
 		b.now = 9 * units.Time(time.Second)
-		b.put(3, m[3].Submit(b.now, register.Request{Tag: 9, Key: "k"}))
+		b.send(3, m[3].Submit(b.now, register.Request{Tag: 9, Key: "k"}))
 		for round := range 4 {
 			b.now = units.Time(10+round) * units.Time(time.Second)
-			b.put(3, m[3].Tick(b.now))
-			b.run(func(int) int { return 0 }, func() {})
+			b.send(3, m[3].Tick(b.now))
+			b.deliverAll(func(int) int { return 0 }, func() {})
 		}
 		if len(m[3].Results) != 1 || m[3].Results[0].Code != resultcode.OK {
 			t.Fatalf("the third owner reads %v", m[3].Results)
@@ -65,17 +65,17 @@
 }
 
 // Blank disks with different views never found two sets.
-func TestOrdersFounding(t *testing.T) {
+func TestInterleavingsOfBootstrap(t *testing.T) {
 	views := [][]units.NodeID{{1, 2, 3}, {2, 3, 4}, {1, 2, 3}, {2, 3, 4}}
-	n := orders(7, func(choose func(int) int) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+	n := interleavings(7, func(choose func(int) int) {
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		m := map[units.NodeID]*register.Replica{}
 		for i := range views {
 			id := units.NodeID(i + 1)
 			x := register.New(id, id+100)
 			x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[i]})
 			m[id] = x
-			b.step[id] = func(k message.Message) message.Effects { return x.Step(0, k) }
+			b.handlers[id] = func(k message.Message) message.Effects { return x.Step(0, k) }
 		}
 		for now := range 2 {
 			for id, x := range m {
@@ -84,16 +84,16 @@
 				}
 			}
 			for id := units.NodeID(1); id <= 4; id++ {
-				b.put(id, m[id].Tick(units.Time(now+1)*units.Time(time.Second)))
+				b.send(id, m[id].Tick(units.Time(now+1)*units.Time(time.Second)))
 			}
 			if now == 0 {
-				b.hold = func() bool { return choose(2) == 1 } // any notes of the first round come only in the second
-				b.run(func(int) int { return 0 }, func() {})
-				b.hold = nil
+				b.delayNext = func() bool { return choose(2) == 1 } // any notes of the first round come only in the second
+				b.deliverAll(func(int) int { return 0 }, func() {})
+				b.delayNext = nil
 				continue
 			}
-			b.notes = append(b.notes, b.late...)
-			b.run(choose, func() {})
+			b.inFlight = append(b.inFlight, b.delayed...)
+			b.deliverAll(choose, func() {})
 		}
 		var set []units.NodeID
 		for id, x := range m {
@@ -114,7 +114,7 @@
 
 // A voter is added while an owner under the old set writes: whatever is acknowledged, in any order, an owner under
 // the new set finds, also one whose majority holds the new disk.
-func TestOrdersVoterChange(t *testing.T) {
+func TestInterleavingsOfVoterChange(t *testing.T) {
 	t.Parallel()
 	const widest = 12 // more than there are messages to choose the first from
 	var tried, changed, acked atomic.Int64
@@ -122,8 +122,8 @@
 		for first := range widest {
 			t.Run(fmt.Sprint(first), func(t *testing.T) {
 				t.Parallel()
-				tried.Add(int64(ordersUnder([]int{first}, 6, func(choose func(int) int) {
-					tryVoterChange(t, choose, &changed, &acked)
+				tried.Add(int64(interleavingsFrom([]int{first}, 6, func(choose func(int) int) {
+					runVoterChange(t, choose, &changed, &acked)
 				})))
 			})
 		}
@@ -134,30 +134,30 @@
 	t.Logf("%d orders", tried.Load())
 }
 
-// tryVoterChange is one such order.
-func tryVoterChange(t *testing.T, choose func(int) int, changed, acked *atomic.Int64) {
-	b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
-	m := voted(b, map[units.NodeID]units.NodeID{1: 1, 2: 1, 3: 1})
+// runVoterChange is one such order.
+func runVoterChange(t *testing.T, choose func(int) int, changed, acked *atomic.Int64) {
+	b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
+	m := newVoters(b, map[units.NodeID]units.NodeID{1: 1, 2: 1, 3: 1})
 	four := register.New(4, 104)
 	m[4] = four
-	b.step[4] = func(k message.Message) message.Effects { return four.Step(b.now, k) }
+	b.handlers[4] = func(k message.Message) message.Effects { return four.Step(b.now, k) }
 	at := func(ms int) units.Time { return units.Time(time.Duration(ms) * time.Millisecond) }
 	quiet := func(from, rounds int, who ...units.NodeID) {
 		for r := range rounds {
 			b.now = at(from + 400*r)
 			for _, x := range who {
-				b.put(x, m[x].Tick(b.now))
+				b.send(x, m[x].Tick(b.now))
 			}
-			b.run(func(int) int { return 0 }, func() {})
+			b.deliverAll(func(int) int { return 0 }, func() {})
 		}
 	}
-	b.put(1, m[1].Submit(0, register.Request{Tag: 1, Key: "k", Write: true, ExpectedVersion: 0, Data: []byte("one")}))
+	b.send(1, m[1].Submit(0, register.Request{Tag: 1, Key: "k", Write: true, ExpectedVersion: 0, Data: []byte("one")}))
 	quiet(1000, 3, 1)
 	b.now = at(2200)
 	m[1].ChangeMembers([]units.NodeID{1, 2, 3, 4})
-	b.put(1, m[1].Tick(b.now))
-	b.put(1, m[1].Submit(b.now, register.Request{Tag: 2, Key: "k", Write: true, ExpectedVersion: 1, Data: []byte("two")}))
-	b.run(choose, func() {})
+	b.send(1, m[1].Tick(b.now))
+	b.send(1, m[1].Submit(b.now, register.Request{Tag: 2, Key: "k", Write: true, ExpectedVersion: 1, Data: []byte("two")}))
+	b.deliverAll(choose, func() {})
 	for round := 0; round < 8 && (m[1].Quorum().Joint() || !m[1].Quorum().Has(4)); round++ {
 		quiet(2600+400*round, 1, 1)
 	}
@@ -173,14 +173,14 @@
 		acked.Add(1)
 	}
 	// The old owner and one old disk are gone; the rest must know.
-	delete(b.step, 1)
+	delete(b.handlers, 1)
 	for _, x := range []units.NodeID{2, 3, 4} {
 		m[x].SetEligible([]units.NodeID{4, 2})
 	}
 	owner := m[2].Owner("k")
 	quiet(20000, 3, 2, 3, 4)
 	m[owner].Results = nil
-	b.put(owner, m[owner].Submit(b.now, register.Request{Tag: 3, Key: "k"}))
+	b.send(owner, m[owner].Submit(b.now, register.Request{Tag: 3, Key: "k"}))
 	quiet(21500, 3, owner)
 	if len(m[owner].Results) != 1 || m[owner].Results[0].Code != resultcode.OK {
 		t.Fatalf("owner %d of set %v reads %v", owner, m[owner].Quorum(), m[owner].Results)
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/interleaving_test.go
@@ -16,20 +16,20 @@
 )
 
 // Two that stand for one duty at once never both hold it.
-func TestOrdersBallot(t *testing.T) {
+func TestInterleavingsOfLeaseVotes(t *testing.T) {
 	won := 0
-	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+	n := interleavings(6, func(choose func(int) int) {
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		now := units.Time(5 * time.Second)
 		m := map[units.NodeID]*lease.Lease{}
-		for _, x := range three {
-			y := lease.New(x, "d", func() []units.NodeID { return three }, 0, rand.New(rand.NewPCG(uint64(x), 1)))
+		for _, x := range threeNodes {
+			y := lease.New(x, "d", func() []units.NodeID { return threeNodes }, 0, rand.New(rand.NewPCG(uint64(x), 1)))
 			m[x] = y
-			b.step[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
+			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
 		}
-		b.put(1, m[1].Tick(now, true))
-		b.put(2, m[2].Tick(now, true))
-		b.run(choose, func() {
+		b.send(1, m[1].Tick(now, true))
+		b.send(2, m[2].Tick(now, true))
+		b.deliverAll(choose, func() {
 			if m[1].Holds(now) && m[2].Holds(now) {
 				t.Fatal("two hold one duty")
 			}
@@ -44,24 +44,24 @@
 }
 
 // Half the votes each must not last: a lost round gives its votes back, and one of the two wins in the end.
-func TestSplitBallotEnds(t *testing.T) {
+func TestSplitVoteEnds(t *testing.T) {
 	four := []units.NodeID{1, 2, 3, 4}
 	for seed := range uint64(50) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		now := units.Time(5 * time.Second)
 		m := map[units.NodeID]*lease.Lease{}
 		for _, x := range four {
 			y := lease.New(x, "d", func() []units.NodeID { return four }, 0, rand.New(rand.NewPCG(seed, uint64(x))))
 			m[x] = y
-			b.step[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
+			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
 		}
 		// The two stand at the same moment, and each reaches two voters first.
 		one, two := m[1].Tick(now, true), m[2].Tick(now, true)
-		b.put(1, message.Effects{Messages: []message.Message{one.Messages[0], one.Messages[2]}})
-		b.put(2, message.Effects{Messages: []message.Message{two.Messages[1], two.Messages[3]}})
-		b.put(1, message.Effects{Messages: []message.Message{one.Messages[1], one.Messages[3]}})
-		b.put(2, message.Effects{Messages: []message.Message{two.Messages[0], two.Messages[2]}})
-		b.run(func(int) int { return 0 }, func() {})
+		b.send(1, message.Effects{Messages: []message.Message{one.Messages[0], one.Messages[2]}})
+		b.send(2, message.Effects{Messages: []message.Message{two.Messages[1], two.Messages[3]}})
+		b.send(1, message.Effects{Messages: []message.Message{one.Messages[1], one.Messages[3]}})
+		b.send(2, message.Effects{Messages: []message.Message{two.Messages[0], two.Messages[2]}})
+		b.deliverAll(func(int) int { return 0 }, func() {})
 		if m[1].Holds(now) || m[2].Holds(now) {
 			t.Fatal("this round was to be split")
 		}
@@ -69,9 +69,9 @@
 		for range 200 {
 			now = now.Add(25 * time.Millisecond)
 			for _, x := range four[:2] {
-				b.put(x, m[x].Tick(now, true))
+				b.send(x, m[x].Tick(now, true))
 			}
-			b.run(func(int) int { return 0 }, func() {})
+			b.deliverAll(func(int) int { return 0 }, func() {})
 			held = held || m[1].Holds(now) || m[2].Holds(now)
 		}
 		if !held {
@@ -81,20 +81,20 @@
 }
 
 // Two copies of one request claim its key by way of two nodes: never both get it.
-func TestOrdersClaims(t *testing.T) {
+func TestInterleavingsOfClaims(t *testing.T) {
 	won := 0
-	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+	n := interleavings(6, func(choose func(int) int) {
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		m := map[units.NodeID]*idempotency.Claimant{}
-		for _, x := range three {
+		for _, x := range threeNodes {
 			y := idempotency.New(x, 0)
 			y.Tick(units.Time(time.Minute), nil, time.Second) // takes part
 			m[x] = y
-			b.step[x] = func(k message.Message) message.Effects { return y.Step(0, k) }
+			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(0, k) }
 		}
-		b.put(1, m[1].Claim(0, 11, "k", three))
-		b.put(2, m[2].Claim(0, 22, "k", three))
-		b.run(choose, func() {})
+		b.send(1, m[1].Claim(0, 11, "k", threeNodes))
+		b.send(2, m[2].Claim(0, 22, "k", threeNodes))
+		b.deliverAll(choose, func() {})
 		k := 0
 		for _, x := range m {
 			for _, r := range x.Results {
@@ -114,17 +114,17 @@
 }
 
 // News never goes back, whatever order it comes in, and the newest is in force at the end.
-func TestOrdersNews(t *testing.T) {
-	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+func TestInterleavingsOfConfigUpdates(t *testing.T) {
+	n := interleavings(6, func(choose func(int) int) {
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		core, router := configpush.New(1), configpush.New(2)
-		b.step[1] = func(k message.Message) message.Effects { return core.Step(0, k) }
-		b.step[2] = func(k message.Message) message.Effects { return router.Step(0, k) }
+		b.handlers[1] = func(k message.Message) message.Effects { return core.Step(0, k) }
+		b.handlers[2] = func(k message.Message) message.Effects { return router.Step(0, k) }
 		for i := range 4 {
-			b.put(1, core.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
+			b.send(1, core.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
 		}
 		last := units.Version(0)
-		b.run(choose, func() {
+		b.deliverAll(choose, func() {
 			if it := router.Items["config"]; it != nil {
 				if it.Version < last {
 					t.Fatalf("back from %d to %d", last, it.Version)
@@ -142,17 +142,17 @@
 }
 
 // One slot, two nodes that want it, and its keeping passes from one to the other meanwhile: it is never lent twice.
-func TestOrdersPermits(t *testing.T) {
+func TestInterleavingsOfPermits(t *testing.T) {
 	most := 0
-	n := orders(6, func(choose func(int) int) {
-		b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+	n := interleavings(6, func(choose func(int) int) {
+		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		peers := []capacity.Peer{{Node: 1, Zone: "z"}, {Node: 2, Zone: "z"}}
 		w := map[string]capacity.Worker{"s/w": {Zone: "z", Capacity: 1, MaxWaiting: 2}}
 		desks, keeps := map[units.NodeID]*admission.Queue{}, map[units.NodeID]*capacity.Ledger{}
 		for _, x := range []units.NodeID{1, 2} {
 			d, g := admission.New(x), capacity.New(x)
 			desks[x], keeps[x] = d, g
-			b.step[x] = func(k message.Message) (out message.Effects) {
+			b.handlers[x] = func(k message.Message) (out message.Effects) {
 				if k.Kind != capacity.Acquire && k.Kind != capacity.Release && k.Kind != capacity.Report {
 					out = d.Step(0, k)
 				}
@@ -166,10 +166,10 @@
 		other := 3 - keeper
 		keeps[keeper].SetWorkers(w)
 		keeps[keeper].SetRouters(peers, nil)
-		b.put(keeper, keeps[keeper].Tick(0))
-		b.run(func(int) int { return 0 }, func() {})
+		b.send(keeper, keeps[keeper].Tick(0))
+		b.deliverAll(func(int) int { return 0 }, func() {})
 		ask := func(x, of units.NodeID) {
-			b.put(x, desks[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
+			b.send(x, desks[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
 				Coordinator: func(string) units.NodeID { return of }}))
 		}
 		ask(1, keeper)
@@ -177,8 +177,8 @@
 		// The other takes the worker over while the asks are on their way.
 		keeps[other].SetWorkers(w)
 		keeps[other].SetRouters(peers, nil)
-		b.put(other, keeps[other].TakeOver(0, "s/w"))
-		b.run(choose, func() {
+		b.send(other, keeps[other].TakeOver(0, "s/w"))
+		b.deliverAll(choose, func() {
 			if k := desks[1].InFlight["s/w"] + desks[2].InFlight["s/w"]; k > 1 {
 				t.Fatalf("%d in flight, cap 1", k)
 			} else {
@@ -192,20 +192,20 @@
 }
 
 // A core machine that reaches only one router: what that one hears goes on to the others, who ask for it by number.
-func TestNewsGoesRoundACut(t *testing.T) {
-	b := &bag{step: map[units.NodeID]func(message.Message) message.Effects{}}
+func TestConfigUpdatesRouteAroundPartition(t *testing.T) {
+	b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 	m := map[units.NodeID]*configpush.Feed{}
 	for n := units.NodeID(1); n <= 6; n++ {
 		x := configpush.New(n)
 		m[n] = x
-		b.step[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
+		b.handlers[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
 	}
-	b.put(1, m[1].Publish(0, configpush.Item{Key: "workers/main/1", Version: 7, Data: []byte("x")}, []units.NodeID{2}))
+	b.send(1, m[1].Publish(0, configpush.Item{Key: "workers/main/1", Version: 7, Data: []byte("x")}, []units.NodeID{2}))
 	for range 3 { // beats
-		b.run(func(int) int { return 0 }, func() {})
+		b.deliverAll(func(int) int { return 0 }, func() {})
 		b.now = b.now.Add(400 * time.Millisecond)
 		for n := units.NodeID(2); n <= 6; n++ {
-			b.put(n, m[n].Tick(b.now, []units.NodeID{2, 3, 4, 5, 6}))
+			b.send(n, m[n].Tick(b.now, []units.NodeID{2, 3, 4, 5, 6}))
 		}
 	}
 	for n, x := range m {
--- a/internal/simulator/net.go
+++ b/internal/simulator/network.go
@@ -10,24 +10,24 @@
 	"seamshunt/internal/cluster/message"
 )
 
-func (s *Sim) out(h *Host, o message.Effects) {
+func (s *Sim) apply(h *Host, effects message.Effects) {
 	// The order of a step's notes may hang on a map; the world's must not.
-	slices.SortStableFunc(o.Messages, func(a, b message.Message) int {
+	slices.SortStableFunc(effects.Messages, func(a, b message.Message) int {
 		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Kind, b.Kind), bytes.Compare(a.Body, b.Body))
 	})
-	for _, n := range o.Messages {
+	for _, n := range effects.Messages {
 		s.send(h, n)
 	}
 	if h.Disk == nil {
-		for _, n := range o.AfterSync {
+		for _, n := range effects.AfterSync {
 			s.send(h, n)
 		}
-	} else if len(o.Writes)+len(o.AfterSync) > 0 {
-		h.Disk.queue(s, h, o)
+	} else if len(effects.Writes)+len(effects.AfterSync) > 0 {
+		h.Disk.enqueue(s, h, effects)
 	}
 }
 
-func (s *Sim) find(n message.Message) *Host {
+func (s *Sim) destination(n message.Message) *Host {
 	for _, h := range s.Hosts {
 		if n.Addr != "" && h.Addr == n.Addr || n.Addr == "" && h.Proc != nil && h.Proc.Self == n.To {
 			return h
@@ -36,18 +36,18 @@
 	return nil
 }
 
-func (s *Sim) delay(a, b *Host) time.Duration {
+func (s *Sim) networkDelay(a, b *Host) time.Duration {
 	if a == b {
 		return 20 * time.Microsecond
 	}
-	d := 200*time.Microsecond + time.Duration(s.Rng.Int64N(int64(time.Millisecond)))
+	delay := 200*time.Microsecond + time.Duration(s.Rng.Int64N(int64(time.Millisecond)))
 	if a.Zone != b.Zone {
-		d += 3 * time.Millisecond
+		delay += 3 * time.Millisecond
 	}
 	if s.Rng.IntN(100) == 0 {
-		d += time.Duration(s.Rng.Int64N(int64(60 * time.Millisecond)))
+		delay += time.Duration(s.Rng.Int64N(int64(60 * time.Millisecond)))
 	}
-	return d
+	return delay
 }
 
 func (s *Sim) send(h *Host, n message.Message) {
@@ -56,27 +56,27 @@
 	}
 	n.From = h.Proc.Self
 	s.Sent++
-	f := fnv.New64a()
-	f.Write(n.Body)
-	s.Trace = s.Trace*1099511628211 + f.Sum64() + uint64(n.Kind) + uint64(s.Now)
-	to := s.find(n)
+	hash := fnv.New64a()
+	hash.Write(n.Body)
+	s.Trace = s.Trace*1099511628211 + hash.Sum64() + uint64(n.Kind) + uint64(s.Now)
+	to := s.destination(n)
 	if to != nil && to.Zone != h.Zone {
 		s.InterZoneBytes[n.Kind&^15] += 24 + len(n.Body)
 	}
 	if to == nil || to != h && (h.Isolated || to.Isolated || s.Partitioned(h, to) || s.LossRate > 0 && s.Rng.Float64() < s.LossRate) {
 		return
 	}
-	life := to.life
-	s.After(s.delay(h, to), func() {
+	generation := to.generation
+	s.After(s.networkDelay(h, to), func() {
 		switch {
-		case to.Proc == nil && to.life == life || to.Proc != nil && n.To != 0 && n.To != to.Proc.Self:
+		case to.Proc == nil && to.generation == generation || to.Proc != nil && n.To != 0 && n.To != to.Proc.Self:
 			return
-		case to.life != life:
+		case to.generation != generation:
 			return // the wire broke when the process ended
 		case to.Paused:
-			to.held = append(to.held, n)
+			to.heldMessages = append(to.heldMessages, n)
 		default:
-			s.out(to, to.Proc.Step(s.Now, n))
+			s.apply(to, to.Proc.Step(s.Now, n))
 		}
 	})
 }
@@ -85,7 +85,7 @@
 func (s *Sim) RefuseConnections(dead *Host) {
 	for _, h := range s.Hosts {
 		if h != dead && h.Proc != nil && !h.Isolated && !dead.Isolated && !s.Partitioned(h, dead) && h.Proc.OnConnectionRefused != nil {
-			s.After(50*time.Millisecond+s.delay(h, dead), func() {
+			s.After(50*time.Millisecond+s.networkDelay(h, dead), func() {
 				if h.Proc != nil && !h.Paused && dead.Proc == nil {
 					h.Proc.OnConnectionRefused(s.Now, dead.Addr)
 				}
--- a/internal/simulator/old_quorum_test.go
+++ b/internal/simulator/old_quorum_test.go
@@ -20,8 +20,8 @@
 	router *Host
 }
 
-// parted says whether the cut is between two machines: a former member and the router reach each other alone.
-func (q *oldQuorum) parted(a, b *Host) bool {
+// partitionedHosts says whether the cut is between two machines: a former member and the router reach each other alone.
+func (q *oldQuorum) partitionedHosts(a, b *Host) bool {
 	if a == b {
 		return false
 	}
@@ -35,11 +35,11 @@
 func (q *oldQuorum) replaceMember(old *Host) {
 	q.t.Helper()
 	q.former = append(q.former, old)
-	fresh := q.AddController(fmt.Sprintf("core%d", len(q.coreH)+1), "z4", 3, nil, &BootstrapSettings{MayVote: true, Seeds: q.seeds}, q.cores)
-	q.coreH = append(q.coreH, fresh)
-	replaced := func() bool { return q.voters().Has(fresh.Disk.ID) && !q.voters().Has(old.Disk.ID) }
-	if _, ok := q.until(20*time.Second, replaced); !ok {
-		q.t.Fatalf("%s was not replaced: %v", old.Addr, q.voters())
+	fresh := q.AddController(fmt.Sprintf("core%d", len(q.controllerHosts)+1), "z4", 3, nil, &BootstrapSettings{MayVote: true, Seeds: q.seeds}, q.controllers)
+	q.controllerHosts = append(q.controllerHosts, fresh)
+	replaced := func() bool { return q.newestQuorum().Has(fresh.Disk.ID) && !q.newestQuorum().Has(old.Disk.ID) }
+	if _, ok := q.runUntil(20*time.Second, replaced); !ok {
+		q.t.Fatalf("%s was not replaced: %v", old.Addr, q.newestQuorum())
 	}
 }
 
@@ -49,7 +49,7 @@
 	var num units.Version
 	request := register.Request{Key: "config", Write: true, ExpectedVersion: base, RequestID: "next", Data: []byte(configText(1))}
 	acked := func() bool {
-		q.callAt(q.cores[q.coreH[2]], request, func(o *Op) {
+		q.callAt(q.controllers[q.controllerHosts[2]], request, func(o *Op) {
 			if o.Code == resultcode.OK {
 				num = o.Version
 			}
@@ -57,7 +57,7 @@
 		q.Run(q.Now.Add(500 * time.Millisecond))
 		return num > 0
 	}
-	if _, ok := q.until(20*time.Second, acked); !ok {
+	if _, ok := q.runUntil(20*time.Second, acked); !ok {
 		q.t.Fatal("the quorum acknowledges nothing")
 	}
 	return num
@@ -66,34 +66,34 @@
 // The quorum changes while the former members are cut off, and a new configuration is acknowledged. The
 // router, which was down meanwhile, starts and hears of the old quorum and the old configuration from its former members, who are a majority
 // of that quorum: it must not serve before it is in touch again.
-func TestRouterOfAnOldQuorumDoesNotServe(t *testing.T) {
+func TestRouterWithOldQuorumDoesNotServe(t *testing.T) {
 	t.Parallel()
 	heardOld := 0
-	for seed := *from; seed < *from+40; seed++ {
-		w := grown(seed, 3)
+	for seed := *firstSeed; seed < *firstSeed+40; seed++ {
+		w := bootstrappedWorld(seed, 3)
 		w.Run(units.Time(6 * time.Second))
-		_, base := w.put(t, 0)
+		_, base := w.writeConfig(t, 0)
 		w.Run(w.Now.Add(time.Second))
-		q := &oldQuorum{World: w, t: t, router: w.edgeH[0]}
+		q := &oldQuorum{World: w, t: t, router: w.routerHosts[0]}
 		w.Kill(q.router)
 		healed := false
-		w.cut(time.Hour, func(a, b *Host) bool { return !healed && len(q.former) > 0 && q.parted(a, b) })
-		q.replaceMember(w.coreH[0])
-		q.replaceMember(w.coreH[1])
+		w.partition(time.Hour, func(a, b *Host) bool { return !healed && len(q.former) > 0 && q.partitionedHosts(a, b) })
+		q.replaceMember(w.controllerHosts[0])
+		q.replaceMember(w.controllerHosts[1])
 		newest := q.write(base)
 		w.Run(w.Now.Add(3 * time.Second))
 		w.LossRate = 0.3 // so that news and vouching come in any order
 		w.Start(q.router)
 		w.Run(w.Now.Add(400 * time.Millisecond))
-		if _, served := w.until(10*time.Second, func() bool { return w.edges[q.router].Ready }); served {
-			t.Errorf("seed %d: the router serves with %d, %d was acknowledged", seed, w.edges[q.router].ConfigVersion, newest)
+		if _, served := w.runUntil(10*time.Second, func() bool { return w.routers[q.router].Ready }); served {
+			t.Errorf("seed %d: the router serves with %d, %d was acknowledged", seed, w.routers[q.router].ConfigVersion, newest)
 		}
-		if w.edges[q.router].Config != nil {
+		if w.routers[q.router].Config != nil {
 			heardOld++
 		}
 		healed, w.LossRate = true, 0
-		if took, ok := w.until(4*time.Second, func() bool { return w.edges[q.router].Ready }); !ok || w.edges[q.router].ConfigVersion != newest {
-			t.Errorf("seed %d: back in touch for %v, the router serves: %v, with %d", seed, took, ok, w.edges[q.router].ConfigVersion)
+		if took, ok := w.runUntil(4*time.Second, func() bool { return w.routers[q.router].Ready }); !ok || w.routers[q.router].ConfigVersion != newest {
+			t.Errorf("seed %d: back in touch for %v, the router serves: %v, with %d", seed, took, ok, w.routers[q.router].ConfigVersion)
 		}
 	}
 	if heardOld < 30 {
--- a/internal/simulator/grow_power_test.go
+++ b/internal/simulator/power_loss_test.go
@@ -11,30 +11,30 @@
 	"seamshunt/internal/units"
 )
 
-// powerLost ends every machine at once, routers and controllers that don't count too, and empties the disks of some of
+// losePower ends every machine at once, routers and controllers that don't count too, and empties the disks of some of
 // the first `counted` controllers.
-func (w *World) powerLost(counted, lost, from int) {
-	for i, h := range w.coreH {
+func (w *World) losePower(counted, lost, from int) {
+	for i, h := range w.controllerHosts {
 		w.Kill(h)
-		h.Disk.powerOff(w.Rng)
+		h.Disk.losePower(w.Rng)
 		if i < counted && (i+from)%counted < lost {
 			h.Disk.Wipe()
 		}
 	}
-	for _, h := range w.edgeH {
+	for _, h := range w.routerHosts {
 		w.Kill(h)
 	}
 }
 
-// powerBack starts every machine, in an order that the seed picks, within 300 ms.
-func (w *World) powerBack() {
-	for _, h := range append(append([]*Host{}, w.coreH...), w.edgeH...) {
+// restorePower starts every machine, in an order that the seed picks, within 300 ms.
+func (w *World) restorePower() {
+	for _, h := range append(append([]*Host{}, w.controllerHosts...), w.routerHosts...) {
 		w.After(time.Duration(w.Rng.Int64N(int64(300*time.Millisecond))), func() { w.Start(h) })
 	}
 }
 
-// zoneReadBack reads a zone's state until it is confirmed.
-func (w *World) zoneReadBack(zone string) (data string, ok bool) {
+// readZone reads a zone's state until it is confirmed.
+func (w *World) readZone(zone string) (data string, ok bool) {
 	for range 12 {
 		var got *Op
 		w.Call(register.Request{Key: "zone/" + zone}, func(o *Op) { got = o })
@@ -49,24 +49,24 @@
 // As many disks are lost as the core bears, while every other machine loses power, those that don't count too: no memory
 // is left that could help. It strikes at an acknowledgement or up to 400 ms after a change was sent, which may be while the
 // quorum set changes. What was acknowledged, evacuations too, is there again, and the next round finds a whole core.
-func TestDisksLostAsAllLosePower(t *testing.T) {
+func TestDisksLostDuringPowerLoss(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct{ counted, lame, lost int }{{3, 0, 1}, {3, 3, 1}, {4, 0, 1}, {4, 4, 1}, {5, 2, 2}, {6, 0, 2}, {9, 0, 4}} {
 		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
 			t.Parallel()
-			for seed := *from; seed < *from+16; seed++ {
+			for seed := *firstSeed; seed < *firstSeed+16; seed++ {
 				var lame []int
 				for i := range x.lame {
 					lame = append(lame, x.counted+i)
 				}
-				w := grown(seed, x.counted+x.lame, lame...)
-				for _, h := range w.coreH { // slow enough that an answer which does not wait for the disk is found out
+				w := bootstrappedWorld(seed, x.counted+x.lame, lame...)
+				for _, h := range w.controllerHosts { // slow enough that an answer which does not wait for the disk is found out
 					h.Disk.Delay = time.Duration(2+w.Rng.IntN(40)) * time.Millisecond
 				}
 				w.Run(units.Time(6 * time.Second))
-				text, num := w.put(t, 0)
+				text, num := w.writeConfig(t, 0)
 				w.Evacuate("z2", true)
-				if _, ok := w.until(6*time.Second, func() bool { return w.evac["z2"] > 0 }); !ok {
+				if _, ok := w.runUntil(6*time.Second, func() bool { return w.evacuatedAt["z2"] > 0 }); !ok {
 					t.Fatalf("%+v, seed %d: the evacuation was not acknowledged", x, seed)
 				}
 				for round := 1; round <= 4; round++ {
@@ -77,26 +77,26 @@
 						}
 					})
 					if w.Rng.IntN(2) == 0 {
-						w.until(6*time.Second, func() bool { return nextNum > 0 })
+						w.runUntil(6*time.Second, func() bool { return nextNum > 0 })
 					} else {
 						w.Run(w.Now.Add(time.Duration(w.Rng.Int64N(int64(400 * time.Millisecond)))))
 					}
-					w.powerLost(x.counted, x.lost, round+int(seed))
+					w.losePower(x.counted, x.lost, round+int(seed))
 					w.Run(w.Now.Add(time.Second))
-					w.powerBack()
+					w.restorePower()
 					w.Run(w.Now.Add(300 * time.Millisecond))
 					if nextNum > 0 {
-						w.readBack(t, next, nextNum)
+						w.checkReadBack(t, next, nextNum)
 					} else if got := w.readNewest(t); got.Data != text && got.Data != next || got.Version < num {
 						t.Fatalf("%+v, seed %d: acknowledged %d, read back %+v", x, seed, num, got)
 					}
-					if data, ok := w.zoneReadBack("z2"); !ok || data != `{"evacuated":true}` {
+					if data, ok := w.readZone("z2"); !ok || data != `{"evacuated":true}` {
 						t.Fatalf("%+v, seed %d: the evacuation is %q", x, seed, data)
 					}
-					if _, ok := w.until(12*time.Second, w.settled); !ok {
-						t.Fatalf("%+v, seed %d: never whole again: %v", x, seed, w.voters())
+					if _, ok := w.runUntil(12*time.Second, w.quorumComplete); !ok {
+						t.Fatalf("%+v, seed %d: never whole again: %v", x, seed, w.newestQuorum())
 					}
-					text, num = w.put(t, 10+round)
+					text, num = w.writeConfig(t, 10+round)
 				}
 				for _, f := range w.Violations {
 					t.Errorf("%+v, seed %d: %s", x, seed, f)
@@ -106,10 +106,10 @@
 	}
 }
 
-// killedWhileWriting plays one round: controllers are killed while a change is being written, and are back within a second; the
+// killWhileWriting plays one round: controllers are killed while a change is being written, and are back within a second; the
 // change is acknowledged, as many disks are lost as the core bears, and every other machine loses power. It says whether the change
 // was acknowledged, and whether it is read back.
-func (w *World) killedWhileWriting(counted, round int) (acknowledged, there bool) {
+func (w *World) killWhileWriting(counted, round int) (acknowledged, readBack bool) {
 	text, num := configText(round), units.Version(0)
 	w.change("config", text, func(o *Op) {
 		if o.Code == resultcode.OK {
@@ -118,18 +118,18 @@
 	})
 	writes := func() bool {
 		n := 0
-		for _, h := range w.coreH[:counted] {
+		for _, h := range w.controllerHosts[:counted] {
 			if len(h.Disk.writing) > 0 {
 				n++
 			}
 		}
 		return n > counted/2
 	}
-	if _, ok := w.until(2*time.Second, writes); !ok || num > 0 {
+	if _, ok := w.runUntil(2*time.Second, writes); !ok || num > 0 {
 		return false, false
 	}
-	owner, off := slices.Index(w.coreH, w.ownerOf("config")), false
-	for i, h := range w.coreH[:counted] {
+	owner, off := slices.Index(w.controllerHosts, w.ownerOf("config")), false
+	for i, h := range w.controllerHosts[:counted] {
 		if i != owner {
 			w.Kill(h)
 			w.After(time.Duration(20+w.Rng.IntN(300))*time.Millisecond, func() {
@@ -139,19 +139,19 @@
 			})
 		}
 	}
-	if _, ok := w.until(6*time.Second, func() bool { return num > 0 }); !ok {
+	if _, ok := w.runUntil(6*time.Second, func() bool { return num > 0 }); !ok {
 		return false, false
 	}
 	off = true
-	w.powerLost(counted, (counted-1)/2, counted-owner)
+	w.losePower(counted, (counted-1)/2, counted-owner)
 	w.Run(w.Now.Add(time.Second))
-	w.powerBack()
+	w.restorePower()
 	w.Run(w.Now.Add(300 * time.Millisecond))
-	return true, w.reads(text, num)
+	return true, w.readsBack(text, num)
 }
 
-// reads says whether a confirmed read gives a configuration under a number, or a later one.
-func (w *World) reads(text string, num units.Version) bool {
+// readsBack says whether a confirmed read gives a configuration under a number, or a later one.
+func (w *World) readsBack(text string, num units.Version) bool {
 	for range 12 {
 		var got *Op
 		w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
@@ -172,16 +172,16 @@
 			t.Run(fmt.Sprintf("%d disks, trusting what is read: %v", counted, trusts), func(t *testing.T) {
 				t.Parallel()
 				rounds, lost := 0, 0
-				for seed := *from; seed < *from+36; seed++ {
-					w := grown(seed, counted)
-					for _, h := range w.coreH {
+				for seed := *firstSeed; seed < *firstSeed+36; seed++ {
+					w := bootstrappedWorld(seed, counted)
+					for _, h := range w.controllerHosts {
 						h.Disk.Delay = time.Duration(2+w.Rng.IntN(40)) * time.Millisecond
 						h.Disk.TrustsCache = trusts
 					}
 					w.Run(units.Time(6 * time.Second))
-					w.put(t, 0)
+					w.writeConfig(t, 0)
 					for round := 1; round <= 3; round++ {
-						acknowledged, there := w.killedWhileWriting(counted, round)
+						acknowledged, there := w.killWhileWriting(counted, round)
 						if acknowledged {
 							rounds++
 						}
@@ -193,7 +193,7 @@
 							}
 							break
 						}
-						if _, ok := w.until(12*time.Second, w.settled); !ok {
+						if _, ok := w.runUntil(12*time.Second, w.quorumComplete); !ok {
 							break
 						}
 					}
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/simulate_test.go
@@ -13,12 +13,12 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 2, "how many seeds each deployment is played with")
-	pairs = flag.Int("pairs", 0, "how many seeds each pair of troubles is played with")
-	from  = flag.Uint64("from", 1, "the first seed")
+	seedCount = flag.Int("seeds", 2, "how many seeds each deployment is played with")
+	pairSeeds = flag.Int("pairs", 0, "how many seeds each pair of troubles is played with")
+	firstSeed = flag.Uint64("from", 1, "the first seed")
 )
 
-func play(t *testing.T, p Deployment, seed uint64, names ...string) *World {
+func simulate(t *testing.T, p Deployment, seed uint64, names ...string) *World {
 	t.Helper()
 	w := Simulate(p, seed, names...)
 	for i, f := range w.Violations {
@@ -39,12 +39,12 @@
 		var mu sync.Mutex
 		t.Cleanup(func() {
 			t.Logf("%s, %d seeds: %d runs, at most %d at once; median / 99th / most: last run after leaving %s, after evacuation %s, configuration in force %s, back after a full loss %s, without a keeper %s; of %d claims %d without the disks, %d refused",
-				p.Name, *seeds, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining), Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes), Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
+				p.Name, *seedCount, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining), Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes), Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
 		})
-		for s := *from; s < *from+uint64(*seeds); s++ {
+		for s := *firstSeed; s < *firstSeed+uint64(*seedCount); s++ {
 			t.Run(fmt.Sprint(p.Name, s), func(t *testing.T) {
 				t.Parallel()
-				w := play(t, p, s)
+				w := simulate(t, p, s)
 				mu.Lock()
 				defer mu.Unlock()
 				f.add(&w.Stats)
@@ -55,16 +55,16 @@
 
 // Every pair of troubles at once, off the CI path: -pairs with how many seeds (docs/promises.md).
 func TestPairs(t *testing.T) {
-	if *pairs == 0 {
+	if *pairSeeds == 0 {
 		t.Skip("-pairs 0")
 	}
 	for i, x := range Faults {
 		for _, y := range Faults[i:] {
 			t.Run(x.Name+" and "+y.Name, func(t *testing.T) {
 				t.Parallel()
-				for s := range uint64(*pairs) {
-					play(t, Vatuloa, *from+s, x.Name, y.Name)
-					play(t, Council, *from+s, x.Name, y.Name)
+				for s := range uint64(*pairSeeds) {
+					simulate(t, Vatuloa, *firstSeed+s, x.Name, y.Name)
+					simulate(t, Council, *firstSeed+s, x.Name, y.Name)
 				}
 			})
 		}
@@ -72,12 +72,12 @@
 }
 
 // Each trouble alone.
-func TestEachTrouble(t *testing.T) {
+func TestEachFault(t *testing.T) {
 	for _, x := range Faults {
 		t.Run(x.Name, func(t *testing.T) {
 			t.Parallel()
-			play(t, Vatuloa, *from, x.Name)
-			play(t, Council, *from, x.Name)
+			simulate(t, Vatuloa, *firstSeed, x.Name)
+			simulate(t, Council, *firstSeed, x.Name)
 		})
 	}
 }
@@ -85,16 +85,16 @@
 // A failing seed must replay: the same seed gives the same notes at the same times and the same disks.
 func TestReplay(t *testing.T) {
 	a, b := Simulate(Council, 5), Simulate(Council, 5)
-	if a.state() != b.state() {
-		t.Errorf("two runs of one seed differ:\n%s\n%s", a.state(), b.state())
+	if a.fingerprint() != b.fingerprint() {
+		t.Errorf("two runs of one seed differ:\n%s\n%s", a.fingerprint(), b.fingerprint())
 	}
-	if c := Simulate(Council, 6); c.state() == a.state() {
+	if c := Simulate(Council, 6); c.fingerprint() == a.fingerprint() {
 		t.Error("two seeds give the same run: the seed has no say")
 	}
 }
 
 // The checker of histories must see planted violations.
-func TestLinearSeesViolations(t *testing.T) {
+func TestCheckHistoryFindsViolations(t *testing.T) {
 	ok := resultcode.OK
 	good := []Op{
 		{Key: "k", Write: true, CalledAt: 1, ReturnedAt: 2, ExpectedVersion: 0, Version: 1, Data: "a", Code: ok},
@@ -121,10 +121,10 @@
 }
 
 // Power lost on the whole core in the very moment of an acknowledgement: what was acknowledged is there again, as sent.
-func TestPowerLostAfterAck(t *testing.T) {
+func TestPowerLostAfterAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for _, p := range []Deployment{Vatuloa, Council} {
-		for seed := *from; seed < *from+4; seed++ {
+		for seed := *firstSeed; seed < *firstSeed+4; seed++ {
 			w := NewWorld(p, seed)
 			w.Run(units.Time(4 * time.Second))
 			for i := range 5 {
@@ -133,7 +133,7 @@
 				w.change("config", text, func(o *Op) {
 					if o.Code == resultcode.OK {
 						acked = o.Version
-						for _, h := range w.coreH {
+						for _, h := range w.controllerHosts {
 							w.Kill(h)
 						}
 					}
@@ -142,7 +142,7 @@
 				if acked == 0 {
 					t.Fatalf("%s seed %d: write %d was not acknowledged", p.Name, seed, i)
 				}
-				for _, h := range w.coreH {
+				for _, h := range w.controllerHosts {
 					w.Start(h)
 				}
 				var got *Op
@@ -158,15 +158,15 @@
 }
 
 // A router is warned while every slot is wanted: those who take its workers over must count what it still holds.
-func TestDrainInACrowd(t *testing.T) {
+func TestDrainUnderFullLoad(t *testing.T) {
 	t.Parallel()
-	for seed := *from; seed < *from+4; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+4; seed++ {
 		w := NewWorld(Vatuloa, seed)
-		w.rate = 200
+		w.requestRate = 200
 		w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
 		w.At(units.Time(6*time.Second), w.GenerateLoad)
 		for i := range 4 {
-			w.At(units.Time(9+2*i)*units.Time(time.Second), func() { w.drain(w.edgeH[2*i]) })
+			w.At(units.Time(9+2*i)*units.Time(time.Second), func() { w.drainAndRestart(w.routerHosts[2*i]) })
 		}
 		w.Run(units.Time(20 * time.Second))
 		if w.Stats.Runs < 500 || len(w.Violations) > 0 {
--- a/internal/simulator/sim.go
+++ b/internal/simulator/simulator.go
@@ -14,7 +14,7 @@
 type event struct {
 	at  units.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
 type events []event
@@ -44,16 +44,16 @@
 
 // Host is one machine.
 type Host struct {
-	Addr      string
-	Zone      string
-	Disk      *Disk
-	Proc      *Proc
-	Isolated  bool // its network is gone: no refusal comes back either
-	Paused    bool
-	life      int
-	Bootstrap *BootstrapSettings // where voters grow: what its boot file says
-	held      []message.Message
-	start     func(h *Host) *Proc
+	Addr         string
+	Zone         string
+	Disk         *Disk
+	Proc         *Proc
+	Isolated     bool // its network is gone: no refusal comes back either
+	Paused       bool
+	generation   int
+	Bootstrap    *BootstrapSettings // where voters grow: what its boot file says
+	heldMessages []message.Message
+	startProcess func(h *Host) *Proc
 }
 
 // BootstrapSettings is the part of a boot file that founding from seeds goes by (design 13).
@@ -67,21 +67,21 @@
 
 // Sim is one world.
 type Sim struct {
-	Now      units.Time
-	Rng      *rand.Rand
-	Hosts    []*Host
-	LossRate float64
-	cuts     []*func(from, to *Host) bool
-	Sent     int
+	Now        units.Time
+	Rng        *rand.Rand
+	Hosts      []*Host
+	LossRate   float64
+	partitions []*func(from, to *Host) bool
+	Sent       int
 	// InterZoneBytes counts the bytes of notes between zones, by range of kinds.
 	InterZoneBytes map[message.Kind]int
 	PollPlatform   func(*Controller, units.Time) // the world's platform, for cores that may ask it
 	Trace          uint64
-	queue          events
-	seq            uint64
+	events         events
+	lastSequence   uint64
 }
 
-const tickGap = 25 * time.Millisecond
+const tickInterval = 25 * time.Millisecond
 
 // New gives an empty world for a seed.
 func New(seed uint64) *Sim {
@@ -90,7 +90,7 @@
 
 // Partitioned says whether nothing gets from one machine to the other.
 func (s *Sim) Partitioned(from, to *Host) bool {
-	for _, f := range s.cuts {
+	for _, f := range s.partitions {
 		if (*f)(from, to) {
 			return true
 		}
@@ -99,27 +99,27 @@
 }
 
 // At plans a thing for later.
-func (s *Sim) At(t units.Time, do func()) {
-	s.seq++
-	heap.Push(&s.queue, event{max(t, s.Now), s.seq, do})
+func (s *Sim) At(t units.Time, run func()) {
+	s.lastSequence++
+	heap.Push(&s.events, event{max(t, s.Now), s.lastSequence, run})
 }
 
 // After plans a thing for a span from now.
-func (s *Sim) After(d time.Duration, do func()) { s.At(s.Now.Add(d), do) }
+func (s *Sim) After(d time.Duration, run func()) { s.At(s.Now.Add(d), run) }
 
 // Run lets the world go on until t.
 func (s *Sim) Run(t units.Time) {
-	for len(s.queue) > 0 && s.queue[0].at <= t {
-		e := heap.Pop(&s.queue).(event)
+	for len(s.events) > 0 && s.events[0].at <= t {
+		e := heap.Pop(&s.events).(event)
 		s.Now = e.at
-		e.do()
+		e.run()
 	}
 	s.Now = t
 }
 
 // Add puts a machine into the world and starts its process.
 func (s *Sim) Add(addr, zone string, disk *Disk, start func(h *Host) *Proc) *Host {
-	h := &Host{Addr: addr, Zone: zone, Disk: disk, start: start}
+	h := &Host{Addr: addr, Zone: zone, Disk: disk, startProcess: start}
 	s.Hosts = append(s.Hosts, h)
 	s.Start(h)
 	return h
@@ -127,29 +127,29 @@
 
 // Start runs a fresh process on a machine, from what its disk holds.
 func (s *Sim) Start(h *Host) {
-	h.life++
-	h.held, h.Paused = nil, false
-	h.Proc = h.start(h)
-	life := h.life
+	h.generation++
+	h.heldMessages, h.Paused = nil, false
+	h.Proc = h.startProcess(h)
+	generation := h.generation
 	var tick func()
 	tick = func() {
-		if h.life != life || h.Proc == nil {
+		if h.generation != generation || h.Proc == nil {
 			return
 		}
 		if !h.Paused {
-			s.out(h, h.Proc.Tick(s.Now))
+			s.apply(h, h.Proc.Tick(s.Now))
 		}
-		s.After(tickGap, tick)
+		s.After(tickInterval, tick)
 	}
-	s.After(time.Duration(s.Rng.Int64N(int64(tickGap))), tick)
+	s.After(time.Duration(s.Rng.Int64N(int64(tickInterval))), tick)
 }
 
 // Kill ends a process; what its disk has not synced is lost.
 func (s *Sim) Kill(h *Host) {
-	h.life++
-	h.Proc, h.Paused, h.held = nil, false, nil
+	h.generation++
+	h.Proc, h.Paused, h.heldMessages = nil, false, nil
 	if h.Disk != nil {
-		h.Disk.crash()
+		h.Disk.processKilled()
 	}
 }
 
@@ -165,16 +165,16 @@
 	if h.Proc.OnResume != nil {
 		h.Proc.OnResume(s.Now)
 	}
-	held := h.held
-	h.held = nil
-	for _, n := range held {
-		s.out(h, h.Proc.Step(s.Now, n))
+	messages := h.heldMessages
+	h.heldMessages = nil
+	for _, n := range messages {
+		s.apply(h, h.Proc.Step(s.Now, n))
 	}
 }
 
 // Inject gives a host's machines something from outside the net, such as an operator's wish.
-func (s *Sim) Inject(h *Host, f func(now units.Time) message.Effects) {
+func (s *Sim) Inject(h *Host, handle func(now units.Time) message.Effects) {
 	if h.Proc != nil && !h.Paused {
-		s.out(h, f(s.Now))
+		s.apply(h, handle(s.Now))
 	}
 }
--- /dev/null
+++ b/internal/simulator/workload.go
@@ -0,0 +1,236 @@
+package simulator
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"seamshunt/internal/resultcode"
+	"seamshunt/internal/router/admission"
+	"seamshunt/internal/router/capacity"
+	"seamshunt/internal/router/idempotency"
+	"seamshunt/internal/router/placement"
+	"seamshunt/internal/units"
+)
+
+// worker is a simulated worker; it counts what really runs.
+type worker struct {
+	unresponsive         bool // takes prompts, says nothing, notices nothing
+	id                   string
+	zone                 string
+	running              bool
+	startedAt            units.Time
+	drainingSince        units.Time
+	lastRunAfterDraining time.Duration // the last run begun after the mark
+	restartKnownAt       units.Time    // till then not everybody can know that it was started again in its place
+	runs                 map[*run]bool
+}
+
+type run struct {
+	router     *Router
+	tag        uint64
+	generation int
+	end        units.Time
+}
+
+// GenerateLoad sends prompts at the world's rate from now on.
+func (w *World) GenerateLoad() {
+	if w.requestRate > 0 {
+		w.sendRequest()
+		w.After(time.Duration(w.Rng.ExpFloat64()/w.requestRate*1e9), w.GenerateLoad)
+		return
+	}
+	w.After(100*time.Millisecond, w.GenerateLoad)
+}
+
+// sendRequest brings one to a router that the platform finds ready.
+func (w *World) sendRequest() {
+	var ready []*Router
+	for _, h := range w.routerHosts {
+		if e := w.routers[h]; w.alive(h) && e.Ready && !e.Draining && !e.Evacuated[h.Zone] {
+			ready = append(ready, e)
+		}
+	}
+	if len(ready) == 0 {
+		w.Stats.Unroutable++
+		return
+	}
+	e := ready[w.Rng.IntN(len(ready))]
+	w.checkConfigIsCurrent(e)
+	timeLimit := []time.Duration{6 * time.Second, 4 * time.Second, 20 * time.Second}[w.Rng.IntN(3)]
+	if timeLimit != 4*time.Second {
+		w.admit(e, w.Now.Add(timeLimit), w.drawPrefix(), "")
+		return
+	}
+	w.lastSerial++
+	key := fmt.Sprintf("key%d", w.lastSerial)
+	w.submitNonRepeatable(e, key)
+	if k := w.Rng.IntN(3); k < 2 {
+		// The caller's own copy, by way of another node, at once or late: also by what runs there after a loss.
+		h := pick(w, ready).Host
+		w.After(time.Duration(w.Rng.Int64N(int64(5+40*k)*int64(time.Second))), func() {
+			if o := w.routers[h]; w.alive(h) && o.Ready && !o.Draining {
+				w.submitNonRepeatable(o, key)
+			}
+		})
+	}
+}
+
+// drawPrefix draws a prompt's prefix.
+func (w *World) drawPrefix() int {
+	if w.hotPrefixShare > 0 && w.Rng.Float64() < w.hotPrefixShare {
+		return 0
+	}
+	return w.Rng.IntN(40)
+}
+
+// submitNonRepeatable may not repeat: its key is claimed first.
+func (w *World) submitNonRepeatable(router *Router, key string) {
+	router.lastTag++
+	token := router.lastTag<<8 ^ uint64(router.Self)
+	deadline := w.Now.Add(4 * time.Second)
+	holders := idempotency.Holders(router.gossip.All(), key)
+	router.claimCallbacks[token] = func(c resultcode.Code, durable bool) {
+		if w.Stats.Claims++; c == resultcode.ClaimFailed {
+			w.Stats.FailedClaims++
+		}
+		if c == resultcode.OK && !durable {
+			if _, ok := w.nonDurableClaimAt[key]; !ok { // the first copy's claim is the one that may be forgotten
+				w.nonDurableClaimAt[key] = w.Now
+			}
+			w.Stats.NonDurableClaims++
+		}
+		switch {
+		case c == resultcode.OK && w.Now < deadline:
+			w.admit(router, deadline, w.drawPrefix(), key)
+		case c == resultcode.OK || c == resultcode.KeySpent:
+			w.reportNotRun(router, key)
+		}
+	}
+	out := router.claimant.Claim(w.Now, token, key, holders)
+	router.deliverResults()
+	w.apply(router.Host, out)
+}
+
+// reportNotRun is said to the caller, and the key is burned.
+func (w *World) reportNotRun(router *Router, key string) {
+	w.Stats.Refused++
+	if key == "" {
+		return
+	}
+	if w.runsByKey[key] > 0 && !w.claimMayBeLost(key) {
+		w.reportViolation("%s was said not to run and had run", key)
+	}
+	w.reportedNotRun[key] = true
+	w.apply(router.Host, router.claimant.Spend(key, idempotency.Holders(router.gossip.All(), key)))
+}
+
+func (w *World) admit(router *Router, deadline units.Time, prefix int, key string) {
+	service := router.Config.Services["advice"]
+	query := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(prefix)), Zone: router.Host.Zone, PreferredCount: service.PreferredCount}
+	coordinators := map[string]units.NodeID{}
+	for _, x := range router.Pools[service.Pool] {
+		name := service.Name + "/" + x.ID
+		if x.Draining || router.Evacuated[x.Zone] || x.Service != "" && x.Service != service.Name {
+			continue
+		}
+		load := 0.0
+		if l, ok := router.queue.Loads[name]; ok && w.Now.Sub(l.UpdatedAt) < 2*time.Second {
+			load = float64(l.InUse+l.Waiting) / float64(l.Capacity)
+		}
+		query.Candidates = append(query.Candidates, placement.Candidate{Name: name, Zone: x.Zone, Load: load})
+		coordinators[name] = capacity.Coordinator(router.peers, name, x.Zone)
+	}
+	router.lastTag++
+	tag := router.lastTag
+	router.decisionCallbacks[tag] = func(decision admission.Decision) { w.handleDecision(router, tag, deadline, key, decision) }
+	out := router.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Candidates: router.placer.Rank(service.PlacementPolicy, query), MaxCandidates: service.PreferredCount + 4, Deadline: deadline,
+		FirstTokenTime: service.FirstTokenTime, Coordinator: func(n string) units.NodeID { return coordinators[n] }})
+	router.deliverResults()
+	w.apply(router.Host, out)
+}
+
+func (w *World) handleDecision(router *Router, tag uint64, deadline units.Time, key string, decision admission.Decision) {
+	if decision.Code != resultcode.OK {
+		w.reportNotRun(router, key)
+		return
+	}
+	_, id, _ := strings.Cut(decision.Worker, "/")
+	x := w.workers[id]
+	if x == nil || !x.running || !w.alive(router.Host) {
+		w.finishRun(router, tag, false)
+		return
+	}
+	if workerClosed(router, id) {
+		w.finishRun(router, tag, false) // the daemon looks once more before it hands over
+		return
+	}
+	if key != "" {
+		w.runsByKey[key]++
+		if (w.runsByKey[key] > 1 || w.reportedNotRun[key]) && !w.claimMayBeLost(key) {
+			w.reportViolation("%s ran %d times, said not to run: %v", key, w.runsByKey[key], w.reportedNotRun[key])
+		}
+	}
+	w.startRun(router, tag, deadline, x)
+}
+
+func workerClosed(router *Router, id string) bool {
+	for _, y := range router.Pools["main"] {
+		if y.ID == id {
+			return y.Draining || router.Evacuated[y.Zone]
+		}
+	}
+	return true
+}
+
+// startRun is a run that really starts; everything is judged here.
+func (w *World) startRun(router *Router, tag uint64, deadline units.Time, x *worker) {
+	duration := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(1800*time.Millisecond)))
+	if x.unresponsive {
+		duration = time.Hour
+	}
+	r := &run{router: router, tag: tag, generation: router.Host.generation, end: min(w.Now.Add(duration), deadline)}
+	x.runs[r] = true
+	w.Stats.Runs++
+	if router.Host.Zone != x.zone {
+		w.Stats.CrossZone++
+	}
+	w.checkRunStart(router, x)
+	generation := router.Host.generation
+	var finish func()
+	finish = func() {
+		switch {
+		case router.Host.generation != generation:
+			// The router ended: the worker notices the broken wire.
+			delete(x.runs, r)
+		case router.Host.Paused:
+			delete(x.runs, r) // the worker is through; the router hears of it when it wakes
+			w.After(50*time.Millisecond, finish)
+		default:
+			delete(x.runs, r)
+			w.finishRun(router, tag, !x.running && router.Host.Isolated)
+		}
+	}
+	w.At(r.end, finish)
+	var watchRouter func()
+	watchRouter = func() {
+		if x.runs[r] && router.Host.generation != generation {
+			w.After(100*time.Millisecond, func() { delete(x.runs, r) })
+		} else if x.runs[r] {
+			w.After(100*time.Millisecond, watchRouter)
+		}
+	}
+	w.After(100*time.Millisecond, watchRouter)
+}
+
+func (w *World) finishRun(router *Router, tag uint64, outcomeUnknown bool) {
+	out := router.queue.Done(w.Now, tag, outcomeUnknown)
+	router.deliverResults()
+	w.apply(router.Host, out)
+}
+
+// claimMayBeLost says whether a key was claimed while no disk could be told, and all memory was lost after that.
+func (w *World) claimMayBeLost(key string) bool {
+	at, ok := w.nonDurableClaimAt[key]
+	return ok && w.allLostAt > at
+}
