--- a/internal/simulator/anti_entropy_test.go
+++ b/internal/simulator/anti_entropy_test.go
@@ -7,7 +7,7 @@
 	"seamshunt/internal/units"
 )
 
-// A voter that missed writes is mended though nobody writes those keys again (design 2).
+// A voter that missed writes is repaired even if nobody writes those keys again (docs/design.md, section 2).
 func TestAntiEntropyRepair(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+3; seed++ {
@@ -27,7 +27,7 @@
 		w.Run(w.Now.Add(20 * time.Second))
 		w.checkReplicasAgree()
 		if now := len(w.controllers[lost].Replica.StoredVersions()); behind >= now || now != 5 {
-			t.Errorf("seed %d: %d keys when it came back, %d after repair, 5 there are", seed, behind, now)
+			t.Errorf("seed %d: %d keys after its restart, %d after the repair, want 5", seed, behind, now)
 		}
 		if len(w.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, w.Violations)
--- a/internal/simulator/bootstrap_test.go
+++ b/internal/simulator/bootstrap_test.go
@@ -10,78 +10,78 @@
 	"seamshunt/internal/units"
 )
 
-// bootstrappedWorld is a core of n machines in four zones, of which some disks don't count, and two routers.
+// bootstrappedWorld returns n controllers in four zones, some of which may not vote, and two routers.
 func bootstrappedWorld(seed uint64, n int, nonVoting ...int) *World {
 	return bootstrappedIn(seed, n, 4, nonVoting...)
 }
 
-// bootstrappedIn is the same in so many zones.
+// bootstrappedIn is bootstrappedWorld with a given number of zones.
 func bootstrappedIn(seed uint64, n, zones int, nonVoting ...int) *World {
-	p := Deployment{Name: fmt.Sprintf("grown%d", n), RouterZones: []string{"z1", "z2"}, WorkerZones: []string{"z1"}, GrowsFromSeeds: true, NonVoting: nonVoting}
+	p := Deployment{Name: fmt.Sprintf("seeds%d", n), RouterZones: []string{"z1", "z2"}, WorkerZones: []string{"z1"}, GrowsFromSeeds: true, NonVoting: nonVoting}
 	for i := range n {
 		p.ControllerZones = append(p.ControllerZones, fmt.Sprintf("z%d", i%zones+1))
 	}
 	return NewWorld(p, seed)
 }
 
-// quorumComplete says whether the set is the largest odd number of the disks that count (both, where there are two), and all
-// know it.
+// quorumComplete reports whether the quorum set has the largest odd number of voting disks (both, if there are two), and all
+// controllers know it.
 func (w *World) quorumComplete() bool {
-	v := w.newestQuorum()
-	counted, members := 0, 0
+	quorum := w.newestQuorum()
+	voting, members := 0, 0
 	for i, h := range w.controllerHosts {
-		lame := false
+		nonVoting := false
 		for _, l := range w.NonVoting {
-			lame = lame || l == i
+			nonVoting = nonVoting || l == i
 		}
-		if h.Proc == nil || w.controllers[h].Replica.Quorum().Version != v.Version || v.Has(h.Disk.ID) && lame || v.Joint() {
+		if h.Proc == nil || w.controllers[h].Replica.Quorum().Version != quorum.Version || quorum.Has(h.Disk.ID) && nonVoting || quorum.Joint() {
 			return false
 		}
-		if !lame {
-			counted++
+		if !nonVoting {
+			voting++
 		}
-		if v.Has(h.Disk.ID) {
+		if quorum.Has(h.Disk.ID) {
 			members++
 		}
 	}
-	return v.Version > 0 && members == quorumSize(counted) && len(v.Members) == members
+	return quorum.Version > 0 && members == quorumSize(voting) && len(quorum.Members) == members
 }
 
-// runUntil lets the world go on till f holds, and gives the time that it took.
+// runUntil runs the simulation until condition holds. It returns the time that this took and whether it was within limit.
 func (w *World) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
-	began := w.Now
+	startedAt := w.Now
 	for !condition() {
-		if w.Now.Sub(began) >= limit {
+		if w.Now.Sub(startedAt) >= limit {
 			return limit, false
 		}
 		w.Run(w.Now.Add(10 * time.Millisecond))
 	}
-	return w.Now.Sub(began), true
+	return w.Now.Sub(startedAt), true
 }
 
-// writeConfig writes a configuration and waits for the acknowledgement.
-func (w *World) writeConfig(t *testing.T, n int) (text string, num units.Version) {
+// writeConfig writes a configuration and waits for its acknowledgement.
+func (w *World) writeConfig(t *testing.T, n int) (text string, version units.Version) {
 	t.Helper()
 	text = configText(n)
 	w.change("config", text, func(o *Op) {
 		if o.Code == resultcode.OK {
-			num = o.Version
+			version = o.Version
 		}
 	})
-	if _, ok := w.runUntil(6*time.Second, func() bool { return num > 0 }); !ok {
+	if _, ok := w.runUntil(6*time.Second, func() bool { return version > 0 }); !ok {
 		t.Fatalf("%s: write %d was not acknowledged; voters %v", w.Name, n, w.newestQuorum())
 	}
-	return text, num
+	return text, version
 }
 
-func (w *World) checkReadBack(t *testing.T, text string, num units.Version) {
+func (w *World) checkReadBack(t *testing.T, text string, version units.Version) {
 	t.Helper()
-	if got := w.readNewest(t); got.Version != num || got.Data != text {
-		t.Fatalf("%s: acknowledged %d, read back %+v; voters %v", w.Name, num, got, w.newestQuorum())
+	if got := w.readNewest(t); got.Version != version || got.Data != text {
+		t.Fatalf("%s: acknowledged version %d, read %+v; voters %v", w.Name, version, got, w.newestQuorum())
 	}
 }
 
-// readNewest reads the configuration until it is confirmed.
+// readNewest reads the configuration until a read succeeds.
 func (w *World) readNewest(t *testing.T) *Op {
 	t.Helper()
 	var got *Op
@@ -91,31 +91,31 @@
 			return got
 		}
 	}
-	t.Fatalf("%s: nothing is read back; last %+v; voters %v", w.Name, got, w.newestQuorum())
+	t.Fatalf("%s: no read succeeds; last result %+v; voters %v", w.Name, got, w.newestQuorum())
 	return nil
 }
 
-// Any number of disks, whichever of the seeds count: all disks that count come to vote, and no others.
+// With any number of disks, and whichever of the seeds may vote, all voting disks join the quorum set and no others.
 func TestBootstrapFromSeeds(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
-		n    int
-		lame []int
+		n         int
+		nonVoting []int
 	}{{1, nil}, {2, nil}, {3, nil}, {4, nil}, {5, nil}, {6, nil}, {9, nil}, {4, []int{1}}, {6, []int{0, 2}}, {6, []int{0, 1, 2}}, {4, []int{0, 1, 2}}, {9, []int{0, 1, 2, 5}}} {
-		var most time.Duration
+		var longest time.Duration
 		for seed := *firstSeed; seed < *firstSeed+5; seed++ {
-			w := bootstrappedWorld(seed, x.n, x.lame...)
+			w := bootstrappedWorld(seed, x.n, x.nonVoting...)
 			took, ok := w.runUntil(20*time.Second, w.quorumComplete)
 			if !ok {
-				t.Fatalf("%d disks, %v don't count, seed %d: voters %v", x.n, x.lame, seed, w.newestQuorum())
+				t.Fatalf("%d disks, %v don't vote, seed %d: voters %v", x.n, x.nonVoting, seed, w.newestQuorum())
 			}
-			most = max(most, took)
+			longest = max(longest, took)
 			text, num := w.writeConfig(t, 1)
 			w.checkReadBack(t, text, num)
 		}
-		t.Logf("%d disks, %v don't count: all vote after %v at the latest", x.n, x.lame, most)
+		t.Logf("%d disks, %v don't vote: quorum set complete after at most %v", x.n, x.nonVoting, longest)
 	}
-	// Where no disk counts anywhere, all controllers hold the control state in memory.
+	// If no controller has a voting disk, all controllers hold the control state in memory.
 	w := bootstrappedWorld(*firstSeed, 3, 0, 1, 2)
 	all := func() bool {
 		for _, h := range w.controllerHosts {
@@ -126,27 +126,27 @@
 		return true
 	}
 	if _, ok := w.runUntil(20*time.Second, all); !ok {
-		t.Fatalf("no disk counts: voters %v", w.newestQuorum())
+		t.Fatalf("no disk votes: voters %v", w.newestQuorum())
 	}
 	text, num := w.writeConfig(t, 1)
 	w.checkReadBack(t, text, num)
 }
 
-// Processes are killed at any moment of the founding, and come back with other seeds and without being told that this is
-// the first start: one set is founded all the same, never two, and all disks that count come to vote.
+// Processes are killed at any moment of the bootstrap and restart with other seeds, and no longer as a first start. Even so
+// exactly one quorum set must come about, and all voting disks must join it.
 func TestKilledDuringBootstrap(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
-		n    int
-		lame []int
+		n         int
+		nonVoting []int
 	}{{1, nil}, {2, nil}, {3, nil}, {5, nil}, {5, []int{1}}, {6, []int{0, 1, 2}}} {
 		for seed := *firstSeed; seed < *firstSeed+40; seed++ {
-			w := bootstrappedWorld(seed, x.n, x.lame...)
+			w := bootstrappedWorld(seed, x.n, x.nonVoting...)
 			sets := map[string]bool{}
 			for _, h := range w.controllerHosts {
 				for range 1 + w.Rng.IntN(2) {
-					if len(x.lame) == 3 && h == w.controllerHosts[0] {
-						break // only this process may propose
+					if len(x.nonVoting) == 3 && h == w.controllerHosts[0] {
+						break // only this process may propose a quorum set
 					}
 					w.At(units.Time(w.Rng.Int64N(int64(500*time.Millisecond))), func() {
 						if h.Proc != nil && w.Rng.IntN(3) > 0 {
@@ -165,7 +165,7 @@
 				return w.quorumComplete()
 			})
 			if !w.quorumComplete() || len(sets) > 1 {
-				t.Errorf("%d disks, %v don't count, seed %d: voters %v, founded %v", x.n, x.lame, seed, w.newestQuorum(), sets)
+				t.Errorf("%d disks, %v don't vote, seed %d: voters %v, first sets %v", x.n, x.nonVoting, seed, w.newestQuorum(), sets)
 			}
 		}
 	}
--- a/internal/simulator/catch_up_cost_test.go
+++ b/internal/simulator/catch_up_cost_test.go
@@ -11,7 +11,7 @@
 	"seamshunt/internal/units"
 )
 
-// controlBytes is what went between zones, in frames, for the control state.
+// controlBytes counts the bytes of messages between zones that carry the control state.
 type controlBytes struct{ register, antiEntropy, push int }
 
 func (w *World) controlBytes() controlBytes {
@@ -22,14 +22,14 @@
 	return controlBytes{b.register - o.register, b.antiEntropy - o.antiEntropy, b.push - o.push}
 }
 
-// bytesDuring gives what goes between zones in a span.
+// bytesDuring runs the simulation for a time and returns the bytes between zones in it.
 func (w *World) bytesDuring(span time.Duration) controlBytes {
 	before := w.controlBytes()
 	w.Run(w.Now.Add(span))
 	return w.controlBytes().minus(before)
 }
 
-// storeValue has a key changed, and waits for the acknowledgement.
+// storeValue writes a key and waits for the acknowledgement.
 func (w *World) storeValue(t *testing.T, key, data string) {
 	t.Helper()
 	for range 5 {
@@ -42,15 +42,15 @@
 	t.Fatalf("%s: %s is not acknowledged", w.Name, key)
 }
 
-// A missed is what changed while a member was down.
+// A missedChanges describes the changes that a member missed while it was down.
 type missedChanges struct{ changes, configBytes, keys int }
 
-// A catchUpCost is what the member's return cost above the same span at rest.
+// A catchUpCost is the traffic of a member's catch-up, less that of the same time at rest.
 type catchUpCost struct {
 	controlBytes
 	took         time.Duration
-	restBefore   int // bytes of comparisons in 30 s of rest, before the changes
-	restAfter    int // and after all
+	restBefore   int // anti-entropy bytes in 30 s at rest, before the changes
+	restAfter    int // the same after the catch-up
 	recordsAfter int // on the member's disk
 }
 
@@ -64,9 +64,9 @@
 	w.storeValue(t, "config", config)
 	w.Run(w.Now.Add(5 * time.Second))
 	cost.restBefore = w.bytesDuring(30 * time.Second).antiEntropy
-	lost := w.controllerHosts[int(seed)%3]
-	w.Kill(lost)
-	w.RefuseConnections(lost)
+	lostHost := w.controllerHosts[int(seed)%3]
+	w.Kill(lostHost)
+	w.RefuseConnections(lostHost)
 	w.Run(w.Now.Add(time.Second))
 	for k := range missed.keys {
 		w.storeValue(t, fmt.Sprintf("zone/%d", k), strings.Repeat("y", 200))
@@ -76,7 +76,7 @@
 	}
 	w.Run(w.Now.Add(5 * time.Second))
 	before := w.controlBytes()
-	w.Start(lost)
+	w.Start(lostHost)
 	took, ok := w.runUntil(20*time.Second, func() bool { return w.caughtUp(int(seed) % 3) })
 	if cost.took = took; !ok || took > catchUpBound {
 		t.Errorf("seed %d, %+v: caught up after %v", seed, missed, took)
@@ -87,23 +87,23 @@
 	w.Run(w.Now.Add(5 * time.Second))
 	cost.controlBytes = cost.controlBytes.minus(w.bytesDuring(settleTime))
 	cost.restAfter = w.bytesDuring(30 * time.Second).antiEntropy
-	cost.recordsAfter = controlRecords(lost.Disk)
+	cost.recordsAfter = controlRecords(lostHost.Disk)
 	return cost
 }
 
-// What a catch-up costs hangs on what is stored, not on how many changes led there (docs/CAPACITY.md has the figures).
+// The cost of a catch-up depends on the stored data, not on the number of missed changes (figures in docs/CAPACITY.md).
 func TestCatchUpCost(t *testing.T) {
 	t.Parallel()
-	mean := func(m missedChanges) (c catchUpCost) {
+	mean := func(missed missedChanges) (c catchUpCost) {
 		const seeds = 2
 		for seed := range uint64(seeds) {
-			x := measureCatchUp(t, *firstSeed+seed, m)
+			x := measureCatchUp(t, *firstSeed+seed, missed)
 			c.register, c.antiEntropy, c.push = c.register+x.register/seeds, c.antiEntropy+x.antiEntropy/seeds, c.push+x.push/seeds
 			c.took = max(c.took, x.took)
 			c.restBefore, c.restAfter, c.recordsAfter = c.restBefore+x.restBefore/seeds, c.restAfter+x.restAfter/seeds, max(c.recordsAfter, x.recordsAfter)
 		}
-		t.Logf("%5d changes of %6d B, %3d zones: %7d B of writes, %5d B of comparisons, %7d B of news; at most %v; rest %d -> %d B in 30 s; %d records",
-			m.changes, m.configBytes, m.keys, c.register, c.antiEntropy, c.push, c.took, c.restBefore, c.restAfter, c.recordsAfter)
+		t.Logf("%5d changes of %6d B, %3d zones: %7d B of writes, %5d B of anti-entropy, %7d B of pushes; at most %v; at rest %d -> %d B in 30 s; %d records",
+			missed.changes, missed.configBytes, missed.keys, c.register, c.antiEntropy, c.push, c.took, c.restBefore, c.restAfter, c.recordsAfter)
 		return c
 	}
 	few, many := mean(missedChanges{10, 2000, 4}), mean(missedChanges{1000, 2000, 4})
@@ -115,7 +115,7 @@
 	}
 	for _, c := range []catchUpCost{few, many} {
 		if c.restAfter > c.restBefore+c.restBefore/10 {
-			t.Errorf("comparisons at rest rose from %d to %d B", c.restBefore, c.restAfter)
+			t.Errorf("anti-entropy at rest rose from %d to %d B", c.restBefore, c.restAfter)
 		}
 	}
 	small, large := mean(missedChanges{2, 20000, 4}), mean(missedChanges{2, 577000, 4})
--- a/internal/simulator/catch_up_test.go
+++ b/internal/simulator/catch_up_test.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	catchUpSeeds   = flag.Int("catch-up-seeds", 5, "seeds of each deployment and kind of loss in TestCatchUp")
+	catchUpSeeds   = flag.Int("catch-up-seeds", 5, "seeds for each deployment and kind of loss in TestCatchUp")
 	catchUpChanges = flag.Int("catch-up-changes", 50, "changes of each such seed")
 	catchUpLong    = flag.Int("catch-up-long", 0, "seeds of each deployment with a thousand changes")
 )
 
-// catchUpBound is catch_up_s of the deployments: a lost member counts as lost for so long after its return.
+// catchUpBound is catch_up_s of the deployments: how long a returned member still counts as lost.
 const catchUpBound = 4 * time.Second
 
-// A memberLoss takes one member away; heal brings it back.
+// A memberLoss is a fault that makes a member unavailable; heal ends it.
 type memberLoss struct {
 	name   string
 	inject func(w *World, i int)
@@ -41,7 +41,7 @@
 	{"power lost", func(w *World, i int) { w.Kill(w.controllerHosts[i]) }, startStopped},
 	{"wiped", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.controllerHosts[i].Disk.Wipe() }, startStopped},
 	{"replaced at another address", func(w *World, i int) {
-		w.loseDisk(i, time.Hour, true) // this test starts it
+		w.loseDisk(i, time.Hour, true) // the test starts it
 	}, startStopped},
 	{"slow disk", func(w *World, i int) { w.controllerHosts[i].Disk.Delay = 150 * time.Millisecond },
 		func(w *World, i int) { w.controllerHosts[i].Disk.Delay = NewDisk().Delay }},
@@ -50,8 +50,8 @@
 		w.controllerHosts[i].Disk.Full, w.controllerHosts[i].Disk.reserveUsed = true, reserveRecords+1
 	},
 		func(w *World, i int) { w.controllerHosts[i].Disk.Full = false }},
-	{"frozen", func(w *World, i int) { w.Pause(w.controllerHosts[i]) }, func(w *World, i int) { w.Resume(w.controllerHosts[i]) }},
-	{"cut off", func(w *World, i int) { w.controllerHosts[i].Isolated = true }, func(w *World, i int) { w.controllerHosts[i].Isolated = false }},
+	{"paused", func(w *World, i int) { w.Pause(w.controllerHosts[i]) }, func(w *World, i int) { w.Resume(w.controllerHosts[i]) }},
+	{"isolated", func(w *World, i int) { w.controllerHosts[i].Isolated = true }, func(w *World, i int) { w.controllerHosts[i].Isolated = false }},
 	{"restarted repeatedly", func(w *World, i int) {
 		for k := range 4 {
 			w.After(time.Duration(k)*250*time.Millisecond, func() { w.Kill(w.controllerHosts[i]) })
@@ -60,13 +60,13 @@
 	}, startStopped},
 }
 
-// A catchUpRun has operators change the configuration and the zones while members are lost and come back.
+// A catchUpRun has operators change the configuration and zones while members are lost and return.
 type catchUpRun struct {
 	*World
-	changes             int // how many are to be acknowledged
+	changes             int // number of changes to be acknowledged
 	acknowledgedChanges int
-	paused              bool          // no change is begun: nobody writes again what the lost ones missed
-	maxAbsence          time.Duration // the longest absence
+	paused              bool // no new changes, so that no write repeats what lost members missed
+	maxAbsence          time.Duration
 	catchUpTimes        []time.Duration
 }
 
@@ -77,13 +77,13 @@
 	}
 	r := &catchUpRun{World: NewWorld(p, seed), changes: changes, maxAbsence: 3 * time.Second}
 	if changes >= 1000 {
-		r.maxAbsence = 20 * time.Second // hundreds of changes go by
+		r.maxAbsence = 20 * time.Second // long enough for hundreds of changes
 	}
 	r.Run(units.Time(6 * time.Second))
 	return r
 }
 
-// randomValue gives bytes of mixed sizes: mostly small, some of a page, few of a large configuration.
+// randomValue returns values of mixed sizes: mostly small, some of a page, few like a large configuration.
 func (r *catchUpRun) randomValue() string {
 	r.lastSerial++
 	size := 50 + r.Rng.IntN(800)
@@ -114,7 +114,7 @@
 	r.After(20*time.Millisecond+time.Duration(r.Rng.Int64N(int64(60*time.Millisecond))), r.runOperator)
 }
 
-// readFromReturned has the member that came back answer a read, at once and a little later: from old state it must not.
+// readFromReturned reads through the returned member, at once and a little later. It must not answer from old state.
 func (r *catchUpRun) readFromReturned(i int) {
 	for _, d := range []time.Duration{0, 20 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		r.After(d, func() {
@@ -125,23 +125,23 @@
 	}
 }
 
-// runRound loses some members in one way, has them back, and measures until each holds all that anyone holds.
-func (r *catchUpRun) runRound(t *testing.T, l memberLoss) {
+// runRound takes some members away, heals them, and measures the time until each has caught up.
+func (r *catchUpRun) runRound(t *testing.T, loss memberLoss) {
 	t.Helper()
 	lost := []int{r.Rng.IntN(len(r.controllerHosts))}
 	if len(r.controllerHosts) > 4 && r.Rng.IntN(2) == 0 {
 		lost = append(lost, (lost[0]+1+r.Rng.IntN(len(r.controllerHosts)-1))%len(r.controllerHosts))
 	}
 	for _, i := range lost {
-		l.inject(r.World, i)
+		loss.inject(r.World, i)
 	}
 	r.Run(r.Now.Add(time.Second + time.Duration(r.Rng.Int64N(int64(r.maxAbsence)))))
 	r.paused = r.Rng.IntN(2) == 0
 	for _, i := range lost {
-		l.heal(r.World, i)
+		loss.heal(r.World, i)
 		r.readFromReturned(i)
 	}
-	d, ok := r.runUntil(20*time.Second, func() bool {
+	elapsed, ok := r.runUntil(20*time.Second, func() bool {
 		for _, i := range lost {
 			if !r.caughtUp(i) {
 				return false
@@ -149,15 +149,15 @@
 		}
 		return true
 	})
-	r.catchUpTimes = append(r.catchUpTimes, d)
-	if !ok || d > catchUpBound {
-		t.Errorf("%s: %s of %v at change %d: caught up after %v; voters %v", r.Name, l.name, lost, r.acknowledgedChanges, d, r.newestQuorum())
+	r.catchUpTimes = append(r.catchUpTimes, elapsed)
+	if !ok || elapsed > catchUpBound {
+		t.Errorf("%s: %s of %v at change %d: caught up after %v; voters %v", r.Name, loss.name, lost, r.acknowledgedChanges, elapsed, r.newestQuorum())
 	}
-	r.Run(r.Now.Add(max(0, catchUpBound-d)))
+	r.Run(r.Now.Add(max(0, catchUpBound-elapsed)))
 	r.paused = false
 }
 
-// runAndCheck runs all changes, then judges the histories and what is kept.
+// runAndCheck makes all changes, then checks the history and the number of stored records.
 func (r *catchUpRun) runAndCheck(t *testing.T, losses ...memberLoss) {
 	t.Helper()
 	r.runOperator()
@@ -170,14 +170,14 @@
 		t.Errorf("%s: %s", r.Name, f)
 	}
 	for _, h := range r.controllerHosts {
-		keys := len(message.SortedKeys(r.controllers[h].Replica.States())) // a machine that stands by holds fewer than a member
-		if n := controlRecords(h.Disk); n > 2*keys+2 {                     // a promise and a value of each, the set of voters, the founding vote
+		keys := len(message.SortedKeys(r.controllers[h].Replica.States())) // a controller outside the quorum set holds fewer keys
+		if n := controlRecords(h.Disk); n > 2*keys+2 {                     // a promise and a value per key, the quorum set, the bootstrap vote
 			t.Errorf("%s: %s keeps %d records of %d keys after %d changes", r.Name, h.Addr, n, keys, r.acknowledgedChanges)
 		}
 	}
 }
 
-// controlRecords counts the control state's records on a disk; claims have others.
+// controlRecords counts the records of the control state on a disk, without those of claims.
 func controlRecords(d *Disk) (n int) {
 	for _, x := range d.Records() {
 		if x.Kind >= register.RecordPromise && x.Kind <= register.RecordBootstrapVote {
@@ -187,8 +187,8 @@
 	return n
 }
 
-// Members that are lost in any way while changes go on hold every key's newest value within catch_up_s of their return,
-// and no answer comes from old state (design 2).
+// Members that are lost during changes, in any way, hold the newest value of every key within catch_up_s of their return.
+// They never answer from old state (docs/design.md, section 2).
 func TestCatchUp(t *testing.T) {
 	for _, disks := range []int{3, 4, 5, 6} {
 		for _, l := range memberLosses {
@@ -200,13 +200,13 @@
 					r.runAndCheck(t, l)
 					took = append(took, r.catchUpTimes...)
 				}
-				t.Logf("%d disks, %s: caught up %s after the return", disks, l.name, Percentiles(took))
+				t.Logf("%d disks, %s: time to catch up after the return %s", disks, l.name, Percentiles(took))
 			})
 		}
 	}
 }
 
-// The same with a thousand changes and every kind of loss, off the CI path: -catch-up-long with how many seeds.
+// The same with a thousand changes and every kind of loss. CI skips it; -catch-up-long sets the number of seeds.
 func TestCatchUpAfterAThousandChanges(t *testing.T) {
 	if *catchUpLong == 0 {
 		t.Skip("-catch-up-long 0")
@@ -215,7 +215,7 @@
 		var mu sync.Mutex
 		var took []time.Duration
 		t.Cleanup(func() {
-			t.Logf("%d disks, a thousand changes: caught up %s after the return", disks, Percentiles(took))
+			t.Logf("%d disks, a thousand changes: time to catch up after the return %s", disks, Percentiles(took))
 		})
 		for seed := range uint64(*catchUpLong) {
 			t.Run(fmt.Sprintf("%d disks seed %d", disks, *firstSeed+seed), func(t *testing.T) {
--- a/internal/simulator/controller.go
+++ b/internal/simulator/controller.go
@@ -16,7 +16,7 @@
 	"seamshunt/internal/units"
 )
 
-// process is what both programs share, as package node has it in the daemons.
+// process is the part common to controllers and routers, like package node in the programs.
 type process struct {
 	gossip     *membership.Gossip
 	configFeed *configpush.Feed
@@ -49,13 +49,14 @@
 	ClaimRegistry   *idempotency.Registry
 	catalog         *discovery.Catalog
 	pollSchedule    discovery.Schedule
-	pollPlatform    func(*Controller, units.Time) // asks the world's platform
+	pollPlatform    func(*Controller, units.Time) // queries the simulated platform
 	pendingRequests map[uint64]func(register.Result)
 	lastTag         uint64
 	Draining        bool
 }
 
-// AddController adds a machine with a disk; cores finds the machine that runs there now. With grow, voters are founded from seeds.
+// AddController adds a host with a disk. controllers maps it to the controller that runs there. The quorum set is
+// bootstrapped from seeds if bootstrap is not nil.
 func (s *Sim) AddController(addr, zone string, fixedQuorumSize int, seeds []string, bootstrap *BootstrapSettings, controllers map[*Host]*Controller) *Host {
 	return s.Add(addr, zone, NewDisk(), func(h *Host) *Proc {
 		h.Bootstrap = bootstrap
@@ -109,7 +110,7 @@
 	})
 }
 
-// quorumPlanner gives what package controller makes of a boot file.
+// quorumPlanner returns the planner that package controller derives from the settings.
 func quorumPlanner(bootstrap *BootstrapSettings, fixedSize int) register.Planner {
 	if bootstrap == nil {
 		return register.Planner{FixedSize: fixedSize, ReplaceAfter: register.ReplaceFixedAfter}
@@ -117,20 +118,20 @@
 	return register.Planner{MinSize: 2*bootstrap.ToleratedLosses + 1, ReplaceAfter: register.ReplaceAfter}
 }
 
-func (c *Controller) step(now units.Time, n message.Message) message.Effects {
-	switch n.Kind &^ 15 {
+func (c *Controller) step(now units.Time, m message.Message) message.Effects {
+	switch m.Kind &^ 15 {
 	case message.KindMembership:
-		return c.gossip.Step(now, n)
+		return c.gossip.Step(now, m)
 	case message.KindConfigPush:
-		return c.configFeed.Step(now, n)
+		return c.configFeed.Step(now, m)
 	case message.KindLease:
-		return c.Lease.Step(now, n)
+		return c.Lease.Step(now, m)
 	case message.KindAntiEntropy:
-		return c.Syncer.Step(n, c.Replica.States(), c.Replica.Resend)
+		return c.Syncer.Step(m, c.Replica.States(), c.Replica.Resend)
 	case message.KindClaim:
-		return c.ClaimRegistry.Step(now, n, c.Replica.QuorumVersion())
+		return c.ClaimRegistry.Step(now, m, c.Replica.QuorumVersion())
 	case message.KindRegister:
-		out := c.Replica.Step(now, n)
+		out := c.Replica.Step(now, m)
 		c.handleResults(now, &out)
 		return out
 	}
@@ -200,8 +201,8 @@
 	out.Append(c.configFeed.Publish(now, item, to))
 }
 
-// Submit brings an operator's request to this machine. done gets the result, or after register.RequestTimeout Unsure for a
-// write and NoMajority for a read.
+// Submit sends an operator's request to this controller. done gets the result, or after register.RequestTimeout
+// CommitUnknown for a write and NoMajority for a read.
 func (c *Controller) Submit(s *Sim, request register.Request, done func(register.Result)) {
 	c.lastTag++
 	request.Tag = c.lastTag
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -9,29 +9,30 @@
 	"seamshunt/internal/units"
 )
 
-// Disk keeps synced records, and in its page cache those that were written and not synced; it can be slow, stalled, full or lost.
+// Disk holds synced records, and in its page cache those that were written but not synced. Faults make it slow, stalled,
+// full or lost.
 type Disk struct {
-	ID           units.NodeID // zero while blank
-	InitialSeeds []string     // the seeds of the very first start, on a disk that was blank then
+	ID           units.NodeID // zero until a process initializes it
+	InitialSeeds []string     // seeds of the first start, if the disk was uninitialized then
 	Delay        time.Duration
 	Stalled      bool
-	Full         bool // lives from the reserve
-	reserveUsed  int  // records written to the reserve
+	Full         bool // further writes use the reserve
+	reserveUsed  int  // records in the reserve
 	synced       map[string]message.Record
-	writing      []message.Record // written, and the sync is under way
-	unsynced     []message.Record // written by processes that have died since, and never synced
+	writing      []message.Record // written; the sync is in progress
+	unsynced     []message.Record // written by earlier processes and never synced
 	waiting      []message.Effects
-	// TrustsCache plants a fault: a process that starts takes what it reads for synced.
+	// TrustsCache injects a fault: a starting process treats all that it reads as synced.
 	TrustsCache   bool
 	syncing       bool
 	generation    int
 	syncStartedAt units.Time
 }
 
-// NewDisk gives a blank one.
+// NewDisk returns an uninitialized disk.
 func NewDisk() *Disk { return &Disk{Delay: 2 * time.Millisecond, synced: map[string]message.Record{}} }
 
-// Records gives what a process reads: what was written, synced or not.
+// Records returns what a process reads: all written records, synced or not.
 func (d *Disk) Records() []message.Record {
 	records := maps.Clone(d.synced)
 	for _, r := range d.unsynced {
@@ -44,14 +45,14 @@
 	return list
 }
 
-// applyRecord has the newest record of a key live; an empty one ends its key.
+// applyRecord replaces the record of a key; an empty record removes the key.
 func applyRecord(records map[string]message.Record, r message.Record) {
 	if records[string(rune(r.Kind))+r.Key] = r; len(r.Data) == 0 {
 		delete(records, string(rune(r.Kind))+r.Key)
 	}
 }
 
-// syncOnStart has a process that starts sync what it reads.
+// syncOnStart syncs what a starting process reads from the page cache.
 func (d *Disk) syncOnStart() {
 	if d.TrustsCache {
 		return
@@ -62,14 +63,14 @@
 	d.unsynced = nil
 }
 
-// processKilled is the death of the process: what it has written stays, what it only meant to write is gone.
+// processKilled keeps what the killed process has written and drops what it had only queued.
 func (d *Disk) processKilled() {
 	d.unsynced = append(d.unsynced, d.writing...)
 	d.writing, d.waiting, d.syncing = nil, nil, false
 	d.generation++
 }
 
-// losePower is the loss of power: each write that wasn't synced is there or missing, at some losses every one.
+// losePower keeps a random part of the writes that weren't synced, and in a third of the cases none.
 func (d *Disk) losePower(rng *rand.Rand) {
 	d.processKilled()
 	allWritten := rng.IntN(3) == 0
@@ -81,20 +82,20 @@
 	d.unsynced = nil
 }
 
-// Wipe loses everything, the identity too.
+// Wipe removes all data including the identity.
 func (d *Disk) Wipe() {
 	d.processKilled()
 	d.unsynced = nil
 	d.ID, d.InitialSeeds, d.synced, d.Stalled, d.Full = 0, nil, map[string]message.Record{}, false, false
 }
 
-// reserveRecords is how many records the reserve bears here.
+// reserveRecords is how many records fit into the reserve.
 const reserveRecords = 300
 
-// reserveExhausted says whether the disk is full and its reserve used up.
+// reserveExhausted reports whether the disk is full and its reserve is used up.
 func (d *Disk) reserveExhausted() bool { return d.Full && d.reserveUsed > reserveRecords }
 
-// Unfit is what the daemon's own disk watch would say.
+// Unfit reports what the disk check of the controller program would.
 func (d *Disk) Unfit(now units.Time) bool {
 	return d.reserveExhausted() || d.syncing && now.Sub(d.syncStartedAt) > 500*time.Millisecond
 }
@@ -106,7 +107,7 @@
 	}
 }
 
-// syncWaiting syncs all that waits at once, then lets the replies go.
+// syncWaiting syncs everything that is queued as one batch, then sends the messages that depend on it.
 func (d *Disk) syncWaiting(s *Sim, h *Host) {
 	batch := d.waiting
 	d.waiting = nil
@@ -115,13 +116,13 @@
 		d.writing = append(d.writing, effects.Writes...)
 	}
 	hostGeneration, diskGeneration := h.generation, d.generation
-	var done func()
-	done = func() {
+	var finish func()
+	finish = func() {
 		if h.generation != hostGeneration || d.generation != diskGeneration {
 			return
 		}
 		if d.Stalled {
-			s.After(50*time.Millisecond, done)
+			s.After(50*time.Millisecond, finish)
 			return
 		}
 		var messages []message.Message
@@ -131,7 +132,7 @@
 				d.reserveUsed = 0
 			}
 			if d.reserveExhausted() && len(effects.Writes) > 0 {
-				// Nothing behind a refused write may be said either.
+				// Messages that depend on later writes may not be sent either.
 				d.waiting = nil
 				h.Proc.Reload()
 				break
@@ -149,5 +150,5 @@
 			d.syncWaiting(s, h)
 		}
 	}
-	s.After(d.Delay+time.Duration(s.Rng.Int64N(int64(d.Delay)+1)), done)
+	s.After(d.Delay+time.Duration(s.Rng.Int64N(int64(d.Delay)+1)), finish)
 }
--- a/internal/simulator/failures.go
+++ b/internal/simulator/failures.go
@@ -10,10 +10,10 @@
 	"seamshunt/internal/units"
 )
 
-// replaceController loses a core machine with its disk and brings an empty one at a new address.
+// replaceController wipes a controller and starts it with an uninitialized disk at a new address.
 func (w *World) replaceController(i int) {
 	h := w.controllerHosts[i]
-	// The deployments bear the loss of one disk: the next is lost only once the voters are whole again.
+	// The deployments tolerate the loss of one disk, so the next is lost only once the quorum set is complete again.
 	disks := map[units.NodeID]bool{}
 	for _, o := range w.controllerHosts {
 		disks[o.Disk.ID] = true
@@ -42,7 +42,7 @@
 	})
 }
 
-// restartEverything ends everything at once and starts it again, but for one machine that comes later.
+// restartEverything kills all processes at once and restarts them a second later; delayed, if not nil, restarts later.
 func (w *World) restartEverything(delayed *Host, delay time.Duration) {
 	all := append(slices.Clone(w.controllerHosts), w.routerHosts...)
 	w.allLostAt = w.Now
@@ -70,7 +70,7 @@
 	})
 }
 
-// recoveryLimitApplies says whether nothing that the limit of 12 s does not bear is broken just now.
+// recoveryLimitApplies reports whether no other fault is active that the recovery limit of 12 s does not allow for.
 func (w *World) recoveryLimitApplies(delayed *Host) bool {
 	for _, h := range append(slices.Clone(w.controllerHosts), w.routerHosts...) {
 		if h != delayed && !w.alive(h) || h.Disk != nil && (h.Disk.Stalled || h.Disk.Full) {
@@ -83,13 +83,13 @@
 	}
 	for _, n := range w.newestQuorum().Members {
 		if !disks[n] {
-			return false // one was lost before, and is not replaced yet
+			return false // a lost disk is not replaced yet
 		}
 	}
 	return w.LossRate == 0 && w.platformMode == "" && len(w.partitions) == 0 && len(w.platformUnreachable) == 0
 }
 
-// newestQuorum is the newest set that any core machine knows.
+// newestQuorum returns the newest quorum set that any controller knows.
 func (w *World) newestQuorum() (quorum register.QuorumSet) {
 	for _, h := range w.controllerHosts {
 		if c := w.controllers[h]; c != nil && c.Replica.Quorum().Version > quorum.Version {
@@ -99,7 +99,7 @@
 	return quorum
 }
 
-// faultFree says whether nothing else is broken just now, so that limits count.
+// faultFree reports whether no fault is active, so that all limits apply.
 func (w *World) faultFree() bool {
 	for _, h := range append(slices.Clone(w.controllerHosts), w.routerHosts...) {
 		if !w.alive(h) || h.Disk != nil && (h.Disk.Stalled || h.Disk.Full || h.Disk.Delay > 10*time.Millisecond) {
@@ -109,14 +109,14 @@
 	return w.LossRate == 0 && w.platformMode == "" && len(w.platformUnreachable) == 0 && len(w.partitions) == 0
 }
 
-// rollingRestart restarts every process of the product, one by one.
+// rollingRestart restarts all processes one after the other.
 func (w *World) rollingRestart() {
-	for i, h := range append(slices.Clone(w.routerHosts), w.controllerHosts...) {
-		w.After(time.Duration(i)*1500*time.Millisecond, func() { w.restart(h, 500*time.Millisecond, true) })
+	for i, host := range append(slices.Clone(w.routerHosts), w.controllerHosts...) {
+		w.After(time.Duration(i)*1500*time.Millisecond, func() { w.restart(host, 500*time.Millisecond, true) })
 	}
 }
 
-// drainAndRestart warns a router: it takes nothing new, its streams end, then it leaves and is started again.
+// drainAndRestart drains a router: it takes no new requests, finishes the others, leaves the membership and is restarted.
 func (w *World) drainAndRestart(h *Host) {
 	router := w.routers[h]
 	if !w.alive(h) {
@@ -165,7 +165,7 @@
 	})
 }
 
-// quorumSize is how many of so many disks that count are to decide: the largest odd number, or both of two.
+// quorumSize returns the size of the quorum set for a number of voting disks: the largest odd number, or two of two.
 func quorumSize(disks int) int {
 	if disks > 2 && disks%2 == 0 {
 		return disks - 1
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fault is one failure that can be brought about; each heals itself.
+// Fault is a fault that can be injected. Each ends by itself.
 type Fault struct {
 	Name   string
 	Inject func(w *World, span time.Duration)
@@ -13,17 +13,17 @@
 
 func pick[T any](w *World, l []T) T { return l[w.Rng.IntN(len(l))] }
 
-// Faults are all of them, for scripts drawn from a seed.
+// Faults lists all faults. Seeds pick from it by index, so a new order changes the run of every seed.
 var Faults = []Fault{
 	{"kill router", func(w *World, d time.Duration) { w.restart(pick(w, w.routerHosts), d, true) }},
 	{"kill controller", func(w *World, d time.Duration) { w.restart(pick(w, w.controllerHosts), d, true) }},
-	{"power lost on a controller", func(w *World, d time.Duration) { w.restart(pick(w, w.controllerHosts), d, false) }},
-	{"power lost on a router", func(w *World, d time.Duration) { w.restart(pick(w, w.routerHosts), d, false) }},
-	{"freeze router", func(w *World, d time.Duration) { w.pause(pick(w, w.routerHosts), d) }},
-	{"freeze router past every permit", func(w *World, d time.Duration) { w.pause(pick(w, w.routerHosts), 22*time.Second) }},
-	{"freeze controller", func(w *World, d time.Duration) { w.pause(pick(w, w.controllerHosts), d) }},
-	{"router cut off", func(w *World, d time.Duration) { w.isolate(pick(w, w.routerHosts), d) }},
-	{"controller cut off", func(w *World, d time.Duration) { w.isolate(pick(w, w.controllerHosts), d) }},
+	{"power loss of a controller", func(w *World, d time.Duration) { w.restart(pick(w, w.controllerHosts), d, false) }},
+	{"power loss of a router", func(w *World, d time.Duration) { w.restart(pick(w, w.routerHosts), d, false) }},
+	{"pause router", func(w *World, d time.Duration) { w.pause(pick(w, w.routerHosts), d) }},
+	{"pause router until all permits expire", func(w *World, d time.Duration) { w.pause(pick(w, w.routerHosts), 22*time.Second) }},
+	{"pause controller", func(w *World, d time.Duration) { w.pause(pick(w, w.controllerHosts), d) }},
+	{"router isolated", func(w *World, d time.Duration) { w.isolate(pick(w, w.routerHosts), d) }},
+	{"controller isolated", func(w *World, d time.Duration) { w.isolate(pick(w, w.controllerHosts), d) }},
 	{"slow disk", func(w *World, d time.Duration) { w.slowDisk(pick(w, w.controllerHosts), 150*time.Millisecond, d) }},
 	{"stalled disk", func(w *World, d time.Duration) {
 		h := pick(w, w.controllerHosts)
@@ -38,16 +38,16 @@
 		h.Disk.Full = true
 		w.After(d, func() { h.Disk.Full = false })
 	}},
-	{"core cut in two", func(w *World, d time.Duration) { w.partitionControllers(d, false) }},
-	{"one-way cut", func(w *World, d time.Duration) { w.partitionControllers(d, true) }},
-	{"core cut off", func(w *World, d time.Duration) {
+	{"controllers partitioned", func(w *World, d time.Duration) { w.partitionControllers(d, false) }},
+	{"one-way partition", func(w *World, d time.Duration) { w.partitionControllers(d, true) }},
+	{"controllers cut off from routers", func(w *World, d time.Duration) {
 		w.partition(d, func(a, b *Host) bool { return (a.Disk != nil) != (b.Disk != nil) })
 	}},
-	{"zone cut", func(w *World, d time.Duration) {
+	{"zone partitioned", func(w *World, d time.Duration) {
 		z := pick(w, w.ControllerZones)
 		w.partition(d, func(a, b *Host) bool { return (a.Zone == z) != (b.Zone == z) })
 	}},
-	{"lossy net", func(w *World, d time.Duration) {
+	{"packet loss", func(w *World, d time.Duration) {
 		w.LossRate = 0.1
 		w.After(d, func() { w.LossRate = 0 })
 	}},
@@ -59,51 +59,51 @@
 			}
 		}
 	}},
-	{"core machine replaced by an empty one", func(w *World, _ time.Duration) { w.replaceController(w.Rng.IntN(len(w.controllerHosts))) }},
+	{"controller replaced with an empty disk", func(w *World, _ time.Duration) { w.replaceController(w.Rng.IntN(len(w.controllerHosts))) }},
 	{"everything lost", func(w *World, _ time.Duration) { w.restartEverything(nil, 0) }},
 	{"rolling restart", func(w *World, _ time.Duration) { w.rollingRestart() }},
-	{"seeds moved to other machines", func(w *World, _ time.Duration) {
+	{"seeds moved to other hosts", func(w *World, _ time.Duration) {
 		for i := range w.seeds {
-			w.seeds[i] = w.routerHosts[i].Addr // what boot files name is read at a start only
+			w.seeds[i] = w.routerHosts[i].Addr // settings are read only when a process starts
 		}
 		w.rollingRestart()
 	}},
 	{"router drained and restarted", func(w *World, d time.Duration) { w.drainAndRestart(pick(w, w.routerHosts)) }},
-	{"worker leaves", func(w *World, _ time.Duration) { w.drainWorker() }},
+	{"worker drained", func(w *World, _ time.Duration) { w.drainWorker() }},
 	{"worker lost and replaced", func(w *World, d time.Duration) { w.loseWorker(d) }},
 	{"evacuation and withdrawal", func(w *World, d time.Duration) {
 		z := pick(w, w.ControllerZones)
 		w.Evacuate(z, true)
 		w.After(max(d, 8*time.Second), func() { w.Evacuate(z, false) })
 	}},
-	{"storm of configurations", func(w *World, _ time.Duration) { w.RunOperators(w.Now.Add(3*time.Second), 60*time.Millisecond) }},
-	{"platform fails", func(w *World, d time.Duration) { w.setPlatformMode("refuse", d) }},
-	{"platform answers empty", func(w *World, d time.Duration) { w.setPlatformMode("empty", d) }},
-	{"platform can't be reached", func(w *World, d time.Duration) { w.setPlatformMode("gone", d) }},
-	{"platform is slow", func(w *World, d time.Duration) { w.setPlatformMode("slow", d) }},
-	{"platform answers from before", func(w *World, d time.Duration) { w.setPlatformMode("old", d) }},
-	{"platform out of its asker's reach", (*World).cutPlatformFromLeaseHolder},
-	{"worker marked in a cut core", func(w *World, d time.Duration) {
+	{"rapid configuration changes", func(w *World, _ time.Duration) { w.RunOperators(w.Now.Add(3*time.Second), 60*time.Millisecond) }},
+	{"platform fails", func(w *World, d time.Duration) { w.setPlatformMode("failing", d) }},
+	{"platform returns an empty list", func(w *World, d time.Duration) { w.setPlatformMode("empty", d) }},
+	{"platform unreachable", func(w *World, d time.Duration) { w.setPlatformMode("unreachable", d) }},
+	{"platform slow", func(w *World, d time.Duration) { w.setPlatformMode("slow", d) }},
+	{"platform returns a stale list", func(w *World, d time.Duration) { w.setPlatformMode("stale", d) }},
+	{"platform unreachable for the lease holder", (*World).cutPlatformFromLeaseHolder},
+	{"worker drained while controllers are partitioned", func(w *World, d time.Duration) {
 		w.partitionControllers(d+4*time.Second, false)
 		w.After(2*time.Second, w.drainWorker)
 	}},
-	{"worker marked while every disk is full", func(w *World, d time.Duration) {
+	{"worker drained while every disk is full", func(w *World, d time.Duration) {
 		w.fillDisks(d + 4*time.Second)
 		w.After(time.Second, w.drainWorker)
 	}},
-	{"worker started again in place", func(w *World, _ time.Duration) { w.restartWorker() }},
-	{"worker that left joins again", func(w *World, d time.Duration) { w.drainAndRejoinWorker(d) }},
-	{"worker goes dark", func(w *World, d time.Duration) {
+	{"worker restarted at the same address", func(w *World, _ time.Duration) { w.restartWorker() }},
+	{"drained worker joins again", func(w *World, d time.Duration) { w.drainAndRejoinWorker(d) }},
+	{"worker unresponsive", func(w *World, d time.Duration) {
 		x := w.workers[pick(w, w.listedWorkers).ID]
-		x.unresponsive = true // it takes prompts, says nothing, and notices nothing
+		x.unresponsive = true // it accepts requests and neither answers nor notices disconnects
 		w.After(d, func() { x.unresponsive = false })
 	}},
-	{"release", func(w *World, _ time.Duration) { w.replaceAllWorkers() }},
-	{"one prefix draws most of the traffic", func(w *World, d time.Duration) {
+	{"all workers replaced", func(w *World, _ time.Duration) { w.replaceAllWorkers() }},
+	{"most requests have one prefix", func(w *World, d time.Duration) {
 		w.hotPrefixShare, w.requestRate = 0.8, w.requestRate*2
 		w.After(d, func() { w.hotPrefixShare, w.requestRate = 0, w.requestRate/2 })
 	}},
-	{"core machine lost while another's disk is full", func(w *World, d time.Duration) {
+	{"controller lost while another's disk is full", func(w *World, d time.Duration) {
 		if i := w.Rng.IntN(len(w.controllerHosts)); w.DisksCanFill {
 			h := w.controllerHosts[(i+1)%len(w.controllerHosts)]
 			h.Disk.Full = true
@@ -111,12 +111,12 @@
 			w.restart(w.controllerHosts[i], d, false)
 		}
 	}},
-	{"everything lost, one core machine for longer", func(w *World, _ time.Duration) { w.restartEverything(pick(w, w.controllerHosts), 15*time.Second) }},
+	{"everything lost, one controller for longer", func(w *World, _ time.Duration) { w.restartEverything(pick(w, w.controllerHosts), 15*time.Second) }},
 	{"everything lost, one disk slow", func(w *World, d time.Duration) {
 		w.slowDisk(pick(w, w.controllerHosts), 150*time.Millisecond, d+10*time.Second)
 		w.restartEverything(nil, 0)
 	}},
-	{"killed in the middle of a roll-out", func(w *World, d time.Duration) {
+	{"killed during a rolling restart", func(w *World, d time.Duration) {
 		w.rollingRestart()
 		w.After(2*time.Second, func() { w.restart(pick(w, w.routerHosts), d, true) })
 		w.After(4*time.Second, func() { w.restart(pick(w, w.controllerHosts), d, false) })
@@ -131,7 +131,7 @@
 	if h.Proc == nil {
 		return
 	}
-	w.recoveringSince = 0 // the limit after a full loss is not for one with more losses behind it
+	w.recoveringSince = 0 // the recovery limit does not cover further faults
 	w.Kill(h)
 	if refused {
 		w.RefuseConnections(h)
@@ -147,7 +147,7 @@
 	if h.Proc == nil || h.Paused {
 		return
 	}
-	w.recoveringSince = 0 // the limit after a full loss is not for one with more losses behind it
+	w.recoveringSince = 0 // the recovery limit does not cover further faults
 	w.Pause(h)
 	generation := h.generation
 	w.After(d, func() {
@@ -177,7 +177,7 @@
 	})
 }
 
-// partitionControllers parts the core in two; one way only if so wished.
+// partitionControllers splits the controllers into two groups. oneWay drops messages from the first group only.
 func (w *World) partitionControllers(d time.Duration, oneWay bool) {
 	firstHalf := map[*Host]bool{}
 	for i, h := range w.controllerHosts {
--- a/internal/simulator/full_disk_test.go
+++ b/internal/simulator/full_disk_test.go
@@ -12,32 +12,33 @@
 	"seamshunt/internal/units"
 )
 
-// Every disk full at once: an evacuation and configurations are acknowledged from the reserve and outlive the loss of
-// all power; a leaving mark reaches every router (TestEachTrouble); beyond the reserve a change is refused.
+// If all disks are full, an evacuation and configurations are stored in the reserve, acknowledged, and survive a kill of all
+// controllers. Once the reserve is used up, a change is not acknowledged. TestEachFault checks that routers still learn of
+// draining workers.
 func TestEveryDiskFull(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+4; seed++ {
 		w := NewWorld(Vatuloa, seed)
 		w.Run(units.Time(4 * time.Second))
 		w.fillDisks(time.Minute)
-		got := map[string]*Op{}
-		w.change("zone/v2", `{"evacuated":true}`, func(o *Op) { got["zone/v2"] = o })
-		w.change("config", configText(1), func(o *Op) { got["config"] = o })
+		results := map[string]*Op{}
+		w.change("zone/v2", `{"evacuated":true}`, func(o *Op) { results["zone/v2"] = o })
+		w.change("config", configText(1), func(o *Op) { results["config"] = o })
 		w.Run(w.Now.Add(3 * time.Second))
-		if a, b := got["zone/v2"], got["config"]; a == nil || b == nil || a.Code != resultcode.OK || b.Code != resultcode.OK {
-			t.Fatalf("seed %d: on full disks: %+v, %+v", seed, a, b)
+		if a, b := results["zone/v2"], results["config"]; a == nil || b == nil || a.Code != resultcode.OK || b.Code != resultcode.OK {
+			t.Fatalf("seed %d: results with full disks: %+v, %+v", seed, a, b)
 		}
 		for _, h := range w.controllerHosts {
 			w.Kill(h)
 			w.Start(h)
 		}
 		w.Run(w.Now.Add(4 * time.Second))
-		for key, o := range got {
-			var back *Op
-			w.Call(register.Request{Key: key}, func(r *Op) { back = r })
+		for key, o := range results {
+			var reread *Op
+			w.Call(register.Request{Key: key}, func(r *Op) { reread = r })
 			w.Run(w.Now.Add(time.Second))
-			if back == nil || back.Code != resultcode.OK || back.Version != o.Version || back.Data != o.Data {
-				t.Errorf("seed %d: %s acknowledged as %d, read back %+v", seed, key, o.Version, back)
+			if reread == nil || reread.Code != resultcode.OK || reread.Version != o.Version || reread.Data != o.Data {
+				t.Errorf("seed %d: %s acknowledged as version %d, read %+v", seed, key, o.Version, reread)
 			}
 		}
 		for _, h := range w.controllerHosts {
@@ -45,38 +46,38 @@
 		}
 		w.change("config", configText(2), func(o *Op) {
 			if o.Code == resultcode.OK {
-				t.Errorf("seed %d: acknowledged with no room left", seed)
+				t.Errorf("seed %d: acknowledged though the reserve is used up", seed)
 			}
 		})
 		w.Run(w.Now.Add(8 * time.Second))
 	}
 }
 
-// One core machine is cut off from the others alone, so that everybody still sees it by way of the routers: whichever it
-// is, changes and reads go on at the others.
+// One controller is partitioned from the other controllers only, so the others still see it as alive through the routers.
+// Whichever it is, reads and writes must succeed at the others.
 func TestIsolatedFromOtherControllersOnly(t *testing.T) {
 	t.Parallel()
-	for _, p := range []Deployment{Vatuloa, Council} {
-		for i := range p.ControllerZones {
-			w := NewWorld(p, *firstSeed)
+	for _, deployment := range []Deployment{Vatuloa, Council} {
+		for i := range deployment.ControllerZones {
+			w := NewWorld(deployment, *firstSeed)
 			w.Run(units.Time(5 * time.Second))
 			w.change("config", configText(0), nil)
 			w.Run(w.Now.Add(time.Second))
-			lone := w.controllerHosts[i]
-			w.partition(time.Hour, func(a, b *Host) bool { return (a == lone) != (b == lone) && a.Disk != nil && b.Disk != nil })
+			isolated := w.controllerHosts[i]
+			w.partition(time.Hour, func(a, b *Host) bool { return (a == isolated) != (b == isolated) && a.Disk != nil && b.Disk != nil })
 			w.Run(w.Now.Add(6 * time.Second))
 			for _, key := range []string{"config", "zone/t1", "zone/v1"} {
 				for j, h := range w.controllerHosts {
 					if j == i {
 						continue
 					}
-					var r, wr register.Result
-					w.controllers[h].Submit(w.Sim, register.Request{Key: key}, func(x register.Result) { r = x })
+					var readResult, writeResult register.Result
+					w.controllers[h].Submit(w.Sim, register.Request{Key: key}, func(x register.Result) { readResult = x })
 					w.Run(w.Now.Add(time.Second))
-					w.controllers[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: r.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { wr = x })
+					w.controllers[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: readResult.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { writeResult = x })
 					w.Run(w.Now.Add(time.Second))
-					if r.Code != resultcode.OK || wr.Code != resultcode.OK {
-						t.Errorf("%s without %s: %s read at %s: %d, written: %d", p.Name, lone.Addr, key, h.Addr, r.Code, wr.Code)
+					if readResult.Code != resultcode.OK || writeResult.Code != resultcode.OK {
+						t.Errorf("%s without %s: %s read at %s: %d, written: %d", deployment.Name, isolated.Addr, key, h.Addr, readResult.Code, writeResult.Code)
 					}
 				}
 			}
@@ -84,8 +85,8 @@
 	}
 }
 
-// A storm of configurations of a thousand mappings each, with a core machine killed in it: each that is acknowledged is
-// in force in time on every router, none slides back, and the last is read back.
+// Configurations of a thousand mappings are written ten times a second while a controller is killed. Each acknowledged one
+// must reach every router in time, no router may go back to an older one, and the last must be read back.
 func TestRapidLargeConfigurations(t *testing.T) {
 	t.Parallel()
 	w := NewWorld(Council, *firstSeed)
--- a/internal/simulator/inter_zone_traffic_test.go
+++ b/internal/simulator/inter_zone_traffic_test.go
@@ -9,13 +9,13 @@
 	"seamshunt/internal/units"
 )
 
-// What the system's own notes cost between zones, quiet and under load, at three sizes; a node's part must not grow
-// with the fleet (design 5).
+// Measures the system's own traffic between zones, idle and under load, at three sizes. The membership traffic per node must
+// not grow with the fleet (docs/design.md, section 5).
 func TestTrafficBetweenZones(t *testing.T) {
 	t.Parallel()
 	quiet := map[int]float64{}
 	sizes := []int{11, 50}
-	if *seedCount > 2 { // off the CI path
+	if *seedCount > 2 { // skipped in CI
 		sizes = append(sizes, 100)
 	}
 	for _, size := range sizes {
@@ -39,7 +39,7 @@
 			for _, k := range message.SortedKeys(w.InterZoneBytes) {
 				all += w.InterZoneBytes[k]
 			}
-			line += fmt.Sprintf("; %v prompts a second: %.2f kB/s, of it membership %.2f, news %.2f, control %.2f, permits %.2f, claims %.2f", rate, float64(all)/20e3,
+			line += fmt.Sprintf("; %v requests a second: %.2f kB/s: membership %.2f, configuration %.2f, control %.2f, permits %.2f, claims %.2f", rate, float64(all)/20e3,
 				float64(w.InterZoneBytes[message.KindMembership])/20e3, float64(w.InterZoneBytes[message.KindConfigPush])/20e3, float64(w.InterZoneBytes[message.KindRegister]+w.InterZoneBytes[message.KindLease]+w.InterZoneBytes[message.KindAntiEntropy])/20e3,
 				float64(w.InterZoneBytes[message.KindCapacity])/20e3, float64(w.InterZoneBytes[message.KindClaim])/20e3)
 			if rate == 0 {
@@ -53,7 +53,7 @@
 	}
 	for size, x := range quiet {
 		if x > 2*quiet[11] {
-			t.Errorf("a node of %d sends %.0f bytes of membership in 20 s, one of 11 sends %.0f", size, x, quiet[11])
+			t.Errorf("with %d nodes each sends %.0f bytes of membership in 20 s, with 11 nodes %.0f", size, x, quiet[11])
 		}
 	}
 }
--- a/internal/simulator/interleaving_helpers_test.go
+++ b/internal/simulator/interleaving_helpers_test.go
@@ -8,36 +8,37 @@
 	"seamshunt/internal/units"
 )
 
-// interleavings tries every sequence of choices one by one. A run asks choose(n) for a number below n; the first depth
-// of its choices are enumerated, the later ones are zero.
+// interleavings calls run once for every sequence of choices and returns the number of calls. A run calls choose(n) for a
+// number below n. The first depth choices are enumerated, later ones are zero.
 func interleavings(depth int, run func(choose func(n int) int)) int {
 	return interleavingsFrom(nil, depth, run)
 }
 
-// interleavingsFrom is the part of them that begins with the given choices; none if there are fewer to choose from.
+// interleavingsFrom enumerates only the sequences that begin with the given choices. It returns 0 if a choice is out of
+// range.
 func interleavingsFrom(first []int, depth int, run func(choose func(n int) int)) int {
-	path, width := slices.Clone(first), []int(nil)
+	path, widths := slices.Clone(first), []int(nil)
 	for count := 1; ; count++ {
-		at := 0
-		width = width[:0]
+		position := 0
+		widths = widths[:0]
 		run(func(n int) int {
-			if at >= depth || n <= 1 {
+			if position >= depth || n <= 1 {
 				return 0
 			}
-			if at == len(path) {
+			if position == len(path) {
 				path = append(path, 0)
 			}
-			width = append(width, n)
-			at++
-			return min(path[at-1], n-1)
+			widths = append(widths, n)
+			position++
+			return min(path[position-1], n-1)
 		})
 		for i := range first {
-			if i >= len(width) || first[i] >= width[i] {
+			if i >= len(widths) || first[i] >= widths[i] {
 				return 0
 			}
 		}
-		path = path[:at]
-		for len(path) > len(first) && path[len(path)-1] == width[len(path)-1]-1 {
+		path = path[:position]
+		for len(path) > len(first) && path[len(path)-1] == widths[len(path)-1]-1 {
 			path = path[:len(path)-1]
 		}
 		if len(path) <= len(first) {
@@ -47,21 +48,21 @@
 	}
 }
 
-// messageBag is a small net: notes on their way, delivered in the order that the choices give.
+// messageBag is a minimal network that delivers messages in the order of the choices.
 type messageBag struct {
 	now       units.Time
 	inFlight  []message.Message
 	handlers  map[units.NodeID]func(message.Message) message.Effects
-	delayNext func() bool // whether the next note is held up till after this round; nil for never
+	delayNext func() bool // reports whether to delay the next message until after this round; nil for never
 	delayed   []message.Message
 }
 
-func (b *messageBag) send(from units.NodeID, o message.Effects) {
-	for _, n := range append(o.Messages, o.AfterSync...) {
-		n.From = from
-		// Calls between voters change nothing that these tests look at, and would multiply the orders.
-		if b.handlers[n.To] != nil && n.Kind != register.Ping && n.Kind != register.Pong {
-			b.inFlight = append(b.inFlight, n)
+func (b *messageBag) send(from units.NodeID, effects message.Effects) {
+	for _, m := range append(effects.Messages, effects.AfterSync...) {
+		m.From = from
+		// Pings between voters do not affect these tests and would multiply the interleavings.
+		if b.handlers[m.To] != nil && m.Kind != register.Ping && m.Kind != register.Pong {
+			b.inFlight = append(b.inFlight, m)
 		}
 	}
 }
@@ -69,20 +70,20 @@
 func (b *messageBag) deliverAll(choose func(int) int, each func()) {
 	for k := 0; len(b.inFlight) > 0 && k < 400; k++ {
 		i := choose(len(b.inFlight))
-		n := b.inFlight[i]
+		m := b.inFlight[i]
 		b.inFlight = append(b.inFlight[:i:i], b.inFlight[i+1:]...)
 		if b.delayNext != nil && b.delayNext() {
-			b.delayed = append(b.delayed, n)
+			b.delayed = append(b.delayed, m)
 			continue
 		}
-		b.send(n.To, b.handlers[n.To](n))
+		b.send(m.To, b.handlers[m.To](m))
 		each()
 	}
 }
 
 var threeNodes = []units.NodeID{1, 2, 3}
 
-// newVoters gives three voters of one set, each believing the one it is told of to be the owner.
+// newVoters returns three voters of one quorum set, each of which sees the owner given for it.
 func newVoters(b *messageBag, ownerSeenBy map[units.NodeID]units.NodeID) map[units.NodeID]*register.Replica {
 	m := map[units.NodeID]*register.Replica{}
 	set := register.QuorumSet{Version: 1, Members: threeNodes}
--- a/internal/simulator/interleaving_test.go
+++ b/internal/simulator/interleaving_test.go
@@ -15,7 +15,7 @@
 	"seamshunt/internal/units"
 )
 
-// Two that stand for one duty at once never both hold it.
+// Two candidates for one lease never hold it at the same time.
 func TestInterleavingsOfLeaseVotes(t *testing.T) {
 	won := 0
 	n := interleavings(6, func(choose func(int) int) {
@@ -31,7 +31,7 @@
 		b.send(2, m[2].Tick(now, true))
 		b.deliverAll(choose, func() {
 			if m[1].Holds(now) && m[2].Holds(now) {
-				t.Fatal("two hold one duty")
+				t.Fatal("two nodes hold one lease")
 			}
 		})
 		if m[1].Holds(now) || m[2].Holds(now) {
@@ -39,11 +39,11 @@
 		}
 	})
 	if n < 500 || won == 0 {
-		t.Errorf("%d orders, won in %d", n, won)
+		t.Errorf("%d interleavings, won in %d", n, won)
 	}
 }
 
-// Half the votes each must not last: a lost round gives its votes back, and one of the two wins in the end.
+// A split vote between two candidates must not last: a lost round releases its votes, and one candidate wins in the end.
 func TestSplitVoteEnds(t *testing.T) {
 	four := []units.NodeID{1, 2, 3, 4}
 	for seed := range uint64(50) {
@@ -55,7 +55,7 @@
 			m[x] = y
 			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
 		}
-		// The two stand at the same moment, and each reaches two voters first.
+		// Both request votes at the same time, and each reaches two voters first.
 		one, two := m[1].Tick(now, true), m[2].Tick(now, true)
 		b.send(1, message.Effects{Messages: []message.Message{one.Messages[0], one.Messages[2]}})
 		b.send(2, message.Effects{Messages: []message.Message{two.Messages[1], two.Messages[3]}})
@@ -63,7 +63,7 @@
 		b.send(2, message.Effects{Messages: []message.Message{two.Messages[0], two.Messages[2]}})
 		b.deliverAll(func(int) int { return 0 }, func() {})
 		if m[1].Holds(now) || m[2].Holds(now) {
-			t.Fatal("this round was to be split")
+			t.Fatal("the votes of this round were not split")
 		}
 		held := false
 		for range 200 {
@@ -75,12 +75,12 @@
 			held = held || m[1].Holds(now) || m[2].Holds(now)
 		}
 		if !held {
-			t.Fatalf("seed %d: nobody ever won", seed)
+			t.Fatalf("seed %d: no candidate won", seed)
 		}
 	}
 }
 
-// Two copies of one request claim its key by way of two nodes: never both get it.
+// Two copies of a request that claim its key through two routers never both get it.
 func TestInterleavingsOfClaims(t *testing.T) {
 	won := 0
 	n := interleavings(6, func(choose func(int) int) {
@@ -88,7 +88,7 @@
 		m := map[units.NodeID]*idempotency.Claimant{}
 		for _, x := range threeNodes {
 			y := idempotency.New(x, 0)
-			y.Tick(units.Time(time.Minute), nil, time.Second) // takes part
+			y.Tick(units.Time(time.Minute), nil, time.Second) // completes its start
 			m[x] = y
 			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(0, k) }
 		}
@@ -109,89 +109,90 @@
 		won += k
 	})
 	if n < 500 || won == 0 {
-		t.Errorf("%d orders, won in %d", n, won)
+		t.Errorf("%d interleavings, won in %d", n, won)
 	}
 }
 
-// News never goes back, whatever order it comes in, and the newest is in force at the end.
+// Updates in any order never replace a newer value by an older one, and the newest is applied at the end.
 func TestInterleavingsOfConfigUpdates(t *testing.T) {
 	n := interleavings(6, func(choose func(int) int) {
 		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
-		core, router := configpush.New(1), configpush.New(2)
-		b.handlers[1] = func(k message.Message) message.Effects { return core.Step(0, k) }
+		controller, router := configpush.New(1), configpush.New(2)
+		b.handlers[1] = func(k message.Message) message.Effects { return controller.Step(0, k) }
 		b.handlers[2] = func(k message.Message) message.Effects { return router.Step(0, k) }
 		for i := range 4 {
-			b.send(1, core.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
+			b.send(1, controller.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
 		}
-		last := units.Version(0)
+		lastVersion := units.Version(0)
 		b.deliverAll(choose, func() {
 			if it := router.Items["config"]; it != nil {
-				if it.Version < last {
-					t.Fatalf("back from %d to %d", last, it.Version)
+				if it.Version < lastVersion {
+					t.Fatalf("version went back from %d to %d", lastVersion, it.Version)
 				}
-				last = it.Version
+				lastVersion = it.Version
 			}
 		})
-		if last != 4 || core.Acks["config"][2] != 4 {
-			t.Fatalf("number %d in force, %d acknowledged", last, core.Acks["config"][2])
+		if lastVersion != 4 || controller.Acks["config"][2] != 4 {
+			t.Fatalf("version %d applied, %d acknowledged", lastVersion, controller.Acks["config"][2])
 		}
 	})
 	if n < 24 {
-		t.Errorf("only %d orders", n)
+		t.Errorf("only %d interleavings", n)
 	}
 }
 
-// One slot, two nodes that want it, and its keeping passes from one to the other meanwhile: it is never lent twice.
+// Two routers request the only slot of a worker while its coordination moves from one to the other. The slot must never be
+// granted twice.
 func TestInterleavingsOfPermits(t *testing.T) {
-	most := 0
+	maxInFlight := 0
 	n := interleavings(6, func(choose func(int) int) {
 		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		peers := []capacity.Peer{{Node: 1, Zone: "z"}, {Node: 2, Zone: "z"}}
-		w := map[string]capacity.Worker{"s/w": {Zone: "z", Capacity: 1, MaxWaiting: 2}}
-		desks, keeps := map[units.NodeID]*admission.Queue{}, map[units.NodeID]*capacity.Ledger{}
+		workers := map[string]capacity.Worker{"s/w": {Zone: "z", Capacity: 1, MaxWaiting: 2}}
+		queues, ledgers := map[units.NodeID]*admission.Queue{}, map[units.NodeID]*capacity.Ledger{}
 		for _, x := range []units.NodeID{1, 2} {
-			d, g := admission.New(x), capacity.New(x)
-			desks[x], keeps[x] = d, g
+			queue, ledger := admission.New(x), capacity.New(x)
+			queues[x], ledgers[x] = queue, ledger
 			b.handlers[x] = func(k message.Message) (out message.Effects) {
 				if k.Kind != capacity.Acquire && k.Kind != capacity.Release && k.Kind != capacity.Report {
-					out = d.Step(0, k)
+					out = queue.Step(0, k)
 				}
 				if k.Kind == capacity.Acquire || k.Kind == capacity.Release || k.Kind == capacity.Report || k.Kind == capacity.ReportRequest {
-					out.Append(g.Step(0, k))
+					out.Append(ledger.Step(0, k))
 				}
 				return out
 			}
 		}
-		keeper := capacity.Coordinator(peers, "s/w", "z")
-		other := 3 - keeper
-		keeps[keeper].SetWorkers(w)
-		keeps[keeper].SetRouters(peers, nil)
-		b.send(keeper, keeps[keeper].Tick(0))
+		coordinator := capacity.Coordinator(peers, "s/w", "z")
+		other := 3 - coordinator
+		ledgers[coordinator].SetWorkers(workers)
+		ledgers[coordinator].SetRouters(peers, nil)
+		b.send(coordinator, ledgers[coordinator].Tick(0))
 		b.deliverAll(func(int) int { return 0 }, func() {})
-		ask := func(x, of units.NodeID) {
-			b.send(x, desks[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
-				Coordinator: func(string) units.NodeID { return of }}))
+		submit := func(x, target units.NodeID) {
+			b.send(x, queues[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
+				Coordinator: func(string) units.NodeID { return target }}))
 		}
-		ask(1, keeper)
-		ask(2, keeper)
-		// The other takes the worker over while the asks are on their way.
-		keeps[other].SetWorkers(w)
-		keeps[other].SetRouters(peers, nil)
-		b.send(other, keeps[other].TakeOver(0, "s/w"))
+		submit(1, coordinator)
+		submit(2, coordinator)
+		// The other takes over the worker while the requests are in flight.
+		ledgers[other].SetWorkers(workers)
+		ledgers[other].SetRouters(peers, nil)
+		b.send(other, ledgers[other].TakeOver(0, "s/w"))
 		b.deliverAll(choose, func() {
-			if k := desks[1].InFlight["s/w"] + desks[2].InFlight["s/w"]; k > 1 {
-				t.Fatalf("%d in flight, cap 1", k)
+			if k := queues[1].InFlight["s/w"] + queues[2].InFlight["s/w"]; k > 1 {
+				t.Fatalf("%d in flight, capacity 1", k)
 			} else {
-				most = max(most, k)
+				maxInFlight = max(maxInFlight, k)
 			}
 		})
 	})
-	if n < 500 || most != 1 {
-		t.Errorf("%d orders, at most %d in flight", n, most)
+	if n < 500 || maxInFlight != 1 {
+		t.Errorf("%d interleavings, at most %d in flight", n, maxInFlight)
 	}
 }
 
-// A core machine that reaches only one router: what that one hears goes on to the others, who ask for it by number.
+// A controller reaches only one router. The other routers must get its update from that one, by comparing versions.
 func TestConfigUpdatesRouteAroundPartition(t *testing.T) {
 	b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 	m := map[units.NodeID]*configpush.Feed{}
@@ -201,7 +202,7 @@
 		b.handlers[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
 	}
 	b.send(1, m[1].Publish(0, configpush.Item{Key: "workers/main/1", Version: 7, Data: []byte("x")}, []units.NodeID{2}))
-	for range 3 { // beats
+	for range 3 { // heartbeats
 		b.deliverAll(func(int) int { return 0 }, func() {})
 		b.now = b.now.Add(400 * time.Millisecond)
 		for n := units.NodeID(2); n <= 6; n++ {
@@ -210,7 +211,7 @@
 	}
 	for n, x := range m {
 		if it := x.Items["workers/main/1"]; it == nil || it.Version != 7 {
-			t.Errorf("%d has not heard of it", n)
+			t.Errorf("node %d has not got the update", n)
 		}
 	}
 }
--- a/internal/simulator/isolation_kinds_test.go
+++ b/internal/simulator/isolation_kinds_test.go
@@ -11,8 +11,8 @@
 
 const connectionsRefused = "connections refused"
 
-// isolationKinds are the ways in which one controller is parted from the others for a span. Kinds that leave it a majority's
-// answers are marked: it may go on acknowledging.
+// isolationKinds are the ways in which a controller is isolated from the others. With reachesMajority it still reaches a
+// majority and may acknowledge writes.
 var isolationKinds = []struct {
 	name   string
 	part   func(w *World, cut *Host)
@@ -34,18 +34,18 @@
 		other := w.controllerHosts[(slices.Index(w.controllerHosts, cut)+1)%len(w.controllerHosts)]
 		w.partition(isolationTime, func(from, to *Host) bool { return from == cut && to == other || from == other && to == cut })
 	}, true},
-	{"connections reset again and again", func(w *World, cut *Host) {
+	{"connections reset repeatedly", func(w *World, cut *Host) {
 		w.partition(isolationTime, func(from, to *Host) bool {
 			return (from == cut) != (to == cut) && time.Duration(w.Now)%(400*time.Millisecond) < 350*time.Millisecond
 		})
 	}, true},
-	// A refusal is taken for a proof that the process has ended, so its lease for asking the platform is given away at once:
-	// where something else refuses in its place, two hold that lease for its term.
+	// A refused connection counts as proof that the process has ended, so its lease to query the platform is granted to
+	// another at once. If something else refuses the connection, two controllers hold that lease for its term.
 	{connectionsRefused, func(w *World, cut *Host) {
 		w.partition(isolationTime, func(from, to *Host) bool { return (from == cut) != (to == cut) })
 		w.keepRefusing(cut, w.Now.Add(isolationTime))
 	}, false},
-	{"restarted while cut off", func(w *World, cut *Host) {
+	{"restarted while isolated", func(w *World, cut *Host) {
 		w.isolate(cut, isolationTime)
 		w.After(5*time.Second, func() { w.restart(cut, 300*time.Millisecond, false) })
 	}, false},
@@ -60,47 +60,47 @@
 	}, false},
 }
 
-// keepRefusing has every other machine told again and again that nobody listens at an address.
-func (w *World) keepRefusing(cut *Host, until units.Time) {
+// keepRefusing repeatedly notifies all other hosts that the isolated controller's address refuses connections.
+func (w *World) keepRefusing(isolated *Host, until units.Time) {
 	if w.Now >= until {
 		return
 	}
 	for _, h := range w.Hosts {
-		if h != cut && h.Proc != nil && h.Proc.OnConnectionRefused != nil {
-			h.Proc.OnConnectionRefused(w.Now, cut.Addr)
+		if h != isolated && h.Proc != nil && h.Proc.OnConnectionRefused != nil {
+			h.Proc.OnConnectionRefused(w.Now, isolated.Addr)
 		}
 	}
-	w.After(250*time.Millisecond, func() { w.keepRefusing(cut, until) })
+	w.After(250*time.Millisecond, func() { w.keepRefusing(isolated, until) })
 }
 
-// submitWithTimeout calls a controller as an adapter's caller does: an answer within register.AnswerTimeout, NoMajority at once from
-// a controller that knows that it does not reach one. It mirrors controller.Submit.
-func (w *World) submitWithTimeout(c *Controller, a register.Request, done func(register.Result)) {
-	if !c.Replica.ReachesMajority(w.Now) {
+// submitWithTimeout calls a controller as an adapter does: it gets an answer within register.AnswerTimeout, and NoMajority at
+// once from a controller that knows that it reaches no majority. It mirrors controller.Submit.
+func (w *World) submitWithTimeout(controller *Controller, request register.Request, done func(register.Result)) {
+	if !controller.Replica.ReachesMajority(w.Now) {
 		done(register.Result{Code: resultcode.NoMajority})
 		return
 	}
-	open := true
+	pending := true
 	answer := func(r register.Result) {
-		if open {
-			open = false
+		if pending {
+			pending = false
 			done(r)
 		}
 	}
 	i := len(w.History)
-	w.History = append(w.History, Op{Key: a.Key, Write: a.Write, CalledAt: w.Now, ExpectedVersion: a.ExpectedVersion, Data: string(a.Data), controllerAddr: c.Host.Addr})
-	c.Submit(w.Sim, a, func(r register.Result) {
-		o := &w.History[i]
-		if o.Code, o.Version = r.Code, r.Version; open {
-			o.ReturnedAt = w.Now
+	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now, ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: controller.Host.Addr})
+	controller.Submit(w.Sim, request, func(r register.Result) {
+		op := &w.History[i]
+		if op.Code, op.Version = r.Code, r.Version; pending {
+			op.ReturnedAt = w.Now
 		}
-		if !a.Write {
-			o.Data = string(r.Data)
+		if !request.Write {
+			op.Data = string(r.Data)
 		}
-		if open && a.Write && r.Code == resultcode.OK {
-			w.acknowledged = append(w.acknowledged, acknowledgedConfig{r.Version, w.Now, string(a.Data)})
+		if pending && request.Write && r.Code == resultcode.OK {
+			w.acknowledged = append(w.acknowledged, acknowledgedConfig{r.Version, w.Now, string(request.Data)})
 		}
 		answer(r)
 	})
-	w.After(register.AnswerTimeout, func() { answer(register.Result{Code: a.TimeoutCode()}) })
+	w.After(register.AnswerTimeout, func() { answer(register.Result{Code: request.TimeoutCode()}) })
 }
--- a/internal/simulator/layout_test.go
+++ b/internal/simulator/layout_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// A configuration with all that the layout has words for: traffic goes on under it, and nothing is broken.
+// A configuration that uses every option of the layout: requests run under it without violations.
 func TestFullLayout(t *testing.T) {
 	text := strings.NewReplacer(`"cap":4,`, `"slots":true,"place":"home","memory":50000,"share":80,"reads":90,"pairs_us":200,"warm_rate":50,"conns":64,"lax":true,`,
 		`{"services":[`, `{"version":3,"limits":{"body_bytes":65536},"services":[{"name":"other","pool":"side","cap":2},`,
--- a/internal/simulator/linearizable_test.go
+++ b/internal/simulator/linearizable_test.go
@@ -10,8 +10,8 @@
 	"seamshunt/internal/resultcode"
 )
 
-// linearizable checks the operators' calls of a world, key by key, beside Linear: also that each refusal had its cause, and
-// that an unclear write happened once or not at all.
+// linearizable checks the operators' calls key by key. Beyond CheckHistory it checks that each refused write had a conflict,
+// and that a write of unknown outcome took effect at most once.
 func linearizable(history []Op) (bad []string) {
 	calls := map[string][]linearizability.Call{}
 	for _, o := range history {
@@ -21,7 +21,7 @@
 		}
 		switch {
 		case o.ReturnedAt != 0 && o.Code == resultcode.OK && o.Write && o.Version != o.ExpectedVersion+1:
-			bad = append(bad, fmt.Sprintf("%s: a write on %d got number %d", o.Key, o.ExpectedVersion, o.Version))
+			bad = append(bad, fmt.Sprintf("%s: a write with expected version %d got version %d", o.Key, o.ExpectedVersion, o.Version))
 		case o.ReturnedAt != 0 && o.Code == resultcode.OK:
 			c.Outcome = linearizability.Succeeded
 		case o.ReturnedAt != 0 && o.Code == resultcode.VersionConflict:
@@ -29,9 +29,9 @@
 		}
 		calls[o.Key] = append(calls[o.Key], c)
 	}
-	for key, l := range calls {
-		if got := linearizability.Check(l, time.Minute); got != porcupine.Ok {
-			bad = append(bad, fmt.Sprintf("%s: the history of %d calls is %s", key, len(l), got))
+	for key, list := range calls {
+		if got := linearizability.Check(list, time.Minute); got != porcupine.Ok {
+			bad = append(bad, fmt.Sprintf("%s: the history of %d calls is %s", key, len(list), got))
 		}
 	}
 	return bad
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -11,25 +11,25 @@
 )
 
 func (s *Sim) apply(h *Host, effects message.Effects) {
-	// The order of a step's notes may hang on a map; the world's must not.
+	// Messages of one step may come in map order; a replayable run needs a fixed order.
 	slices.SortStableFunc(effects.Messages, func(a, b message.Message) int {
 		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Kind, b.Kind), bytes.Compare(a.Body, b.Body))
 	})
-	for _, n := range effects.Messages {
-		s.send(h, n)
+	for _, m := range effects.Messages {
+		s.send(h, m)
 	}
 	if h.Disk == nil {
-		for _, n := range effects.AfterSync {
-			s.send(h, n)
+		for _, m := range effects.AfterSync {
+			s.send(h, m)
 		}
 	} else if len(effects.Writes)+len(effects.AfterSync) > 0 {
 		h.Disk.enqueue(s, h, effects)
 	}
 }
 
-func (s *Sim) destination(n message.Message) *Host {
+func (s *Sim) destination(m message.Message) *Host {
 	for _, h := range s.Hosts {
-		if n.Addr != "" && h.Addr == n.Addr || n.Addr == "" && h.Proc != nil && h.Proc.Self == n.To {
+		if m.Addr != "" && h.Addr == m.Addr || m.Addr == "" && h.Proc != nil && h.Proc.Self == m.To {
 			return h
 		}
 	}
@@ -50,18 +50,18 @@
 	return delay
 }
 
-func (s *Sim) send(h *Host, n message.Message) {
+func (s *Sim) send(h *Host, m message.Message) {
 	if h.Proc == nil {
 		return
 	}
-	n.From = h.Proc.Self
+	m.From = h.Proc.Self
 	s.Sent++
 	hash := fnv.New64a()
-	hash.Write(n.Body)
-	s.Trace = s.Trace*1099511628211 + hash.Sum64() + uint64(n.Kind) + uint64(s.Now)
-	to := s.destination(n)
+	hash.Write(m.Body)
+	s.Trace = s.Trace*1099511628211 + hash.Sum64() + uint64(m.Kind) + uint64(s.Now)
+	to := s.destination(m)
 	if to != nil && to.Zone != h.Zone {
-		s.InterZoneBytes[n.Kind&^15] += 24 + len(n.Body)
+		s.InterZoneBytes[m.Kind&^15] += 24 + len(m.Body)
 	}
 	if to == nil || to != h && (h.Isolated || to.Isolated || s.Partitioned(h, to) || s.LossRate > 0 && s.Rng.Float64() < s.LossRate) {
 		return
@@ -69,19 +69,19 @@
 	generation := to.generation
 	s.After(s.networkDelay(h, to), func() {
 		switch {
-		case to.Proc == nil && to.generation == generation || to.Proc != nil && n.To != 0 && n.To != to.Proc.Self:
+		case to.Proc == nil && to.generation == generation || to.Proc != nil && m.To != 0 && m.To != to.Proc.Self:
 			return
 		case to.generation != generation:
-			return // the wire broke when the process ended
+			return // the connection broke when the process ended
 		case to.Paused:
-			to.heldMessages = append(to.heldMessages, n)
+			to.heldMessages = append(to.heldMessages, m)
 		default:
-			s.apply(to, to.Proc.Step(s.Now, n))
+			s.apply(to, to.Proc.Step(s.Now, m))
 		}
 	})
 }
 
-// RefuseConnections tells everyone that still sends to a killed process's address that nobody listens there.
+// RefuseConnections notifies all reachable processes that connections to a killed process's address are refused.
 func (s *Sim) RefuseConnections(dead *Host) {
 	for _, h := range s.Hosts {
 		if h != dead && h.Proc != nil && !h.Isolated && !dead.Isolated && !s.Partitioned(h, dead) && h.Proc.OnConnectionRefused != nil {
--- a/internal/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -10,11 +10,11 @@
 	"seamshunt/internal/units"
 )
 
-// Op is one operator's call, as its history has it.
+// Op is an operator's call and its result, as recorded in the history.
 type Op struct {
 	Key                  string
 	Write                bool
-	CalledAt, ReturnedAt units.Time // To is zero while it is open
+	CalledAt, ReturnedAt units.Time // ReturnedAt is zero while the call is in progress
 	ExpectedVersion      units.Version
 	Code                 resultcode.Code
 	Version              units.Version
@@ -28,7 +28,7 @@
 	data    string
 }
 
-// configText is a configuration whose bytes differ by n.
+// configText returns a configuration document that contains n.
 func configText(n int) string {
 	return strings.ReplaceAll(fmt.Sprintf(`{"services":[{"name":"advice","pool":"main","cap":%d,"warm_ms":%d,"first_ms":150,"spread":3}],
 "promises":[{"name":"p6","first_ms":800,"deadline_ms":6000},{"name":"p4","first_ms":800,"deadline_ms":4000},{"name":"p20","first_ms":800,"deadline_ms":20000}],
@@ -36,7 +36,7 @@
 		workerCapacity, warmUpTime.Milliseconds(), n), "'", `\"`)
 }
 
-// anyController picks a machine that an operator can reach.
+// anyController picks a random controller that an operator can reach.
 func (w *World) anyController() *Controller {
 	var alive []*Host
 	for _, h := range w.controllerHosts {
@@ -50,33 +50,33 @@
 	return w.controllers[alive[w.Rng.IntN(len(alive))]]
 }
 
-// Call is one operator's call; its outcome goes into the history.
+// Call submits a request to a random controller and records it in the history.
 func (w *World) Call(request register.Request, done func(*Op)) {
 	w.callAt(w.anyController(), request, done)
 }
 
-func (w *World) callAt(c *Controller, request register.Request, done func(*Op)) {
-	if c == nil {
+func (w *World) callAt(controller *Controller, request register.Request, done func(*Op)) {
+	if controller == nil {
 		return
 	}
-	i := len(w.History)
-	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now, ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: c.Host.Addr})
-	c.Submit(w.Sim, request, func(r register.Result) {
-		o := &w.History[i]
-		o.ReturnedAt, o.Code, o.Version = w.Now, r.Code, r.Version
+	index := len(w.History)
+	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now, ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: controller.Host.Addr})
+	controller.Submit(w.Sim, request, func(r register.Result) {
+		op := &w.History[index]
+		op.ReturnedAt, op.Code, op.Version = w.Now, r.Code, r.Version
 		if !request.Write && r.Code == resultcode.OK {
-			o.Data = string(r.Data)
+			op.Data = string(r.Data)
 		}
 		if request.Write && r.Code == resultcode.OK && request.Key == "config" {
 			w.acknowledged = append(w.acknowledged, acknowledgedConfig{r.Version, w.Now, string(request.Data)})
 		}
 		if done != nil {
-			done(o)
+			done(op)
 		}
 	})
 }
 
-// change reads a key and writes on the number found.
+// change reads a key and writes it with the version found as the expected version.
 func (w *World) change(key, data string, done func(*Op)) {
 	w.Call(register.Request{Key: key}, func(o *Op) {
 		if o.Code != resultcode.OK {
@@ -86,7 +86,7 @@
 	})
 }
 
-// RunOperators race each other over the configuration for a span: calls from two sides at random moments.
+// RunOperators changes the configuration at random times until the given time. The changes may overlap.
 func (w *World) RunOperators(until units.Time, meanInterval time.Duration) {
 	if w.Now > until {
 		return
@@ -96,7 +96,7 @@
 	w.After(time.Duration(w.Rng.Int64N(int64(2*meanInterval))), func() { w.RunOperators(until, meanInterval) })
 }
 
-// Evacuate sets or withdraws a zone's evacuation; the promise counts from the acknowledgement.
+// Evacuate sets or withdraws a zone's evacuation. The time limit of an evacuation starts with its acknowledgement.
 func (w *World) Evacuate(zone string, on bool) {
 	if w.evacuatedAt[zone] > 0 {
 		w.Stats.LastRunsAfterEvacuation = append(w.Stats.LastRunsAfterEvacuation, w.lastRunAfterEvacuation[zone])
@@ -111,7 +111,8 @@
 	})
 }
 
-// watchConfig: in force within 2 s of the acknowledgement, or of the end of a cut, on every router that serves and isn't cut off, never older again.
+// checkConfigVersions checks that each ready, connected router has a configuration within 2 s of its acknowledgement, or of
+// the end of a partition, and never goes back to an older one.
 func (w *World) checkConfigVersions() {
 	for _, h := range w.routerHosts {
 		e := w.routers[h]
@@ -119,7 +120,7 @@
 			continue
 		}
 		if e.ConfigVersion < w.configVersions[e] {
-			w.reportViolation("%s slid back from configuration %d to %d", h.Addr, w.configVersions[e], e.ConfigVersion)
+			w.reportViolation("%s went back from configuration %d to %d", h.Addr, w.configVersions[e], e.ConfigVersion)
 		}
 		for _, a := range w.acknowledged {
 			if a.version > w.configVersions[e] && a.version <= e.ConfigVersion && w.configVersions[e] > 0 {
@@ -141,12 +142,12 @@
 	}
 }
 
-// fresh: what serves a prompt must not stand on a configuration older than one acknowledged 2 s before, however the
-// process came to serve: started, woken or running.
+// checkConfigIsCurrent checks that a router that takes a request has every configuration that was acknowledged more than
+// 2 s ago, also when the router has just started or resumed.
 func (w *World) checkConfigIsCurrent(e *Router) {
 	for _, a := range w.acknowledged {
 		if w.Now.Sub(max(a.at, w.majorityPathLostAt[e.Host])) > 2*time.Second && a.version > e.ConfigVersion && !w.majorityLostWithin(a.at, w.Now) {
-			w.reportViolation("%s takes a prompt with configuration %d; %d was acknowledged %v ago", e.Host.Addr, e.ConfigVersion, a.version, w.Now.Sub(a.at))
+			w.reportViolation("%s takes a request with configuration %d; %d was acknowledged %v ago", e.Host.Addr, e.ConfigVersion, a.version, w.Now.Sub(a.at))
 			return
 		}
 	}
--- a/internal/simulator/platform.go
+++ b/internal/simulator/platform.go
@@ -13,19 +13,19 @@
 
 const pollInterval = 500 * time.Millisecond
 
-// poll is one question of a core machine to the platform, which sees the world at the middle of its way. What comes
-// back to a frozen process waits for it; a process that was started again never hears of it.
-func (w *World) poll(c *Controller, now units.Time) {
-	query := c.catalog.NewQuery(now, "main", c.Self, int64(now)/int64(time.Millisecond))
+// poll sends a controller's query to the platform, which reads its list after half of the round trip. An answer to a paused
+// process waits until it resumes; one to a process that has been restarted is dropped.
+func (w *World) poll(controller *Controller, now units.Time) {
+	query := controller.catalog.NewQuery(now, "main", controller.Self, int64(now)/int64(time.Millisecond))
 	w.checkPollRate(now)
-	generation := c.Host.generation
+	generation := controller.Host.generation
 	roundTrip := 2*time.Millisecond + time.Duration(w.Rng.Int64N(int64(8*time.Millisecond)))
 	switch {
-	case w.platformUnreachable[c.Host] || c.Host.Isolated || w.platformMode == "gone":
-		w.After(time.Second, func() { // no answer in time
-			w.Inject(c.Host, func(now units.Time) message.Effects {
-				if c.Host.generation == generation && c.Lease.Holds(now) {
-					return c.Lease.Yield(now)
+	case w.platformUnreachable[controller.Host] || controller.Host.Isolated || w.platformMode == "unreachable":
+		w.After(time.Second, func() { // timeout
+			w.Inject(controller.Host, func(now units.Time) message.Effects {
+				if controller.Host.generation == generation && controller.Lease.Holds(now) {
+					return controller.Lease.Yield(now)
 				}
 				return message.Effects{}
 			})
@@ -33,38 +33,38 @@
 		return
 	case w.platformMode == "slow":
 		roundTrip = 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(600*time.Millisecond)))
-	case w.platformMode == "refuse", w.platformMode == "empty":
-		return // no list is believed
+	case w.platformMode == "failing", w.platformMode == "empty":
+		return // the answer is not accepted as a list
 	}
 	w.After(roundTrip/2, func() {
 		list := slices.Clone(w.listedWorkers)
 		for i := range list {
 			list[i].Age = w.Now.Sub(w.workers[list[i].ID].startedAt)
 		}
-		if w.platformMode == "old" && w.staleList != nil {
+		if w.platformMode == "stale" && w.staleList != nil {
 			list = slices.Clone(w.staleList)
 		}
-		w.After(roundTrip/2, func() { w.deliverPlatformAnswer(c, generation, query, list) })
+		w.After(roundTrip/2, func() { w.deliverPlatformAnswer(controller, generation, query, list) })
 	})
 }
 
-func (w *World) deliverPlatformAnswer(c *Controller, generation int, query discovery.Query, list []config.Worker) {
-	if c.Host.Paused && c.Host.generation == generation {
-		w.After(10*time.Millisecond, func() { w.deliverPlatformAnswer(c, generation, query, list) })
+func (w *World) deliverPlatformAnswer(controller *Controller, generation int, query discovery.Query, list []config.Worker) {
+	if controller.Host.Paused && controller.Host.generation == generation {
+		w.After(10*time.Millisecond, func() { w.deliverPlatformAnswer(controller, generation, query, list) })
 		return
 	}
-	if c.Host.generation != generation {
+	if controller.Host.generation != generation {
 		return
 	}
-	w.Inject(c.Host, func(now units.Time) (out message.Effects) {
-		if data, changed := c.catalog.RecordAnswer(query, list); changed {
-			c.publish(now, configpush.Item{Key: discovery.Key("main", c.Self), Version: query.Version, Data: data}, &out)
+	w.Inject(controller.Host, func(now units.Time) (out message.Effects) {
+		if data, changed := controller.catalog.RecordAnswer(query, list); changed {
+			controller.publish(now, configpush.Item{Key: discovery.Key("main", controller.Self), Version: query.Version, Data: data}, &out)
 		}
 		return out
 	})
 }
 
-// judgeRate: the platform's limit holds for the fleet, however the core is cut.
+// checkPollRate checks that all controllers together keep the platform's rate limit, also during partitions.
 func (w *World) checkPollRate(now units.Time) {
 	w.polledAt = append(w.polledAt, now)
 	polls := 0
@@ -72,11 +72,11 @@
 		polls++
 	}
 	if limit := int(10*time.Second/pollInterval) + len(w.controllerHosts); polls > limit {
-		w.reportViolation("the platform was asked %d times in ten seconds, %d are allowed", polls, limit)
+		w.reportViolation("the platform got %d queries in ten seconds, the limit is %d", polls, limit)
 	}
 }
 
-// reachableFrom gives the machines that can hear from a core machine, over others too.
+// reachableFrom returns the hosts with a path from a host, direct or through others.
 func (w *World) reachableFrom(h *Host) map[*Host]bool {
 	all := append(slices.Clone(w.controllerHosts), w.routerHosts...)
 	reachable := map[*Host]bool{h: true}
@@ -91,7 +91,7 @@
 	return reachable
 }
 
-// recordLostPaths notes which machines have no path to a core that could answer, and which none to the platform.
+// recordLostPaths records which hosts have no path to a majority of the controllers, and which have none to the platform.
 func (w *World) recordLostPaths() {
 	all := append(slices.Clone(w.controllerHosts), w.routerHosts...)
 	majorityReachable, platformReachable := map[*Host]bool{}, map[*Host]bool{}
@@ -117,7 +117,7 @@
 	}
 }
 
-// canPollPlatform says whether a core machine may and can ask the platform: a voter that reaches it.
+// canPollPlatform reports whether a controller is a voter and reaches the platform.
 func (w *World) canPollPlatform(h *Host) bool {
 	return w.alive(h) && w.controllers[h].Replica.Quorum().Has(w.controllers[h].Self) && !w.platformUnreachable[h] && (w.platformMode == "" || w.platformMode == "slow")
 }
--- a/internal/simulator/power_loss_test.go
+++ b/internal/simulator/power_loss_test.go
@@ -11,13 +11,12 @@
 	"seamshunt/internal/units"
 )
 
-// losePower ends every machine at once, routers and controllers that don't count too, and empties the disks of some of
-// the first `counted` controllers.
-func (w *World) losePower(counted, lost, from int) {
+// losePower cuts the power of all hosts at once, and wipes the disks of `lost` of the first `counted` controllers.
+func (w *World) losePower(counted, lost, first int) {
 	for i, h := range w.controllerHosts {
 		w.Kill(h)
 		h.Disk.losePower(w.Rng)
-		if i < counted && (i+from)%counted < lost {
+		if i < counted && (i+first)%counted < lost {
 			h.Disk.Wipe()
 		}
 	}
@@ -26,14 +25,14 @@
 	}
 }
 
-// restorePower starts every machine, in an order that the seed picks, within 300 ms.
+// restorePower starts all hosts within 300 ms, in random order.
 func (w *World) restorePower() {
 	for _, h := range append(append([]*Host{}, w.controllerHosts...), w.routerHosts...) {
 		w.After(time.Duration(w.Rng.Int64N(int64(300*time.Millisecond))), func() { w.Start(h) })
 	}
 }
 
-// readZone reads a zone's state until it is confirmed.
+// readZone reads a zone's state until a read succeeds.
 func (w *World) readZone(zone string) (data string, ok bool) {
 	for range 12 {
 		var got *Op
@@ -46,38 +45,38 @@
 	return "", false
 }
 
-// As many disks are lost as the core bears, while every other machine loses power, those that don't count too: no memory
-// is left that could help. It strikes at an acknowledgement or up to 400 ms after a change was sent, which may be while the
-// quorum set changes. What was acknowledged, evacuations too, is there again, and the next round finds a whole core.
+// As many disks as the quorum set tolerates are lost while all other hosts lose power, so that no process memory is left.
+// This happens at an acknowledgement or up to 400 ms after a change was sent, also while the quorum set changes.
+// Acknowledged changes and evacuations must be read back, and the quorum set must be complete again for the next round.
 func TestDisksLostDuringPowerLoss(t *testing.T) {
 	t.Parallel()
-	for _, x := range []struct{ counted, lame, lost int }{{3, 0, 1}, {3, 3, 1}, {4, 0, 1}, {4, 4, 1}, {5, 2, 2}, {6, 0, 2}, {9, 0, 4}} {
+	for _, x := range []struct{ counted, nonVoting, lost int }{{3, 0, 1}, {3, 3, 1}, {4, 0, 1}, {4, 4, 1}, {5, 2, 2}, {6, 0, 2}, {9, 0, 4}} {
 		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
 			t.Parallel()
 			for seed := *firstSeed; seed < *firstSeed+16; seed++ {
-				var lame []int
-				for i := range x.lame {
-					lame = append(lame, x.counted+i)
+				var nonVoting []int
+				for i := range x.nonVoting {
+					nonVoting = append(nonVoting, x.counted+i)
 				}
-				w := bootstrappedWorld(seed, x.counted+x.lame, lame...)
-				for _, h := range w.controllerHosts { // slow enough that an answer which does not wait for the disk is found out
+				w := bootstrappedWorld(seed, x.counted+x.nonVoting, nonVoting...)
+				for _, h := range w.controllerHosts { // slow enough to reveal an answer that does not wait for the disk
 					h.Disk.Delay = time.Duration(2+w.Rng.IntN(40)) * time.Millisecond
 				}
 				w.Run(units.Time(6 * time.Second))
-				text, num := w.writeConfig(t, 0)
+				text, version := w.writeConfig(t, 0)
 				w.Evacuate("z2", true)
 				if _, ok := w.runUntil(6*time.Second, func() bool { return w.evacuatedAt["z2"] > 0 }); !ok {
 					t.Fatalf("%+v, seed %d: the evacuation was not acknowledged", x, seed)
 				}
 				for round := 1; round <= 4; round++ {
-					next, nextNum := configText(round), units.Version(0)
+					next, nextVersion := configText(round), units.Version(0)
 					w.change("config", next, func(o *Op) {
 						if o.Code == resultcode.OK {
-							nextNum = o.Version
+							nextVersion = o.Version
 						}
 					})
 					if w.Rng.IntN(2) == 0 {
-						w.runUntil(6*time.Second, func() bool { return nextNum > 0 })
+						w.runUntil(6*time.Second, func() bool { return nextVersion > 0 })
 					} else {
 						w.Run(w.Now.Add(time.Duration(w.Rng.Int64N(int64(400 * time.Millisecond)))))
 					}
@@ -85,18 +84,18 @@
 					w.Run(w.Now.Add(time.Second))
 					w.restorePower()
 					w.Run(w.Now.Add(300 * time.Millisecond))
-					if nextNum > 0 {
-						w.checkReadBack(t, next, nextNum)
-					} else if got := w.readNewest(t); got.Data != text && got.Data != next || got.Version < num {
-						t.Fatalf("%+v, seed %d: acknowledged %d, read back %+v", x, seed, num, got)
+					if nextVersion > 0 {
+						w.checkReadBack(t, next, nextVersion)
+					} else if got := w.readNewest(t); got.Data != text && got.Data != next || got.Version < version {
+						t.Fatalf("%+v, seed %d: acknowledged version %d, read %+v", x, seed, version, got)
 					}
 					if data, ok := w.readZone("z2"); !ok || data != `{"evacuated":true}` {
 						t.Fatalf("%+v, seed %d: the evacuation is %q", x, seed, data)
 					}
 					if _, ok := w.runUntil(12*time.Second, w.quorumComplete); !ok {
-						t.Fatalf("%+v, seed %d: never whole again: %v", x, seed, w.newestQuorum())
+						t.Fatalf("%+v, seed %d: the quorum set is not complete again: %v", x, seed, w.newestQuorum())
 					}
-					text, num = w.writeConfig(t, 10+round)
+					text, version = w.writeConfig(t, 10+round)
 				}
 				for _, f := range w.Violations {
 					t.Errorf("%+v, seed %d: %s", x, seed, f)
@@ -106,70 +105,70 @@
 	}
 }
 
-// killWhileWriting plays one round: controllers are killed while a change is being written, and are back within a second; the
-// change is acknowledged, as many disks are lost as the core bears, and every other machine loses power. It says whether the change
-// was acknowledged, and whether it is read back.
+// killWhileWriting runs one round: controllers are killed while a change is being written and restart within a second. The
+// change is acknowledged, then as many disks as the quorum set tolerates are lost and all other hosts lose power. It reports
+// whether the change was acknowledged, and whether it is read back.
 func (w *World) killWhileWriting(counted, round int) (acknowledged, readBack bool) {
-	text, num := configText(round), units.Version(0)
+	text, version := configText(round), units.Version(0)
 	w.change("config", text, func(o *Op) {
 		if o.Code == resultcode.OK {
-			num = o.Version
+			version = o.Version
 		}
 	})
-	writes := func() bool {
-		n := 0
+	majorityWriting := func() bool {
+		writing := 0
 		for _, h := range w.controllerHosts[:counted] {
 			if len(h.Disk.writing) > 0 {
-				n++
+				writing++
 			}
 		}
-		return n > counted/2
+		return writing > counted/2
 	}
-	if _, ok := w.runUntil(2*time.Second, writes); !ok || num > 0 {
+	if _, ok := w.runUntil(2*time.Second, majorityWriting); !ok || version > 0 {
 		return false, false
 	}
-	owner, off := slices.Index(w.controllerHosts, w.ownerOf("config")), false
+	owner, powerOff := slices.Index(w.controllerHosts, w.ownerOf("config")), false
 	for i, h := range w.controllerHosts[:counted] {
 		if i != owner {
 			w.Kill(h)
 			w.After(time.Duration(20+w.Rng.IntN(300))*time.Millisecond, func() {
-				if !off {
+				if !powerOff {
 					w.Start(h)
 				}
 			})
 		}
 	}
-	if _, ok := w.runUntil(6*time.Second, func() bool { return num > 0 }); !ok {
+	if _, ok := w.runUntil(6*time.Second, func() bool { return version > 0 }); !ok {
 		return false, false
 	}
-	off = true
+	powerOff = true
 	w.losePower(counted, (counted-1)/2, counted-owner)
 	w.Run(w.Now.Add(time.Second))
 	w.restorePower()
 	w.Run(w.Now.Add(300 * time.Millisecond))
-	return true, w.readsBack(text, num)
+	return true, w.readsBack(text, version)
 }
 
-// readsBack says whether a confirmed read gives a configuration under a number, or a later one.
-func (w *World) readsBack(text string, num units.Version) bool {
+// readsBack reports whether a successful read returns the given configuration and version, or a later version.
+func (w *World) readsBack(text string, version units.Version) bool {
 	for range 12 {
 		var got *Op
 		w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
 		w.Run(w.Now.Add(time.Second))
 		if got != nil && got.Code == resultcode.OK {
-			return got.Version > num || got.Version == num && got.Data == text
+			return got.Version > version || got.Version == version && got.Data == text
 		}
 	}
 	return false
 }
 
-// LOST: what a process wrote and did not sync before it was killed is read by the next one, which must not answer for it before a
-// sync. The planted fault is a process that does: the simulator finds it.
+// Lost write: a process reads what its predecessor wrote but did not sync before it was killed, and must sync it before it
+// answers with it. With TrustsCache it does not, and the simulator must find the loss.
 func TestKilledWhileWritingThenPowerLost(t *testing.T) {
 	t.Parallel()
 	for _, counted := range []int{3, 5} {
 		for _, trusts := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d disks, trusting what is read: %v", counted, trusts), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d disks, trusting the page cache: %v", counted, trusts), func(t *testing.T) {
 				t.Parallel()
 				rounds, lost := 0, 0
 				for seed := *firstSeed; seed < *firstSeed+36; seed++ {
@@ -189,7 +188,7 @@
 							lost++
 							t.Logf("seed %d, round %d: lost", seed, round)
 							if !trusts {
-								t.Errorf("seed %d, round %d: an acknowledged change is gone", seed, round)
+								t.Errorf("seed %d, round %d: an acknowledged change is lost", seed, round)
 							}
 							break
 						}
@@ -199,7 +198,7 @@
 					}
 				}
 				if rounds < 20 || trusts && lost == 0 {
-					t.Errorf("%d rounds, %d lost a change: it shows nothing", rounds, lost)
+					t.Errorf("%d rounds, %d lost a change: too few to prove anything", rounds, lost)
 				}
 				t.Logf("%d rounds, %d lost a change", rounds, lost)
 			})
--- a/internal/simulator/replace_member_test.go
+++ b/internal/simulator/replace_member_test.go
@@ -12,13 +12,13 @@
 	"seamshunt/internal/units"
 )
 
-// catchUpTime is how long after its return, or its first start, a machine still counts as lost.
+// catchUpTime is how long a controller still counts as lost after its first start or its return.
 const catchUpTime = 4 * time.Second
 
-// writeLimit is how long an acknowledgement may take beside a single loss.
+// writeLimit is how long an acknowledgement may take during a single loss.
 const writeLimit = 6 * time.Second
 
-// addController starts a further core machine with an empty disk.
+// addController starts another controller with an empty disk.
 func (w *World) addController(zone string, counts bool) *Host {
 	w.lastSerial++
 	g := &BootstrapSettings{MayVote: counts, ToleratedLosses: w.controllerHosts[0].Bootstrap.ToleratedLosses}
@@ -30,19 +30,19 @@
 	return h
 }
 
-// drainAndRemove stops a core machine in order, as Controller.Drain does, and removes it for good.
+// drainAndRemove drains a controller, as Controller.Drain does, and removes it for good.
 func (w *World) drainAndRemove(h *Host) { w.drainController(h, func() { w.removeController(h) }) }
 
-// drainAndReturn stops a core machine in order and starts it again a second after it has ended.
+// drainAndReturn drains a controller and restarts it a second after it has ended.
 func (w *World) drainAndReturn(h *Host) {
 	w.drainController(h, func() { w.restart(h, time.Second, true) })
 }
 
-// drainController has a core machine hand over what it owns and its seat, and say goodbye; then it ends. One that is killed
-// meanwhile does not.
+// drainController makes a controller hand over its keys and its voting seat and leave the membership, and then calls end,
+// unless the controller is killed meanwhile.
 func (w *World) drainController(h *Host, end func()) {
-	c, generation, began := w.controllers[h], h.generation, w.Now
-	c.Draining = true
+	controller, generation, startedAt := w.controllers[h], h.generation, w.Now
+	controller.Draining = true
 	ifNotRestarted := func(then func()) func() {
 		return func() {
 			if h.generation == generation {
@@ -52,51 +52,51 @@
 	}
 	var check func()
 	check = func() {
-		elapsed := w.Now.Sub(began)
-		if elapsed < 500*time.Millisecond || c.Replica.IsBeingRemoved() && elapsed < 3500*time.Millisecond {
+		elapsed := w.Now.Sub(startedAt)
+		if elapsed < 500*time.Millisecond || controller.Replica.IsBeingRemoved() && elapsed < 3500*time.Millisecond {
 			w.After(50*time.Millisecond, ifNotRestarted(check))
 			return
 		}
-		w.Inject(h, func(units.Time) message.Effects { return c.gossip.Leave() })
+		w.Inject(h, func(units.Time) message.Effects { return controller.gossip.Leave() })
 		w.After(100*time.Millisecond, ifNotRestarted(end))
 	}
 	check()
 }
 
-// removeController takes a core machine out of the world.
+// removeController removes a controller from the deployment.
 func (w *World) removeController(h *Host) {
 	w.Kill(h)
 	w.controllerHosts = slices.DeleteFunc(w.controllerHosts, func(x *Host) bool { return x == h })
 }
 
-// loseAfterAcknowledgement waits for an acknowledgement; in that moment so many machines lose their disks, beginning with the one at
-// first, and all others lose power. All start again a second later.
+// loseAfterAcknowledgement writes a configuration. At its acknowledgement `lost` controllers, beginning with the one at first,
+// lose their disks and all others are killed. All restart a second later.
 func (w *World) loseAfterAcknowledgement(t *testing.T, number, first, lost int) {
 	t.Helper()
-	text, num := configText(number), units.Version(0)
+	text, version := configText(number), units.Version(0)
 	w.change("config", text, func(o *Op) {
 		if o.Code != resultcode.OK {
 			return
 		}
-		num = o.Version
+		version = o.Version
 		for i, h := range w.controllerHosts {
 			if w.Kill(h); (i-first%len(w.controllerHosts)+len(w.controllerHosts))%len(w.controllerHosts) < lost {
 				h.Disk.Wipe()
 			}
 		}
 	})
-	if _, ok := w.runUntil(6*time.Second, func() bool { return num > 0 }); !ok {
+	if _, ok := w.runUntil(6*time.Second, func() bool { return version > 0 }); !ok {
 		t.Fatalf("%s: write %d was not acknowledged; members %v", w.Name, number, w.newestQuorum())
 	}
 	w.Run(w.Now.Add(time.Second))
 	for _, h := range w.controllerHosts {
 		w.Start(h)
 	}
-	w.checkReadBack(t, text, num)
+	w.checkReadBack(t, text, version)
 }
 
-// A machine is replaced in order, the new one first; owners, the new one or the leaving one are killed at any moment of
-// it. A catch-up span later the next loss comes, right after an acknowledgement: what was acknowledged is still there.
+// A new controller joins and an old one is drained, while an owner, the new or the draining one is killed at any moment. After
+// the catch-up time, more controllers are lost right after an acknowledgement. The acknowledged value must survive.
 func TestGracefulReplacementThenLoss(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct{ disks, lost int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
@@ -109,13 +109,13 @@
 				for round := range 2 {
 					w.replaceGracefully()
 					if !w.toleratesLoss(x.lost) {
-						t.Errorf("%d disks, seed %d, round %d: %v does not bear the loss of %d", x.disks, seed, round, w.newestQuorum(), x.lost)
+						t.Errorf("%d disks, seed %d, round %d: %v does not tolerate the loss of %d", x.disks, seed, round, w.newestQuorum(), x.lost)
 					}
 					w.writeConfig(t, 10+round)
 				}
 				w.loseAfterAcknowledgement(t, 20, int(seed), x.lost)
 				if _, ok := w.runUntil(20*time.Second, w.quorumComplete); !ok {
-					t.Errorf("%d disks, seed %d: the set is not whole again: %v", x.disks, seed, w.newestQuorum())
+					t.Errorf("%d disks, seed %d: the quorum set is not complete again: %v", x.disks, seed, w.newestQuorum())
 				}
 				for _, f := range CheckHistory(w.History) {
 					t.Errorf("%d disks, seed %d: %s", x.disks, seed, f)
@@ -125,17 +125,17 @@
 	}
 }
 
-// replaceGracefully brings a new machine in and has an old one leave a second later. Of the owner of the quorum key, the new
-// machine and the leaving one, one is killed at a random moment and comes back at once with its disk.
+// replaceGracefully adds a controller and drains an old one a second later. One of these two, or the owner of the quorum set,
+// is killed at a random moment and restarts at once with its disk.
 func (w *World) replaceGracefully() {
 	old := pick(w, w.controllerHosts)
-	fresh := w.addController(old.Zone, true)
+	added := w.addController(old.Zone, true)
 	w.After(time.Second, func() {
 		if old.Proc != nil {
 			w.drainAndRemove(old)
 		}
 	})
-	victims := []*Host{old, fresh, w.ownerOf(register.KeyQuorum)}
+	victims := []*Host{old, added, w.ownerOf(register.KeyQuorum)}
 	victim := victims[w.Rng.IntN(len(victims))]
 	w.After(time.Duration(w.Rng.Int64N(int64(2*time.Second))), func() {
 		if victim.Proc != nil {
@@ -143,25 +143,25 @@
 		}
 	})
 	w.Run(w.Now.Add(5 * time.Second))
-	if slices.Contains(w.controllerHosts, old) { // it was killed while it left: the platform ends it all the same
+	if slices.Contains(w.controllerHosts, old) { // it was killed while draining: the platform removes it all the same
 		w.removeController(old)
 	}
 	w.Run(w.Now.Add(catchUpTime))
 }
 
-// toleratesLoss says whether the set decides even after the loss of so many more machines.
+// toleratesLoss reports whether the quorum set keeps a majority after the loss of more controllers.
 func (w *World) toleratesLoss(lost int) bool {
-	v := w.newestQuorum()
+	quorum := w.newestQuorum()
 	alive := 0
 	for _, h := range w.controllerHosts {
-		if h.Proc != nil && slices.Contains(v.Members, h.Disk.ID) {
+		if h.Proc != nil && slices.Contains(quorum.Members, h.Disk.ID) {
 			alive++
 		}
 	}
-	return !v.Joint() && alive-lost > len(v.Members)/2
+	return !quorum.Joint() && alive-lost > len(quorum.Members)/2
 }
 
-// ownerOf gives the machine that owns a key, as the most see it.
+// ownerOf returns the host that sees itself as the owner of a key.
 func (w *World) ownerOf(key string) *Host {
 	for _, h := range w.controllerHosts {
 		if c := w.controllers[h]; h.Proc != nil && c.Replica.Owner(key) == c.Self {
@@ -171,8 +171,8 @@
 	return w.controllerHosts[0]
 }
 
-// Every member in turn is stopped in order and started again with its disk, as a roll-out does: at each moment between,
-// as many machines may be lost as the set bears, and changes are acknowledged throughout.
+// Every member in turn is drained and restarted with its disk, as in a rolling restart. Another controller may lose its
+// power at any moment between, and changes must still be acknowledged.
 func TestRollingRestartToleratesLoss(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct{ disks, spare int }{{3, 1}, {4, 0}, {4, 1}, {6, 0}} {
@@ -187,34 +187,34 @@
 					w.Run(w.Now.Add(time.Duration(w.Rng.Int64N(int64(time.Second)))))
 					other := pick(w, slices.DeleteFunc(slices.Clone(w.controllerHosts), func(o *Host) bool { return o == h }))
 					if w.controllers[h].Draining && w.newestQuorum().Has(h.Disk.ID) {
-						other = nil // its seat is not taken yet: the loss waits its turn
+						other = nil // its voting seat is not handed over yet, so no other may be lost
 					}
 					if other != nil && other.Proc != nil {
 						w.restart(other, time.Second, false)
 					}
 					number++
-					text, num := w.writeConfigWithRetries(t, number)
-					w.checkReadBack(t, text, num)
+					text, version := w.writeConfigWithRetries(t, number)
+					w.checkReadBack(t, text, version)
 					w.Run(w.Now.Add(5*time.Second + catchUpTime))
 				}
 				if !w.quorumComplete() {
-					t.Errorf("%d disks, seed %d: the set is %v", x.disks, seed, w.newestQuorum())
+					t.Errorf("%d disks, seed %d: the quorum set is %v", x.disks, seed, w.newestQuorum())
 				}
 			}
 		})
 	}
 }
 
-// writeConfigWithRetries writes a configuration as an operator does: read and written through any machine, and sent again as it was each
-// second until it is acknowledged, within the time that an acknowledgement may take.
-func (w *World) writeConfigWithRetries(t *testing.T, number int) (text string, num units.Version) {
+// writeConfigWithRetries reads and writes a configuration through random controllers, as an operator does, and resends the
+// same write each second until it is acknowledged. It fails the test after writeLimit.
+func (w *World) writeConfigWithRetries(t *testing.T, number int) (text string, version units.Version) {
 	t.Helper()
 	text = configText(number)
 	write := register.Request{Key: "config", Write: true, RequestID: fmt.Sprint("number ", number), Data: []byte(text)}
 	read := false
 	var send func()
 	send = func() {
-		if num > 0 {
+		if version > 0 {
 			return
 		}
 		w.After(time.Second, send)
@@ -228,13 +228,13 @@
 		}
 		w.Call(write, func(o *Op) {
 			if o.Code == resultcode.OK {
-				num = o.Version
+				version = o.Version
 			}
 		})
 	}
 	send()
-	if _, ok := w.runUntil(writeLimit, func() bool { return num > 0 }); !ok {
+	if _, ok := w.runUntil(writeLimit, func() bool { return version > 0 }); !ok {
 		t.Fatalf("%s: write %d was not acknowledged; members %v", w.Name, number, w.newestQuorum())
 	}
-	return text, num
+	return text, version
 }
--- a/internal/simulator/resend_test.go
+++ b/internal/simulator/resend_test.go
@@ -14,13 +14,13 @@
 	"seamshunt/internal/units"
 )
 
-// request is an operator's change with all copies of it that were sent.
+// request is an operator's change with the answers to all copies that were sent.
 type request struct {
 	body           register.Request
 	startedAt      units.Time
-	answeredAt     units.Time // when a clear answer came through
+	answeredAt     units.Time // when the operator received a final answer
 	answers        []register.Result
-	finalAnswer    register.Result // the answer once all is quiet again
+	finalAnswer    register.Result // the answer after all faults have ended
 	receivedAnswer register.Result
 }
 
@@ -28,7 +28,7 @@
 	return code == resultcode.OK || code == resultcode.VersionConflict
 }
 
-// operators are clients that send an order again, to any machine, until a clear answer comes through.
+// operators resend each request, to any controller, until they receive a final answer.
 type operators struct {
 	w        *World
 	rng      *rand.Rand
@@ -37,7 +37,7 @@
 	reads    []linearizability.Call
 }
 
-// read asks for the configuration's number until it is told.
+// read retries a read of the configuration until it succeeds.
 func (p *operators) read(then func(units.Version)) {
 	from, w := p.w.Now, p.w
 	w.Call(register.Request{Key: "config"}, func(o *Op) {
@@ -50,7 +50,7 @@
 	})
 }
 
-// send makes one copy of an order, and the next one after a random while if no clear answer has come through by then.
+// send sends one copy of a request, and the next after a random time unless a final answer has been received.
 func (p *operators) send(x *request, lossRate float64, done func()) {
 	w := p.w
 	if c := w.anyController(); c != nil {
@@ -70,51 +70,51 @@
 	})
 }
 
-// runOperator lets one operator make one order after the other.
+// runOperator makes one change after the other.
 func (p *operators) runOperator(lossRate float64, pause time.Duration) {
 	if p.w.Now >= p.until {
 		return
 	}
-	p.read(func(num units.Version) {
+	p.read(func(version units.Version) {
 		n := len(p.requests)
-		x := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: num, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
+		x := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: version, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
 		p.requests = append(p.requests, x)
 		p.send(x, lossRate, func() { p.w.After(pause, func() { p.runOperator(lossRate, pause) }) })
 	})
 }
 
-// checkAnswers looks at every answer that was given, also those that were lost. So few orders as are made here, fewer than
-// register.MaxOutcomes, must be known to the last.
+// checkAnswers checks all answers, also lost ones. The run makes fewer than register.MaxOutcomes requests, so the outcome of
+// each must still be known at the end.
 func (p *operators) checkAnswers() (bad []string) {
 	writtenBy := map[units.Version]int{}
 	for i, x := range p.requests {
-		var got units.Version
+		var version units.Version
 		refused := false
 		for _, r := range x.answers {
 			switch {
 			case r.Code == resultcode.VersionConflict:
 				refused = true
-			case r.Code == resultcode.OK && (r.Version != x.body.ExpectedVersion+1 || got != 0 && r.Version != got):
-				bad = append(bad, fmt.Sprintf("order %d on %d got number %d and %d", i, x.body.ExpectedVersion, got, r.Version))
+			case r.Code == resultcode.OK && (r.Version != x.body.ExpectedVersion+1 || version != 0 && r.Version != version):
+				bad = append(bad, fmt.Sprintf("request %d with expected version %d got versions %d and %d", i, x.body.ExpectedVersion, version, r.Version))
 			case r.Code == resultcode.OK:
-				got = r.Version
+				version = r.Version
 			}
 		}
 		if !isFinal(x.finalAnswer.Code) {
-			bad = append(bad, fmt.Sprintf("order %d has no clear answer when all is quiet: %d", i, x.finalAnswer.Code))
+			bad = append(bad, fmt.Sprintf("request %d has no final answer after all faults have ended: %d", i, x.finalAnswer.Code))
 		}
-		if got != 0 && refused {
-			bad = append(bad, fmt.Sprintf("order %d was taken as number %d, and refused", i, got))
+		if version != 0 && refused {
+			bad = append(bad, fmt.Sprintf("request %d was accepted as version %d, and refused", i, version))
 		}
-		if other, ok := writtenBy[got]; ok && got != 0 {
-			bad = append(bad, fmt.Sprintf("orders %d and %d both got number %d", other, i, got))
+		if other, ok := writtenBy[version]; ok && version != 0 {
+			bad = append(bad, fmt.Sprintf("requests %d and %d both got version %d", other, i, version))
 		}
-		writtenBy[got] = i
+		writtenBy[version] = i
 	}
 	return append(bad, p.checkLinearizable()...)
 }
 
-// checkLinearizable checks what the operators heard.
+// checkLinearizable checks the answers that the operators received.
 func (p *operators) checkLinearizable() []string {
 	calls := p.reads
 	for _, x := range p.requests {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// configOwner is the machine that should own the configuration, as any machine sees it.
+// configOwner returns the owner of the configuration in the view of the first running controller.
 func (w *World) configOwner() *Host {
 	for _, h := range w.controllerHosts {
 		if !w.alive(h) {
@@ -150,7 +150,7 @@
 	return w.controllerHosts[0]
 }
 
-// injectRandomFault brings one trouble about, mostly on the owner.
+// injectRandomFault injects a fault, mostly on the owner.
 func (w *World) injectRandomFault() {
 	h := w.configOwner()
 	if w.Rng.IntN(3) == 0 {
@@ -167,19 +167,19 @@
 		w.pause(h, span)
 	case 2:
 		w.isolate(h, span)
-	case 3: // cut off from the rest of the core alone, one way or both
+	case 3: // partitioned from the other controllers only, in one or both directions
 		both := w.Rng.IntN(2) == 0
 		w.partition(span, func(a, b *Host) bool { return a.Disk != nil && b.Disk != nil && (a == h || both && b == h) })
 	case 4:
 		w.slowDisk(h, 150*time.Millisecond, span)
-	case 5: // the disk is lost: its successor comes in and it goes out, two changes of the quorum set
-		if w.quorumComplete() { // one at a time, as the deployments bear
+	case 5: // disk lost: adding its successor and removing it are two changes of the quorum set
+		if w.quorumComplete() { // one at a time, as the deployments tolerate
 			w.loseDisk(int(w.lastSerial)%len(w.controllerHosts), span, w.Rng.IntN(2) == 0)
 		}
 	}
 }
 
-// runResends plays one seed: eight operators whose answers are lost, and one that makes dozens of changes a second.
+// runResends runs one seed: eight operators lose most answers, and one makes dozens of changes a second.
 func runResends(seed uint64, machines int) (*operators, *World) {
 	w := bootstrappedWorld(seed, machines)
 	w.Run(units.Time(6 * time.Second))
@@ -192,7 +192,7 @@
 		w.After(at, w.injectRandomFault)
 	}
 	w.Run(p.until.Add(12 * time.Second))
-	// Each order once more, now that all is quiet: also those that were taken hundreds of changes ago.
+	// Resend every request after all faults have ended, also those accepted hundreds of changes ago.
 	for _, x := range p.requests {
 		w.anyController().Submit(w.Sim, x.body, func(r register.Result) { x.answers, x.finalAnswer = append(x.answers, r), r })
 		w.Run(w.Now.Add(20 * time.Millisecond))
@@ -201,33 +201,33 @@
 	return p, w
 }
 
-// Orders that are sent again after lost answers, to any machine, through losses of owners, of disks and changes of the
-// quorum set, with hundreds of changes in between: one that was taken is acknowledged again or left open, never refused;
-// one wins each number; the history is linearizable (docs/control-safety-2-orders.md).
+// Requests are resent after lost answers, to any controller, through losses of owners and disks, changes of the quorum set,
+// and hundreds of other changes. An accepted request is acknowledged again or left unanswered, never refused. Only one
+// request gets each version, and the history is linearizable (docs/control-safety-2-orders.md).
 func TestResentRequests(t *testing.T) {
 	t.Parallel()
-	changes, resends, most := 0, 0, 0
+	changes, resends, maxChanges := 0, 0, 0
 	n := max(4, *seedCount)
 	for seed := *firstSeed; seed < *firstSeed+uint64(n); seed++ {
 		p, w := runResends(seed, 3+int(seed%4))
 		for _, fault := range p.checkAnswers() {
 			t.Errorf("%d machines, seed %d: %s", len(w.controllerHosts), seed, fault)
 		}
-		here := 0
+		seedChanges := 0
 		for _, x := range p.requests {
-			took := 0
+			acknowledgements := 0
 			for _, r := range x.answers {
 				if r.Code == resultcode.OK {
-					took++
+					acknowledgements++
 				}
 			}
-			here += min(1, took)
-			resends += max(0, took-1)
+			seedChanges += min(1, acknowledgements)
+			resends += max(0, acknowledgements-1)
 		}
-		changes, most = changes+here, max(most, here)
+		changes, maxChanges = changes+seedChanges, max(maxChanges, seedChanges)
 	}
 	if changes < 100*n || resends < 100*n {
-		t.Errorf("%d changes and %d resends in %d seeds try nothing", changes, resends, n)
+		t.Errorf("only %d changes and %d repeated acknowledgements in %d seeds", changes, resends, n)
 	}
-	t.Logf("%d seeds: %d changes taken, %d in one seed at most, %d times acknowledged again", n, changes, most, resends)
+	t.Logf("%d seeds: %d changes accepted, at most %d in one seed, %d repeated acknowledgements", n, changes, maxChanges, resends)
 }
--- a/internal/simulator/router.go
+++ b/internal/simulator/router.go
@@ -19,7 +19,7 @@
 	"seamshunt/internal/units"
 )
 
-// Router is a simulated router.
+// Router is a simulated router: the state machines of the router program.
 type Router struct {
 	process
 	*Proc
@@ -44,7 +44,7 @@
 	Draining          bool
 }
 
-// AddRouter adds a machine without a disk.
+// AddRouter adds a host without a disk.
 func (s *Sim) AddRouter(addr, zone string, seeds []string, routers map[*Host]*Router) *Host {
 	return s.Add(addr, zone, nil, func(h *Host) *Proc {
 		self := units.NodeID(s.Rng.Uint64() | 1)
@@ -72,22 +72,22 @@
 	clear(e.configFeed.Confirmations)
 }
 
-func (e *Router) step(now units.Time, n message.Message) (out message.Effects) {
-	switch n.Kind &^ 15 {
+func (e *Router) step(now units.Time, m message.Message) (out message.Effects) {
+	switch m.Kind &^ 15 {
 	case message.KindMembership:
-		return e.gossip.Step(now, n)
+		return e.gossip.Step(now, m)
 	case message.KindConfigPush:
-		return e.configFeed.Step(now, n)
+		return e.configFeed.Step(now, m)
 	case message.KindCapacity:
-		if n.Kind != capacity.Acquire && n.Kind != capacity.Release && n.Kind != capacity.Report {
-			out = e.queue.Step(now, n)
+		if m.Kind != capacity.Acquire && m.Kind != capacity.Release && m.Kind != capacity.Report {
+			out = e.queue.Step(now, m)
 		}
-		if n.Kind == capacity.Acquire || n.Kind == capacity.Release || n.Kind == capacity.Report || n.Kind == capacity.ReportRequest {
-			out.Append(e.ledger.Step(now, n))
+		if m.Kind == capacity.Acquire || m.Kind == capacity.Release || m.Kind == capacity.Report || m.Kind == capacity.ReportRequest {
+			out.Append(e.ledger.Step(now, m))
 		}
 		e.deliverResults()
 	case message.KindClaim:
-		out = e.claimant.Step(now, n)
+		out = e.claimant.Step(now, m)
 		e.deliverResults()
 	}
 	return out
--- a/internal/simulator/simulate.go
+++ b/internal/simulator/simulate.go
@@ -13,8 +13,8 @@
 	"seamshunt/internal/units"
 )
 
-// Simulate runs a world from its start to its judgement: troubles drawn from the seed, everything healed at the
-// end but for a closing fault, then the read-back.
+// Simulate runs a deployment with the named faults, or four that the seed picks. All faults end before the final checks,
+// except for two that may be injected at the end.
 func Simulate(deployment Deployment, seed uint64, names ...string) *World {
 	w := NewWorld(deployment, seed)
 	w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
@@ -40,16 +40,16 @@
 	return w
 }
 
-// checkFinalState reads the configuration back and judges the histories.
+// checkFinalState reads the configuration back and checks the history and the final invariants.
 func (w *World) checkFinalState() {
 	if w.recoveringSince > 0 {
-		w.reportViolation("service never came back after a full loss")
+		w.reportViolation("no request ran again after a full loss")
 	}
 	if w.Rng.IntN(2) == 0 {
 		w.injectFinalFaults()
 	}
 	var last *Op
-	for _, h := range w.controllerHosts { // as an operator would, by one machine after the other
+	for _, h := range w.controllerHosts { // like an operator who tries one controller after the other
 		if !w.alive(h) {
 			continue
 		}
@@ -66,9 +66,9 @@
 	}
 	switch {
 	case last == nil || last.Code != resultcode.OK:
-		w.reportViolation("the configuration can't be read back")
+		w.reportViolation("the configuration can't be read")
 	case last.Version < newest.version || last.Version == newest.version && last.Data != newest.data:
-		w.reportViolation("read back number %d, acknowledged %d", last.Version, newest.version)
+		w.reportViolation("read version %d, acknowledged version %d", last.Version, newest.version)
 	case len(w.acknowledged) == 0:
 		w.reportViolation("no configuration was ever acknowledged")
 	}
@@ -78,14 +78,14 @@
 		}
 	}
 	if w.Stats.Runs == 0 {
-		w.reportViolation("no prompt ever ran")
+		w.reportViolation("no request ran")
 	}
 	w.Violations = append(w.Violations, CheckHistory(w.History)...)
 	w.checkReplicasAgree()
 	w.checkPermitsAvailable()
 }
 
-// injectFinalFaults ends a day with two faults at once, of which no more than one takes a core machine or a disk.
+// injectFinalFaults injects two faults at once. At most one of them affects a controller or a single disk.
 func (w *World) injectFinalFaults() {
 	controller, router := pick(w, w.controllerHosts), pick(w, w.routerHosts)
 	type fault struct {
@@ -94,19 +94,19 @@
 	}
 	mild := []fault{
 		{"router killed", func() { w.Kill(router) }},
-		{"router frozen", func() { w.Pause(router) }},
-		{"router cut off", func() { router.Isolated = true }},
-		{"platform gone", func() { w.platformMode = "gone" }},
+		{"router paused", func() { w.Pause(router) }},
+		{"router isolated", func() { router.Isolated = true }},
+		{"platform unreachable", func() { w.platformMode = "unreachable" }},
 		{"crowd", func() { w.requestRate *= 3 }},
 		{"every disk full", func() { w.fillDisks(time.Minute) }},
 	}
 	hard := []fault{
-		{"core machine killed", func() { w.Kill(controller) }},
-		{"core machine frozen", func() { w.Pause(controller) }},
-		{"core machine cut off", func() { controller.Isolated = true }},
+		{"controller killed", func() { w.Kill(controller) }},
+		{"controller paused", func() { w.Pause(controller) }},
+		{"controller isolated", func() { controller.Isolated = true }},
 		{"disk stalled", func() { controller.Disk.Stalled = true }},
 		{"disk slow", func() { controller.Disk.Delay = 300 * time.Millisecond }},
-		{"core machine cut off from the core", func() {
+		{"controller isolated from the other controllers", func() {
 			w.partition(time.Minute, func(a, b *Host) bool { return (a == controller) != (b == controller) && a.Disk != nil && b.Disk != nil })
 		}},
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// alike: once all is healed, every voter's copy of every key is the same.
+// checkReplicasAgree checks that all voters hold the same state of every key, if no fault is active.
 func (w *World) checkReplicasAgree() {
 	if !w.faultFree() {
 		return
@@ -128,18 +128,18 @@
 			continue
 		}
 		for k, s := range w.controllers[h].Replica.States() {
-			x := fmt.Sprint(s.Accepted, s.Seq, s.Version)
-			if y, ok := first[k]; ok && y != x {
-				w.reportViolation("%s is %s on %s and %s elsewhere", k, x, h.Addr, y)
+			state := fmt.Sprint(s.Accepted, s.Seq, s.Version)
+			if other, ok := first[k]; ok && other != state {
+				w.reportViolation("%s is %s on %s and %s elsewhere", k, state, h.Addr, other)
 			}
-			first[k] = x
+			first[k] = state
 		}
 	}
 }
 
-// fingerprint hashes what all hosts hold, for comparing two runs of a seed.
+// fingerprint returns a summary of messages and disk contents, to compare two runs of a seed.
 func (w *World) fingerprint() string {
-	s := fmt.Sprintf("%d notes, trace %x, runs %d, refused %d", w.Sent, w.Trace, w.Stats.Runs, w.Stats.Refused)
+	s := fmt.Sprintf("%d messages, trace %x, runs %d, refused %d", w.Sent, w.Trace, w.Stats.Runs, w.Stats.Refused)
 	for _, h := range w.controllerHosts {
 		for _, r := range h.Disk.Records() {
 			s += fmt.Sprintf(" %d%s%x", r.Kind, r.Key, units.Mix(string(r.Data)))
@@ -148,13 +148,13 @@
 	return s
 }
 
-// kept: once all is healed and quiet, every node can get a slot of every open worker.
+// checkPermitsAvailable checks that every ready router can get a permit of every open worker, if no fault is active.
 func (w *World) checkPermitsAvailable() {
 	if !w.faultFree() {
 		return
 	}
 	w.requestRate = 0
-	w.Run(w.Now.Add(25 * time.Second)) // whatever ran has ended, whatever was waited out is over
+	w.Run(w.Now.Add(25 * time.Second)) // until all runs have ended and all permits of lost routers have expired
 	for _, h := range w.routerHosts {
 		router := w.routers[h]
 		tags, codes := map[string]uint64{}, map[string]resultcode.Code{}
@@ -175,13 +175,13 @@
 		for _, name := range message.SortedKeys(tags) {
 			w.Inject(h, func(now units.Time) message.Effects { return router.queue.Done(now, tags[name], false) })
 			if codes[name] != resultcode.OK {
-				w.reportViolation("%s gets no slot of %s: %d", h.Addr, name, codes[name])
+				w.reportViolation("%s gets no permit of %s: %d", h.Addr, name, codes[name])
 			}
 		}
 	}
 }
 
-// Percentiles gives the median, the 99th of a hundred, and the most.
+// Percentiles returns the median, the 99th percentile and the maximum as text.
 func Percentiles(durations []time.Duration) string {
 	if len(durations) == 0 {
 		return "none"
--- a/internal/simulator/simulate_test.go
+++ b/internal/simulator/simulate_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	seedCount = flag.Int("seeds", 2, "how many seeds each deployment is played with")
-	pairSeeds = flag.Int("pairs", 0, "how many seeds each pair of troubles is played with")
-	firstSeed = flag.Uint64("from", 1, "the first seed")
+	seedCount = flag.Int("seeds", 2, "number of seeds for each deployment")
+	pairSeeds = flag.Int("pairs", 0, "number of seeds for each pair of faults")
+	firstSeed = flag.Uint64("from", 1, "first seed")
 )
 
 func simulate(t *testing.T, p Deployment, seed uint64, names ...string) *World {
@@ -32,13 +32,13 @@
 	return w
 }
 
-// Troubles drawn from seeds, several a run, with traffic and operators' changes running (docs/promises.md).
+// Each seed picks several faults and runs them with client requests and operators' changes (docs/promises.md).
 func TestSeeds(t *testing.T) {
 	for _, p := range []Deployment{Vatuloa, Council} {
 		var f Statistics
 		var mu sync.Mutex
 		t.Cleanup(func() {
-			t.Logf("%s, %d seeds: %d runs, at most %d at once; median / 99th / most: last run after leaving %s, after evacuation %s, configuration in force %s, back after a full loss %s, without a keeper %s; of %d claims %d without the disks, %d refused",
+			t.Logf("%s, %d seeds: %d runs, at most %d at once; median / 99th percentile / maximum: last run after draining %s, after evacuation %s, configuration applied %s, recovery after a full loss %s, without a coordinator %s; of %d claims %d not durable, %d failed",
 				p.Name, *seedCount, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining), Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes), Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
 		})
 		for s := *firstSeed; s < *firstSeed+uint64(*seedCount); s++ {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Every pair of troubles at once, off the CI path: -pairs with how many seeds (docs/promises.md).
+// Every pair of faults at once. CI skips it; -pairs sets the number of seeds (docs/promises.md).
 func TestPairs(t *testing.T) {
 	if *pairSeeds == 0 {
 		t.Skip("-pairs 0")
@@ -71,7 +71,7 @@
 	}
 }
 
-// Each trouble alone.
+// Each fault alone.
 func TestEachFault(t *testing.T) {
 	for _, x := range Faults {
 		t.Run(x.Name, func(t *testing.T) {
@@ -82,18 +82,18 @@
 	}
 }
 
-// A failing seed must replay: the same seed gives the same notes at the same times and the same disks.
+// A failing seed must be replayable: the same seed gives the same messages at the same times and the same disk contents.
 func TestReplay(t *testing.T) {
 	a, b := Simulate(Council, 5), Simulate(Council, 5)
 	if a.fingerprint() != b.fingerprint() {
 		t.Errorf("two runs of one seed differ:\n%s\n%s", a.fingerprint(), b.fingerprint())
 	}
 	if c := Simulate(Council, 6); c.fingerprint() == a.fingerprint() {
-		t.Error("two seeds give the same run: the seed has no say")
+		t.Error("two seeds give the same run")
 	}
 }
 
-// The checker of histories must see planted violations.
+// The history checkers must find injected violations.
 func TestCheckHistoryFindsViolations(t *testing.T) {
 	ok := resultcode.OK
 	good := []Op{
@@ -103,16 +103,16 @@
 		{Key: "k", CalledAt: 5, ReturnedAt: 7, Version: 1, Data: "a", Code: ok},
 	}
 	if bad := append(CheckHistory(good), linearizable(good)...); len(bad) > 0 {
-		t.Fatalf("a good history is refused: %v", bad)
+		t.Fatalf("violations in a correct history: %v", bad)
 	}
 	for name, o := range map[string]Op{
-		"lost write":      {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 1, Data: "a", Code: ok},
-		"other bytes":     {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 2, Data: "x", Code: ok},
-		"two of a number": {Key: "k", Write: true, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2, Data: "b", Code: ok},
-		"gap":             {Key: "k", Write: true, CalledAt: 8, ReturnedAt: 9, ExpectedVersion: 2, Version: 5, Data: "e", Code: ok},
+		"lost write":                {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 1, Data: "a", Code: ok},
+		"other bytes":               {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 2, Data: "x", Code: ok},
+		"two writes of one version": {Key: "k", Write: true, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2, Data: "b", Code: ok},
+		"gap":                       {Key: "k", Write: true, CalledAt: 8, ReturnedAt: 9, ExpectedVersion: 2, Version: 5, Data: "e", Code: ok},
 	} {
 		if len(CheckHistory(append(append([]Op(nil), good...), o))) == 0 {
-			t.Errorf("%s is not seen", name)
+			t.Errorf("%s is not found", name)
 		}
 		if len(linearizable(append(append([]Op(nil), good...), o))) == 0 {
 			t.Errorf("%s is linearizable", name)
@@ -120,7 +120,7 @@
 	}
 }
 
-// Power lost on the whole core in the very moment of an acknowledgement: what was acknowledged is there again, as sent.
+// All controllers are killed at an acknowledgement. The acknowledged value must be read back after the restart.
 func TestPowerLostAfterAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for _, p := range []Deployment{Vatuloa, Council} {
@@ -129,17 +129,17 @@
 			w.Run(units.Time(4 * time.Second))
 			for i := range 5 {
 				text := configText(i)
-				acked := units.Version(0)
+				version := units.Version(0)
 				w.change("config", text, func(o *Op) {
 					if o.Code == resultcode.OK {
-						acked = o.Version
+						version = o.Version
 						for _, h := range w.controllerHosts {
 							w.Kill(h)
 						}
 					}
 				})
 				w.Run(w.Now.Add(4 * time.Second))
-				if acked == 0 {
+				if version == 0 {
 					t.Fatalf("%s seed %d: write %d was not acknowledged", p.Name, seed, i)
 				}
 				for _, h := range w.controllerHosts {
@@ -149,15 +149,16 @@
 				w.Run(w.Now.Add(4 * time.Second))
 				w.Call(register.Request{Key: "config"}, func(o *Op) { got = o })
 				w.Run(w.Now.Add(4 * time.Second))
-				if got == nil || got.Code != resultcode.OK || got.Version != acked || got.Data != text {
-					t.Fatalf("%s seed %d: acknowledged %d, after the power came back %+v", p.Name, seed, acked, got)
+				if got == nil || got.Code != resultcode.OK || got.Version != version || got.Data != text {
+					t.Fatalf("%s seed %d: acknowledged version %d, after the restart %+v", p.Name, seed, version, got)
 				}
 			}
 		}
 	}
 }
 
-// A router is warned while every slot is wanted: those who take its workers over must count what it still holds.
+// Routers are drained while all slots are in demand. Those that take over their workers must count the permits that the
+// draining routers still hold.
 func TestDrainUnderFullLoad(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+4; seed++ {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,5 +1,5 @@
-// Package simulator is the seeded simulator: virtual clock, network, disks and processes, running the
-// daemons' own step machines (design 1).
+// Package simulator runs the state machines of both programs on a virtual clock, network and disks. A seed determines
+// the whole run (docs/design.md, section 1).
 package simulator
 
 import (
@@ -32,40 +32,40 @@
 	return x
 }
 
-// Proc is one process: its step machines behind two functions.
+// Proc is a running process: the functions that drive its state machines.
 type Proc struct {
 	Self                units.NodeID
 	Step                func(units.Time, message.Message) message.Effects
 	Tick                func(units.Time) message.Effects
 	OnConnectionRefused func(units.Time, string)
 	OnResume            func(units.Time)
-	Reload              func() // the disk refused a write: the machines begin again from what it holds
+	Reload              func() // restores the state machines from the disk after a failed write
 }
 
-// Host is one machine.
+// Host is a simulated machine.
 type Host struct {
 	Addr         string
 	Zone         string
 	Disk         *Disk
 	Proc         *Proc
-	Isolated     bool // its network is gone: no refusal comes back either
+	Isolated     bool // no network: connections to it time out instead of being refused
 	Paused       bool
 	generation   int
-	Bootstrap    *BootstrapSettings // where voters grow: what its boot file says
+	Bootstrap    *BootstrapSettings // nil if the quorum set has a fixed size
 	heldMessages []message.Message
 	startProcess func(h *Host) *Proc
 }
 
-// BootstrapSettings is the part of a boot file that founding from seeds goes by (design 13).
+// BootstrapSettings holds the settings for bootstrap from seeds (docs/design.md, section 13).
 type BootstrapSettings struct {
 	MayVote    bool
 	FirstStart bool
 	Seeds      []string
-	// ToleratedLosses is how many machines with a disk may be lost at once.
+	// ToleratedLosses is how many controllers may be lost at once.
 	ToleratedLosses int
 }
 
-// Sim is one world.
+// Sim is the event loop with the simulated hosts and network.
 type Sim struct {
 	Now        units.Time
 	Rng        *rand.Rand
@@ -73,9 +73,9 @@
 	LossRate   float64
 	partitions []*func(from, to *Host) bool
 	Sent       int
-	// InterZoneBytes counts the bytes of notes between zones, by range of kinds.
+	// InterZoneBytes counts the bytes of messages between zones, by range of message kinds.
 	InterZoneBytes map[message.Kind]int
-	PollPlatform   func(*Controller, units.Time) // the world's platform, for cores that may ask it
+	PollPlatform   func(*Controller, units.Time) // sends a query of a controller to the simulated platform
 	Trace          uint64
 	events         events
 	lastSequence   uint64
@@ -83,12 +83,12 @@
 
 const tickInterval = 25 * time.Millisecond
 
-// New gives an empty world for a seed.
+// New returns a simulation without hosts.
 func New(seed uint64) *Sim {
 	return &Sim{InterZoneBytes: map[message.Kind]int{}, Rng: rand.New(rand.NewPCG(seed, 11))}
 }
 
-// Partitioned says whether nothing gets from one machine to the other.
+// Partitioned reports whether a network partition drops messages from one host to the other.
 func (s *Sim) Partitioned(from, to *Host) bool {
 	for _, f := range s.partitions {
 		if (*f)(from, to) {
@@ -98,16 +98,16 @@
 	return false
 }
 
-// At plans a thing for later.
+// At schedules a function for time t, or for now if t has passed.
 func (s *Sim) At(t units.Time, run func()) {
 	s.lastSequence++
 	heap.Push(&s.events, event{max(t, s.Now), s.lastSequence, run})
 }
 
-// After plans a thing for a span from now.
+// After schedules a function to run after d.
 func (s *Sim) After(d time.Duration, run func()) { s.At(s.Now.Add(d), run) }
 
-// Run lets the world go on until t.
+// Run processes events until t.
 func (s *Sim) Run(t units.Time) {
 	for len(s.events) > 0 && s.events[0].at <= t {
 		e := heap.Pop(&s.events).(event)
@@ -117,7 +117,7 @@
 	s.Now = t
 }
 
-// Add puts a machine into the world and starts its process.
+// Add adds a host and starts its process.
 func (s *Sim) Add(addr, zone string, disk *Disk, start func(h *Host) *Proc) *Host {
 	h := &Host{Addr: addr, Zone: zone, Disk: disk, startProcess: start}
 	s.Hosts = append(s.Hosts, h)
@@ -125,7 +125,7 @@
 	return h
 }
 
-// Start runs a fresh process on a machine, from what its disk holds.
+// Start starts a new process on a host, with the state that its disk holds.
 func (s *Sim) Start(h *Host) {
 	h.generation++
 	h.heldMessages, h.Paused = nil, false
@@ -144,7 +144,7 @@
 	s.After(time.Duration(s.Rng.Int64N(int64(tickInterval))), tick)
 }
 
-// Kill ends a process; what its disk has not synced is lost.
+// Kill ends a process. Writes in progress stay in the page cache, which the next process reads.
 func (s *Sim) Kill(h *Host) {
 	h.generation++
 	h.Proc, h.Paused, h.heldMessages = nil, false, nil
@@ -153,10 +153,10 @@
 	}
 }
 
-// Pause stops a process; the wires keep what comes.
+// Pause suspends a process. Messages to it are held until Resume.
 func (s *Sim) Pause(h *Host) { h.Paused = h.Proc != nil }
 
-// Resume wakes it: it first notices the gap, then finds all that came.
+// Resume continues a paused process: it first detects the pause, then receives the held messages.
 func (s *Sim) Resume(h *Host) {
 	if !h.Paused || h.Proc == nil {
 		return
@@ -167,12 +167,12 @@
 	}
 	messages := h.heldMessages
 	h.heldMessages = nil
-	for _, n := range messages {
-		s.apply(h, h.Proc.Step(s.Now, n))
+	for _, m := range messages {
+		s.apply(h, h.Proc.Step(s.Now, m))
 	}
 }
 
-// Inject gives a host's machines something from outside the net, such as an operator's wish.
+// Inject calls a running process outside the network, such as with an operator's request, and applies the effects.
 func (s *Sim) Inject(h *Host, handle func(now units.Time) message.Effects) {
 	if h.Proc != nil && !h.Paused {
 		s.apply(h, handle(s.Now))
--- a/internal/simulator/small_quorum_test.go
+++ b/internal/simulator/small_quorum_test.go
@@ -7,8 +7,8 @@
 	"seamshunt/internal/units"
 )
 
-// Of few machines, of which none need be borne to be lost, one leaves for good: those that are left go on, and so does a
-// new one that came before.
+// One of few controllers, whose quorum set tolerates no loss, is removed for good. The others must go on, also if a new one
+// joined before.
 func TestSmallQuorumAfterRemoval(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct{ disks, comers int }{{2, 0}, {1, 1}, {2, 1}} {
--- a/internal/simulator/statistics.go
+++ b/internal/simulator/statistics.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// judgeStart: cap, warm-up, leaving and evacuated, at the worker's own door.
+// checkRunStart checks the worker's capacity and warm-up limit, and that neither its draining nor the evacuation of its
+// zone is too old for a new run.
 func (w *World) checkRunStart(router *Router, x *worker) {
-	n := len(x.runs)
-	w.Stats.MaxConcurrent = max(w.Stats.MaxConcurrent, n)
-	if n > workerCapacity {
-		w.reportViolation("worker %s carries %d, cap %d", x.id, n, workerCapacity)
+	running := len(x.runs)
+	w.Stats.MaxConcurrent = max(w.Stats.MaxConcurrent, running)
+	if running > workerCapacity {
+		w.reportViolation("worker %s runs %d requests, capacity %d", x.id, running, workerCapacity)
 	}
 	if uptime := w.Now.Sub(x.startedAt); uptime < warmUpTime && w.Now > x.restartKnownAt {
-		if warmUpLimit := max(1, int(int64(workerCapacity)*int64(uptime)/int64(warmUpTime))); n > warmUpLimit+1 {
-			w.reportViolation("worker %s, %v old, carries %d", x.id, uptime, n)
+		if warmUpLimit := max(1, int(int64(workerCapacity)*int64(uptime)/int64(warmUpTime))); running > warmUpLimit+1 {
+			w.reportViolation("worker %s, started %v ago, runs %d requests", x.id, uptime, running)
 		}
 	}
 	if x.drainingSince > 0 {
 		elapsed := w.Now.Sub(max(x.drainingSince, w.platformPathLostAt[router.Host]))
 		x.lastRunAfterDraining = max(x.lastRunAfterDraining, elapsed)
 		if elapsed > 3*time.Second {
-			w.reportViolation("worker %s got a run %v after it was marked as leaving, from %s", x.id, elapsed, router.Host.Addr)
+			w.reportViolation("worker %s got a run %v after it was marked as draining, from %s", x.id, elapsed, router.Host.Addr)
 		}
 	}
 	if at, evacuated := w.evacuatedAt[x.zone]; evacuated && at > 0 {
@@ -36,7 +37,7 @@
 	if w.recoveringSince > 0 {
 		w.Stats.RecoveryTimes = append(w.Stats.RecoveryTimes, w.Now.Sub(w.recoveringSince))
 		if b := w.Now.Sub(w.recoveringSince); b > 12*time.Second {
-			w.reportViolation("service came back %v after a full loss", b)
+			w.reportViolation("requests ran again only %v after a full loss", b)
 		}
 		w.recoveringSince = 0
 	}
@@ -44,18 +45,18 @@
 
 const warmUpTime = 5 * time.Second
 
-// Statistics are a world's measured distributions, in virtual time.
+// Statistics holds counts and durations of a run, in virtual time.
 type Statistics struct {
 	Runs, Refused, Unroutable int
 	MaxConcurrent             int
 	CrossZone                 int
-	Claims, NonDurableClaims  int // claims, and those granted without the core's disks
+	Claims, NonDurableClaims  int // all claims, and those granted without the controllers' disks
 	FailedClaims              int
-	LastRunsAfterDraining     []time.Duration // last run begun on each marked worker, after its mark
-	LastRunsAfterEvacuation   []time.Duration // last run begun in each evacuated zone, after the acknowledgement
-	ConfigDelays              []time.Duration // from an acknowledgement till each serving router that had a path had it
-	CoordinatorGaps           []time.Duration // how long a listed worker had no keeper that lent
-	RecoveryTimes             []time.Duration // from the start after a full loss till the first run
+	LastRunsAfterDraining     []time.Duration // per draining worker: from its mark to the start of its last run
+	LastRunsAfterEvacuation   []time.Duration // per evacuated zone: from the acknowledgement to the start of its last run
+	ConfigDelays              []time.Duration // from an acknowledgement until each ready, connected router has the configuration
+	CoordinatorGaps           []time.Duration // how long a listed worker had no coordinator that granted permits
+	RecoveryTimes             []time.Duration // from the restart after a full loss to the first run
 }
 
 func (f *Statistics) add(o *Statistics) {
@@ -67,7 +68,7 @@
 	f.ConfigDelays, f.RecoveryTimes = slices.Concat(f.ConfigDelays, o.ConfigDelays), slices.Concat(f.RecoveryTimes, o.RecoveryTimes)
 }
 
-// measureCoordinatorGaps measures the keepers' gaps: from the last look at which a worker had one that lent to the next.
+// measureCoordinatorGaps records how long each worker had no coordinator that granted permits, from one check to the next.
 func (w *World) measureCoordinatorGaps() {
 	coordinated := map[string]bool{}
 	for _, h := range w.routerHosts {
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// setPlatformMode changes how the platform answers, for a while.
+// setPlatformMode makes the platform faulty for a time.
 func (w *World) setPlatformMode(mode string, d time.Duration) {
 	w.platformMode, w.staleList = mode, slices.Clone(w.listedWorkers)
 	for i := range w.staleList {
 		w.staleList[i].Age = w.Now.Sub(w.workers[w.staleList[i].ID].startedAt)
 	}
-	w.After(d/2, w.drainWorker) // a mark that it hides
+	w.After(d/2, w.drainWorker) // the faulty platform hides that the worker is draining
 	w.After(d, func() { w.platformMode = "" })
 }
 
-// cutPlatformFromLeaseHolder takes the platform out of the reach of whoever asks it now.
+// cutPlatformFromLeaseHolder makes the platform unreachable for the controller that holds the lease to query it.
 func (w *World) cutPlatformFromLeaseHolder(d time.Duration) {
 	for _, h := range w.controllerHosts {
 		if w.alive(h) && w.controllers[h].Lease.Holds(w.Now) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// fillDisks fills every disk that can fill.
+// fillDisks makes all disks full, where the deployment allows it.
 func (w *World) fillDisks(d time.Duration) {
 	for _, h := range w.controllerHosts {
 		if w.DisksCanFill {
@@ -37,7 +37,7 @@
 	}
 }
 
-// restartWorker starts a worker again in its place: cold, at the same address, and its runs are gone.
+// restartWorker restarts a worker at the same address. It warms up again and its runs are lost.
 func (w *World) restartWorker() {
 	x := w.workers[pick(w, w.listedWorkers).ID]
 	if x.drainingSince > 0 || !x.running {
@@ -54,23 +54,23 @@
 	}
 }
 
-// drainAndRejoinWorker marks a worker, takes it off the list, and later lists the same one again, cold.
+// drainAndRejoinWorker drains a worker, removes it from the list and later lists it again as newly started.
 func (w *World) drainAndRejoinWorker(d time.Duration) {
 	i := w.Rng.IntN(len(w.listedWorkers))
-	x := w.workers[w.listedWorkers[i].ID]
-	if x.drainingSince > 0 || !x.running {
+	rejoining := w.workers[w.listedWorkers[i].ID]
+	if rejoining.drainingSince > 0 || !rejoining.running {
 		return
 	}
 	w.listedWorkers[i].Draining = true
-	x.drainingSince = w.Now
-	w.After(d, func() { w.removeWorker(x) })
+	rejoining.drainingSince = w.Now
+	w.After(d, func() { w.removeWorker(rejoining) })
 	w.After(d+time.Second, func() {
-		x.running, x.drainingSince, x.startedAt, x.restartKnownAt = true, 0, w.Now, w.Now.Add(restartVisibleWithin)
-		w.listedWorkers = append(w.listedWorkers, listedWorker(x))
+		rejoining.running, rejoining.drainingSince, rejoining.startedAt, rejoining.restartKnownAt = true, 0, w.Now, w.Now.Add(restartVisibleWithin)
+		w.listedWorkers = append(w.listedWorkers, listedWorker(rejoining))
 	})
 }
 
-// removeWorker takes a worker off the list and ends it.
+// removeWorker removes a worker from the list and ends it.
 func (w *World) removeWorker(x *worker) {
 	for i, y := range w.listedWorkers {
 		if y.ID == x.id {
@@ -81,7 +81,7 @@
 	}
 }
 
-// replaceAllWorkers replaces all workers one by one, each marked three seconds before it goes.
+// replaceAllWorkers replaces all workers one by one. Each is marked as draining four seconds before it ends.
 func (w *World) replaceAllWorkers() {
 	for i, y := range slices.Clone(w.listedWorkers) {
 		w.After(time.Duration(i)*time.Second, func() {
@@ -99,5 +99,5 @@
 	}
 }
 
-// restartVisibleWithin is how long it may take until a worker's start in its place is known everywhere.
+// restartVisibleWithin is how long routers may take to learn that a worker was restarted at the same address.
 const restartVisibleWithin = 3 * time.Second
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -13,16 +13,16 @@
 	"seamshunt/internal/units"
 )
 
-// worker is a simulated worker; it counts what really runs.
+// worker is a simulated worker. It records the requests that actually run on it.
 type worker struct {
-	unresponsive         bool // takes prompts, says nothing, notices nothing
+	unresponsive         bool // accepts requests and neither answers nor notices disconnects
 	id                   string
 	zone                 string
 	running              bool
 	startedAt            units.Time
 	drainingSince        units.Time
-	lastRunAfterDraining time.Duration // the last run begun after the mark
-	restartKnownAt       units.Time    // till then not everybody can know that it was started again in its place
+	lastRunAfterDraining time.Duration // delay of the last run that started after it was marked as draining
+	restartKnownAt       units.Time    // until then routers may not know of its restart at the same address
 	runs                 map[*run]bool
 }
 
@@ -33,7 +33,7 @@
 	end        units.Time
 }
 
-// GenerateLoad sends prompts at the world's rate from now on.
+// GenerateLoad sends client requests at the current rate from now on.
 func (w *World) GenerateLoad() {
 	if w.requestRate > 0 {
 		w.sendRequest()
@@ -43,32 +43,32 @@
 	w.After(100*time.Millisecond, w.GenerateLoad)
 }
 
-// sendRequest brings one to a router that the platform finds ready.
+// sendRequest sends one request to a random ready router.
 func (w *World) sendRequest() {
 	var ready []*Router
 	for _, h := range w.routerHosts {
-		if e := w.routers[h]; w.alive(h) && e.Ready && !e.Draining && !e.Evacuated[h.Zone] {
-			ready = append(ready, e)
+		if router := w.routers[h]; w.alive(h) && router.Ready && !router.Draining && !router.Evacuated[h.Zone] {
+			ready = append(ready, router)
 		}
 	}
 	if len(ready) == 0 {
 		w.Stats.Unroutable++
 		return
 	}
-	e := ready[w.Rng.IntN(len(ready))]
-	w.checkConfigIsCurrent(e)
+	router := ready[w.Rng.IntN(len(ready))]
+	w.checkConfigIsCurrent(router)
 	timeLimit := []time.Duration{6 * time.Second, 4 * time.Second, 20 * time.Second}[w.Rng.IntN(3)]
 	if timeLimit != 4*time.Second {
-		w.admit(e, w.Now.Add(timeLimit), w.drawPrefix(), "")
+		w.admit(router, w.Now.Add(timeLimit), w.drawPrefix(), "")
 		return
 	}
 	w.lastSerial++
 	key := fmt.Sprintf("key%d", w.lastSerial)
-	w.submitNonRepeatable(e, key)
-	if k := w.Rng.IntN(3); k < 2 {
-		// The caller's own copy, by way of another node, at once or late: also by what runs there after a loss.
+	w.submitNonRepeatable(router, key)
+	if copyKind := w.Rng.IntN(3); copyKind < 2 {
+		// The client sends a copy through another router, at once or later; its process may have been restarted by then.
 		h := pick(w, ready).Host
-		w.After(time.Duration(w.Rng.Int64N(int64(5+40*k)*int64(time.Second))), func() {
+		w.After(time.Duration(w.Rng.Int64N(int64(5+40*copyKind)*int64(time.Second))), func() {
 			if o := w.routers[h]; w.alive(h) && o.Ready && !o.Draining {
 				w.submitNonRepeatable(o, key)
 			}
@@ -76,7 +76,7 @@
 	}
 }
 
-// drawPrefix draws a prompt's prefix.
+// drawPrefix picks the prefix of a request.
 func (w *World) drawPrefix() int {
 	if w.hotPrefixShare > 0 && w.Rng.Float64() < w.hotPrefixShare {
 		return 0
@@ -84,7 +84,7 @@
 	return w.Rng.IntN(40)
 }
 
-// submitNonRepeatable may not repeat: its key is claimed first.
+// submitNonRepeatable claims the idempotency key of a request that must not run twice, then admits the request.
 func (w *World) submitNonRepeatable(router *Router, key string) {
 	router.lastTag++
 	token := router.lastTag<<8 ^ uint64(router.Self)
@@ -95,7 +95,7 @@
 			w.Stats.FailedClaims++
 		}
 		if c == resultcode.OK && !durable {
-			if _, ok := w.nonDurableClaimAt[key]; !ok { // the first copy's claim is the one that may be forgotten
+			if _, ok := w.nonDurableClaimAt[key]; !ok { // the claim of the first copy is the one that may be lost
 				w.nonDurableClaimAt[key] = w.Now
 			}
 			w.Stats.NonDurableClaims++
@@ -112,14 +112,14 @@
 	w.apply(router.Host, out)
 }
 
-// reportNotRun is said to the caller, and the key is burned.
+// reportNotRun handles a refusal: the client learns that the request did not run, and the key is marked spent.
 func (w *World) reportNotRun(router *Router, key string) {
 	w.Stats.Refused++
 	if key == "" {
 		return
 	}
 	if w.runsByKey[key] > 0 && !w.claimMayBeLost(key) {
-		w.reportViolation("%s was said not to run and had run", key)
+		w.reportViolation("%s was reported as not run, but had run", key)
 	}
 	w.reportedNotRun[key] = true
 	w.apply(router.Host, router.claimant.Spend(key, idempotency.Holders(router.gossip.All(), key)))
@@ -162,13 +162,13 @@
 		return
 	}
 	if workerClosed(router, id) {
-		w.finishRun(router, tag, false) // the daemon looks once more before it hands over
+		w.finishRun(router, tag, false) // the router program checks once more before the dispatch
 		return
 	}
 	if key != "" {
 		w.runsByKey[key]++
 		if (w.runsByKey[key] > 1 || w.reportedNotRun[key]) && !w.claimMayBeLost(key) {
-			w.reportViolation("%s ran %d times, said not to run: %v", key, w.runsByKey[key], w.reportedNotRun[key])
+			w.reportViolation("%s ran %d times, reported as not run: %v", key, w.runsByKey[key], w.reportedNotRun[key])
 		}
 	}
 	w.startRun(router, tag, deadline, x)
@@ -183,7 +183,7 @@
 	return true
 }
 
-// startRun is a run that really starts; everything is judged here.
+// startRun starts a run on a worker and checks the worker's limits.
 func (w *World) startRun(router *Router, tag uint64, deadline units.Time, x *worker) {
 	duration := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(1800*time.Millisecond)))
 	if x.unresponsive {
@@ -201,10 +201,10 @@
 	finish = func() {
 		switch {
 		case router.Host.generation != generation:
-			// The router ended: the worker notices the broken wire.
+			// The router ended: the worker notices the closed connection.
 			delete(x.runs, r)
 		case router.Host.Paused:
-			delete(x.runs, r) // the worker is through; the router hears of it when it wakes
+			delete(x.runs, r) // the worker has finished; the router learns of it when it resumes
 			w.After(50*time.Millisecond, finish)
 		default:
 			delete(x.runs, r)
@@ -229,7 +229,7 @@
 	w.apply(router.Host, out)
 }
 
-// claimMayBeLost says whether a key was claimed while no disk could be told, and all memory was lost after that.
+// claimMayBeLost reports whether a key was claimed without the controllers' disks and all processes were lost after that.
 func (w *World) claimMayBeLost(key string) bool {
 	at, ok := w.nonDurableClaimAt[key]
 	return ok && w.allLostAt > at
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -9,15 +9,15 @@
 	"seamshunt/internal/units"
 )
 
-// Deployment is a deployment's shape.
+// Deployment describes the hosts and workers of a simulated deployment.
 type Deployment struct {
 	Name            string
-	ControllerZones []string // zone of each machine with a disk
+	ControllerZones []string // zone of each controller
 	RouterZones     []string
 	WorkerZones     []string // zone of each worker
-	DisksCanFill    bool     // its disks may fill
-	GrowsFromSeeds  bool     // founded from seeds, voters grow
-	NonVoting       []int    // which core machines have a disk that doesn't count
+	DisksCanFill    bool     // whether faults may fill its disks
+	GrowsFromSeeds  bool     // bootstrap from seeds; the quorum set grows with the controllers
+	NonVoting       []int    // indices of controllers whose disk may not vote
 }
 
 func zonesOf(zones []string, counts ...int) []string {
@@ -30,7 +30,7 @@
 	return list
 }
 
-// The two deployments.
+// The two deployments that most tests use.
 var (
 	Vatuloa = Deployment{Name: "vatuloa", ControllerZones: []string{"v1", "v2", "v3"}, RouterZones: zonesOf([]string{"v1", "v2", "v3"}, 3, 3, 3), WorkerZones: zonesOf([]string{"v1", "v2", "v3"}, 6, 6, 6), DisksCanFill: true}
 	Council = Deployment{Name: "council", ControllerZones: []string{"t1", "t2", "t3", "t4"}, RouterZones: zonesOf([]string{"t1", "t2", "t3", "t4"}, 2, 2, 2, 1),
@@ -39,7 +39,8 @@
 
 const workerCapacity = 4
 
-// World is a deployment in the simulator with its workers, prompts, operators and platform.
+// World is a simulated deployment with its workers, client requests, operators and platform. Its checks record violations
+// of invariants.
 type World struct {
 	*Sim
 	Deployment
@@ -51,35 +52,35 @@
 	workers                map[string]*worker
 	listedWorkers          []config.Worker
 	workerStartTimes       map[string]units.Time
-	platformMode           string          // how the platform is: well, gone, refuse, empty, slow, old
-	staleList              []config.Worker // what it lists while it is old
+	platformMode           string          // fault of the platform: unreachable, failing, empty, slow or stale; empty string for none
+	staleList              []config.Worker // the list that it returns in mode stale
 	History                []Op
 	Violations             []string
 	Stats                  Statistics
-	outages                []timeRange // spans without a majority of healthy disks
+	outages                []timeRange // when no majority of the quorum set was healthy
 	evacuatedAt            map[string]units.Time
 	requestRate            float64
-	coordinatedAt          map[string]units.Time    // when each worker last had a keeper that lent
-	lastRunAfterEvacuation map[string]time.Duration // by evacuated zone, the last run begun after the acknowledgement
-	hotPrefixShare         float64                  // share of the prompts that have one and the same prefix
-	recoveringSince        units.Time               // when all was started again after a full loss, until service is back
+	coordinatedAt          map[string]units.Time    // when each worker last had a coordinator that granted permits
+	lastRunAfterEvacuation map[string]time.Duration // by zone: delay of the last run that started after the evacuation was acknowledged
+	hotPrefixShare         float64                  // share of the requests that have the same prefix
+	recoveringSince        units.Time               // when everything was restarted after a full loss; zero once requests run again
 	lastSerial             int
-	polledAt               []units.Time         // questions that the platform got
-	platformUnreachable    map[*Host]bool       // core machines that can't reach the platform
-	platformPathLostAt     map[*Host]units.Time // when a machine last had no path to a core machine that reaches the platform
+	polledAt               []units.Time         // times of the queries to the platform
+	platformUnreachable    map[*Host]bool       // controllers that can't reach the platform
+	platformPathLostAt     map[*Host]units.Time // when a host last had no path to a controller that reaches the platform
 	acknowledged           []acknowledgedConfig
 	configVersions         map[*Router]units.Version
-	majorityPathLostAt     map[*Host]units.Time // when a machine last had no path to the core's majority
+	majorityPathLostAt     map[*Host]units.Time // when a host last had no path to a majority of the controllers
 	FaultSchedule          []string
-	runsByKey              map[string]int        // runs by key, for prompts that may not repeat
-	nonDurableClaimAt      map[string]units.Time // when a key was claimed without the core's disks
-	allLostAt              units.Time            // when all was last lost at once
-	reportedNotRun         map[string]bool       // keys whose prompt was said not to run
+	runsByKey              map[string]int        // runs by idempotency key
+	nonDurableClaimAt      map[string]units.Time // when a key was first claimed without the controllers' disks
+	allLostAt              units.Time            // when all processes were last lost at once
+	reportedNotRun         map[string]bool       // keys whose clients were told that the request did not run
 }
 
 type timeRange struct{ from, to units.Time }
 
-// NewWorld builds a deployment; nothing has found anything yet.
+// NewWorld builds a deployment whose processes have not discovered each other yet.
 func NewWorld(deployment Deployment, seed uint64) *World {
 	w := &World{Sim: New(seed), Deployment: deployment, controllers: map[*Host]*Controller{}, routers: map[*Host]*Router{}, workers: map[string]*worker{},
 		workerStartTimes: map[string]units.Time{}, evacuatedAt: map[string]units.Time{}, lastRunAfterEvacuation: map[string]time.Duration{}, coordinatedAt: map[string]units.Time{}, requestRate: 40, configVersions: map[*Router]units.Version{}, platformUnreachable: map[*Host]bool{}, platformPathLostAt: map[*Host]units.Time{}, majorityPathLostAt: map[*Host]units.Time{}, runsByKey: map[string]int{}, reportedNotRun: map[string]bool{}, nonDurableClaimAt: map[string]units.Time{}}
@@ -122,7 +123,7 @@
 
 func (w *World) alive(h *Host) bool { return h.Proc != nil && !h.Paused && !h.Isolated }
 
-// hasHealthyMajority says whether a majority of the voters' disks could answer now.
+// hasHealthyMajority reports whether a majority of the quorum set could respond now.
 func (w *World) hasHealthyMajority() bool {
 	quorum := w.newestQuorum()
 	ok := map[units.NodeID]bool{}
@@ -140,7 +141,8 @@
 	return quorum.HasMajority(ok) && w.LossRate < 0.2
 }
 
-// majorityLostWithin says whether control could not act for a time within the span: then a limit can't be kept (docs/promises.md).
+// majorityLostWithin reports whether the control plane could not act at some time in the interval; time limits don't apply
+// then (docs/promises.md).
 func (w *World) majorityLostWithin(from, to units.Time) bool {
 	for _, x := range w.outages {
 		if x.from <= to && (x.to == 0 || x.to.Add(recoveryTime) >= from) {
@@ -150,10 +152,11 @@
 	return false
 }
 
-// recoveryTime is what control may take to be itself again once a majority is back: the duty's term, owners' epochs.
+// recoveryTime is how long the control plane may take to recover once a majority is back: until a lease expires and owners
+// have prepared new epochs.
 const recoveryTime = 4 * time.Second
 
-// checkInvariants looks at the promises that hold at every moment.
+// checkInvariants periodically checks the invariants that hold at all times.
 func (w *World) checkInvariants() {
 	w.After(50*time.Millisecond, w.checkInvariants)
 	n := len(w.outages)
@@ -171,7 +174,7 @@
 		}
 	}
 	if holders > 1 {
-		w.reportViolation("%d nodes hold one duty", holders)
+		w.reportViolation("%d nodes hold one lease", holders)
 	}
 	w.recordLostPaths()
 	w.checkConfigVersions()
