--- a/internal/linearizability/register.go
+++ b/internal/linearizability/register.go
@@ -1,4 +1,4 @@
-// Package linearizability checks histories of calls on a versioned register. Tests alone use it.
+// Package linearizability checks whether histories of calls on a versioned register are linearizable. Only tests use it.
 package linearizability
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kind says what a call does.
+// Kind is the kind of a call.
 type Kind uint8
 
 // The kinds of calls.
@@ -17,39 +17,39 @@
 	Write
 )
 
-// Outcome is what a call's maker learned.
+// Outcome is the result of a call as its caller knows it.
 type Outcome uint8
 
-// The outcomes. An Unclear write may or may not have happened, at any time from its call on.
+// The outcomes. A write of Unknown outcome may take effect at any time after the call, or never.
 const (
 	Unknown Outcome = iota
 	Succeeded
 	Rejected
 )
 
-// Call is one call with its answer. A caller who sends the same call again, until it has a clear answer, makes one call.
+// Call is a call with its result. Copies of a call that a caller resends until it has a definite answer are one call.
 type Call struct {
 	Kind                 Kind
-	CalledAt, ReturnedAt int64 // To counts only with a clear outcome
+	CalledAt, ReturnedAt int64 // ReturnedAt is ignored if the outcome is Unknown
 	ExpectedVersion      uint64
-	Version              uint64 // the version that a write brings, or a read found
-	Data                 string // likewise
+	Version              uint64 // the version that a write creates or a read returned
+	Data                 string // the value of that version
 	Outcome              Outcome
 }
 
-// version is the register's state.
+// version is the state of the register.
 type version struct {
 	number uint64
 	data   string
 }
 
-// Check says whether an order of the calls exists that agrees with real time and in which each write that was done, or
-// refused, found, or did not find, the version that it builds on.
-func Check(calls []Call, limit time.Duration) porcupine.CheckResult {
+// Check reports whether an order of the calls exists that agrees with real time and in which each successful write found its
+// expected version and each rejected write did not. The search is given up after timeout.
+func Check(calls []Call, timeout time.Duration) porcupine.CheckResult {
 	history := make([]porcupine.Operation, 0, len(calls))
 	for _, c := range calls {
 		if c.Kind == Read && c.Outcome != Succeeded {
-			continue // says nothing
+			continue // without a result it does not restrict the order
 		}
 		end := c.ReturnedAt
 		if c.Outcome == Unknown {
@@ -61,10 +61,10 @@
 		Init: func() []any { return []any{version{}} },
 		Step: func(state, input, _ any) []any { return step(state.(version), input.(Call)) },
 	}
-	return porcupine.CheckOperationsTimeout(model.ToModel(), history, limit)
+	return porcupine.CheckOperationsTimeout(model.ToModel(), history, timeout)
 }
 
-// step gives the states that a call may leave; none if its answer is impossible here.
+// step returns the possible states after a call, or none if its outcome is impossible in this state.
 func step(now version, c Call) []any {
 	next := version{c.Version, c.Data}
 	fits := now.number == c.ExpectedVersion
--- a/internal/linearizability/register_test.go
+++ b/internal/linearizability/register_test.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Histories that are good, and each way in which one can be bad.
+// Linearizable histories, and each way in which a history can violate linearizability.
 func TestCheck(t *testing.T) {
 	first := Call{Kind: Write, CalledAt: 1, ReturnedAt: 2, ExpectedVersion: 0, Version: 1, Data: "a", Outcome: Succeeded}
 	second := Call{Kind: Write, CalledAt: 3, ReturnedAt: 6, ExpectedVersion: 1, Version: 2, Data: "b", Outcome: Succeeded}
@@ -19,16 +19,16 @@
 		calls []Call
 		want  porcupine.CheckResult
 	}{
-		"good":                      {[]Call{first, read(3, 4, 1, "a"), second, read(7, 8, 2, "b")}, porcupine.Ok},
-		"reads beside a write":      {[]Call{first, second, read(3, 7, 1, "a"), read(4, 7, 2, "b")}, porcupine.Ok},
-		"an unclear write happened": {[]Call{first, lost, read(9, 10, 2, "c")}, porcupine.Ok},
-		"an unclear write did not":  {[]Call{first, lost, read(9, 10, 1, "a")}, porcupine.Ok},
-		"a loser":                   {[]Call{first, second, {Kind: Write, CalledAt: 4, ReturnedAt: 7, ExpectedVersion: 1, Version: 2, Outcome: Rejected}}, porcupine.Ok},
-		"an old read":               {[]Call{first, second, read(7, 8, 1, "a")}, porcupine.Illegal},
-		"other bytes":               {[]Call{first, second, read(7, 8, 2, "c")}, porcupine.Illegal},
-		"two winners":               {[]Call{first, second, {Kind: Write, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2, Data: "c", Outcome: Succeeded}}, porcupine.Illegal},
-		"refused for nothing":       {[]Call{first, {Kind: Write, CalledAt: 3, ReturnedAt: 4, ExpectedVersion: 1, Version: 2, Outcome: Rejected}}, porcupine.Illegal},
-		"a write undone":            {[]Call{first, second, read(7, 8, 2, "b"), read(9, 10, 1, "a")}, porcupine.Illegal},
+		"good":                         {[]Call{first, read(3, 4, 1, "a"), second, read(7, 8, 2, "b")}, porcupine.Ok},
+		"reads beside a write":         {[]Call{first, second, read(3, 7, 1, "a"), read(4, 7, 2, "b")}, porcupine.Ok},
+		"an unknown write took effect": {[]Call{first, lost, read(9, 10, 2, "c")}, porcupine.Ok},
+		"an unknown write did not":     {[]Call{first, lost, read(9, 10, 1, "a")}, porcupine.Ok},
+		"a rejected write":             {[]Call{first, second, {Kind: Write, CalledAt: 4, ReturnedAt: 7, ExpectedVersion: 1, Version: 2, Outcome: Rejected}}, porcupine.Ok},
+		"a stale read":                 {[]Call{first, second, read(7, 8, 1, "a")}, porcupine.Illegal},
+		"another value":                {[]Call{first, second, read(7, 8, 2, "c")}, porcupine.Illegal},
+		"two writes of one version":    {[]Call{first, second, {Kind: Write, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2, Data: "c", Outcome: Succeeded}}, porcupine.Illegal},
+		"rejected without a conflict":  {[]Call{first, {Kind: Write, CalledAt: 3, ReturnedAt: 4, ExpectedVersion: 1, Version: 2, Outcome: Rejected}}, porcupine.Illegal},
+		"a write lost again":           {[]Call{first, second, read(7, 8, 2, "b"), read(9, 10, 1, "a")}, porcupine.Illegal},
 	} {
 		if got := Check(x.calls, time.Minute); got != x.want {
 			t.Errorf("%s: %s", name, got)
--- a/internal/netfault/blackhole.go
+++ b/internal/netfault/blackhole.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BlackholeListener gives a test a listener that is silent until Wake.
+// BlackholeListener returns a listener that answers no attempt to connect until Restore. It is closed when the test ends.
 func BlackholeListener(t testing.TB) *Listener {
 	t.Helper()
 	l, err := Listen()
--- a/internal/netfault/deferred.go
+++ b/internal/netfault/deferred.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// deferSeconds is how long the kernel waits for the first bytes on a connection before it completes it without them.
+// deferSeconds is how long the kernel waits for the first data on a connection before it completes it without data.
 const deferSeconds = 60
 
-// DeferredListener is a listener on loopback that holds connections up between the answer to their first packet and their completion, as a
-// lossy link does: those who connect find themselves connected and send, and the listener hears of it after Release, when their
-// kernel sends once more.
+// DeferredListener is a loopback listener that delays connections between the reply to their first packet and their
+// completion, as packet loss does. Clients see the connection as established and send data. The listener gets it only after
+// the first call of Accept, when the client's kernel retransmits.
 type DeferredListener struct {
 	net.Listener
 	mu     sync.Mutex
 	filler net.Conn // fills the queue of completed connections
 }
 
-// ListenDeferred opens one.
+// ListenDeferred opens a DeferredListener.
 func ListenDeferred() (*DeferredListener, error) {
 	inner, err := listenWithoutQueue()
 	if err != nil {
@@ -41,7 +41,7 @@
 	return &DeferredListener{Listener: inner}, nil
 }
 
-// Hold fills the queue, so that none of the connections made before is completed until Release.
+// Hold fills the queue of completed connections, so that none of the earlier connections completes until Accept is called.
 func (l *DeferredListener) Hold() error {
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err == nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Accept gives the next connection. The first call releases what is held.
+// Accept returns the next connection. The first call releases the held connections.
 func (l *DeferredListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -66,7 +66,7 @@
 	}
 }
 
-// closeFiller says whether a connection is the one that fills the queue, and closes it then.
+// closeFiller reports whether a connection is the one that fills the queue, and closes it if so.
 func (l *DeferredListener) closeFiller(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +79,7 @@
 	return true
 }
 
-// Close ends it.
+// Close closes the listener.
 func (l *DeferredListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/netfault/listener.go
+++ b/internal/netfault/listener.go
@@ -1,4 +1,4 @@
-// Package netfault makes faults of a network that an ordinary listener doesn't have.
+// Package netfault provides listeners that simulate network faults. Only tests and test programs use it.
 package netfault
 
 import (
@@ -13,24 +13,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// fillerTimeout is how long an attempt to connect may take while the queue is filled; on loopback one that is answered takes far
-// less.
+// fillerTimeout limits an attempt to connect while the queue is filled. On loopback an answered attempt takes far less.
 const fillerTimeout = 100 * time.Millisecond
 
-// Listener is a listener on loopback that can fall silent: then it answers no attempt to connect, like a machine without
-// power.
+// Listener is a loopback listener that can become a black hole: it then answers no attempt to connect, like a machine
+// without power.
 type Listener struct {
 	net.Listener
 	mu         sync.Mutex
 	changed    sync.Cond
 	blackholed bool
 	closed     bool
-	accepting  int                 // calls of Accept that take the next connection, silent or not
-	fillers    map[string]net.Conn // connections that fill the queue, by their own address
-	held       []net.Conn          // what was accepted as it fell silent
+	accepting  int                 // calls of Accept that take the next connection, even after Blackhole
+	fillers    map[string]net.Conn // connections that fill the queue, by their local address
+	held       []net.Conn          // connections accepted while Blackhole filled the queue
 }
 
-// Listen opens one that is not silent. Its queue of new connections is the shortest that the kernel allows.
+// Listen opens a Listener that answers. Its queue of new connections is the shortest that the kernel allows.
 func Listen() (*Listener, error) {
 	inner, err := listenWithoutQueue()
 	if err != nil {
@@ -57,13 +56,13 @@
 	return net.FileListener(file)
 }
 
-// Blackhole fills the queue of new connections; the kernel then drops what else comes.
+// Blackhole fills the queue of new connections, so that the kernel drops further attempts to connect.
 func (l *Listener) Blackhole() error {
 	l.mu.Lock()
 	l.blackholed = true
 	accepting := l.accepting
 	l.mu.Unlock()
-	for range accepting { // each takes one more
+	for range accepting { // each takes one more connection from the queue
 		if err := l.addFiller(); err != nil {
 			return err
 		}
@@ -83,7 +82,7 @@
 	}
 }
 
-// addFiller puts one connection into the queue, unless that is full.
+// addFiller adds one connection to the queue, unless it is full.
 func (l *Listener) addFiller() error {
 	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerTimeout)
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
@@ -98,7 +97,7 @@
 	return nil
 }
 
-// awaitAccepted waits until no call of Accept takes a connection any more.
+// awaitAccepted waits until no call of Accept takes a connection.
 func (l *Listener) awaitAccepted() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,8 +106,8 @@
 	}
 }
 
-// queueFull asks the kernel whether the queue of new connections is full: for a listener it counts them as unacked, and gives their
-// most as sacked.
+// queueFull asks the kernel whether the queue of new connections is full. For a listener, TCP_INFO has their number in
+// Unacked and the limit in Sacked.
 func (l *Listener) queueFull() (bool, error) {
 	raw, err := l.Listener.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -123,7 +122,7 @@
 	return info.Unacked > info.Sacked, nil
 }
 
-// Restore ends the silence; connections that were made meanwhile are closed.
+// Restore answers connections again and closes those that were made since Blackhole.
 func (l *Listener) Restore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,7 +131,7 @@
 	l.changed.Broadcast()
 }
 
-// closeHeld closes what fills the queue. Callers hold the lock.
+// closeHeld closes the connections that fill the queue. Callers must hold the lock.
 func (l *Listener) closeHeld() {
 	for _, c := range l.fillers {
 		c.Close()
@@ -143,7 +142,7 @@
 	l.held = nil
 }
 
-// Accept gives the next connection that comes while it is not silent.
+// Accept returns the next connection that arrives while the listener is not a black hole.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.beginAccept()
@@ -159,7 +158,7 @@
 	}
 }
 
-// beginAccept waits while it is silent. A connection is taken then, until accepted is called.
+// beginAccept waits while the listener is a black hole. The caller may then take a connection, and must call endAccept.
 func (l *Listener) beginAccept() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,7 +175,7 @@
 	l.changed.Broadcast()
 }
 
-// shouldDeliver says whether a connection is for the caller of Accept; one that came in the silence is held.
+// shouldDeliver reports whether Accept may return a connection. One that arrived after Blackhole is held.
 func (l *Listener) shouldDeliver(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +192,7 @@
 	return false
 }
 
-// Close ends it, and the silence.
+// Close closes the listener and wakes waiting calls of Accept.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/netfault/listener_test.go
+++ b/internal/netfault/listener_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// answers says whether an attempt to connect is answered soon.
+// answers reports whether an attempt to connect is answered within fillerTimeout.
 func answers(l *Listener) bool {
 	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerTimeout)
 	if err != nil {
@@ -16,7 +16,7 @@
 	return true
 }
 
-// A silent listener answers no attempt to connect; before and behind its silence it gives out every connection.
+// A listener answers no attempt to connect between Blackhole and Restore, and accepts every connection before and after.
 func TestBlackhole(t *testing.T) {
 	l, err := Listen()
 	if err != nil {
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		if s := <-got; s.RemoteAddr().String() != c.LocalAddr().String() {
-			t.Fatal("another connection was given out")
+			t.Fatal("Accept returned another connection")
 		}
 		c.Close()
 		if err := l.Blackhole(); err != nil {
@@ -48,7 +48,7 @@
 		}
 		for range 3 {
 			if answers(l) {
-				t.Fatal("it answers in its silence")
+				t.Fatal("an attempt to connect was answered after Blackhole")
 			}
 		}
 		l.Restore()
