--- a/internal/linearizability/register.go
+++ b/internal/linearizability/register.go
@@ -47,15 +47,15 @@
 // expected version and each rejected write did not. The search is given up after timeout.
 func Check(calls []Call, timeout time.Duration) porcupine.CheckResult {
 	history := make([]porcupine.Operation, 0, len(calls))
-	for _, c := range calls {
-		if c.Kind == Read && c.Outcome != Succeeded {
+	for _, call := range calls {
+		if call.Kind == Read && call.Outcome != Succeeded {
 			continue // without a result it does not restrict the order
 		}
-		end := c.ReturnedAt
-		if c.Outcome == Unknown {
+		end := call.ReturnedAt
+		if call.Outcome == Unknown {
 			end = math.MaxInt64
 		}
-		history = append(history, porcupine.Operation{Input: c, Call: c.CalledAt, Return: end})
+		history = append(history, porcupine.Operation{Input: call, Call: call.CalledAt, Return: end})
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{version{}} },
@@ -65,19 +65,19 @@
 }
 
 // step returns the possible states after a call, or none if its outcome is impossible in this state.
-func step(now version, c Call) []any {
-	next := version{c.Version, c.Data}
-	fits := now.number == c.ExpectedVersion
+func step(current version, call Call) []any {
+	next := version{call.Version, call.Data}
+	versionMatches := current.number == call.ExpectedVersion
 	switch {
-	case c.Kind == Read && now == next:
-		return []any{now}
-	case c.Kind == Read:
+	case call.Kind == Read && current == next:
+		return []any{current}
+	case call.Kind == Read:
 		return nil
-	case c.Outcome == Unknown && fits:
-		return []any{now, next}
-	case c.Outcome == Unknown, c.Outcome == Rejected && !fits:
-		return []any{now}
-	case c.Outcome == Succeeded && fits:
+	case call.Outcome == Unknown && versionMatches:
+		return []any{current, next}
+	case call.Outcome == Unknown, call.Outcome == Rejected && !versionMatches:
+		return []any{current}
+	case call.Outcome == Succeeded && versionMatches:
 		return []any{next}
 	}
 	return nil
--- a/internal/netfault/deferred.go
+++ b/internal/netfault/deferred.go
@@ -18,13 +18,13 @@
 // the first call of Accept, when the client's kernel retransmits.
 type DeferredListener struct {
 	net.Listener
-	mu     sync.Mutex
-	filler net.Conn // fills the queue of completed connections
+	mu          sync.Mutex
+	queueFiller net.Conn // fills the queue of completed connections
 }
 
 // ListenDeferred opens a DeferredListener.
 func ListenDeferred() (*DeferredListener, error) {
-	inner, err := listenWithoutQueue()
+	inner, err := listenWithShortestQueue()
 	if err != nil {
 		return nil, fmt.Errorf("netfault: %w", err)
 	}
@@ -52,7 +52,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.filler = c
+	l.queueFiller = c
 	return nil
 }
 
@@ -70,11 +70,11 @@
 func (l *DeferredListener) closeFiller(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.filler == nil || l.filler.LocalAddr().String() != c.RemoteAddr().String() {
+	if l.queueFiller == nil || l.queueFiller.LocalAddr().String() != c.RemoteAddr().String() {
 		return false
 	}
-	l.filler.Close()
-	l.filler = nil
+	l.queueFiller.Close()
+	l.queueFiller = nil
 	c.Close()
 	return true
 }
@@ -83,8 +83,8 @@
 func (l *DeferredListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.filler != nil {
-		l.filler.Close()
+	if l.queueFiller != nil {
+		l.queueFiller.Close()
 	}
 	return l.Listener.Close()
 }
--- a/internal/netfault/listener.go
+++ b/internal/netfault/listener.go
@@ -31,7 +31,7 @@
 
 // Listen opens a Listener that answers. Its queue of new connections is the shortest that the kernel allows.
 func Listen() (*Listener, error) {
-	inner, err := listenWithoutQueue()
+	inner, err := listenWithShortestQueue()
 	if err != nil {
 		return nil, fmt.Errorf("netfault: %w", err)
 	}
@@ -40,7 +40,7 @@
 	return l, nil
 }
 
-func listenWithoutQueue() (net.Listener, error) {
+func listenWithShortestQueue() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
--- a/internal/netfault/listener_test.go
+++ b/internal/netfault/listener_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// answers reports whether an attempt to connect is answered within fillerTimeout.
-func answers(l *Listener) bool {
+// isAnswered reports whether an attempt to connect is answered within fillerTimeout.
+func isAnswered(l *Listener) bool {
 	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerTimeout)
 	if err != nil {
 		return false
@@ -23,15 +23,15 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	got := make(chan net.Conn)
+	accepted := make(chan net.Conn)
 	go func() {
-		defer close(got)
+		defer close(accepted)
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			got <- c
+			accepted <- c
 		}
 	}()
 	for range 3 {
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := <-got; s.RemoteAddr().String() != c.LocalAddr().String() {
+		if s := <-accepted; s.RemoteAddr().String() != c.LocalAddr().String() {
 			t.Fatal("Accept returned another connection")
 		}
 		c.Close()
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		for range 3 {
-			if answers(l) {
+			if isAnswered(l) {
 				t.Fatal("an attempt to connect was answered after Blackhole")
 			}
 		}
--- a/internal/simulator/catch_up_cost_test.go
+++ b/internal/simulator/catch_up_cost_test.go
@@ -23,9 +23,9 @@
 }
 
 // bytesDuring runs the simulation for a time and returns the bytes between zones in it.
-func (w *World) bytesDuring(span time.Duration) controlBytes {
+func (w *World) bytesDuring(duration time.Duration) controlBytes {
 	before := w.controlBytes()
-	w.Run(w.Now.Add(span))
+	w.Run(w.Now.Add(duration))
 	return w.controlBytes().minus(before)
 }
 
@@ -48,7 +48,7 @@
 // A catchUpCost is the traffic of a member's catch-up, less that of the same time at rest.
 type catchUpCost struct {
 	controlBytes
-	took         time.Duration
+	duration     time.Duration
 	restBefore   int // anti-entropy bytes in 30 s at rest, before the changes
 	restAfter    int // the same after the catch-up
 	recordsAfter int // on the member's disk
@@ -78,7 +78,7 @@
 	before := w.controlBytes()
 	w.Start(lostHost)
 	took, ok := w.runUntil(20*time.Second, func() bool { return w.caughtUp(int(seed) % 3) })
-	if cost.took = took; !ok || took > catchUpBound {
+	if cost.duration = took; !ok || took > catchUpBound {
 		t.Errorf("seed %d, %+v: caught up after %v", seed, missed, took)
 	}
 	const settleTime = 5 * time.Second
@@ -99,11 +99,11 @@
 		for seed := range uint64(seeds) {
 			x := measureCatchUp(t, *firstSeed+seed, missed)
 			c.register, c.antiEntropy, c.push = c.register+x.register/seeds, c.antiEntropy+x.antiEntropy/seeds, c.push+x.push/seeds
-			c.took = max(c.took, x.took)
+			c.duration = max(c.duration, x.duration)
 			c.restBefore, c.restAfter, c.recordsAfter = c.restBefore+x.restBefore/seeds, c.restAfter+x.restAfter/seeds, max(c.recordsAfter, x.recordsAfter)
 		}
 		t.Logf("%5d changes of %6d B, %3d zones: %7d B of writes, %5d B of anti-entropy, %7d B of pushes; at most %v; at rest %d -> %d B in 30 s; %d records",
-			missed.changes, missed.configBytes, missed.keys, c.register, c.antiEntropy, c.push, c.took, c.restBefore, c.restAfter, c.recordsAfter)
+			missed.changes, missed.configBytes, missed.keys, c.register, c.antiEntropy, c.push, c.duration, c.restBefore, c.restAfter, c.recordsAfter)
 		return c
 	}
 	few, many := mean(missedChanges{10, 2000, 4}), mean(missedChanges{1000, 2000, 4})
@@ -126,7 +126,7 @@
 	if each := (manyKeys.register + manyKeys.antiEntropy - fewKeys.register - fewKeys.antiEntropy) / 240; each > 8000 {
 		t.Errorf("%d B for each key of 200 B", each)
 	}
-	if bound := units.Time(time.Second); units.Time(many.took) > bound || units.Time(large.took) > bound || units.Time(manyKeys.took) > bound {
-		t.Errorf("caught up after %v, %v, %v", many.took, large.took, manyKeys.took)
+	if bound := units.Time(time.Second); units.Time(many.duration) > bound || units.Time(large.duration) > bound || units.Time(manyKeys.duration) > bound {
+		t.Errorf("caught up after %v, %v, %v", many.duration, large.duration, manyKeys.duration)
 	}
 }
--- a/internal/simulator/failures.go
+++ b/internal/simulator/failures.go
@@ -152,13 +152,13 @@
 
 func (w *World) loseWorker(d time.Duration) {
 	i := w.Rng.IntN(len(w.listedWorkers))
-	x := w.workers[w.listedWorkers[i].ID]
-	x.running = false
+	lost := w.workers[w.listedWorkers[i].ID]
+	lost.running = false
 	w.After(d, func() {
-		for i, y := range w.listedWorkers {
-			if y.ID == x.id {
+		for i, listed := range w.listedWorkers {
+			if listed.ID == lost.id {
 				w.listedWorkers = slices.Delete(w.listedWorkers, i, i+1)
-				w.addWorker(x.zone, 0)
+				w.addWorker(lost.zone, 0)
 				return
 			}
 		}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -8,10 +8,10 @@
 // Fault is a fault that can be injected. Each ends by itself.
 type Fault struct {
 	Name   string
-	Inject func(w *World, span time.Duration)
+	Inject func(w *World, duration time.Duration)
 }
 
-func pick[T any](w *World, l []T) T { return l[w.Rng.IntN(len(l))] }
+func pick[T any](w *World, list []T) T { return list[w.Rng.IntN(len(list))] }
 
 // Faults lists all faults. Seeds pick from it by index, so a new order changes the run of every seed.
 var Faults = []Fault{
--- a/internal/simulator/isolated_controller_test.go
+++ b/internal/simulator/isolated_controller_test.go
@@ -74,7 +74,7 @@
 		return
 	}
 	r.lastSerial++
-	data, startedAt := []byte(configText(r.lastSerial)), r.Now
+	document, startedAt := []byte(configText(r.lastSerial)), r.Now
 	requestID := fmt.Sprint("others", r.lastSerial)
 	index := r.Rng.IntN(len(r.controllerHosts))
 	var expected units.Version
@@ -88,7 +88,7 @@
 			index++
 		}
 		h := r.controllerHosts[index%len(r.controllerHosts)]
-		r.submitWithTimeout(r.controllers[h], register.Request{Key: "config", Write: true, ExpectedVersion: expected, RequestID: requestID, Data: data}, func(result register.Result) {
+		r.submitWithTimeout(r.controllers[h], register.Request{Key: "config", Write: true, ExpectedVersion: expected, RequestID: requestID, Data: document}, func(result register.Result) {
 			r.resultCounts[fmt.Sprint("others: ", result.Code)]++
 			elapsed := r.Now.Sub(startedAt)
 			r.longestRequest = max(r.longestRequest, elapsed)
@@ -156,7 +156,7 @@
 	r.Run(end)
 	elapsed, ok := r.runUntil(reconnectLimit, func() bool {
 		done := false
-		r.submitWithTimeout(r.controllers[r.isolated], register.Request{Key: "config"}, func(x register.Result) { done = x.Code == resultcode.OK })
+		r.submitWithTimeout(r.controllers[r.isolated], register.Request{Key: "config"}, func(result register.Result) { done = result.Code == resultcode.OK })
 		r.Run(r.Now.Add(retryInterval))
 		return done
 	})
@@ -186,11 +186,11 @@
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			calls, longest := map[string]int{}, []time.Duration{}
+			resultCounts, longest := map[string]int{}, []time.Duration{}
 			for seed := *firstSeed; seed < *firstSeed+isolationSeeds; seed++ {
 				disks := 3 + int(seed)%3
-				r := &isolationRun{World: bootstrappedWorld(seed, disks), t: t, reachesMajority: kind.passes, resultCounts: calls}
-				r.run(kind.part)
+				r := &isolationRun{World: bootstrappedWorld(seed, disks), t: t, reachesMajority: kind.reachesMajority, resultCounts: resultCounts}
+				r.run(kind.isolate)
 				r.checkHistory(kind.name)
 				for _, f := range r.Violations {
 					t.Errorf("%d disks, seed %d: %s", disks, seed, f)
@@ -199,7 +199,7 @@
 				longest = append(longest, r.longestRequest)
 				mu.Unlock()
 			}
-			t.Logf("%d seeds, results %v; longest request to the others: %s", isolationSeeds, calls, Percentiles(longest))
+			t.Logf("%d seeds, results %v; longest request to the others: %s", isolationSeeds, resultCounts, Percentiles(longest))
 		})
 	}
 }
--- a/internal/simulator/isolation_kinds_test.go
+++ b/internal/simulator/isolation_kinds_test.go
@@ -14,48 +14,48 @@
 // isolationKinds are the ways in which a controller is isolated from the others. With reachesMajority it still reaches a
 // majority and may acknowledge writes.
 var isolationKinds = []struct {
-	name   string
-	part   func(w *World, cut *Host)
-	passes bool
+	name            string
+	isolate         func(w *World, isolated *Host)
+	reachesMajority bool
 }{
-	{"both ways", func(w *World, cut *Host) { w.isolate(cut, isolationTime) }, false},
-	{"nothing leaves it", func(w *World, cut *Host) {
-		w.partition(isolationTime, func(from, to *Host) bool { return from == cut && to != cut })
+	{"both ways", func(w *World, isolated *Host) { w.isolate(isolated, isolationTime) }, false},
+	{"nothing leaves it", func(w *World, isolated *Host) {
+		w.partition(isolationTime, func(from, to *Host) bool { return from == isolated && to != isolated })
 	}, false},
-	{"nothing reaches it", func(w *World, cut *Host) {
-		w.partition(isolationTime, func(from, to *Host) bool { return to == cut && from != cut })
+	{"nothing reaches it", func(w *World, isolated *Host) {
+		w.partition(isolationTime, func(from, to *Host) bool { return to == isolated && from != isolated })
 	}, false},
-	{"from the other controllers", func(w *World, cut *Host) {
+	{"from the other controllers", func(w *World, isolated *Host) {
 		w.partition(isolationTime, func(from, to *Host) bool {
-			return from != to && from.Disk != nil && to.Disk != nil && (from == cut || to == cut)
+			return from != to && from.Disk != nil && to.Disk != nil && (from == isolated || to == isolated)
 		})
 	}, false},
-	{"from one other controller", func(w *World, cut *Host) {
-		other := w.controllerHosts[(slices.Index(w.controllerHosts, cut)+1)%len(w.controllerHosts)]
-		w.partition(isolationTime, func(from, to *Host) bool { return from == cut && to == other || from == other && to == cut })
+	{"from one other controller", func(w *World, isolated *Host) {
+		other := w.controllerHosts[(slices.Index(w.controllerHosts, isolated)+1)%len(w.controllerHosts)]
+		w.partition(isolationTime, func(from, to *Host) bool { return from == isolated && to == other || from == other && to == isolated })
 	}, true},
-	{"connections reset repeatedly", func(w *World, cut *Host) {
+	{"connections reset repeatedly", func(w *World, isolated *Host) {
 		w.partition(isolationTime, func(from, to *Host) bool {
-			return (from == cut) != (to == cut) && time.Duration(w.Now)%(400*time.Millisecond) < 350*time.Millisecond
+			return (from == isolated) != (to == isolated) && time.Duration(w.Now)%(400*time.Millisecond) < 350*time.Millisecond
 		})
 	}, true},
 	// A refused connection counts as proof that the process has ended, so its lease to query the platform is granted to
 	// another at once. If something else refuses the connection, two controllers hold that lease for its term.
-	{connectionsRefused, func(w *World, cut *Host) {
-		w.partition(isolationTime, func(from, to *Host) bool { return (from == cut) != (to == cut) })
-		w.keepRefusing(cut, w.Now.Add(isolationTime))
+	{connectionsRefused, func(w *World, isolated *Host) {
+		w.partition(isolationTime, func(from, to *Host) bool { return (from == isolated) != (to == isolated) })
+		w.keepRefusing(isolated, w.Now.Add(isolationTime))
 	}, false},
-	{"restarted while isolated", func(w *World, cut *Host) {
-		w.isolate(cut, isolationTime)
-		w.After(5*time.Second, func() { w.restart(cut, 300*time.Millisecond, false) })
+	{"restarted while isolated", func(w *World, isolated *Host) {
+		w.isolate(isolated, isolationTime)
+		w.After(5*time.Second, func() { w.restart(isolated, 300*time.Millisecond, false) })
 	}, false},
-	{"restarted with other seeds", func(w *World, cut *Host) {
-		w.isolate(cut, isolationTime)
+	{"restarted with other seeds", func(w *World, isolated *Host) {
+		w.isolate(isolated, isolationTime)
 		w.After(5*time.Second, func() {
-			if cut.Bootstrap != nil {
-				cut.Bootstrap.Seeds = []string{w.routerHosts[0].Addr, "nowhere", cut.Addr}
+			if isolated.Bootstrap != nil {
+				isolated.Bootstrap.Seeds = []string{w.routerHosts[0].Addr, "nowhere", isolated.Addr}
 			}
-			w.restart(cut, 300*time.Millisecond, false)
+			w.restart(isolated, 300*time.Millisecond, false)
 		})
 	}, false},
 }
--- a/internal/simulator/replace_member_test.go
+++ b/internal/simulator/replace_member_test.go
@@ -99,26 +99,26 @@
 // the catch-up time, more controllers are lost right after an acknowledgement. The acknowledged value must survive.
 func TestGracefulReplacementThenLoss(t *testing.T) {
 	t.Parallel()
-	for _, x := range []struct{ disks, lost int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
-		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
+	for _, test := range []struct{ disks, lost int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			t.Parallel()
 			for seed := *firstSeed; seed < *firstSeed+25; seed++ {
-				w := bootstrappedWorld(seed, x.disks)
+				w := bootstrappedWorld(seed, test.disks)
 				w.Run(units.Time(8 * time.Second))
 				w.writeConfig(t, 0)
 				for round := range 2 {
 					w.replaceGracefully()
-					if !w.toleratesLoss(x.lost) {
-						t.Errorf("%d disks, seed %d, round %d: %v does not tolerate the loss of %d", x.disks, seed, round, w.newestQuorum(), x.lost)
+					if !w.toleratesLoss(test.lost) {
+						t.Errorf("%d disks, seed %d, round %d: %v does not tolerate the loss of %d", test.disks, seed, round, w.newestQuorum(), test.lost)
 					}
 					w.writeConfig(t, 10+round)
 				}
-				w.loseAfterAcknowledgement(t, 20, int(seed), x.lost)
+				w.loseAfterAcknowledgement(t, 20, int(seed), test.lost)
 				if _, ok := w.runUntil(20*time.Second, w.quorumComplete); !ok {
-					t.Errorf("%d disks, seed %d: the quorum set is not complete again: %v", x.disks, seed, w.newestQuorum())
+					t.Errorf("%d disks, seed %d: the quorum set is not complete again: %v", test.disks, seed, w.newestQuorum())
 				}
 				for _, f := range CheckHistory(w.History) {
-					t.Errorf("%d disks, seed %d: %s", x.disks, seed, f)
+					t.Errorf("%d disks, seed %d: %s", test.disks, seed, f)
 				}
 			}
 		})
@@ -175,13 +175,13 @@
 // power at any moment between, and changes must still be acknowledged.
 func TestRollingRestartToleratesLoss(t *testing.T) {
 	t.Parallel()
-	for _, x := range []struct{ disks, spare int }{{3, 1}, {4, 0}, {4, 1}, {6, 0}} {
-		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
+	for _, test := range []struct{ disks, spare int }{{3, 1}, {4, 0}, {4, 1}, {6, 0}} {
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			t.Parallel()
 			for seed := *firstSeed; seed < *firstSeed+12; seed++ {
-				w := bootstrappedWorld(seed, x.disks+x.spare)
+				w := bootstrappedWorld(seed, test.disks+test.spare)
 				w.Run(units.Time(8 * time.Second))
-				number := 0
+				change := 0
 				for _, h := range slices.Clone(w.controllerHosts) {
 					w.drainAndReturn(h)
 					w.Run(w.Now.Add(time.Duration(w.Rng.Int64N(int64(time.Second)))))
@@ -192,13 +192,13 @@
 					if other != nil && other.Proc != nil {
 						w.restart(other, time.Second, false)
 					}
-					number++
-					text, version := w.writeConfigWithRetries(t, number)
+					change++
+					text, version := w.writeConfigWithRetries(t, change)
 					w.checkReadBack(t, text, version)
 					w.Run(w.Now.Add(5*time.Second + catchUpTime))
 				}
 				if !w.quorumComplete() {
-					t.Errorf("%d disks, seed %d: the quorum set is %v", x.disks, seed, w.newestQuorum())
+					t.Errorf("%d disks, seed %d: the quorum set is %v", test.disks, seed, w.newestQuorum())
 				}
 			}
 		})
--- a/internal/simulator/resend_test.go
+++ b/internal/simulator/resend_test.go
@@ -39,33 +39,33 @@
 
 // read retries a read of the configuration until it succeeds.
 func (p *operators) read(then func(units.Version)) {
-	from, w := p.w.Now, p.w
+	calledAt, w := p.w.Now, p.w
 	w.Call(register.Request{Key: "config"}, func(o *Op) {
 		if o.Code != resultcode.OK {
 			w.After(200*time.Millisecond, func() { p.read(then) })
 			return
 		}
-		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(from), ReturnedAt: int64(w.Now), Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
+		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(calledAt), ReturnedAt: int64(w.Now), Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
 		then(o.Version)
 	})
 }
 
 // send sends one copy of a request, and the next after a random time unless a final answer has been received.
-func (p *operators) send(x *request, lossRate float64, done func()) {
+func (p *operators) send(sent *request, lossRate float64, done func()) {
 	w := p.w
 	if c := w.anyController(); c != nil {
-		c.Submit(w.Sim, x.body, func(r register.Result) {
-			x.answers = append(x.answers, r)
-			if x.answeredAt > 0 || !isFinal(r.Code) || p.rng.Float64() < lossRate {
+		c.Submit(w.Sim, sent.body, func(r register.Result) {
+			sent.answers = append(sent.answers, r)
+			if sent.answeredAt > 0 || !isFinal(r.Code) || p.rng.Float64() < lossRate {
 				return
 			}
-			x.answeredAt, x.receivedAnswer = w.Now, r
+			sent.answeredAt, sent.receivedAnswer = w.Now, r
 			done()
 		})
 	}
 	w.After(300*time.Millisecond+time.Duration(p.rng.Int64N(int64(4*time.Second))), func() {
-		if x.answeredAt == 0 && w.Now < p.until {
-			p.send(x, lossRate, done)
+		if sent.answeredAt == 0 && w.Now < p.until {
+			p.send(sent, lossRate, done)
 		}
 	})
 }
@@ -77,9 +77,9 @@
 	}
 	p.read(func(version units.Version) {
 		n := len(p.requests)
-		x := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: version, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
-		p.requests = append(p.requests, x)
-		p.send(x, lossRate, func() { p.w.After(pause, func() { p.runOperator(lossRate, pause) }) })
+		change := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: version, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
+		p.requests = append(p.requests, change)
+		p.send(change, lossRate, func() { p.w.After(pause, func() { p.runOperator(lossRate, pause) }) })
 	})
 }
 
@@ -159,22 +159,22 @@
 	if !w.hasHealthyMajority() || h.Proc == nil || h.Paused || h.Isolated {
 		return
 	}
-	span := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(4*time.Second)))
+	duration := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(4*time.Second)))
 	switch w.Rng.IntN(6) {
 	case 0:
-		w.restart(h, span, w.Rng.IntN(2) == 0)
+		w.restart(h, duration, w.Rng.IntN(2) == 0)
 	case 1:
-		w.pause(h, span)
+		w.pause(h, duration)
 	case 2:
-		w.isolate(h, span)
+		w.isolate(h, duration)
 	case 3: // partitioned from the other controllers only, in one or both directions
 		both := w.Rng.IntN(2) == 0
-		w.partition(span, func(a, b *Host) bool { return a.Disk != nil && b.Disk != nil && (a == h || both && b == h) })
+		w.partition(duration, func(a, b *Host) bool { return a.Disk != nil && b.Disk != nil && (a == h || both && b == h) })
 	case 4:
-		w.slowDisk(h, 150*time.Millisecond, span)
+		w.slowDisk(h, 150*time.Millisecond, duration)
 	case 5: // disk lost: adding its successor and removing it are two changes of the quorum set
 		if w.quorumComplete() { // one at a time, as the deployments tolerate
-			w.loseDisk(int(w.lastSerial)%len(w.controllerHosts), span, w.Rng.IntN(2) == 0)
+			w.loseDisk(int(w.lastSerial)%len(w.controllerHosts), duration, w.Rng.IntN(2) == 0)
 		}
 	}
 }
--- a/internal/simulator/simulate_test.go
+++ b/internal/simulator/simulate_test.go
@@ -84,11 +84,11 @@
 
 // A failing seed must be replayable: the same seed gives the same messages at the same times and the same disk contents.
 func TestReplay(t *testing.T) {
-	a, b := Simulate(Council, 5), Simulate(Council, 5)
-	if a.fingerprint() != b.fingerprint() {
-		t.Errorf("two runs of one seed differ:\n%s\n%s", a.fingerprint(), b.fingerprint())
+	first, second := Simulate(Council, 5), Simulate(Council, 5)
+	if first.fingerprint() != second.fingerprint() {
+		t.Errorf("two runs of one seed differ:\n%s\n%s", first.fingerprint(), second.fingerprint())
 	}
-	if c := Simulate(Council, 6); c.fingerprint() == a.fingerprint() {
+	if other := Simulate(Council, 6); other.fingerprint() == first.fingerprint() {
 		t.Error("two seeds give the same run")
 	}
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -12,16 +12,16 @@
 )
 
 type event struct {
-	at  units.Time
-	seq uint64
-	run func()
+	at       units.Time
+	sequence uint64
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
--- a/internal/simulator/statistics.go
+++ b/internal/simulator/statistics.go
@@ -7,37 +7,37 @@
 
 // checkRunStart checks the worker's capacity and warm-up limit, and that neither its draining nor the evacuation of its
 // zone is too old for a new run.
-func (w *World) checkRunStart(router *Router, x *worker) {
-	running := len(x.runs)
+func (w *World) checkRunStart(router *Router, target *worker) {
+	running := len(target.runs)
 	w.Stats.MaxConcurrent = max(w.Stats.MaxConcurrent, running)
 	if running > workerCapacity {
-		w.reportViolation("worker %s runs %d requests, capacity %d", x.id, running, workerCapacity)
+		w.reportViolation("worker %s runs %d requests, capacity %d", target.id, running, workerCapacity)
 	}
-	if uptime := w.Now.Sub(x.startedAt); uptime < warmUpTime && w.Now > x.restartKnownAt {
+	if uptime := w.Now.Sub(target.startedAt); uptime < warmUpTime && w.Now > target.restartKnownAt {
 		if warmUpLimit := max(1, int(int64(workerCapacity)*int64(uptime)/int64(warmUpTime))); running > warmUpLimit+1 {
-			w.reportViolation("worker %s, started %v ago, runs %d requests", x.id, uptime, running)
+			w.reportViolation("worker %s, started %v ago, runs %d requests", target.id, uptime, running)
 		}
 	}
-	if x.drainingSince > 0 {
-		elapsed := w.Now.Sub(max(x.drainingSince, w.platformPathLostAt[router.Host]))
-		x.lastRunAfterDraining = max(x.lastRunAfterDraining, elapsed)
+	if target.drainingSince > 0 {
+		elapsed := w.Now.Sub(max(target.drainingSince, w.platformPathLostAt[router.Host]))
+		target.lastRunAfterDraining = max(target.lastRunAfterDraining, elapsed)
 		if elapsed > 3*time.Second {
-			w.reportViolation("worker %s got a run %v after it was marked as draining, from %s", x.id, elapsed, router.Host.Addr)
+			w.reportViolation("worker %s got a run %v after it was marked as draining, from %s", target.id, elapsed, router.Host.Addr)
 		}
 	}
-	if at, evacuated := w.evacuatedAt[x.zone]; evacuated && at > 0 {
-		elapsed := w.Now.Sub(max(at, w.majorityPathLostAt[router.Host]))
-		if !w.majorityLostWithin(at, w.Now) {
-			w.lastRunAfterEvacuation[x.zone] = max(w.lastRunAfterEvacuation[x.zone], elapsed)
+	if acknowledgedAt, evacuated := w.evacuatedAt[target.zone]; evacuated && acknowledgedAt > 0 {
+		elapsed := w.Now.Sub(max(acknowledgedAt, w.majorityPathLostAt[router.Host]))
+		if !w.majorityLostWithin(acknowledgedAt, w.Now) {
+			w.lastRunAfterEvacuation[target.zone] = max(w.lastRunAfterEvacuation[target.zone], elapsed)
 			if elapsed > 5*time.Second {
-				w.reportViolation("zone %s got a run %v after its evacuation, from %s", x.zone, elapsed, router.Host.Addr)
+				w.reportViolation("zone %s got a run %v after its evacuation, from %s", target.zone, elapsed, router.Host.Addr)
 			}
 		}
 	}
 	if w.recoveringSince > 0 {
 		w.Stats.RecoveryTimes = append(w.Stats.RecoveryTimes, w.Now.Sub(w.recoveringSince))
-		if b := w.Now.Sub(w.recoveringSince); b > 12*time.Second {
-			w.reportViolation("requests ran again only %v after a full loss", b)
+		if elapsed := w.Now.Sub(w.recoveringSince); elapsed > 12*time.Second {
+			w.reportViolation("requests ran again only %v after a full loss", elapsed)
 		}
 		w.recoveringSince = 0
 	}
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -39,13 +39,13 @@
 
 // restartWorker restarts a worker at the same address. It warms up again and its runs are lost.
 func (w *World) restartWorker() {
-	x := w.workers[pick(w, w.listedWorkers).ID]
-	if x.drainingSince > 0 || !x.running {
+	restarted := w.workers[pick(w, w.listedWorkers).ID]
+	if restarted.drainingSince > 0 || !restarted.running {
 		return
 	}
-	x.startedAt, x.restartKnownAt = w.Now, w.Now.Add(restartVisibleWithin)
-	for r := range x.runs {
-		delete(x.runs, r)
+	restarted.startedAt, restarted.restartKnownAt = w.Now, w.Now.Add(restartVisibleWithin)
+	for r := range restarted.runs {
+		delete(restarted.runs, r)
 		w.After(50*time.Millisecond, func() {
 			if r.router.Host.generation == r.generation && !r.router.Host.Paused {
 				w.finishRun(r.router, r.tag, false)
@@ -71,10 +71,10 @@
 }
 
 // removeWorker removes a worker from the list and ends it.
-func (w *World) removeWorker(x *worker) {
-	for i, y := range w.listedWorkers {
-		if y.ID == x.id {
-			x.running = false
+func (w *World) removeWorker(removed *worker) {
+	for i, listed := range w.listedWorkers {
+		if listed.ID == removed.id {
+			removed.running = false
 			w.listedWorkers = slices.Delete(w.listedWorkers, i, i+1)
 			return
 		}
@@ -83,15 +83,15 @@
 
 // replaceAllWorkers replaces all workers one by one. Each is marked as draining four seconds before it ends.
 func (w *World) replaceAllWorkers() {
-	for i, y := range slices.Clone(w.listedWorkers) {
+	for i, listed := range slices.Clone(w.listedWorkers) {
 		w.After(time.Duration(i)*time.Second, func() {
-			x := w.workers[y.ID]
+			replaced := w.workers[listed.ID]
 			for i := range w.listedWorkers {
-				if w.listedWorkers[i].ID == y.ID && x.drainingSince == 0 {
+				if w.listedWorkers[i].ID == listed.ID && replaced.drainingSince == 0 {
 					w.listedWorkers[i].Draining = true
-					x.drainingSince = w.Now
-					w.addWorker(x.zone, 0)
-					w.After(4*time.Second, func() { w.removeWorker(x) })
+					replaced.drainingSince = w.Now
+					w.addWorker(replaced.zone, 0)
+					w.After(4*time.Second, func() { w.removeWorker(replaced) })
 					return
 				}
 			}
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -129,17 +129,17 @@
 	service := router.Config.Services["advice"]
 	query := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(prefix)), Zone: router.Host.Zone, PreferredCount: service.PreferredCount}
 	coordinators := map[string]units.NodeID{}
-	for _, x := range router.Pools[service.Pool] {
-		name := service.Name + "/" + x.ID
-		if x.Draining || router.Evacuated[x.Zone] || x.Service != "" && x.Service != service.Name {
+	for _, candidate := range router.Pools[service.Pool] {
+		name := service.Name + "/" + candidate.ID
+		if candidate.Draining || router.Evacuated[candidate.Zone] || candidate.Service != "" && candidate.Service != service.Name {
 			continue
 		}
 		load := 0.0
 		if l, ok := router.queue.Loads[name]; ok && w.Now.Sub(l.UpdatedAt) < 2*time.Second {
 			load = float64(l.InUse+l.Waiting) / float64(l.Capacity)
 		}
-		query.Candidates = append(query.Candidates, placement.Candidate{Name: name, Zone: x.Zone, Load: load})
-		coordinators[name] = capacity.Coordinator(router.peers, name, x.Zone)
+		query.Candidates = append(query.Candidates, placement.Candidate{Name: name, Zone: candidate.Zone, Load: load})
+		coordinators[name] = capacity.Coordinator(router.peers, name, candidate.Zone)
 	}
 	router.lastTag++
 	tag := router.lastTag
@@ -155,13 +155,13 @@
 		w.reportNotRun(router, key)
 		return
 	}
-	_, id, _ := strings.Cut(decision.Worker, "/")
-	x := w.workers[id]
-	if x == nil || !x.running || !w.alive(router.Host) {
+	_, workerID, _ := strings.Cut(decision.Worker, "/")
+	target := w.workers[workerID]
+	if target == nil || !target.running || !w.alive(router.Host) {
 		w.finishRun(router, tag, false)
 		return
 	}
-	if workerClosed(router, id) {
+	if workerClosed(router, workerID) {
 		w.finishRun(router, tag, false) // the router program checks once more before the dispatch
 		return
 	}
@@ -171,52 +171,52 @@
 			w.reportViolation("%s ran %d times, reported as not run: %v", key, w.runsByKey[key], w.reportedNotRun[key])
 		}
 	}
-	w.startRun(router, tag, deadline, x)
+	w.startRun(router, tag, deadline, target)
 }
 
 func workerClosed(router *Router, id string) bool {
-	for _, y := range router.Pools["main"] {
-		if y.ID == id {
-			return y.Draining || router.Evacuated[y.Zone]
+	for _, listed := range router.Pools["main"] {
+		if listed.ID == id {
+			return listed.Draining || router.Evacuated[listed.Zone]
 		}
 	}
 	return true
 }
 
 // startRun starts a run on a worker and checks the worker's limits.
-func (w *World) startRun(router *Router, tag uint64, deadline units.Time, x *worker) {
+func (w *World) startRun(router *Router, tag uint64, deadline units.Time, target *worker) {
 	duration := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(1800*time.Millisecond)))
-	if x.unresponsive {
+	if target.unresponsive {
 		duration = time.Hour
 	}
 	r := &run{router: router, tag: tag, generation: router.Host.generation, end: min(w.Now.Add(duration), deadline)}
-	x.runs[r] = true
+	target.runs[r] = true
 	w.Stats.Runs++
-	if router.Host.Zone != x.zone {
+	if router.Host.Zone != target.zone {
 		w.Stats.CrossZone++
 	}
-	w.checkRunStart(router, x)
+	w.checkRunStart(router, target)
 	generation := router.Host.generation
 	var finish func()
 	finish = func() {
 		switch {
 		case router.Host.generation != generation:
 			// The router ended: the worker notices the closed connection.
-			delete(x.runs, r)
+			delete(target.runs, r)
 		case router.Host.Paused:
-			delete(x.runs, r) // the worker has finished; the router learns of it when it resumes
+			delete(target.runs, r) // the worker has finished; the router learns of it when it resumes
 			w.After(50*time.Millisecond, finish)
 		default:
-			delete(x.runs, r)
-			w.finishRun(router, tag, !x.running && router.Host.Isolated)
+			delete(target.runs, r)
+			w.finishRun(router, tag, !target.running && router.Host.Isolated)
 		}
 	}
 	w.At(r.end, finish)
 	var watchRouter func()
 	watchRouter = func() {
-		if x.runs[r] && router.Host.generation != generation {
-			w.After(100*time.Millisecond, func() { delete(x.runs, r) })
-		} else if x.runs[r] {
+		if target.runs[r] && router.Host.generation != generation {
+			w.After(100*time.Millisecond, func() { delete(target.runs, r) })
+		} else if target.runs[r] {
 			w.After(100*time.Millisecond, watchRouter)
 		}
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -113,10 +113,10 @@
 func (w *World) addWorker(zone string, age time.Duration) *worker {
 	w.lastSerial++
 	id := fmt.Sprintf("w%02d", w.lastSerial)
-	x := &worker{id: id, zone: zone, runs: map[*run]bool{}, running: true, startedAt: w.Now.Add(-age)}
-	w.workers[id] = x
-	w.listedWorkers = append(w.listedWorkers, listedWorker(x))
-	return x
+	added := &worker{id: id, zone: zone, runs: map[*run]bool{}, running: true, startedAt: w.Now.Add(-age)}
+	w.workers[id] = added
+	w.listedWorkers = append(w.listedWorkers, listedWorker(added))
+	return added
 }
 
 func listedWorker(x *worker) config.Worker { return config.Worker{ID: x.id, Addr: x.id, Zone: x.zone} }
@@ -144,8 +144,8 @@
 // majorityLostWithin reports whether the control plane could not act at some time in the interval; time limits don't apply
 // then (docs/promises.md).
 func (w *World) majorityLostWithin(from, to units.Time) bool {
-	for _, x := range w.outages {
-		if x.from <= to && (x.to == 0 || x.to.Add(recoveryTime) >= from) {
+	for _, outage := range w.outages {
+		if outage.from <= to && (outage.to == 0 || outage.to.Add(recoveryTime) >= from) {
 			return true
 		}
 	}
