--- a/internal/simulator/bootstrap_test.go
+++ b/internal/simulator/bootstrap_test.go
@@ -17,7 +17,8 @@
 
 // bootstrappedIn is bootstrappedWorld with a given number of zones.
 func bootstrappedIn(seed uint64, n, zones int, nonVoting ...int) *World {
-	p := Deployment{Name: fmt.Sprintf("seeds%d", n), RouterZones: []string{"z1", "z2"}, WorkerZones: []string{"z1"}, GrowsFromSeeds: true, NonVoting: nonVoting}
+	p := Deployment{Name: fmt.Sprintf("seeds%d", n), RouterZones: []string{"z1", "z2"}, WorkerZones: []string{"z1"},
+		GrowsFromSeeds: true, NonVoting: nonVoting}
 	for i := range n {
 		p.ControllerZones = append(p.ControllerZones, fmt.Sprintf("z%d", i%zones+1))
 	}
@@ -34,7 +35,8 @@
 		for _, l := range w.NonVoting {
 			nonVoting = nonVoting || l == i
 		}
-		if h.Proc == nil || w.controllers[h].Replica.Quorum().Version != quorum.Version || quorum.Has(h.Disk.ID) && nonVoting || quorum.Joint() {
+		if h.Proc == nil || w.controllers[h].Replica.Quorum().Version != quorum.Version ||
+			quorum.Has(h.Disk.ID) && nonVoting || quorum.Joint() {
 			return false
 		}
 		if !nonVoting {
@@ -101,7 +103,8 @@
 	for _, x := range []struct {
 		n         int
 		nonVoting []int
-	}{{1, nil}, {2, nil}, {3, nil}, {4, nil}, {5, nil}, {6, nil}, {9, nil}, {4, []int{1}}, {6, []int{0, 2}}, {6, []int{0, 1, 2}}, {4, []int{0, 1, 2}}, {9, []int{0, 1, 2, 5}}} {
+	}{{1, nil}, {2, nil}, {3, nil}, {4, nil}, {5, nil}, {6, nil}, {9, nil}, {4, []int{1}}, {6, []int{0, 2}},
+		{6, []int{0, 1, 2}}, {4, []int{0, 1, 2}}, {9, []int{0, 1, 2, 5}}} {
 		var longest time.Duration
 		for seed := *firstSeed; seed < *firstSeed+5; seed++ {
 			w := bootstrappedWorld(seed, x.n, x.nonVoting...)
@@ -150,7 +153,8 @@
 					}
 					w.At(units.Time(w.Rng.Int64N(int64(500*time.Millisecond))), func() {
 						if h.Proc != nil && w.Rng.IntN(3) > 0 {
-							h.Bootstrap.Seeds = []string{pick(w, w.controllerHosts).Addr, pick(w, w.controllerHosts).Addr, pick(w, w.controllerHosts).Addr}
+							h.Bootstrap.Seeds = []string{
+								pick(w, w.controllerHosts).Addr, pick(w, w.controllerHosts).Addr, pick(w, w.controllerHosts).Addr}
 							w.restart(h, 100*time.Millisecond+time.Duration(w.Rng.Int64N(int64(time.Second))), true)
 						}
 					})
@@ -165,7 +169,8 @@
 				return w.quorumComplete()
 			})
 			if !w.quorumComplete() || len(sets) > 1 {
-				t.Errorf("%d disks, %v don't vote, seed %d: voters %v, first sets %v", x.n, x.nonVoting, seed, w.newestQuorum(), sets)
+				t.Errorf("%d disks, %v don't vote, seed %d: voters %v, first sets %v", x.n, x.nonVoting, seed,
+					w.newestQuorum(), sets)
 			}
 		}
 	}
--- a/internal/simulator/catch_up_cost_test.go
+++ b/internal/simulator/catch_up_cost_test.go
@@ -15,7 +15,8 @@
 type controlBytes struct{ register, antiEntropy, push int }
 
 func (w *World) controlBytes() controlBytes {
-	return controlBytes{w.InterZoneBytes[message.KindRegister], w.InterZoneBytes[message.KindAntiEntropy], w.InterZoneBytes[message.KindConfigPush]}
+	return controlBytes{w.InterZoneBytes[message.KindRegister], w.InterZoneBytes[message.KindAntiEntropy],
+		w.InterZoneBytes[message.KindConfigPush]}
 }
 
 func (b controlBytes) minus(o controlBytes) controlBytes {
@@ -98,12 +99,15 @@
 		const seeds = 2
 		for seed := range uint64(seeds) {
 			x := measureCatchUp(t, *firstSeed+seed, missed)
-			c.register, c.antiEntropy, c.push = c.register+x.register/seeds, c.antiEntropy+x.antiEntropy/seeds, c.push+x.push/seeds
+			c.register, c.antiEntropy, c.push = c.register+x.register/seeds, c.antiEntropy+x.antiEntropy/seeds,
+				c.push+x.push/seeds
 			c.duration = max(c.duration, x.duration)
-			c.restBefore, c.restAfter, c.recordsAfter = c.restBefore+x.restBefore/seeds, c.restAfter+x.restAfter/seeds, max(c.recordsAfter, x.recordsAfter)
+			c.restBefore, c.restAfter, c.recordsAfter = c.restBefore+x.restBefore/seeds, c.restAfter+x.restAfter/seeds,
+				max(c.recordsAfter, x.recordsAfter)
 		}
 		t.Logf("%5d changes of %6d B, %3d zones: %7d B of writes, %5d B of anti-entropy, %7d B of pushes; at most %v; at rest %d -> %d B in 30 s; %d records",
-			missed.changes, missed.configBytes, missed.keys, c.register, c.antiEntropy, c.push, c.duration, c.restBefore, c.restAfter, c.recordsAfter)
+			missed.changes, missed.configBytes, missed.keys, c.register, c.antiEntropy, c.push, c.duration, c.restBefore,
+			c.restAfter, c.recordsAfter)
 		return c
 	}
 	few, many := mean(missedChanges{10, 2000, 4}), mean(missedChanges{1000, 2000, 4})
@@ -126,7 +130,8 @@
 	if each := (manyKeys.register + manyKeys.antiEntropy - fewKeys.register - fewKeys.antiEntropy) / 240; each > 8000 {
 		t.Errorf("%d B for each key of 200 B", each)
 	}
-	if bound := units.Time(time.Second); units.Time(many.duration) > bound || units.Time(large.duration) > bound || units.Time(manyKeys.duration) > bound {
+	if bound := units.Time(time.Second); units.Time(many.duration) > bound || units.Time(large.duration) > bound ||
+		units.Time(manyKeys.duration) > bound {
 		t.Errorf("caught up after %v, %v, %v", many.duration, large.duration, manyKeys.duration)
 	}
 }
--- a/internal/simulator/catch_up_test.go
+++ b/internal/simulator/catch_up_test.go
@@ -45,13 +45,16 @@
 	}, startStopped},
 	{"slow disk", func(w *World, i int) { w.controllerHosts[i].Disk.Delay = 150 * time.Millisecond },
 		func(w *World, i int) { w.controllerHosts[i].Disk.Delay = NewDisk().Delay }},
-	{"stalled disk", func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = true }, func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = false }},
+	{"stalled disk", func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = true },
+		func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = false }},
 	{"full disk", func(w *World, i int) {
 		w.controllerHosts[i].Disk.Full, w.controllerHosts[i].Disk.reserveUsed = true, reserveRecords+1
 	},
 		func(w *World, i int) { w.controllerHosts[i].Disk.Full = false }},
-	{"paused", func(w *World, i int) { w.Pause(w.controllerHosts[i]) }, func(w *World, i int) { w.Resume(w.controllerHosts[i]) }},
-	{"isolated", func(w *World, i int) { w.controllerHosts[i].Isolated = true }, func(w *World, i int) { w.controllerHosts[i].Isolated = false }},
+	{"paused", func(w *World, i int) { w.Pause(w.controllerHosts[i]) },
+		func(w *World, i int) { w.Resume(w.controllerHosts[i]) }},
+	{"isolated", func(w *World, i int) { w.controllerHosts[i].Isolated = true },
+		func(w *World, i int) { w.controllerHosts[i].Isolated = false }},
 	{"restarted repeatedly", func(w *World, i int) {
 		for k := range 4 {
 			w.After(time.Duration(k)*250*time.Millisecond, func() { w.Kill(w.controllerHosts[i]) })
@@ -151,7 +154,8 @@
 	})
 	r.catchUpTimes = append(r.catchUpTimes, elapsed)
 	if !ok || elapsed > catchUpBound {
-		t.Errorf("%s: %s of %v at change %d: caught up after %v; voters %v", r.Name, loss.name, lost, r.acknowledgedChanges, elapsed, r.newestQuorum())
+		t.Errorf("%s: %s of %v at change %d: caught up after %v; voters %v", r.Name, loss.name, lost, r.acknowledgedChanges,
+			elapsed, r.newestQuorum())
 	}
 	r.Run(r.Now.Add(max(0, catchUpBound-elapsed)))
 	r.paused = false
@@ -171,7 +175,8 @@
 	}
 	for _, h := range r.controllerHosts {
 		keys := len(message.SortedKeys(r.controllers[h].Replica.States())) // a controller outside the quorum set holds fewer keys
-		if n := controlRecords(h.Disk); n > 2*keys+2 {                     // a promise and a value per key, the quorum set, the bootstrap vote
+		// A promise and a value per key, the quorum set, the bootstrap vote.
+		if n := controlRecords(h.Disk); n > 2*keys+2 {
 			t.Errorf("%s: %s keeps %d records of %d keys after %d changes", r.Name, h.Addr, n, keys, r.acknowledgedChanges)
 		}
 	}
--- a/internal/simulator/check_history.go
+++ b/internal/simulator/check_history.go
@@ -33,16 +33,19 @@
 			}
 			written[o.Version] = true
 			if o.Version != o.ExpectedVersion+1 {
-				bad = append(bad, fmt.Sprintf("%s: a write with expected version %d got version %d", key, o.ExpectedVersion, o.Version))
+				bad = append(bad, fmt.Sprintf("%s: a write with expected version %d got version %d", key, o.ExpectedVersion,
+					o.Version))
 			}
 		}
 		for i, a := range calls {
 			for _, b := range calls[i+1:] {
 				if a.ReturnedAt < b.CalledAt && (b.Version < a.Version || b.Write && b.Version == a.Version) {
-					bad = append(bad, fmt.Sprintf("%s: version %d was observed, and version %d after it", key, a.Version, b.Version))
+					bad = append(bad, fmt.Sprintf("%s: version %d was observed, and version %d after it", key, a.Version,
+						b.Version))
 				}
 				if b.ReturnedAt < a.CalledAt && (a.Version < b.Version || a.Write && a.Version == b.Version) {
-					bad = append(bad, fmt.Sprintf("%s: version %d was observed, and version %d after it", key, b.Version, a.Version))
+					bad = append(bad, fmt.Sprintf("%s: version %d was observed, and version %d after it", key, b.Version,
+						a.Version))
 				}
 			}
 		}
--- a/internal/simulator/controller.go
+++ b/internal/simulator/controller.go
@@ -57,7 +57,8 @@
 
 // AddController adds a host with a disk. controllers maps it to the controller that runs there. The quorum set is
 // bootstrapped from seeds if bootstrap is not nil.
-func (s *Sim) AddController(addr, zone string, fixedQuorumSize int, seeds []string, bootstrap *BootstrapSettings, controllers map[*Host]*Controller) *Host {
+func (s *Sim) AddController(addr, zone string, fixedQuorumSize int, seeds []string, bootstrap *BootstrapSettings,
+	controllers map[*Host]*Controller) *Host {
 	return s.Add(addr, zone, NewDisk(), func(h *Host) *Proc {
 		h.Bootstrap = bootstrap
 		if g := h.Bootstrap; h.Disk.ID == 0 {
@@ -70,10 +71,13 @@
 		if h.Bootstrap != nil {
 			seeds = h.Bootstrap.Seeds
 		}
-		c := &Controller{process: s.newProcess(h, self, membership.Controller, seeds), Host: h, fixedQuorumSize: fixedQuorumSize, planner: quorumPlanner(h.Bootstrap, fixedQuorumSize), catalog: discovery.New(), pollPlatform: s.PollPlatform, pendingRequests: map[uint64]func(register.Result){}}
+		c := &Controller{process: s.newProcess(h, self, membership.Controller, seeds), Host: h,
+			fixedQuorumSize: fixedQuorumSize, planner: quorumPlanner(h.Bootstrap, fixedQuorumSize),
+			catalog: discovery.New(), pollPlatform: s.PollPlatform, pendingRequests: map[uint64]func(register.Result){}}
 		c.gossip.SetFlag(membership.MayVote, h.Bootstrap == nil || h.Bootstrap.MayVote)
 		if g := h.Bootstrap; g != nil {
-			c.seedBootstrap = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.InitialSeeds, Participates: h.Disk.InitialSeeds != nil}
+			c.seedBootstrap = register.SeedBootstrap{Addr: h.Addr, SeedAddrs: h.Disk.InitialSeeds,
+				Participates: h.Disk.InitialSeeds != nil}
 			if !g.MayVote {
 				c.seedBootstrap.SeedAddrs, c.seedBootstrap.Participates = slices.Clone(g.Seeds), g.FirstStart
 			}
@@ -102,7 +106,8 @@
 		}
 		h.Disk.syncOnStart()
 		c.Reload()
-		c.Lease = lease.New(self, "platform", func() []units.NodeID { return c.Replica.Quorum().Members }, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
+		c.Lease = lease.New(self, "platform", func() []units.NodeID { return c.Replica.Quorum().Members }, s.Now,
+			rand.New(rand.NewPCG(s.Rng.Uint64(), 5)))
 		c.Syncer = antientropy.New(self, s.Now, rand.New(rand.NewPCG(s.Rng.Uint64(), 6)))
 		c.configFeed.StoredVersions = func() map[string]units.Version { return c.Replica.KnownVersions() }
 		controllers[h] = c
--- a/internal/simulator/disk_loss_test.go
+++ b/internal/simulator/disk_loss_test.go
@@ -34,7 +34,8 @@
 func (w *World) caughtUp(i int) bool {
 	h := w.controllerHosts[i]
 	quorum := w.newestQuorum()
-	if h.Proc == nil || quorum.Joint() || len(quorum.Members) != quorumSize(len(w.controllerHosts)) || !w.membersExist(quorum) {
+	if h.Proc == nil || quorum.Joint() || len(quorum.Members) != quorumSize(len(w.controllerHosts)) ||
+		!w.membersExist(quorum) {
 		return false
 	}
 	if !quorum.Has(h.Disk.ID) {
@@ -77,9 +78,11 @@
 	}{{n: 3, zones: 3, lost: 1, back: 300 * time.Millisecond}, {n: 3, zones: 3, lost: 1, moved: true, back: time.Second},
 		{n: 4, zones: 4, lost: 1, back: time.Second}, {n: 4, zones: 4, lost: 1, moved: true, back: 300 * time.Millisecond},
 		{n: 5, zones: 5, lost: 2, back: 300 * time.Millisecond}, {n: 5, zones: 3, lost: 2, moved: true, back: time.Second},
-		{n: 6, zones: 3, lost: 2, back: 2 * time.Second}, {n: 6, zones: 4, lost: 2, moved: true, back: 300 * time.Millisecond},
+		{n: 6, zones: 3, lost: 2, back: 2 * time.Second},
+		{n: 6, zones: 4, lost: 2, moved: true, back: 300 * time.Millisecond},
 		{n: 9, zones: 4, lost: 2, back: 500 * time.Millisecond},
-		{n: 4, zones: 4, lost: 1, diskless: true, back: 300 * time.Millisecond}, {n: 6, zones: 3, lost: 1, diskless: true, moved: true, back: time.Second}} {
+		{n: 4, zones: 4, lost: 1, diskless: true, back: 300 * time.Millisecond},
+		{n: 6, zones: 3, lost: 1, diskless: true, moved: true, back: time.Second}} {
 		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
 			t.Parallel()
 			var took []time.Duration
@@ -114,7 +117,8 @@
 					})
 					took = append(took, elapsed)
 					if !ok || elapsed > catchUp {
-						t.Errorf("%d disks in %d zones, diskless %v, %d lost, moved %v, seed %d round %d: replaced after %v; voters %v", x.n, x.zones, x.diskless, x.lost, x.moved, seed, round, elapsed, w.newestQuorum())
+						t.Errorf("%d disks in %d zones, diskless %v, %d lost, moved %v, seed %d round %d: replaced after %v; voters %v",
+							x.n, x.zones, x.diskless, x.lost, x.moved, seed, round, elapsed, w.newestQuorum())
 						break
 					}
 					if w.Run(w.Now.Add(catchUp - elapsed)); round == 1 {
@@ -123,7 +127,8 @@
 				}
 				w.checkReadBack(t, text, version)
 			}
-			t.Logf("%d disks in %d zones, diskless %v, %d lost at once, moved %v, back after %v: voting and caught up %s after the return", x.n, x.zones, x.diskless, x.lost, x.moved, x.back, Percentiles(took))
+			t.Logf("%d disks in %d zones, diskless %v, %d lost at once, moved %v, back after %v: voting and caught up %s after the return",
+				x.n, x.zones, x.diskless, x.lost, x.moved, x.back, Percentiles(took))
 		})
 	}
 }
@@ -188,7 +193,8 @@
 				}
 			}
 			write := func(c *Controller, text string) {
-				w.callAt(c, register.Request{Key: "config", Write: true, ExpectedVersion: version, RequestID: text, Data: []byte(text)}, nil)
+				w.callAt(c, register.Request{Key: "config", Write: true, ExpectedVersion: version, RequestID: text,
+					Data: []byte(text)}, nil)
 			}
 			write(owner, configText(1))
 			w.After(time.Duration(w.Rng.Int64N(int64(15*time.Millisecond))), func() { w.Pause(owner.Host) })
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -20,7 +20,9 @@
 	{"power loss of a controller", func(w *World, d time.Duration) { w.restart(pick(w, w.controllerHosts), d, false) }},
 	{"power loss of a router", func(w *World, d time.Duration) { w.restart(pick(w, w.routerHosts), d, false) }},
 	{"pause router", func(w *World, d time.Duration) { w.pause(pick(w, w.routerHosts), d) }},
-	{"pause router until all permits expire", func(w *World, d time.Duration) { w.pause(pick(w, w.routerHosts), 22*time.Second) }},
+	{"pause router until all permits expire", func(w *World, d time.Duration) {
+		w.pause(pick(w, w.routerHosts), 22*time.Second)
+	}},
 	{"pause controller", func(w *World, d time.Duration) { w.pause(pick(w, w.controllerHosts), d) }},
 	{"router isolated", func(w *World, d time.Duration) { w.isolate(pick(w, w.routerHosts), d) }},
 	{"controller isolated", func(w *World, d time.Duration) { w.isolate(pick(w, w.controllerHosts), d) }},
@@ -59,7 +61,8 @@
 			}
 		}
 	}},
-	{"controller replaced with an empty disk", func(w *World, _ time.Duration) { w.replaceController(w.Rng.IntN(len(w.controllerHosts))) }},
+	{"controller replaced with an empty disk",
+		func(w *World, _ time.Duration) { w.replaceController(w.Rng.IntN(len(w.controllerHosts))) }},
 	{"everything lost", func(w *World, _ time.Duration) { w.restartEverything(nil, 0) }},
 	{"rolling restart", func(w *World, _ time.Duration) { w.rollingRestart() }},
 	{"seeds moved to other hosts", func(w *World, _ time.Duration) {
@@ -76,10 +79,12 @@
 		w.Evacuate(z, true)
 		w.After(max(d, 8*time.Second), func() { w.Evacuate(z, false) })
 	}},
-	{"rapid configuration changes", func(w *World, _ time.Duration) { w.RunOperators(w.Now.Add(3*time.Second), 60*time.Millisecond) }},
+	{"rapid configuration changes", func(w *World, _ time.Duration) {
+		w.RunOperators(w.Now.Add(3*time.Second), 60*time.Millisecond)
+	}},
 	{"platform fails", func(w *World, d time.Duration) { w.setPlatformMode("failing", d) }},
 	{"platform returns an empty list", func(w *World, d time.Duration) { w.setPlatformMode("empty", d) }},
-	{"platform unreachable", func(w *World, d time.Duration) { w.setPlatformMode("unreachable", d) }},
+	{"platform unreachable", func(w *World, d time.Duration) { w.setPlatformMode("gone", d) }},
 	{"platform slow", func(w *World, d time.Duration) { w.setPlatformMode("slow", d) }},
 	{"platform returns a stale list", func(w *World, d time.Duration) { w.setPlatformMode("stale", d) }},
 	{"platform unreachable for the lease holder", (*World).cutPlatformFromLeaseHolder},
@@ -111,7 +116,9 @@
 			w.restart(w.controllerHosts[i], d, false)
 		}
 	}},
-	{"everything lost, one controller for longer", func(w *World, _ time.Duration) { w.restartEverything(pick(w, w.controllerHosts), 15*time.Second) }},
+	{"everything lost, one controller for longer", func(w *World, _ time.Duration) {
+		w.restartEverything(pick(w, w.controllerHosts), 15*time.Second)
+	}},
 	{"everything lost, one disk slow", func(w *World, d time.Duration) {
 		w.slowDisk(pick(w, w.controllerHosts), 150*time.Millisecond, d+10*time.Second)
 		w.restartEverything(nil, 0)
--- a/internal/simulator/full_disk_test.go
+++ b/internal/simulator/full_disk_test.go
@@ -25,7 +25,8 @@
 		w.change("zone/v2", `{"evacuated":true}`, func(o *Op) { results["zone/v2"] = o })
 		w.change("config", configText(1), func(o *Op) { results["config"] = o })
 		w.Run(w.Now.Add(3 * time.Second))
-		if a, b := results["zone/v2"], results["config"]; a == nil || b == nil || a.Code != resultcode.OK || b.Code != resultcode.OK {
+		if a, b := results["zone/v2"], results["config"]; a == nil || b == nil || a.Code != resultcode.OK ||
+			b.Code != resultcode.OK {
 			t.Fatalf("seed %d: results with full disks: %+v, %+v", seed, a, b)
 		}
 		for _, h := range w.controllerHosts {
@@ -64,7 +65,9 @@
 			w.change("config", configText(0), nil)
 			w.Run(w.Now.Add(time.Second))
 			isolated := w.controllerHosts[i]
-			w.partition(time.Hour, func(a, b *Host) bool { return (a == isolated) != (b == isolated) && a.Disk != nil && b.Disk != nil })
+			w.partition(time.Hour, func(a, b *Host) bool {
+				return (a == isolated) != (b == isolated) && a.Disk != nil && b.Disk != nil
+			})
 			w.Run(w.Now.Add(6 * time.Second))
 			for _, key := range []string{"config", "zone/t1", "zone/v1"} {
 				for j, h := range w.controllerHosts {
@@ -74,10 +77,13 @@
 					var readResult, writeResult register.Result
 					w.controllers[h].Submit(w.Sim, register.Request{Key: key}, func(x register.Result) { readResult = x })
 					w.Run(w.Now.Add(time.Second))
-					w.controllers[h].Submit(w.Sim, register.Request{Key: key, Write: true, ExpectedVersion: readResult.Version, RequestID: h.Addr + key, Data: []byte(configText(j))}, func(x register.Result) { writeResult = x })
+					w.controllers[h].Submit(w.Sim, register.Request{Key: key, Write: true,
+						ExpectedVersion: readResult.Version, RequestID: h.Addr + key, Data: []byte(configText(j))},
+						func(x register.Result) { writeResult = x })
 					w.Run(w.Now.Add(time.Second))
 					if readResult.Code != resultcode.OK || writeResult.Code != resultcode.OK {
-						t.Errorf("%s without %s: %s read at %s: %d, written: %d", deployment.Name, isolated.Addr, key, h.Addr, readResult.Code, writeResult.Code)
+						t.Errorf("%s without %s: %s read at %s: %d, written: %d", deployment.Name, isolated.Addr, key,
+							h.Addr, readResult.Code, writeResult.Code)
 					}
 				}
 			}
@@ -103,7 +109,8 @@
 	w.At(units.Time(3*time.Second), func() { w.change("config", configText(0), nil) })
 	w.At(units.Time(8*time.Second), w.GenerateLoad)
 	for i := range 30 {
-		w.At(units.Time(10*time.Second)+units.Time(i)*units.Time(100*time.Millisecond), func() { w.change("config", large(i), nil) })
+		w.At(units.Time(10*time.Second)+units.Time(i)*units.Time(100*time.Millisecond),
+			func() { w.change("config", large(i), nil) })
 	}
 	w.At(units.Time(11*time.Second), func() { w.restart(w.controllerHosts[1], 2*time.Second, true) })
 	w.Run(units.Time(25 * time.Second))
--- a/internal/simulator/inter_zone_traffic_test.go
+++ b/internal/simulator/inter_zone_traffic_test.go
@@ -40,7 +40,9 @@
 				all += w.InterZoneBytes[k]
 			}
 			line += fmt.Sprintf("; %v requests a second: %.2f kB/s: membership %.2f, configuration %.2f, control %.2f, permits %.2f, claims %.2f", rate, float64(all)/20e3,
-				float64(w.InterZoneBytes[message.KindMembership])/20e3, float64(w.InterZoneBytes[message.KindConfigPush])/20e3, float64(w.InterZoneBytes[message.KindRegister]+w.InterZoneBytes[message.KindLease]+w.InterZoneBytes[message.KindAntiEntropy])/20e3,
+				float64(w.InterZoneBytes[message.KindMembership])/20e3,
+				float64(w.InterZoneBytes[message.KindConfigPush])/20e3,
+				float64(w.InterZoneBytes[message.KindRegister]+w.InterZoneBytes[message.KindLease]+w.InterZoneBytes[message.KindAntiEntropy])/20e3,
 				float64(w.InterZoneBytes[message.KindCapacity])/20e3, float64(w.InterZoneBytes[message.KindClaim])/20e3)
 			if rate == 0 {
 				quiet[size] = float64(w.InterZoneBytes[message.KindMembership]) / float64(size)
--- a/internal/simulator/interleaving_controller_test.go
+++ b/internal/simulator/interleaving_controller_test.go
@@ -19,7 +19,8 @@
 		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		m := newVoters(b, map[units.NodeID]units.NodeID{1: 1, 2: 2, 3: 3})
 		for _, x := range []units.NodeID{1, 2} {
-			b.send(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, ExpectedVersion: 0, Data: []byte{byte(x)}}))
+			b.send(x, m[x].Submit(0, register.Request{Tag: uint64(x), Key: "k", Write: true, ExpectedVersion: 0,
+				Data: []byte{byte(x)}}))
 		}
 		b.deliverAll(choose, func() {})
 		// Both retry in their ticks until no message is in flight.
--- a/internal/simulator/interleaving_test.go
+++ b/internal/simulator/interleaving_test.go
@@ -121,7 +121,8 @@
 		b.handlers[1] = func(k message.Message) message.Effects { return controller.Step(0, k) }
 		b.handlers[2] = func(k message.Message) message.Effects { return router.Step(0, k) }
 		for i := range 4 {
-			b.send(1, controller.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1), Data: []byte{byte(i)}}, []units.NodeID{2}))
+			b.send(1, controller.Publish(0, configpush.Item{Key: "config", Version: units.Version(i + 1),
+				Data: []byte{byte(i)}}, []units.NodeID{2}))
 		}
 		lastVersion := units.Version(0)
 		b.deliverAll(choose, func() {
@@ -157,7 +158,8 @@
 				if k.Kind != capacity.Acquire && k.Kind != capacity.Release && k.Kind != capacity.Report {
 					out = queue.Step(0, k)
 				}
-				if k.Kind == capacity.Acquire || k.Kind == capacity.Release || k.Kind == capacity.Report || k.Kind == capacity.ReportRequest {
+				if k.Kind == capacity.Acquire || k.Kind == capacity.Release || k.Kind == capacity.Report ||
+					k.Kind == capacity.ReportRequest {
 					out.Append(ledger.Step(0, k))
 				}
 				return out
@@ -170,7 +172,8 @@
 		b.send(coordinator, ledgers[coordinator].Tick(0))
 		b.deliverAll(func(int) int { return 0 }, func() {})
 		submit := func(x, target units.NodeID) {
-			b.send(x, queues[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee", Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
+			b.send(x, queues[x].Submit(0, admission.Request{Tag: uint64(x) * 10, Policy: "knee",
+				Candidates: []string{"s/w"}, MaxCandidates: 1, Deadline: units.Time(time.Minute),
 				Coordinator: func(string) units.NodeID { return target }}))
 		}
 		submit(1, coordinator)
--- a/internal/simulator/isolated_controller_test.go
+++ b/internal/simulator/isolated_controller_test.go
@@ -49,7 +49,8 @@
 	r.lastSerial++
 	request := register.Request{Key: "config"}
 	if r.Rng.IntN(3) > 0 {
-		request = register.Request{Key: "config", Write: true, RequestID: fmt.Sprint("cut", r.lastSerial), Data: []byte(configText(r.lastSerial)),
+		request = register.Request{Key: "config", Write: true, RequestID: fmt.Sprint("cut", r.lastSerial),
+			Data:            []byte(configText(r.lastSerial)),
 			ExpectedVersion: knownVersion + units.Version(r.Rng.IntN(2))}
 	}
 	sent, generation := r.Now, r.isolated.generation
@@ -61,7 +62,8 @@
 			r.reportViolation("the isolated controller answered after %v", r.Now.Sub(sent))
 		case result.Code == resultcode.OK && !r.reachesMajority && r.Now < until:
 			r.reportViolation("the isolated controller acknowledged %+v with %+v", request, result)
-		case result.Code != resultcode.OK && result.Code != resultcode.CommitUnknown && result.Code != resultcode.NoMajority && !r.reachesMajority && r.Now < until:
+		case result.Code != resultcode.OK && result.Code != resultcode.CommitUnknown &&
+			result.Code != resultcode.NoMajority && !r.reachesMajority && r.Now < until:
 			r.reportViolation("the isolated controller refused %+v with %+v", request, result)
 		}
 		r.resultCounts[fmt.Sprint("isolated: ", result.Code)]++
@@ -88,7 +90,8 @@
 			index++
 		}
 		h := r.controllerHosts[index%len(r.controllerHosts)]
-		r.submitWithTimeout(r.controllers[h], register.Request{Key: "config", Write: true, ExpectedVersion: expected, RequestID: requestID, Data: document}, func(result register.Result) {
+		r.submitWithTimeout(r.controllers[h], register.Request{Key: "config", Write: true, ExpectedVersion: expected,
+			RequestID: requestID, Data: document}, func(result register.Result) {
 			r.resultCounts[fmt.Sprint("others: ", result.Code)]++
 			elapsed := r.Now.Sub(startedAt)
 			r.longestRequest = max(r.longestRequest, elapsed)
@@ -131,7 +134,8 @@
 		checked[router] = true
 		for _, config := range r.acknowledged {
 			if config.version > router.ConfigVersion && r.Now.Sub(config.at) > 2*time.Second {
-				r.reportViolation("%s becomes ready with configuration %d, %d was acknowledged at %v", h.Addr, router.ConfigVersion, config.version, config.at)
+				r.reportViolation("%s becomes ready with configuration %d, %d was acknowledged at %v", h.Addr,
+					router.ConfigVersion, config.version, config.at)
 			}
 		}
 	}
@@ -156,7 +160,8 @@
 	r.Run(end)
 	elapsed, ok := r.runUntil(reconnectLimit, func() bool {
 		done := false
-		r.submitWithTimeout(r.controllers[r.isolated], register.Request{Key: "config"}, func(result register.Result) { done = result.Code == resultcode.OK })
+		r.submitWithTimeout(r.controllers[r.isolated], register.Request{Key: "config"},
+			func(result register.Result) { done = result.Code == resultcode.OK })
 		r.Run(r.Now.Add(retryInterval))
 		return done
 	})
@@ -189,7 +194,8 @@
 			resultCounts, longest := map[string]int{}, []time.Duration{}
 			for seed := *firstSeed; seed < *firstSeed+isolationSeeds; seed++ {
 				disks := 3 + int(seed)%3
-				r := &isolationRun{World: bootstrappedWorld(seed, disks), t: t, reachesMajority: kind.reachesMajority, resultCounts: resultCounts}
+				r := &isolationRun{World: bootstrappedWorld(seed, disks), t: t, reachesMajority: kind.reachesMajority,
+					resultCounts: resultCounts}
 				r.run(kind.isolate)
 				r.checkHistory(kind.name)
 				for _, f := range r.Violations {
@@ -199,7 +205,8 @@
 				longest = append(longest, r.longestRequest)
 				mu.Unlock()
 			}
-			t.Logf("%d seeds, results %v; longest request to the others: %s", isolationSeeds, resultCounts, Percentiles(longest))
+			t.Logf("%d seeds, results %v; longest request to the others: %s", isolationSeeds, resultCounts,
+				Percentiles(longest))
 		})
 	}
 }
--- a/internal/simulator/isolation_kinds_test.go
+++ b/internal/simulator/isolation_kinds_test.go
@@ -32,11 +32,14 @@
 	}, false},
 	{"from one other controller", func(w *World, isolated *Host) {
 		other := w.controllerHosts[(slices.Index(w.controllerHosts, isolated)+1)%len(w.controllerHosts)]
-		w.partition(isolationTime, func(from, to *Host) bool { return from == isolated && to == other || from == other && to == isolated })
+		w.partition(isolationTime, func(from, to *Host) bool {
+			return from == isolated && to == other || from == other && to == isolated
+		})
 	}, true},
 	{"connections reset repeatedly", func(w *World, isolated *Host) {
 		w.partition(isolationTime, func(from, to *Host) bool {
-			return (from == isolated) != (to == isolated) && time.Duration(w.Now)%(400*time.Millisecond) < 350*time.Millisecond
+			return (from == isolated) != (to == isolated) &&
+				time.Duration(w.Now)%(400*time.Millisecond) < 350*time.Millisecond
 		})
 	}, true},
 	// A refused connection counts as proof that the process has ended, so its lease to query the platform is granted to
@@ -88,7 +91,8 @@
 		}
 	}
 	i := len(w.History)
-	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now, ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: controller.Host.Addr})
+	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now,
+		ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: controller.Host.Addr})
 	controller.Submit(w.Sim, request, func(r register.Result) {
 		op := &w.History[i]
 		if op.Code, op.Version = r.Code, r.Version; pending {
--- a/internal/simulator/layout_test.go
+++ b/internal/simulator/layout_test.go
@@ -16,7 +16,8 @@
 		`to advice promise p6 repeat`, `to advice 90, other 10 promise p6 repeat tries 2 rank 1 stream resume pause 400`,
 		`when path = \"/v1/notice\" to advice promise p4 once`, `when host = \"a\" and under = \"/v1/notice\" to advice promise p4 once single`).Replace(configText(1))
 	c, faults := config.Parse([]byte(text))
-	if len(faults) > 0 || c.Services["advice"].MemoryTokens != 50000 || c.Services["advice"].Capacity != 0 || len(c.Mappings[0].Split) != 2 || !c.Mappings[1].Single {
+	if len(faults) > 0 || c.Services["advice"].MemoryTokens != 50000 || c.Services["advice"].Capacity != 0 ||
+		len(c.Mappings[0].Split) != 2 || !c.Mappings[1].Single {
 		t.Fatal(faults, text)
 	}
 	w := NewWorld(Vatuloa, *firstSeed)
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -13,7 +13,8 @@
 func (s *Sim) apply(h *Host, effects message.Effects) {
 	// Messages of one step may come in map order; a replayable run needs a fixed order.
 	slices.SortStableFunc(effects.Messages, func(a, b message.Message) int {
-		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Kind, b.Kind), bytes.Compare(a.Body, b.Body))
+		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Kind, b.Kind),
+			bytes.Compare(a.Body, b.Body))
 	})
 	for _, m := range effects.Messages {
 		s.send(h, m)
@@ -63,7 +64,8 @@
 	if to != nil && to.Zone != h.Zone {
 		s.InterZoneBytes[m.Kind&^15] += 24 + len(m.Body)
 	}
-	if to == nil || to != h && (h.Isolated || to.Isolated || s.Partitioned(h, to) || s.LossRate > 0 && s.Rng.Float64() < s.LossRate) {
+	if to == nil || to != h && (h.Isolated || to.Isolated || s.Partitioned(h, to) ||
+		s.LossRate > 0 && s.Rng.Float64() < s.LossRate) {
 		return
 	}
 	generation := to.generation
@@ -84,7 +86,8 @@
 // RefuseConnections notifies all reachable processes that connections to a killed process's address are refused.
 func (s *Sim) RefuseConnections(dead *Host) {
 	for _, h := range s.Hosts {
-		if h != dead && h.Proc != nil && !h.Isolated && !dead.Isolated && !s.Partitioned(h, dead) && h.Proc.OnConnectionRefused != nil {
+		if h != dead && h.Proc != nil && !h.Isolated && !dead.Isolated && !s.Partitioned(h, dead) &&
+			h.Proc.OnConnectionRefused != nil {
 			s.After(50*time.Millisecond+s.networkDelay(h, dead), func() {
 				if h.Proc != nil && !h.Paused && dead.Proc == nil {
 					h.Proc.OnConnectionRefused(s.Now, dead.Addr)
--- a/internal/simulator/old_quorum_test.go
+++ b/internal/simulator/old_quorum_test.go
@@ -36,7 +36,8 @@
 func (q *oldQuorum) replaceMember(old *Host) {
 	q.t.Helper()
 	q.former = append(q.former, old)
-	replacement := q.AddController(fmt.Sprintf("core%d", len(q.controllerHosts)+1), "z4", 3, nil, &BootstrapSettings{MayVote: true, Seeds: q.seeds}, q.controllers)
+	replacement := q.AddController(fmt.Sprintf("core%d", len(q.controllerHosts)+1), "z4", 3, nil,
+		&BootstrapSettings{MayVote: true, Seeds: q.seeds}, q.controllers)
 	q.controllerHosts = append(q.controllerHosts, replacement)
 	replaced := func() bool { return q.newestQuorum().Has(replacement.Disk.ID) && !q.newestQuorum().Has(old.Disk.ID) }
 	if _, ok := q.runUntil(20*time.Second, replaced); !ok {
@@ -48,7 +49,8 @@
 func (q *oldQuorum) write(expected units.Version) units.Version {
 	q.t.Helper()
 	var version units.Version
-	request := register.Request{Key: "config", Write: true, ExpectedVersion: expected, RequestID: "next", Data: []byte(configText(1))}
+	request := register.Request{Key: "config", Write: true, ExpectedVersion: expected, RequestID: "next",
+		Data: []byte(configText(1))}
 	acknowledged := func() bool {
 		q.callAt(q.controllers[q.controllerHosts[2]], request, func(o *Op) {
 			if o.Code == resultcode.OK {
@@ -87,14 +89,17 @@
 		w.Start(q.router)
 		w.Run(w.Now.Add(400 * time.Millisecond))
 		if _, served := w.runUntil(10*time.Second, func() bool { return w.routers[q.router].Ready }); served {
-			t.Errorf("seed %d: the router serves configuration %d, %d was acknowledged", seed, w.routers[q.router].ConfigVersion, newest)
+			t.Errorf("seed %d: the router serves configuration %d, %d was acknowledged", seed,
+				w.routers[q.router].ConfigVersion, newest)
 		}
 		if w.routers[q.router].Config != nil {
 			heardOld++
 		}
 		healed, w.LossRate = true, 0
-		if took, ok := w.runUntil(4*time.Second, func() bool { return w.routers[q.router].Ready }); !ok || w.routers[q.router].ConfigVersion != newest {
-			t.Errorf("seed %d: connected again for %v, the router is ready: %v, with configuration %d", seed, took, ok, w.routers[q.router].ConfigVersion)
+		if took, ok := w.runUntil(4*time.Second, func() bool { return w.routers[q.router].Ready }); !ok ||
+			w.routers[q.router].ConfigVersion != newest {
+			t.Errorf("seed %d: connected again for %v, the router is ready: %v, with configuration %d", seed, took, ok,
+				w.routers[q.router].ConfigVersion)
 		}
 	}
 	if heardOld < 30 {
--- a/internal/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -60,7 +60,8 @@
 		return
 	}
 	index := len(w.History)
-	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now, ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: controller.Host.Addr})
+	w.History = append(w.History, Op{Key: request.Key, Write: request.Write, CalledAt: w.Now,
+		ExpectedVersion: request.ExpectedVersion, Data: string(request.Data), controllerAddr: controller.Host.Addr})
 	controller.Submit(w.Sim, request, func(r register.Result) {
 		op := &w.History[index]
 		op.ReturnedAt, op.Code, op.Version = w.Now, r.Code, r.Version
@@ -82,7 +83,8 @@
 		if o.Code != resultcode.OK {
 			return
 		}
-		w.Call(register.Request{Key: key, Write: true, ExpectedVersion: o.Version, RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
+		w.Call(register.Request{Key: key, Write: true, ExpectedVersion: o.Version,
+			RequestID: fmt.Sprintf("p%d", w.Rng.Uint64()), Data: []byte(data)}, done)
 	})
 }
 
@@ -135,7 +137,8 @@
 				continue
 			}
 			if !w.majorityLostWithin(a.at, w.Now) {
-				w.reportViolation("%s serves with configuration %d, %v after %d was acknowledged", h.Addr, e.ConfigVersion, elapsed, a.version)
+				w.reportViolation("%s serves with configuration %d, %v after %d was acknowledged", h.Addr, e.ConfigVersion,
+					elapsed, a.version)
 			}
 			break
 		}
@@ -146,8 +149,10 @@
 // 2 s ago, also when the router has just started or resumed.
 func (w *World) checkConfigIsCurrent(e *Router) {
 	for _, a := range w.acknowledged {
-		if w.Now.Sub(max(a.at, w.majorityPathLostAt[e.Host])) > 2*time.Second && a.version > e.ConfigVersion && !w.majorityLostWithin(a.at, w.Now) {
-			w.reportViolation("%s takes a request with configuration %d; %d was acknowledged %v ago", e.Host.Addr, e.ConfigVersion, a.version, w.Now.Sub(a.at))
+		if w.Now.Sub(max(a.at, w.majorityPathLostAt[e.Host])) > 2*time.Second && a.version > e.ConfigVersion &&
+			!w.majorityLostWithin(a.at, w.Now) {
+			w.reportViolation("%s takes a request with configuration %d; %d was acknowledged %v ago", e.Host.Addr,
+				e.ConfigVersion, a.version, w.Now.Sub(a.at))
 			return
 		}
 	}
--- a/internal/simulator/platform.go
+++ b/internal/simulator/platform.go
@@ -21,7 +21,7 @@
 	generation := controller.Host.generation
 	roundTrip := 2*time.Millisecond + time.Duration(w.Rng.Int64N(int64(8*time.Millisecond)))
 	switch {
-	case w.platformUnreachable[controller.Host] || controller.Host.Isolated || w.platformMode == "unreachable":
+	case w.platformUnreachable[controller.Host] || controller.Host.Isolated || w.platformMode == "gone":
 		w.After(time.Second, func() { // timeout
 			w.Inject(controller.Host, func(now units.Time) message.Effects {
 				if controller.Host.generation == generation && controller.Lease.Holds(now) {
@@ -58,7 +58,8 @@
 	}
 	w.Inject(controller.Host, func(now units.Time) (out message.Effects) {
 		if data, changed := controller.catalog.RecordAnswer(query, list); changed {
-			controller.publish(now, configpush.Item{Key: discovery.Key("main", controller.Self), Version: query.Version, Data: data}, &out)
+			controller.publish(now, configpush.Item{Key: discovery.Key("main", controller.Self), Version: query.Version,
+				Data: data}, &out)
 		}
 		return out
 	})
@@ -119,5 +120,6 @@
 
 // canPollPlatform reports whether a controller is a voter and reaches the platform.
 func (w *World) canPollPlatform(h *Host) bool {
-	return w.alive(h) && w.controllers[h].Replica.Quorum().Has(w.controllers[h].Self) && !w.platformUnreachable[h] && (w.platformMode == "" || w.platformMode == "slow")
+	return w.alive(h) && w.controllers[h].Replica.Quorum().Has(w.controllers[h].Self) && !w.platformUnreachable[h] &&
+		(w.platformMode == "" || w.platformMode == "slow")
 }
--- a/internal/simulator/power_loss_test.go
+++ b/internal/simulator/power_loss_test.go
@@ -50,7 +50,8 @@
 // Acknowledged changes and evacuations must be read back, and the quorum set must be complete again for the next round.
 func TestDisksLostDuringPowerLoss(t *testing.T) {
 	t.Parallel()
-	for _, x := range []struct{ counted, nonVoting, lost int }{{3, 0, 1}, {3, 3, 1}, {4, 0, 1}, {4, 4, 1}, {5, 2, 2}, {6, 0, 2}, {9, 0, 4}} {
+	for _, x := range []struct{ counted, nonVoting, lost int }{{3, 0, 1}, {3, 3, 1}, {4, 0, 1}, {4, 4, 1}, {5, 2, 2},
+		{6, 0, 2}, {9, 0, 4}} {
 		t.Run(fmt.Sprintf("%+v", x), func(t *testing.T) {
 			t.Parallel()
 			for seed := *firstSeed; seed < *firstSeed+16; seed++ {
--- a/internal/simulator/replace_member_test.go
+++ b/internal/simulator/replace_member_test.go
@@ -109,13 +109,15 @@
 				for round := range 2 {
 					w.replaceGracefully()
 					if !w.toleratesLoss(test.lost) {
-						t.Errorf("%d disks, seed %d, round %d: %v does not tolerate the loss of %d", test.disks, seed, round, w.newestQuorum(), test.lost)
+						t.Errorf("%d disks, seed %d, round %d: %v does not tolerate the loss of %d", test.disks, seed,
+							round, w.newestQuorum(), test.lost)
 					}
 					w.writeConfig(t, 10+round)
 				}
 				w.loseAfterAcknowledgement(t, 20, int(seed), test.lost)
 				if _, ok := w.runUntil(20*time.Second, w.quorumComplete); !ok {
-					t.Errorf("%d disks, seed %d: the quorum set is not complete again: %v", test.disks, seed, w.newestQuorum())
+					t.Errorf("%d disks, seed %d: the quorum set is not complete again: %v", test.disks, seed,
+						w.newestQuorum())
 				}
 				for _, f := range CheckHistory(w.History) {
 					t.Errorf("%d disks, seed %d: %s", test.disks, seed, f)
--- a/internal/simulator/resend_test.go
+++ b/internal/simulator/resend_test.go
@@ -45,7 +45,8 @@
 			w.After(200*time.Millisecond, func() { p.read(then) })
 			return
 		}
-		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(calledAt), ReturnedAt: int64(w.Now), Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
+		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(calledAt), ReturnedAt: int64(w.Now),
+			Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
 		then(o.Version)
 	})
 }
@@ -77,7 +78,8 @@
 	}
 	p.read(func(version units.Version) {
 		n := len(p.requests)
-		change := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: version, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
+		change := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: version,
+			RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
 		p.requests = append(p.requests, change)
 		p.send(change, lossRate, func() { p.w.After(pause, func() { p.runOperator(lossRate, pause) }) })
 	})
@@ -95,13 +97,15 @@
 			case r.Code == resultcode.VersionConflict:
 				refused = true
 			case r.Code == resultcode.OK && (r.Version != x.body.ExpectedVersion+1 || version != 0 && r.Version != version):
-				bad = append(bad, fmt.Sprintf("request %d with expected version %d got versions %d and %d", i, x.body.ExpectedVersion, version, r.Version))
+				bad = append(bad, fmt.Sprintf("request %d with expected version %d got versions %d and %d", i,
+					x.body.ExpectedVersion, version, r.Version))
 			case r.Code == resultcode.OK:
 				version = r.Version
 			}
 		}
 		if !isFinal(x.finalAnswer.Code) {
-			bad = append(bad, fmt.Sprintf("request %d has no final answer after all faults have ended: %d", i, x.finalAnswer.Code))
+			bad = append(bad, fmt.Sprintf("request %d has no final answer after all faults have ended: %d", i,
+				x.finalAnswer.Code))
 		}
 		if version != 0 && refused {
 			bad = append(bad, fmt.Sprintf("request %d was accepted as version %d, and refused", i, version))
@@ -118,7 +122,8 @@
 func (p *operators) checkLinearizable() []string {
 	calls := p.reads
 	for _, x := range p.requests {
-		c := linearizability.Call{Kind: linearizability.Write, CalledAt: int64(x.startedAt), ReturnedAt: int64(x.answeredAt), ExpectedVersion: uint64(x.body.ExpectedVersion),
+		c := linearizability.Call{Kind: linearizability.Write, CalledAt: int64(x.startedAt),
+			ReturnedAt: int64(x.answeredAt), ExpectedVersion: uint64(x.body.ExpectedVersion),
 			Version: uint64(x.body.ExpectedVersion) + 1, Data: string(x.body.Data)}
 		switch x.receivedAnswer.Code {
 		case resultcode.OK:
@@ -194,7 +199,9 @@
 	w.Run(p.until.Add(12 * time.Second))
 	// Resend every request after all faults have ended, also those accepted hundreds of changes ago.
 	for _, x := range p.requests {
-		w.anyController().Submit(w.Sim, x.body, func(r register.Result) { x.answers, x.finalAnswer = append(x.answers, r), r })
+		w.anyController().Submit(w.Sim, x.body, func(r register.Result) {
+			x.answers, x.finalAnswer = append(x.answers, r), r
+		})
 		w.Run(w.Now.Add(20 * time.Millisecond))
 	}
 	w.Run(w.Now.Add(6 * time.Second))
@@ -229,5 +236,6 @@
 	if changes < 100*n || resends < 100*n {
 		t.Errorf("only %d changes and %d repeated acknowledgements in %d seeds", changes, resends, n)
 	}
-	t.Logf("%d seeds: %d changes accepted, at most %d in one seed, %d repeated acknowledgements", n, changes, maxChanges, resends)
+	t.Logf("%d seeds: %d changes accepted, at most %d in one seed, %d repeated acknowledgements", n, changes, maxChanges,
+		resends)
 }
--- a/internal/simulator/router.go
+++ b/internal/simulator/router.go
@@ -48,8 +48,11 @@
 func (s *Sim) AddRouter(addr, zone string, seeds []string, routers map[*Host]*Router) *Host {
 	return s.Add(addr, zone, nil, func(h *Host) *Proc {
 		self := units.NodeID(s.Rng.Uint64() | 1)
-		e := &Router{process: s.newProcess(h, self, membership.Router, seeds), Host: h, Pools: map[string][]config.Worker{}, Evacuated: map[string]bool{},
-			catalog: discovery.New(), queue: admission.New(self), ledger: capacity.New(self), tracker: capacity.NewRouterTracker(), claimant: idempotency.New(self, s.Now), claimCallbacks: map[uint64]func(resultcode.Code, bool){}, startedAt: s.Now,
+		e := &Router{process: s.newProcess(h, self, membership.Router, seeds), Host: h, Pools: map[string][]config.Worker{},
+			Evacuated: map[string]bool{},
+			catalog:   discovery.New(), queue: admission.New(self), ledger: capacity.New(self),
+			tracker: capacity.NewRouterTracker(), claimant: idempotency.New(self, s.Now),
+			claimCallbacks: map[uint64]func(resultcode.Code, bool){}, startedAt: s.Now,
 			decisionCallbacks: map[uint64]func(admission.Decision){}, lastTag: s.Rng.Uint64() >> 8}
 		e.Proc = &Proc{Self: self, Step: e.step, Tick: e.tick, OnResume: func(now units.Time) {
 			e.markNotReady()
@@ -82,7 +85,8 @@
 		if m.Kind != capacity.Acquire && m.Kind != capacity.Release && m.Kind != capacity.Report {
 			out = e.queue.Step(now, m)
 		}
-		if m.Kind == capacity.Acquire || m.Kind == capacity.Release || m.Kind == capacity.Report || m.Kind == capacity.ReportRequest {
+		if m.Kind == capacity.Acquire || m.Kind == capacity.Release || m.Kind == capacity.Report ||
+			m.Kind == capacity.ReportRequest {
 			out.Append(e.ledger.Step(now, m))
 		}
 		e.deliverResults()
--- a/internal/simulator/simulate.go
+++ b/internal/simulator/simulate.go
@@ -32,7 +32,8 @@
 	for _, fault := range faults {
 		at := units.Time(12*time.Second) + units.Time(w.Rng.Int64N(int64(30*time.Second)))
 		duration := 2*time.Second + time.Duration(w.Rng.Int64N(int64(6*time.Second)))
-		w.FaultSchedule = append(w.FaultSchedule, fmt.Sprintf("%v %s for %v", time.Duration(at).Round(time.Millisecond), fault.Name, duration.Round(time.Millisecond)))
+		w.FaultSchedule = append(w.FaultSchedule, fmt.Sprintf("%v %s for %v", time.Duration(at).Round(time.Millisecond),
+			fault.Name, duration.Round(time.Millisecond)))
 		w.At(at, func() { fault.Inject(w, duration) })
 	}
 	w.Run(units.Time(70 * time.Second))
@@ -96,7 +97,7 @@
 		{"router killed", func() { w.Kill(router) }},
 		{"router paused", func() { w.Pause(router) }},
 		{"router isolated", func() { router.Isolated = true }},
-		{"platform unreachable", func() { w.platformMode = "unreachable" }},
+		{"platform unreachable", func() { w.platformMode = "gone" }},
 		{"crowd", func() { w.requestRate *= 3 }},
 		{"every disk full", func() { w.fillDisks(time.Minute) }},
 	}
@@ -107,7 +108,9 @@
 		{"disk stalled", func() { controller.Disk.Stalled = true }},
 		{"disk slow", func() { controller.Disk.Delay = 300 * time.Millisecond }},
 		{"controller isolated from the other controllers", func() {
-			w.partition(time.Minute, func(a, b *Host) bool { return (a == controller) != (b == controller) && a.Disk != nil && b.Disk != nil })
+			w.partition(time.Minute, func(a, b *Host) bool {
+				return (a == controller) != (b == controller) && a.Disk != nil && b.Disk != nil
+			})
 		}},
 	}
 	for _, f := range []fault{pick(w, mild), pick(w, hard)} {
@@ -167,7 +170,8 @@
 			tags[name] = router.lastTag
 			router.decisionCallbacks[router.lastTag] = func(v admission.Decision) { codes[name] = v.Code }
 			w.Inject(h, func(now units.Time) message.Effects {
-				return router.queue.Submit(now, admission.Request{Tag: router.lastTag, Policy: "knee", Candidates: []string{name}, MaxCandidates: 1, Deadline: now.Add(4 * time.Second),
+				return router.queue.Submit(now, admission.Request{Tag: router.lastTag, Policy: "knee",
+					Candidates: []string{name}, MaxCandidates: 1, Deadline: now.Add(4 * time.Second),
 					Coordinator: func(string) units.NodeID { return capacity.Coordinator(router.peers, name, l.Zone) }})
 			})
 		}
--- a/internal/simulator/simulate_test.go
+++ b/internal/simulator/simulate_test.go
@@ -39,7 +39,9 @@
 		var mu sync.Mutex
 		t.Cleanup(func() {
 			t.Logf("%s, %d seeds: %d runs, at most %d at once; median / 99th percentile / maximum: last run after draining %s, after evacuation %s, configuration applied %s, recovery after a full loss %s, without a coordinator %s; of %d claims %d not durable, %d failed",
-				p.Name, *seedCount, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining), Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes), Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
+				p.Name, *seedCount, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining),
+				Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes),
+				Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
 		})
 		for s := *firstSeed; s < *firstSeed+uint64(*seedCount); s++ {
 			t.Run(fmt.Sprint(p.Name, s), func(t *testing.T) {
@@ -106,10 +108,12 @@
 		t.Fatalf("violations in a correct history: %v", bad)
 	}
 	for name, o := range map[string]Op{
-		"lost write":                {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 1, Data: "a", Code: ok},
-		"other bytes":               {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 2, Data: "x", Code: ok},
-		"two writes of one version": {Key: "k", Write: true, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2, Data: "b", Code: ok},
-		"gap":                       {Key: "k", Write: true, CalledAt: 8, ReturnedAt: 9, ExpectedVersion: 2, Version: 5, Data: "e", Code: ok},
+		"lost write":  {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 1, Data: "a", Code: ok},
+		"other bytes": {Key: "k", CalledAt: 8, ReturnedAt: 9, Version: 2, Data: "x", Code: ok},
+		"two writes of one version": {Key: "k", Write: true, CalledAt: 3, ReturnedAt: 9, ExpectedVersion: 1, Version: 2,
+			Data: "b", Code: ok},
+		"gap": {Key: "k", Write: true, CalledAt: 8, ReturnedAt: 9, ExpectedVersion: 2, Version: 5,
+			Data: "e", Code: ok},
 	} {
 		if len(CheckHistory(append(append([]Op(nil), good...), o))) == 0 {
 			t.Errorf("%s is not found", name)
--- a/internal/simulator/statistics.go
+++ b/internal/simulator/statistics.go
@@ -22,7 +22,8 @@
 		elapsed := w.Now.Sub(max(target.drainingSince, w.platformPathLostAt[router.Host]))
 		target.lastRunAfterDraining = max(target.lastRunAfterDraining, elapsed)
 		if elapsed > 3*time.Second {
-			w.reportViolation("worker %s got a run %v after it was marked as draining, from %s", target.id, elapsed, router.Host.Addr)
+			w.reportViolation("worker %s got a run %v after it was marked as draining, from %s", target.id, elapsed,
+				router.Host.Addr)
 		}
 	}
 	if acknowledgedAt, evacuated := w.evacuatedAt[target.zone]; evacuated && acknowledgedAt > 0 {
@@ -30,7 +31,8 @@
 		if !w.majorityLostWithin(acknowledgedAt, w.Now) {
 			w.lastRunAfterEvacuation[target.zone] = max(w.lastRunAfterEvacuation[target.zone], elapsed)
 			if elapsed > 5*time.Second {
-				w.reportViolation("zone %s got a run %v after its evacuation, from %s", target.zone, elapsed, router.Host.Addr)
+				w.reportViolation("zone %s got a run %v after its evacuation, from %s", target.zone, elapsed,
+					router.Host.Addr)
 			}
 		}
 	}
@@ -61,11 +63,14 @@
 
 func (f *Statistics) add(o *Statistics) {
 	f.Runs += o.Runs
-	f.Claims, f.NonDurableClaims, f.FailedClaims = f.Claims+o.Claims, f.NonDurableClaims+o.NonDurableClaims, f.FailedClaims+o.FailedClaims
+	f.Claims, f.NonDurableClaims, f.FailedClaims = f.Claims+o.Claims, f.NonDurableClaims+o.NonDurableClaims,
+		f.FailedClaims+o.FailedClaims
 	f.MaxConcurrent = max(f.MaxConcurrent, o.MaxConcurrent)
-	f.LastRunsAfterDraining, f.LastRunsAfterEvacuation = slices.Concat(f.LastRunsAfterDraining, o.LastRunsAfterDraining), slices.Concat(f.LastRunsAfterEvacuation, o.LastRunsAfterEvacuation)
+	f.LastRunsAfterDraining, f.LastRunsAfterEvacuation = slices.Concat(f.LastRunsAfterDraining, o.LastRunsAfterDraining),
+		slices.Concat(f.LastRunsAfterEvacuation, o.LastRunsAfterEvacuation)
 	f.CoordinatorGaps = slices.Concat(f.CoordinatorGaps, o.CoordinatorGaps)
-	f.ConfigDelays, f.RecoveryTimes = slices.Concat(f.ConfigDelays, o.ConfigDelays), slices.Concat(f.RecoveryTimes, o.RecoveryTimes)
+	f.ConfigDelays, f.RecoveryTimes = slices.Concat(f.ConfigDelays, o.ConfigDelays),
+		slices.Concat(f.RecoveryTimes, o.RecoveryTimes)
 }
 
 // measureCoordinatorGaps records how long each worker had no coordinator that granted permits, from one check to the next.
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -65,7 +65,8 @@
 	rejoining.drainingSince = w.Now
 	w.After(d, func() { w.removeWorker(rejoining) })
 	w.After(d+time.Second, func() {
-		rejoining.running, rejoining.drainingSince, rejoining.startedAt, rejoining.restartKnownAt = true, 0, w.Now, w.Now.Add(restartVisibleWithin)
+		rejoining.running, rejoining.drainingSince, rejoining.startedAt, rejoining.restartKnownAt = true, 0, w.Now,
+			w.Now.Add(restartVisibleWithin)
 		w.listedWorkers = append(w.listedWorkers, listedWorker(rejoining))
 	})
 }
--- a/internal/simulator/workload.go
+++ b/internal/simulator/workload.go
@@ -127,11 +127,13 @@
 
 func (w *World) admit(router *Router, deadline units.Time, prefix int, key string) {
 	service := router.Config.Services["advice"]
-	query := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(prefix)), Zone: router.Host.Zone, PreferredCount: service.PreferredCount}
+	query := placement.Query{Prefix: units.Mix("topic", fmt.Sprint(prefix)), Zone: router.Host.Zone,
+		PreferredCount: service.PreferredCount}
 	coordinators := map[string]units.NodeID{}
 	for _, candidate := range router.Pools[service.Pool] {
 		name := service.Name + "/" + candidate.ID
-		if candidate.Draining || router.Evacuated[candidate.Zone] || candidate.Service != "" && candidate.Service != service.Name {
+		if candidate.Draining || router.Evacuated[candidate.Zone] || candidate.Service != "" &&
+			candidate.Service != service.Name {
 			continue
 		}
 		load := 0.0
@@ -143,8 +145,13 @@
 	}
 	router.lastTag++
 	tag := router.lastTag
-	router.decisionCallbacks[tag] = func(decision admission.Decision) { w.handleDecision(router, tag, deadline, key, decision) }
-	out := router.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy, Candidates: router.placer.Rank(service.PlacementPolicy, query), MaxCandidates: service.PreferredCount + 4, Deadline: deadline,
+	router.decisionCallbacks[tag] = func(decision admission.Decision) {
+		w.handleDecision(router, tag, deadline, key,
+			decision)
+	}
+	out := router.queue.Submit(w.Now, admission.Request{Tag: tag, Policy: service.AdmissionPolicy,
+		Candidates: router.placer.Rank(service.PlacementPolicy, query), MaxCandidates: service.PreferredCount + 4,
+		Deadline:       deadline,
 		FirstTokenTime: service.FirstTokenTime, Coordinator: func(n string) units.NodeID { return coordinators[n] }})
 	router.deliverResults()
 	w.apply(router.Host, out)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -32,8 +32,11 @@
 
 // The two deployments that most tests use.
 var (
-	Vatuloa = Deployment{Name: "vatuloa", ControllerZones: []string{"v1", "v2", "v3"}, RouterZones: zonesOf([]string{"v1", "v2", "v3"}, 3, 3, 3), WorkerZones: zonesOf([]string{"v1", "v2", "v3"}, 6, 6, 6), DisksCanFill: true}
-	Council = Deployment{Name: "council", ControllerZones: []string{"t1", "t2", "t3", "t4"}, RouterZones: zonesOf([]string{"t1", "t2", "t3", "t4"}, 2, 2, 2, 1),
+	Vatuloa = Deployment{Name: "vatuloa", ControllerZones: []string{"v1", "v2", "v3"},
+		RouterZones: zonesOf([]string{"v1", "v2", "v3"}, 3, 3, 3), WorkerZones: zonesOf([]string{"v1", "v2", "v3"}, 6, 6,
+			6), DisksCanFill: true}
+	Council = Deployment{Name: "council", ControllerZones: []string{"t1", "t2", "t3", "t4"},
+		RouterZones: zonesOf([]string{"t1", "t2", "t3", "t4"}, 2, 2, 2, 1),
 		WorkerZones: zonesOf([]string{"t1", "t2", "t3", "t4"}, 5, 5, 4, 4)}
 )
 
@@ -52,7 +55,7 @@
 	workers                map[string]*worker
 	listedWorkers          []config.Worker
 	workerStartTimes       map[string]units.Time
-	platformMode           string          // fault of the platform: unreachable, failing, empty, slow or stale; empty string for none
+	platformMode           string          // fault of the platform: gone (unreachable), failing, empty, slow or stale; "" for none
 	staleList              []config.Worker // the list that it returns in mode stale
 	History                []Op
 	Violations             []string
@@ -82,8 +85,13 @@
 
 // NewWorld builds a deployment whose processes have not discovered each other yet.
 func NewWorld(deployment Deployment, seed uint64) *World {
-	w := &World{Sim: New(seed), Deployment: deployment, controllers: map[*Host]*Controller{}, routers: map[*Host]*Router{}, workers: map[string]*worker{},
-		workerStartTimes: map[string]units.Time{}, evacuatedAt: map[string]units.Time{}, lastRunAfterEvacuation: map[string]time.Duration{}, coordinatedAt: map[string]units.Time{}, requestRate: 40, configVersions: map[*Router]units.Version{}, platformUnreachable: map[*Host]bool{}, platformPathLostAt: map[*Host]units.Time{}, majorityPathLostAt: map[*Host]units.Time{}, runsByKey: map[string]int{}, reportedNotRun: map[string]bool{}, nonDurableClaimAt: map[string]units.Time{}}
+	w := &World{Sim: New(seed), Deployment: deployment, controllers: map[*Host]*Controller{}, routers: map[*Host]*Router{},
+		workers:          map[string]*worker{},
+		workerStartTimes: map[string]units.Time{}, evacuatedAt: map[string]units.Time{},
+		lastRunAfterEvacuation: map[string]time.Duration{}, coordinatedAt: map[string]units.Time{}, requestRate: 40,
+		configVersions: map[*Router]units.Version{}, platformUnreachable: map[*Host]bool{},
+		platformPathLostAt: map[*Host]units.Time{}, majorityPathLostAt: map[*Host]units.Time{},
+		runsByKey: map[string]int{}, reportedNotRun: map[string]bool{}, nonDurableClaimAt: map[string]units.Time{}}
 	for i := range deployment.ControllerZones {
 		w.seeds = append(w.seeds, fmt.Sprintf("core%d", i+1))
 	}
@@ -92,9 +100,11 @@
 	for i, zone := range deployment.ControllerZones {
 		var bootstrap *BootstrapSettings
 		if deployment.GrowsFromSeeds {
-			bootstrap = &BootstrapSettings{MayVote: !slices.Contains(deployment.NonVoting, i), FirstStart: true, Seeds: w.seeds, ToleratedLosses: (len(deployment.ControllerZones) - len(deployment.NonVoting) - 1) / 2}
+			bootstrap = &BootstrapSettings{MayVote: !slices.Contains(deployment.NonVoting, i), FirstStart: true,
+				Seeds: w.seeds, ToleratedLosses: (len(deployment.ControllerZones) - len(deployment.NonVoting) - 1) / 2}
 		}
-		w.controllerHosts = append(w.controllerHosts, w.AddController(fmt.Sprintf("core%d", i+1), zone, len(deployment.ControllerZones), w.seeds, bootstrap, w.controllers))
+		w.controllerHosts = append(w.controllerHosts, w.AddController(fmt.Sprintf("core%d", i+1), zone,
+			len(deployment.ControllerZones), w.seeds, bootstrap, w.controllers))
 	}
 	for i, zone := range deployment.RouterZones {
 		w.routerHosts = append(w.routerHosts, w.AddRouter(fmt.Sprintf("n%d", i+1), zone, w.seeds, w.routers))
