--- a/internal/simulator/catch_up_test.go
+++ b/internal/simulator/catch_up_test.go
@@ -174,7 +174,8 @@
 		t.Errorf("%s: %s", r.Name, f)
 	}
 	for _, h := range r.controllerHosts {
-		keys := len(message.SortedKeys(r.controllers[h].Replica.States())) // a controller outside the quorum set holds fewer keys
+		// A controller outside the quorum set holds fewer keys.
+		keys := len(message.SortedKeys(r.controllers[h].Replica.States()))
 		// A promise and a value per key, the quorum set, the bootstrap vote.
 		if n := controlRecords(h.Disk); n > 2*keys+2 {
 			t.Errorf("%s: %s keeps %d records of %d keys after %d changes", r.Name, h.Addr, n, keys, r.acknowledgedChanges)
--- a/internal/simulator/interleaving_controller_test.go
+++ b/internal/simulator/interleaving_controller_test.go
@@ -54,8 +54,8 @@
 			t.Fatalf("the third owner reads %v", m[3].Results)
 		}
 		r := m[3].Results[0]
-		for num, writer := range acknowledged {
-			if num > r.Version || num == r.Version && r.Data[0] != writer {
+		for version, writer := range acknowledged {
+			if version > r.Version || version == r.Version && r.Data[0] != writer {
 				t.Fatalf("acknowledged %v, read %d %v", acknowledged, r.Version, r.Data)
 			}
 		}
@@ -80,15 +80,16 @@
 		}
 		for now := range 2 {
 			for id, x := range m {
-				if now == 0 || id != 1 {
-					x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[min(1, int(id)/4+now)]}) // all but the first get another view
+				if now == 0 || id != 1 { // in the second round all but the first get another view
+					x.BootstrapFixed(3, register.ControllerView{Uninitialized: views[min(1, int(id)/4+now)]})
 				}
 			}
 			for id := units.NodeID(1); id <= 4; id++ {
 				b.send(id, m[id].Tick(units.Time(now+1)*units.Time(time.Second)))
 			}
 			if now == 0 {
-				b.delayNext = func() bool { return choose(2) == 1 } // any messages of the first round arrive only in the second
+				// Any messages of the first round arrive only in the second.
+				b.delayNext = func() bool { return choose(2) == 1 }
 				b.deliverAll(func(int) int { return 0 }, func() {})
 				b.delayNext = nil
 				continue
