--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -18,7 +18,9 @@
 		console.NewRunCommand(name, func(nodeSettings *settings.Settings) (console.Daemon, error) {
 			return controller.New(nodeSettings, nil)
 		}, dump),
-		console.NewServeCommand(func() (*settings.Settings, error) { return platform.Boot(os.Getenv(platform.SettingsEnv), name) },
+		console.NewServeCommand(func() (*settings.Settings, error) {
+			return platform.ReadProgramSettings(os.Getenv(platform.SettingsEnv), name)
+		},
 			func(nodeSettings *settings.Settings) (console.Daemon, error) {
 				return controller.New(nodeSettings, platform.New(os.Getenv(platform.SettingsEnv), name))
 			},
@@ -26,10 +28,10 @@
 				daemon.(*controller.Controller).Reload(nodeSettings)
 			}, dump),
 		console.NewCheckCommand(name, &console.FileCheck{Flag: "settings", Usage: "a settings file", Check: func(path string) error {
-			_, err := platform.Boot(path, name)
+			_, err := platform.ReadProgramSettings(path, name)
 			return err
 		}},
-			&console.FileCheck{Flag: "deploy", Usage: "a deploy file", Check: platform.Deploy}))
+			&console.FileCheck{Flag: "deploy", Usage: "a deploy file", Check: platform.CheckDeploy}))
 	root.AddCommand(operatorCommands()...)
 	console.Execute(root)
 }
--- a/cmd/testbed/play.go
+++ b/cmd/testbed/play.go
@@ -82,7 +82,7 @@
 			return err
 		}
 		w := &standin.Worker{Listener: wl, Instance: standin.Instance{ID: fmt.Sprint("w", i+1), Service: "llm", Addr: wl.Addr().String(), Zone: fmt.Sprintf("z%d", i%p.zones+1), Slots: 8},
-			Queue: 4, Work: 30 * time.Millisecond, Streams: streams, Size: 800, Sink: j, Tasks: p.f.Tasks}
+			MaxQueued: 4, ProcessingTime: 30 * time.Millisecond, StreamShape: streams, BodyBytes: 800, Sink: j, Tasks: p.f.Tasks}
 		p.work[w.ID] = w
 		p.f.Tasks.Go(func() { _ = w.Serve(wl) })
 		p.list.Set(w.Instance)
@@ -107,7 +107,7 @@
 		}
 	}
 	p.op = &standin.Operator{Nodes: func() []string { return control }, Sink: j, Tasks: p.f.Tasks,
-		Manners: []standin.Manner{standin.Closes, standin.Abandons, standin.Keeps}}
+		ConnModes: []standin.ConnMode{standin.ClosePerCall, standin.AbandonOnTimeout, standin.ReuseConn}}
 	p.doc = standin.Doc{Generation: 1, Targets: []standin.Service{{Name: "llm", Probe: "/health", Conns: 200, Protocol: "h1"}}, Limits: &standin.Bounds{Head: 16384, Body: 1 << 20, HeadMs: 3000, IdleMs: 15000}}
 	if p.doc.Routes = routes; p.reviews > 0 {
 		p.doc.Routes = append(slices.Clone(routes), review)
@@ -115,7 +115,7 @@
 	if status, err := p.op.Put(0, p.doc); status != 200 {
 		return fmt.Errorf("site: the first configuration: %d %v", status, err)
 	}
-	p.op.Acknowledged(p.doc.Generation, standin.JSON(p.doc))
+	p.op.RecordAcknowledged(p.doc.Generation, standin.JSON(p.doc))
 	for end := time.Now().Add(20 * time.Second); ; {
 		p.look()
 		n := 0
@@ -188,7 +188,7 @@
 	if status != 200 || json.Unmarshal(b, &d) != nil {
 		return fmt.Errorf("site: reading the configuration back: %d %v", status, err)
 	}
-	p.op.Read(d.Generation, standin.JSON(d))
+	p.op.RecordRead(d.Generation, standin.JSON(d))
 	return nil
 }
 
@@ -198,7 +198,7 @@
 	var clients []*standin.Client
 	for i := range 4 * p.zones {
 		zone := fmt.Sprintf("z%d", i%p.zones+1)
-		clients = append(clients, &standin.Client{Fronts: func() []string { return p.fronts(zone) }, Keep: i%2 == 0, Eager: i%7 == 6, Sink: p.f.Journal, Tasks: p.f.Tasks})
+		clients = append(clients, &standin.Client{Fronts: func() []string { return p.fronts(zone) }, KeepAlive: i%2 == 0, IgnoreRetryAfter: i%7 == 6, Sink: p.f.Journal, Tasks: p.f.Tasks})
 	}
 	var wg sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
@@ -206,7 +206,7 @@
 		if reviews.Float64() < p.reviews {
 			route = review
 		}
-		a := standin.Ask{Route: route, Path: fmt.Sprint("q", n), Body: fmt.Appendf(nil, "question %d", n), Left: time.Duration(route.DeadlineMs) * time.Millisecond, Tries: 2, Chunked: n%3 == 0}
+		a := standin.Request{Route: route, Path: fmt.Sprint("q", n), Body: fmt.Appendf(nil, "question %d", n), TimeLeft: time.Duration(route.DeadlineMs) * time.Millisecond, MaxAttempts: 2, Chunked: n%3 == 0}
 		if rng.Float64() < p.leave {
 			a.Patience = time.Duration(1 + rng.Int64N(int64(p.patience)))
 		}
--- a/cmd/testbed/play_events.go
+++ b/cmd/testbed/play_events.go
@@ -68,7 +68,7 @@
 	case "evacuate", "readmit":
 		f := p.op.Evacuate
 		if e.Verb == "readmit" {
-			f = p.op.Withdraw
+			f = p.op.Readmit
 		}
 		if status, err := f(e.On); status/100 != 2 {
 			return fmt.Errorf("%d %v", status, err)
@@ -82,7 +82,7 @@
 		return p.work[e.On].Silence()
 	case "wake":
 		p.f.Event(e.Verb, e.On)
-		return p.work[e.On].Wake()
+		return p.work[e.On].EndSilence()
 	case "storm":
 		return p.storm()
 	case "killall", "startall":
@@ -167,7 +167,7 @@
 			p.f.Tasks.Go(func() {
 				status, _ := p.op.Put(g, d)
 				if status == 200 {
-					p.op.Acknowledged(d.Generation, standin.JSON(d))
+					p.op.RecordAcknowledged(d.Generation, standin.JSON(d))
 				}
 				got <- status
 			})
--- a/cmd/testbed/routes.go
+++ b/cmd/testbed/routes.go
@@ -10,13 +10,13 @@
 const siteHost = "desk.example"
 
 var routes = []standin.Route{
-	{Name: "talk", Host: siteHost, Prefix: "/talk/", Variant: "streaming", Resumable: true, DeadlineMs: 8000, GoalMs: 800, GapMs: 400, Tries: 2, Target: "llm"},
+	{Name: "talk", Host: siteHost, Prefix: "/talk/", Variant: "streaming", Resumable: true, DeadlineMs: 8000, GoalMs: 800, GapGoalMs: 400, Tries: 2, Target: "llm"},
 	{Name: "notice", Host: siteHost, Prefix: "/notice/", Variant: "effectful", DeadlineMs: 4000, GoalMs: 800, Tries: 2, Target: "llm"},
 	{Name: "ask", Host: siteHost, Prefix: "/ask/", Variant: "pure", DeadlineMs: 3000, GoalMs: 500, Tries: 2, Target: "llm"},
 }
 
 // review is a route of long streams.
-var review = standin.Route{Name: "review", Host: siteHost, Prefix: "/review/", Variant: "streaming", DeadlineMs: 15000, GoalMs: 800, GapMs: 400, Tries: 2, Target: "llm"}
+var review = standin.Route{Name: "review", Host: siteHost, Prefix: "/review/", Variant: "streaming", DeadlineMs: 15000, GoalMs: 800, GapGoalMs: 400, Tries: 2, Target: "llm"}
 
 // Streams of the workers. A review that is under way as its router is stopped ends within the grace; one that is begun a second later
 // doesn't.
--- a/cmd/testbed/site.go
+++ b/cmd/testbed/site.go
@@ -162,7 +162,7 @@
 		return err
 	}
 	good := true
-	for _, x := range standin.Judge(r, standin.Usual, x.served, standin.Union(p.op.All())...) {
+	for _, x := range standin.Check(r, standin.DefaultGuarantees, x.served, standin.AllowedDocuments(p.op.SentDocuments())...) {
 		word := "kept"
 		if !x.Good {
 			word, good = "BROKEN", false
