--- a/cmd/testbed/play.go
+++ b/cmd/testbed/play.go
@@ -106,7 +106,7 @@
 			control = append(control, m.Control())
 		}
 	}
-	p.op = &standin.Operator{Nodes: func() []string { return control }, Sink: j, Tasks: p.f.Tasks,
+	p.op = &standin.Operator{ControlAddrs: func() []string { return control }, Sink: j, Tasks: p.f.Tasks,
 		ConnModes: []standin.ConnMode{standin.ClosePerCall, standin.AbandonOnTimeout, standin.ReuseConn}}
 	p.doc = standin.Doc{Generation: 1, Targets: []standin.Service{{Name: "llm", Probe: "/health", Conns: 200, Protocol: "h1"}}, Limits: &standin.Bounds{Head: 16384, Body: 1 << 20, HeadMs: 3000, IdleMs: 15000}}
 	if p.doc.Routes = routes; p.reviews > 0 {
@@ -198,7 +198,7 @@
 	var clients []*standin.Client
 	for i := range 4 * p.zones {
 		zone := fmt.Sprintf("z%d", i%p.zones+1)
-		clients = append(clients, &standin.Client{Fronts: func() []string { return p.fronts(zone) }, KeepAlive: i%2 == 0, IgnoreRetryAfter: i%7 == 6, Sink: p.f.Journal, Tasks: p.f.Tasks})
+		clients = append(clients, &standin.Client{RouterAddrs: func() []string { return p.fronts(zone) }, KeepAlive: i%2 == 0, IgnoreRetryAfter: i%7 == 6, Sink: p.f.Journal, Tasks: p.f.Tasks})
 	}
 	var wg sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
--- a/cmd/testbed/play_events.go
+++ b/cmd/testbed/play_events.go
@@ -79,10 +79,10 @@
 		return nil
 	case "silence":
 		p.f.Event(e.Verb, e.On)
-		return p.work[e.On].Silence()
+		return p.work[e.On].Blackhole()
 	case "wake":
 		p.f.Event(e.Verb, e.On)
-		return p.work[e.On].EndSilence()
+		return p.work[e.On].Restore()
 	case "storm":
 		return p.storm()
 	case "killall", "startall":
