--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -82,11 +82,11 @@
 	{"rapid configuration changes", func(w *World, _ time.Duration) {
 		w.RunOperators(w.Now.Add(3*time.Second), 60*time.Millisecond)
 	}},
-	{"platform fails", func(w *World, d time.Duration) { w.setPlatformMode("failing", d) }},
+	{"platform fails", func(w *World, d time.Duration) { w.setPlatformMode("refuse", d) }},
 	{"platform returns an empty list", func(w *World, d time.Duration) { w.setPlatformMode("empty", d) }},
 	{"platform unreachable", func(w *World, d time.Duration) { w.setPlatformMode("gone", d) }},
 	{"platform slow", func(w *World, d time.Duration) { w.setPlatformMode("slow", d) }},
-	{"platform returns a stale list", func(w *World, d time.Duration) { w.setPlatformMode("stale", d) }},
+	{"platform returns a stale list", func(w *World, d time.Duration) { w.setPlatformMode("old", d) }},
 	{"platform unreachable for the lease holder", (*World).cutPlatformFromLeaseHolder},
 	{"worker drained while controllers are partitioned", func(w *World, d time.Duration) {
 		w.partitionControllers(d+4*time.Second, false)
@@ -103,7 +103,7 @@
 		x.unresponsive = true // it accepts requests and neither answers nor notices disconnects
 		w.After(d, func() { x.unresponsive = false })
 	}},
-	{"all workers replaced", func(w *World, _ time.Duration) { w.replaceAllWorkers() }},
+	{"release", func(w *World, _ time.Duration) { w.replaceAllWorkers() }},
 	{"most requests have one prefix", func(w *World, d time.Duration) {
 		w.hotPrefixShare, w.requestRate = 0.8, w.requestRate*2
 		w.After(d, func() { w.hotPrefixShare, w.requestRate = 0, w.requestRate/2 })
--- a/internal/simulator/platform.go
+++ b/internal/simulator/platform.go
@@ -33,7 +33,7 @@
 		return
 	case w.platformMode == "slow":
 		roundTrip = 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(600*time.Millisecond)))
-	case w.platformMode == "failing", w.platformMode == "empty":
+	case w.platformMode == "refuse", w.platformMode == "empty":
 		return // the answer is not accepted as a list
 	}
 	w.After(roundTrip/2, func() {
@@ -41,7 +41,7 @@
 		for i := range list {
 			list[i].Age = w.Now.Sub(w.workers[list[i].ID].startedAt)
 		}
-		if w.platformMode == "stale" && w.staleList != nil {
+		if w.platformMode == "old" && w.staleList != nil {
 			list = slices.Clone(w.staleList)
 		}
 		w.After(roundTrip/2, func() { w.deliverPlatformAnswer(controller, generation, query, list) })
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -55,8 +55,8 @@
 	workers                map[string]*worker
 	listedWorkers          []config.Worker
 	workerStartTimes       map[string]units.Time
-	platformMode           string          // fault of the platform: gone (unreachable), failing, empty, slow or stale; "" for none
-	staleList              []config.Worker // the list that it returns in mode stale
+	platformMode           string          // fault of the platform: gone (unreachable), refuse, empty, slow or old (stale list); "" for none
+	staleList              []config.Worker // the list that it returns in mode old
 	History                []Op
 	Violations             []string
 	Stats                  Statistics
