--- a/internal/netfault/listener_test.go
+++ b/internal/netfault/listener_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// answers says whether an attempt to connect is answered soon.
-func answers(l *Listener) bool {
-	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerLimit)
+// isAnswered reports whether an attempt to connect is answered within fillerTimeout.
+func isAnswered(l *Listener) bool {
+	c, err := net.DialTimeout("tcp", l.Addr().String(), fillerTimeout)
 	if err != nil {
 		return false
 	}
@@ -16,22 +16,22 @@
 	return true
 }
 
-// A silent listener answers no attempt to connect; before and behind its silence it gives out every connection.
-func TestSilence(t *testing.T) {
+// A listener answers no attempt to connect between Blackhole and Restore, and accepts every connection before and after.
+func TestBlackhole(t *testing.T) {
 	l, err := Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	got := make(chan net.Conn)
+	accepted := make(chan net.Conn)
 	go func() {
-		defer close(got)
+		defer close(accepted)
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			got <- c
+			accepted <- c
 		}
 	}()
 	for range 3 {
@@ -39,16 +39,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := <-got; s.RemoteAddr().String() != c.LocalAddr().String() {
-			t.Fatal("another connection was given out")
+		if s := <-accepted; s.RemoteAddr().String() != c.LocalAddr().String() {
+			t.Fatal("Accept returned another connection")
 		}
 		c.Close()
 		if err := l.Blackhole(); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
-			if answers(l) {
-				t.Fatal("it answers in its silence")
+			if isAnswered(l) {
+				t.Fatal("an attempt to connect was answered after Blackhole")
 			}
 		}
 		l.Restore()
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/anti_entropy_test.go
@@ -7,13 +7,13 @@
 	"seamshunt/internal/units"
 )
 
-// A voter that missed writes is mended though nobody writes those keys again (design 2).
-func TestRepair(t *testing.T) {
+// A voter that missed writes is repaired even if nobody writes those keys again (docs/design.md, section 2).
+func TestAntiEntropyRepair(t *testing.T) {
 	t.Parallel()
-	for seed := *from; seed < *from+3; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+3; seed++ {
 		w := NewWorld(Vatuloa, seed)
 		w.Run(units.Time(5 * time.Second))
-		lost := w.coreH[int(seed)%3]
+		lost := w.controllerHosts[int(seed)%3]
 		w.Kill(lost)
 		w.RefuseConnections(lost)
 		w.Run(w.Now.Add(2 * time.Second))
@@ -23,11 +23,11 @@
 		w.change("config", configText(1), nil)
 		w.Run(w.Now.Add(2 * time.Second))
 		w.Start(lost)
-		behind := len(w.cores[lost].Replica.StoredVersions())
+		behind := len(w.controllers[lost].Replica.StoredVersions())
 		w.Run(w.Now.Add(20 * time.Second))
-		w.alike()
-		if now := len(w.cores[lost].Replica.StoredVersions()); behind >= now || now != 5 {
-			t.Errorf("seed %d: %d keys when it came back, %d after repair, 5 there are", seed, behind, now)
+		w.checkReplicasAgree()
+		if now := len(w.controllers[lost].Replica.StoredVersions()); behind >= now || now != 5 {
+			t.Errorf("seed %d: %d keys after its restart, %d after the repair, want 5", seed, behind, now)
 		}
 		if len(w.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, w.Violations)
--- a/internal/simulator/resend_test.go
+++ b/internal/simulator/resend_test.go
@@ -14,113 +14,118 @@
 	"seamshunt/internal/units"
 )
 
-// order is an operator's change with all copies of it that were sent.
-type order struct {
-	request register.Request
-	from    units.Time
-	to      units.Time // when a clear answer came through
-	answers []register.Result
-	last    register.Result // the answer once all is quiet again
-	heard   register.Result
+// request is an operator's change with the answers to all copies that were sent.
+type request struct {
+	body           register.Request
+	startedAt      units.Time
+	answeredAt     units.Time // when the operator received a final answer
+	answers        []register.Result
+	finalAnswer    register.Result // the answer after all faults have ended
+	receivedAnswer register.Result
 }
 
-func isClear(code resultcode.Code) bool {
+func isFinal(code resultcode.Code) bool {
 	return code == resultcode.OK || code == resultcode.VersionConflict
 }
 
-// operators are clients that send an order again, to any machine, until a clear answer comes through.
+// operators resend each request, to any controller, until they receive a final answer.
 type operators struct {
-	w      *World
-	rng    *rand.Rand
-	until  units.Time
-	orders []*order
-	reads  []linearizability.Call
+	w        *World
+	rng      *rand.Rand
+	until    units.Time
+	requests []*request
+	reads    []linearizability.Call
 }
 
-// read asks for the configuration's number until it is told.
+// read retries a read of the configuration until it succeeds.
 func (p *operators) read(then func(units.Version)) {
-	from, w := p.w.Now, p.w
+	calledAt, w := p.w.Now, p.w
 	w.Call(register.Request{Key: "config"}, func(o *Op) {
 		if o.Code != resultcode.OK {
 			w.After(200*time.Millisecond, func() { p.read(then) })
 			return
 		}
-		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(from), ReturnedAt: int64(w.Now), Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
+		p.reads = append(p.reads, linearizability.Call{CalledAt: int64(calledAt), ReturnedAt: int64(w.Now),
+			Version: uint64(o.Version), Data: o.Data, Outcome: linearizability.Succeeded})
 		then(o.Version)
 	})
 }
 
-// send makes one copy of an order, and the next one after a random while if no clear answer has come through by then.
-func (p *operators) send(x *order, lost float64, done func()) {
+// send sends one copy of a request, and the next after a random time unless a final answer has been received.
+func (p *operators) send(sent *request, lossRate float64, done func()) {
 	w := p.w
-	if c := w.anyCore(); c != nil {
-		c.Submit(w.Sim, x.request, func(r register.Result) {
-			x.answers = append(x.answers, r)
-			if x.to > 0 || !isClear(r.Code) || p.rng.Float64() < lost {
+	if c := w.anyController(); c != nil {
+		c.Submit(w.Sim, sent.body, func(r register.Result) {
+			sent.answers = append(sent.answers, r)
+			if sent.answeredAt > 0 || !isFinal(r.Code) || p.rng.Float64() < lossRate {
 				return
 			}
-			x.to, x.heard = w.Now, r
+			sent.answeredAt, sent.receivedAnswer = w.Now, r
 			done()
 		})
 	}
 	w.After(300*time.Millisecond+time.Duration(p.rng.Int64N(int64(4*time.Second))), func() {
-		if x.to == 0 && w.Now < p.until {
-			p.send(x, lost, done)
+		if sent.answeredAt == 0 && w.Now < p.until {
+			p.send(sent, lossRate, done)
 		}
 	})
 }
 
-// work lets one operator make one order after the other.
-func (p *operators) work(lost float64, pause time.Duration) {
+// runOperator makes one change after the other.
+func (p *operators) runOperator(lossRate float64, pause time.Duration) {
 	if p.w.Now >= p.until {
 		return
 	}
-	p.read(func(num units.Version) {
-		n := len(p.orders)
-		x := &order{from: p.w.Now, request: register.Request{Key: "config", Write: true, ExpectedVersion: num, RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
-		p.orders = append(p.orders, x)
-		p.send(x, lost, func() { p.w.After(pause, func() { p.work(lost, pause) }) })
+	p.read(func(version units.Version) {
+		n := len(p.requests)
+		change := &request{startedAt: p.w.Now, body: register.Request{Key: "config", Write: true, ExpectedVersion: version,
+			RequestID: fmt.Sprint("order ", n), Data: fmt.Append(nil, n)}}
+		p.requests = append(p.requests, change)
+		p.send(change, lossRate, func() { p.w.After(pause, func() { p.runOperator(lossRate, pause) }) })
 	})
 }
 
-// judge looks at every answer that was given, also those that were lost. So few orders as are made here, fewer than
-// register.MaxOutcomes, must be known to the last.
-func (p *operators) judge() (bad []string) {
-	taken := map[units.Version]int{}
-	for i, x := range p.orders {
-		var got units.Version
+// checkAnswers checks all answers, also lost ones. The run makes fewer than register.MaxOutcomes requests, so the outcome of
+// each must still be known at the end.
+func (p *operators) checkAnswers() (bad []string) {
+	writtenBy := map[units.Version]int{}
+	for i, x := range p.requests {
+		var version units.Version
 		refused := false
 		for _, r := range x.answers {
 			switch {
 			case r.Code == resultcode.VersionConflict:
 				refused = true
-			case r.Code == resultcode.OK && (r.Version != x.request.ExpectedVersion+1 || got != 0 && r.Version != got):
-				bad = append(bad, fmt.Sprintf("order %d on %d got number %d and %d", i, x.request.ExpectedVersion, got, r.Version))
+			case r.Code == resultcode.OK && (r.Version != x.body.ExpectedVersion+1 || version != 0 && r.Version != version):
+				bad = append(bad, fmt.Sprintf("request %d with expected version %d got versions %d and %d", i,
+					x.body.ExpectedVersion, version, r.Version))
 			case r.Code == resultcode.OK:
-				got = r.Version
+				version = r.Version
 			}
 		}
-		if !isClear(x.last.Code) {
-			bad = append(bad, fmt.Sprintf("order %d has no clear answer when all is quiet: %d", i, x.last.Code))
+		if !isFinal(x.finalAnswer.Code) {
+			bad = append(bad, fmt.Sprintf("request %d has no final answer after all faults have ended: %d", i,
+				x.finalAnswer.Code))
 		}
-		if got != 0 && refused {
-			bad = append(bad, fmt.Sprintf("order %d was taken as number %d, and refused", i, got))
+		if version != 0 && refused {
+			bad = append(bad, fmt.Sprintf("request %d was accepted as version %d, and refused", i, version))
 		}
-		if other, ok := taken[got]; ok && got != 0 {
-			bad = append(bad, fmt.Sprintf("orders %d and %d both got number %d", other, i, got))
+		if other, ok := writtenBy[version]; ok && version != 0 {
+			bad = append(bad, fmt.Sprintf("requests %d and %d both got version %d", other, i, version))
 		}
-		taken[got] = i
+		writtenBy[version] = i
 	}
-	return append(bad, p.linear()...)
+	return append(bad, p.checkLinearizable()...)
 }
 
-// linear checks what the operators heard.
-func (p *operators) linear() []string {
+// checkLinearizable checks the answers that the operators received.
+func (p *operators) checkLinearizable() []string {
 	calls := p.reads
-	for _, x := range p.orders {
-		c := linearizability.Call{Kind: linearizability.Write, CalledAt: int64(x.from), ReturnedAt: int64(x.to), ExpectedVersion: uint64(x.request.ExpectedVersion),
-			Version: uint64(x.request.ExpectedVersion) + 1, Data: string(x.request.Data)}
-		switch x.heard.Code {
+	for _, x := range p.requests {
+		c := linearizability.Call{Kind: linearizability.Write, CalledAt: int64(x.startedAt),
+			ReturnedAt: int64(x.answeredAt), ExpectedVersion: uint64(x.body.ExpectedVersion),
+			Version: uint64(x.body.ExpectedVersion) + 1, Data: string(x.body.Data)}
+		switch x.receivedAnswer.Code {
 		case resultcode.OK:
 			c.Outcome = linearizability.Succeeded
 		case resultcode.VersionConflict:
@@ -134,100 +139,103 @@
 	return nil
 }
 
-// ownerHost is the machine that should own the configuration, as any machine sees it.
-func (w *World) ownerHost() *Host {
-	for _, h := range w.coreH {
+// configOwner returns the owner of the configuration in the view of the first running controller.
+func (w *World) configOwner() *Host {
+	for _, h := range w.controllerHosts {
 		if !w.alive(h) {
 			continue
 		}
-		owner := w.cores[h].Replica.Owner("config")
-		for _, o := range w.coreH {
+		owner := w.controllers[h].Replica.Owner("config")
+		for _, o := range w.controllerHosts {
 			if o.Disk.ID == owner {
 				return o
 			}
 		}
 	}
-	return w.coreH[0]
+	return w.controllerHosts[0]
 }
 
-// strike brings one trouble about, mostly on the owner.
-func (w *World) strike() {
-	h := w.ownerHost()
+// injectRandomFault injects a fault, mostly on the owner.
+func (w *World) injectRandomFault() {
+	h := w.configOwner()
 	if w.Rng.IntN(3) == 0 {
-		h = pick(w, w.coreH)
+		h = pick(w, w.controllerHosts)
 	}
-	if !w.healthy() || h.Proc == nil || h.Paused || h.Isolated {
+	if !w.hasHealthyMajority() || h.Proc == nil || h.Paused || h.Isolated {
 		return
 	}
-	span := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(4*time.Second)))
+	duration := 300*time.Millisecond + time.Duration(w.Rng.Int64N(int64(4*time.Second)))
 	switch w.Rng.IntN(6) {
 	case 0:
-		w.bounce(h, span, w.Rng.IntN(2) == 0)
+		w.restart(h, duration, w.Rng.IntN(2) == 0)
 	case 1:
-		w.freeze(h, span)
+		w.pause(h, duration)
 	case 2:
-		w.dark(h, span)
-	case 3: // cut off from the rest of the core alone, one way or both
+		w.isolate(h, duration)
+	case 3: // partitioned from the other controllers only, in one or both directions
 		both := w.Rng.IntN(2) == 0
-		w.cut(span, func(a, b *Host) bool { return a.Disk != nil && b.Disk != nil && (a == h || both && b == h) })
+		w.partition(duration, func(a, b *Host) bool { return a.Disk != nil && b.Disk != nil && (a == h || both && b == h) })
 	case 4:
-		w.slow(h, 150*time.Millisecond, span)
-	case 5: // the disk is lost: its successor comes in and it goes out, two changes of the quorum set
-		if w.settled() { // one at a time, as the deployments bear
-			w.loseDisk(int(w.serial)%len(w.coreH), span, w.Rng.IntN(2) == 0)
+		w.slowDisk(h, 150*time.Millisecond, duration)
+	case 5: // disk lost: adding its successor and removing it are two changes of the quorum set
+		if w.quorumComplete() { // one at a time, as the deployments tolerate
+			w.loseDisk(int(w.lastSerial)%len(w.controllerHosts), duration, w.Rng.IntN(2) == 0)
 		}
 	}
 }
 
-// resent plays one seed: eight operators whose answers are lost, and one that makes dozens of changes a second.
-func resent(seed uint64, machines int) (*operators, *World) {
-	w := grown(seed, machines)
+// runResends runs one seed: eight operators lose most answers, and one makes dozens of changes a second.
+func runResends(seed uint64, machines int) (*operators, *World) {
+	w := bootstrappedWorld(seed, machines)
 	w.Run(units.Time(6 * time.Second))
 	p := &operators{w: w, rng: rand.New(rand.NewPCG(seed, 17)), until: w.Now.Add(24 * time.Second)}
 	for i := range 8 {
-		w.After(time.Duration(i)*100*time.Millisecond, func() { p.work(0.7, 50*time.Millisecond) })
+		w.After(time.Duration(i)*100*time.Millisecond, func() { p.runOperator(0.7, 50*time.Millisecond) })
 	}
-	p.work(0, 5*time.Millisecond)
+	p.runOperator(0, 5*time.Millisecond)
 	for at := 2 * time.Second; at < 20*time.Second; at += time.Second + time.Duration(w.Rng.Int64N(int64(3*time.Second))) {
-		w.After(at, w.strike)
+		w.After(at, w.injectRandomFault)
 	}
 	w.Run(p.until.Add(12 * time.Second))
-	// Each order once more, now that all is quiet: also those that were taken hundreds of changes ago.
-	for _, x := range p.orders {
-		w.anyCore().Submit(w.Sim, x.request, func(r register.Result) { x.answers, x.last = append(x.answers, r), r })
+	// Resend every request after all faults have ended, also those accepted hundreds of changes ago.
+	for _, x := range p.requests {
+		w.anyController().Submit(w.Sim, x.body, func(r register.Result) {
+			x.answers, x.finalAnswer = append(x.answers, r), r
+		})
 		w.Run(w.Now.Add(20 * time.Millisecond))
 	}
 	w.Run(w.Now.Add(6 * time.Second))
 	return p, w
 }
 
-// Orders that are sent again after lost answers, to any machine, through losses of owners, of disks and changes of the
-// quorum set, with hundreds of changes in between: one that was taken is acknowledged again or left open, never refused;
-// one wins each number; the history is linearizable (docs/control-safety-2-orders.md).
-func TestResentOrders(t *testing.T) {
+// Requests are resent after lost answers, to any controller, through losses of owners and disks, changes of the quorum set,
+// and hundreds of other changes. An accepted request is acknowledged again or left unanswered, never refused. Only one
+// request gets each version, and the history is linearizable (docs/control-safety-2-orders.md).
+func TestResentRequests(t *testing.T) {
 	t.Parallel()
-	changes, resends, most := 0, 0, 0
-	n := max(4, *seeds)
-	for seed := *from; seed < *from+uint64(n); seed++ {
-		p, w := resent(seed, 3+int(seed%4))
-		for _, fault := range p.judge() {
-			t.Errorf("%d machines, seed %d: %s", len(w.coreH), seed, fault)
+	changes, resends, maxChanges := 0, 0, 0
+	n := max(4, *seedCount)
+	for seed := *firstSeed; seed < *firstSeed+uint64(n); seed++ {
+		p, w := runResends(seed, 3+int(seed%4))
+		for _, fault := range p.checkAnswers() {
+			t.Errorf("%d machines, seed %d: %s", len(w.controllerHosts), seed, fault)
 		}
-		here := 0
-		for _, x := range p.orders {
-			took := 0
+		seedChanges := 0
+		for _, x := range p.requests {
+			acknowledgements := 0
 			for _, r := range x.answers {
 				if r.Code == resultcode.OK {
-					took++
+					acknowledgements++
 				}
 			}
-			here += min(1, took)
-			resends += max(0, took-1)
+			seedChanges += min(1, acknowledgements)
+			resends += max(0, acknowledgements-1)
 		}
-		changes, most = changes+here, max(most, here)
+		changes, maxChanges = changes+seedChanges, max(maxChanges, seedChanges)
 	}
 	if changes < 100*n || resends < 100*n {
-		t.Errorf("%d changes and %d resends in %d seeds try nothing", changes, resends, n)
+		t.Errorf("only %d changes and %d repeated acknowledgements in %d seeds", changes, resends, n)
 	}
-	t.Logf("%d seeds: %d changes taken, %d in one seed at most, %d times acknowledged again", n, changes, most, resends)
+	t.Logf("%d seeds: %d changes accepted, at most %d in one seed, %d repeated acknowledgements", n, changes, maxChanges,
+		resends)
 }
