--- a/cmd/testbed/worker.go
+++ b/cmd/testbed/worker.go
@@ -15,16 +15,16 @@
 
 // workerCmd is one stand-in back end.
 func workerCmd() *cobra.Command {
-	w := &standin.Worker{Model: standin.DefaultModel}
+	w := &standin.Worker{Model: standin.DefaultLoadModel}
 	var listen, journal string
 	c := &cobra.Command{Use: "worker", Short: "a stand-in model worker", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		if !slices.Contains(wrongs, w.Wrong) {
+		if !slices.Contains(wrongs, w.FaultMode) {
 			return fmt.Errorf("--wrong is one of %q", wrongs)
 		}
-		if w.Model.Knee < 1 || w.Model.Blocks < 1 || w.Model.BatchMost < 1 {
+		if w.Model.Knee < 1 || w.Model.CacheBlocks < 1 || w.Model.MaxBatch < 1 {
 			return errors.New("--knee, --blocks and --batch are above 0")
 		}
-		j, err := standin.Open(journal)
+		j, err := standin.OpenJournal(journal)
 		if err != nil {
 			return err
 		}
@@ -39,10 +39,10 @@
 	f.StringVar(&w.Name, "name", "w", "its id")
 	f.StringVar(&w.Pool, "pool", "main", "its pool")
 	f.StringVar(&w.Zone, "zone", "", "its zone")
-	f.StringVar(&w.Wrong, "wrong", "", "answer wrongly: id gap double cut text seal more endless dark mute")
+	f.StringVar(&w.FaultMode, "wrong", "", "answer wrongly: id gap double cut text seal more endless dark mute")
 	f.IntVar(&w.Model.Knee, "knee", w.Model.Knee, "prompts it carries well")
-	f.IntVar(&w.Model.Blocks, "blocks", w.Model.Blocks, "its prefix cache, in blocks of 256 bytes")
-	f.IntVar(&w.Model.BatchMost, "batch", w.Model.BatchMost, "prompts beyond which it refuses, sealed")
+	f.IntVar(&w.Model.CacheBlocks, "blocks", w.Model.CacheBlocks, "its prefix cache, in blocks of 256 bytes")
+	f.IntVar(&w.Model.MaxBatch, "batch", w.Model.MaxBatch, "prompts beyond which it refuses, sealed")
 	f.StringVar(&listen, "listen", "127.0.0.1:0", "its address")
 	f.StringVar(&journal, "journal", "worker.jsonl", "where it writes its runs down")
 	return c
--- a/internal/checker/attended.go
+++ b/internal/checker/attended.go
@@ -19,17 +19,17 @@
 	var bad []string
 	left := 0
 	for _, c := range calls {
-		if c.Fault == standin.Left {
+		if c.Fault == standin.FaultClientDisconnected {
 			left++
 		}
 	}
 	for _, arrivals := range [][]standin.Entry{r.Starts, r.Rejections} {
 		for _, a := range arrivals {
 			c, known := calls[a.Job]
-			if !known || c.Fault != standin.Left || a.Came == 0 {
+			if !known || c.Fault != standin.FaultClientDisconnected || a.ArrivedAt == 0 {
 				continue
 			}
-			if late := a.Came - c.End; late > attendedSlack.Microseconds() {
+			if late := a.ArrivedAt - c.End; late > attendedSlack.Microseconds() {
 				bad = append(bad, fmt.Sprintf("%s by %s reached %s %s after its caller left", a.Job, c.Router, a.Worker, ms(late)))
 			}
 		}
--- a/internal/checker/more.go
+++ b/internal/checker/more.go
@@ -51,7 +51,7 @@
 	broken := 0
 	parted := r.spans("cut", "heal")
 	for _, c := range r.Calls {
-		if c.Status != 200 || c.Whole || c.Fault == standin.Left {
+		if c.Status != 200 || c.Complete || c.Fault == standin.FaultClientDisconnected {
 			continue
 		}
 		broken++
@@ -67,7 +67,7 @@
 				excuse = excuse || c.End >= x[0] && c.At <= x[1]
 			}
 		}
-		late := (c.End-c.At)/1000 >= int64(c.LeftMs)-50
+		late := (c.End-c.At)/1000 >= int64(c.TimeLeftMs)-50
 		if !excuse && !late {
 			bad = append(bad, fmt.Sprintf("%s on %s by %s broke after %s", c.Job, c.Worker, c.Router, ms(c.End-c.At)))
 		}
@@ -124,7 +124,7 @@
 		n++
 		first := int64(0)
 		for _, c := range r.Calls {
-			if c.At > e.At && c.Status == 200 && c.Whole && (first == 0 || c.End < first) {
+			if c.At > e.At && c.Status == 200 && c.Complete && (first == 0 || c.End < first) {
 				first = c.End
 			}
 		}
@@ -160,13 +160,13 @@
 			f = &Statistics{Mapping: c.Mapping}
 			by[c.Mapping] = f
 		}
-		if c.Fault == standin.Left {
+		if c.Fault == standin.FaultClientDisconnected {
 			f.Abandoned++
 			continue
 		}
 		f.Sent++
 		switch {
-		case c.Status == 200 && c.Whole && c.Fault == "" && (c.End-c.At)/1000 <= int64(c.LeftMs):
+		case c.Status == 200 && c.Complete && c.Fault == "" && (c.End-c.At)/1000 <= int64(c.TimeLeftMs):
 			f.OnTime++
 		case c.Status == 200:
 			f.Broken++
@@ -198,7 +198,7 @@
 	n, away := 0, 0
 	var sum float64
 	for _, s := range r.Starts {
-		sum += s.Hit
+		sum += s.CacheHit
 		n++
 		if z, ok := zone[router[s.Job]]; ok && z != s.Zone {
 			away++
--- a/internal/localfleet/cut.go
+++ b/internal/localfleet/cut.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 	"seamshunt/internal/standin"
 )
 
@@ -94,7 +94,7 @@
 
 // writeCuts tells every process what gets lost on its way out; f.mu is held.
 func (f *Fleet) writeCuts() error {
-	if !shield.Cuts {
+	if !partition.Enabled {
 		return errors.New("fleet: these programs can't be cut off: build them with -tags cuts")
 	}
 	to := []*proc{{name: platformProc, kind: platformProc, web: f.ln.Addr().String()}}
@@ -173,7 +173,7 @@
 				err = fmt.Errorf("the platform knows no mood %q", e.Target)
 			}
 		}
-		if err == nil && (e.Verb == "cut" || e.Verb == "lossy") && !shield.Cuts {
+		if err == nil && (e.Verb == "cut" || e.Verb == "lossy") && !partition.Enabled {
 			err = errors.New("these programs can't be cut off: build them with -tags cuts")
 		}
 		if err != nil {
@@ -188,7 +188,7 @@
 	if err := f.kill(name); err != nil {
 		return err
 	}
-	f.Platform.Born(name)
+	f.Platform.RecordRestart(name)
 	f.RecordEvent("born", name)
 	return f.Start(name)
 }
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -43,7 +43,7 @@
 	fmt.Fprintf(say, "configuration acknowledged %.1f s after the start\n", time.Since(start).Seconds())
 	t := NewTraffic(f, p.Seed, p.Topics)
 	t.SetRate(p.Rate)
-	f.Platform.Control = func(s string) error {
+	f.Platform.HandleEvent = func(s string) error {
 		l, err := ParseEvents("0:" + s)
 		if err == nil && len(l) == 1 {
 			err = f.Execute(l[0], t)
--- a/internal/localfleet/traffic.go
+++ b/internal/localfleet/traffic.go
@@ -14,7 +14,7 @@
 // Traffic sends requests at a rate, from all zones alike, to routers that the platform finds ready.
 type Traffic struct {
 	f     *Fleet
-	mix   *standin.Mix
+	mix   *standin.RequestGenerator
 	rng   *rand.Rand
 	rate  atomic.Uint64 // requests a thousand seconds
 	zones []string
@@ -26,7 +26,7 @@
 
 // NewTraffic prepares traffic; the same seed asks for the same things.
 func NewTraffic(f *Fleet, seed uint64, topics int) *Traffic {
-	t := &Traffic{f: f, mix: standin.NewMix(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
+	t := &Traffic{f: f, mix: standin.NewRequestGenerator(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
 	for _, m := range f.Deployment.Machines {
 		if !slices.Contains(t.zones, m.Zone) {
 			t.zones = append(t.zones, m.Zone)
@@ -54,17 +54,17 @@
 	})
 	for ctx.Err() == nil {
 		a := t.mix.Next()
-		gap := t.mix.Gap(float64(t.rate.Load()) / 1000)
+		gap := t.mix.NextDelay(float64(t.rate.Load()) / 1000)
 		zone := t.zones[t.rng.IntN(len(t.zones))]
 		key := ""
-		if a.Once {
+		if a.AtMostOnce {
 			key = a.Job
 		}
 		t.Sent++
 		t.wg.Add(1)
 		t.f.Tasks.Go(func() {
 			defer t.wg.Done()
-			t.f.Journal.Write(standin.Call(context.WithoutCancel(ctx), t.pick(zone), a, key))
+			t.f.Journal.Write(standin.Send(context.WithoutCancel(ctx), t.pick(zone), a, key))
 		})
 		select {
 		case <-ctx.Done():
