--- a/internal/partition/open.go
+++ b/internal/partition/disabled.go
@@ -15,14 +15,14 @@
 func ShouldDrop(string) bool { return false }
 
 // Dial opens a connection.
-func Dial(addr string, limit time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", addr, limit)
+func Dial(addr string, timeout time.Duration) (net.Conn, error) {
+	return net.DialTimeout("tcp", addr, timeout)
 }
 
 // DialContext opens a connection, unless the context ends first.
-func DialContext(ctx context.Context, addr string, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit}
-	return d.DialContext(ctx, "tcp", addr)
+func DialContext(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	return dialer.DialContext(ctx, "tcp", addr)
 }
 
 // Unwrap is the wire itself, for an event loop that wants its descriptor.
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -16,44 +16,44 @@
 // Experiment is one thing that a site does while it is measured.
 type Experiment struct {
 	Name, Description string
-	span              time.Duration
-	before            func(*Simulation) // after all serve, before the measuring
-	during            func(*Simulation, time.Duration)
+	duration          time.Duration
+	prepare           func(*Simulation) // after all serve, before the measuring
+	run               func(*Simulation, time.Duration)
 }
 
-// settle is how long it takes after the start until no change rides on notes any more.
-const settle = 8 * time.Second
+// settleTime is how long it takes after the start until no change rides on notes any more.
+const settleTime = 8 * time.Second
 
-func quiet(w *Simulation) { w.Advance(settle) }
+func letSettle(s *Simulation) { s.Advance(settleTime) }
 
 // Experiments in the order of the table.
 var Experiments = []Experiment{
 	{"start", "all routers started at once, from their start on", 10 * time.Second, nil, nil},
-	{"rest", "nothing happens", 10 * time.Second, quiet, nil},
-	{"serve", "requests at the peak, long streams", 20 * time.Second, func(w *Simulation) { w.serve(true, false); w.Advance(45 * time.Second) }, nil},
-	{"claim", "a key claimed for every request of the peak, no permits", 10 * time.Second, func(w *Simulation) { quiet(w); w.serve(false, true) }, nil},
-	{"config", "a change of the configuration every 2 s", 10 * time.Second, quiet, func(w *Simulation, d time.Duration) { w.every(2*time.Second, d, w.WriteConfig) }},
-	{"workers", "a worker listed and one taken off, every 2 s", 10 * time.Second, quiet, func(w *Simulation, d time.Duration) { w.every(2*time.Second, d, w.turnover) }},
-	{"restart", "a router restarted every 4 s", 20 * time.Second, quiet, func(w *Simulation, d time.Duration) { w.every(4*time.Second, d, w.restart) }},
-	{"region", "a region cut off: its first 20 s", 20 * time.Second, quiet, func(w *Simulation, _ time.Duration) { w.cut = "c" }},
-	{"heal", "the 20 s after a region was cut off for 20 s", 20 * time.Second, func(w *Simulation) { quiet(w); w.cut = "c"; w.Advance(20 * time.Second) },
-		func(w *Simulation, _ time.Duration) { w.cut = "" }},
+	{"rest", "nothing happens", 10 * time.Second, letSettle, nil},
+	{"serve", "requests at the peak, long streams", 20 * time.Second, func(w *Simulation) { w.startTraffic(true, false); w.Advance(45 * time.Second) }, nil},
+	{"claim", "a key claimed for every request of the peak, no permits", 10 * time.Second, func(w *Simulation) { letSettle(w); w.startTraffic(false, true) }, nil},
+	{"config", "a change of the configuration every 2 s", 10 * time.Second, letSettle, func(w *Simulation, d time.Duration) { w.repeat(2*time.Second, d, w.WriteConfig) }},
+	{"workers", "a worker listed and one taken off, every 2 s", 10 * time.Second, letSettle, func(w *Simulation, d time.Duration) { w.repeat(2*time.Second, d, w.replaceWorker) }},
+	{"restart", "a router restarted every 4 s", 20 * time.Second, letSettle, func(w *Simulation, d time.Duration) { w.repeat(4*time.Second, d, w.restartRouter) }},
+	{"region", "a region cut off: its first 20 s", 20 * time.Second, letSettle, func(w *Simulation, _ time.Duration) { w.partitionedRegion = "c" }},
+	{"heal", "the 20 s after a region was cut off for 20 s", 20 * time.Second, func(w *Simulation) { letSettle(w); w.partitionedRegion = "c"; w.Advance(20 * time.Second) },
+		func(w *Simulation, _ time.Duration) { w.partitionedRegion = "" }},
 }
 
 // FindExperiments gives the experiments of these names, or the ones that there are.
-func FindExperiments(names []string) (l []Experiment, err error) {
-	for _, n := range names {
-		i := slices.IndexFunc(Experiments, func(e Experiment) bool { return e.Name == n })
+func FindExperiments(names []string) (found []Experiment, err error) {
+	for _, name := range names {
+		i := slices.IndexFunc(Experiments, func(e Experiment) bool { return e.Name == name })
 		if i < 0 {
 			var all []string
 			for _, e := range Experiments {
 				all = append(all, e.Name)
 			}
-			return nil, fmt.Errorf("no experiment %q: there are %q", n, all)
+			return nil, fmt.Errorf("no experiment %q: there are %q", name, all)
 		}
-		l = append(l, Experiments[i])
+		found = append(found, Experiments[i])
 	}
-	return l, nil
+	return found, nil
 }
 
 // Row is what one part of one role cost, per node and second of virtual time.
@@ -87,94 +87,94 @@
 }
 
 // Measure runs one experiment at one size.
-func Measure(e Experiment, s SiteSize) (Result, error) {
-	var r Result
-	base := heap()
-	w, err := NewSimulation(s)
+func Measure(e Experiment, size SiteSize) (Result, error) {
+	var result Result
+	baseHeap := liveHeap()
+	sim, err := NewSimulation(size)
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	if e.Name != "start" {
-		if r.ReadyAfter, err = w.StartRouters(); err != nil {
-			return r, err
+		if result.ReadyAfter, err = sim.StartRouters(); err != nil {
+			return result, err
 		}
 	}
-	if e.before != nil {
-		e.before(w)
+	if e.prepare != nil {
+		e.prepare(sim)
 	}
-	clear(w.counts)
-	w.DiskSyncs, w.SyncedBytes = 0, 0
-	for _, n := range w.nodes {
-		n.bytes, n.in = 0, 0
+	clear(sim.usageByPart)
+	sim.DiskSyncs, sim.SyncedBytes = 0, 0
+	for _, n := range sim.nodes {
+		n.bytesOut, n.bytesIn = 0, 0
 	}
 	runtime.GC()
-	from, began := cpu(), w.Now
+	startCPU, startedAt := processCPU(), sim.Now
 	if e.Name == "start" {
-		if r.ReadyAfter, err = w.StartRouters(); err != nil {
-			return r, err
+		if result.ReadyAfter, err = sim.StartRouters(); err != nil {
+			return result, err
 		}
 	}
-	if e.during != nil {
-		e.during(w, e.span)
+	if e.run != nil {
+		e.run(sim, e.duration)
 	}
-	w.Advance(e.span - w.Now.Sub(began))
-	r.CPUTime = cpu() - from
-	r.rows(w, e, w.Now.Sub(began).Seconds(), heap()-base)
-	r.MaxApplyTime, r.ChangeResults, r.Decisions, r.ClaimResults, r.Polls = w.MaxApplyTime, w.ChangeResults, w.Decisions, w.ClaimResults, w.Polls
-	return r, nil
+	sim.Advance(e.duration - sim.Now.Sub(startedAt))
+	result.CPUTime = processCPU() - startCPU
+	result.addRows(sim, e, sim.Now.Sub(startedAt).Seconds(), liveHeap()-baseHeap)
+	result.MaxApplyTime, result.ChangeResults, result.Decisions, result.ClaimResults, result.Polls = sim.MaxApplyTime, sim.ChangeResults, sim.Decisions, sim.ClaimResults, sim.Polls
+	return result, nil
 }
 
-// rows puts processor time down to parts in the measure of the time that their calls took: so the calls' share of the
+// addRows puts processor time down to parts in the measure of the time that their calls took: so the calls' share of the
 // collector, and of this package's own net, is in it.
-func (r *Result) rows(w *Simulation, e Experiment, secs float64, held float64) {
-	var busy time.Duration
-	for _, c := range w.counts {
-		busy += c.Busy
+func (r *Result) addRows(sim *Simulation, e Experiment, seconds float64, heapBytes float64) {
+	var callTime time.Duration
+	for _, u := range sim.usageByPart {
+		callTime += u.CallTime
 	}
-	share := r.CPUTime.Seconds() / max(busy.Seconds(), 1e-9)
+	cpuPerCallTime := r.CPUTime.Seconds() / max(callTime.Seconds(), 1e-9)
 	for _, role := range []membership.Role{membership.Router, membership.Controller} {
-		nodes, name := float64(w.Routers), "router"
+		nodes, name := float64(sim.Routers), "router"
 		if role == membership.Controller {
 			nodes, name = ControllerCount, "controller"
 		}
-		all := Row{Experiment: e.Name, Size: w.Routers, Role: name, Part: "all"}
-		for _, n := range w.nodes {
+		all := Row{Experiment: e.Name, Size: sim.Routers, Role: name, Part: "all"}
+		for _, n := range sim.nodes {
 			if n.role == role {
-				all.MaxNodeBytes = max(all.MaxNodeBytes, float64(max(n.bytes, n.in))/secs)
+				all.MaxNodeBytes = max(all.MaxNodeBytes, float64(max(n.bytesOut, n.bytesIn))/seconds)
 			}
 		}
-		for _, k := range []message.Kind{0, message.KindMembership, message.KindConfigPush, message.KindCapacity, message.KindClaim, message.KindRegister, message.KindLease, message.KindAntiEntropy} {
-			c := w.counts[partKey{role, k}]
-			if c == nil {
+		for _, kind := range []message.Kind{0, message.KindMembership, message.KindConfigPush, message.KindCapacity, message.KindClaim, message.KindRegister, message.KindLease, message.KindAntiEntropy} {
+			u := sim.usageByPart[partKey{role, kind}]
+			if u == nil {
 				continue
 			}
-			per := secs * nodes
-			x := Row{Experiment: e.Name, Size: w.Routers, Role: name, Part: partNames[k], Messages: float64(c.Notes) / per, BytesOut: float64(c.Bytes) / per, BytesIn: float64(c.In) / per,
-				CorePercent: 100 * c.Busy.Seconds() * share / per}
-			all.Messages, all.BytesOut, all.BytesIn, all.CorePercent = all.Messages+x.Messages, all.BytesOut+x.BytesOut, all.BytesIn+x.BytesIn, all.CorePercent+x.CorePercent
-			r.Rows = append(r.Rows, x)
+			nodeSeconds := seconds * nodes
+			row := Row{Experiment: e.Name, Size: sim.Routers, Role: name, Part: partNames[kind], Messages: float64(u.Messages) / nodeSeconds, BytesOut: float64(u.BytesOut) / nodeSeconds, BytesIn: float64(u.BytesIn) / nodeSeconds,
+				CorePercent: 100 * u.CallTime.Seconds() * cpuPerCallTime / nodeSeconds}
+			all.Messages, all.BytesOut, all.BytesIn, all.CorePercent = all.Messages+row.Messages, all.BytesOut+row.BytesOut, all.BytesIn+row.BytesIn, all.CorePercent+row.CorePercent
+			r.Rows = append(r.Rows, row)
 		}
-		all.HeapKB = held / 1024 / float64(w.Routers+ControllerCount) // of both roles alike: one heap holds them all
+		all.HeapKB = heapBytes / 1024 / float64(sim.Routers+ControllerCount) // of both roles alike: one heap holds them all
 		if role == membership.Controller {
-			all.DiskSyncs, all.DiskBytes = float64(w.DiskSyncs)/secs/nodes, float64(w.SyncedBytes)/secs/nodes
+			all.DiskSyncs, all.DiskBytes = float64(sim.DiskSyncs)/seconds/nodes, float64(sim.SyncedBytes)/seconds/nodes
 		}
 		r.Rows = append(r.Rows, all)
 	}
 }
 
-// cpu is this process's own processor time, user and system.
-func cpu() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+// processCPU is this process's own processor time, user and system.
+func processCPU() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heap is what lives after a collection.
-func heap() float64 {
+// liveHeap is what lives after a collection.
+func liveHeap() float64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return math.Max(0, float64(m.HeapAlloc))
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return math.Max(0, float64(stats.HeapAlloc))
 }
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -16,7 +16,7 @@
 // each experiment, and the ceilings.
 func WritePlot(path string, rows []Row) error {
 	const side = 12 * vg.Centimeter
-	c := vgsvg.New(2*side, 2*side)
+	canvas := vgsvg.New(2*side, 2*side)
 	tiles := draw.Tiles{Rows: 2, Cols: 2, PadX: vg.Centimeter / 2, PadY: vg.Centimeter / 2, PadTop: vg.Centimeter / 4, PadRight: vg.Centimeter / 4}
 	panels := []struct {
 		measure, title string
@@ -34,7 +34,7 @@
 		}
 		grid = append(grid, l)
 	}
-	canvases := plot.Align(grid, tiles, draw.New(c))
+	canvases := plot.Align(grid, tiles, draw.New(canvas))
 	for i := range grid {
 		for j := range grid[i] {
 			grid[i][j].Draw(canvases[i][j])
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
-	if _, err = c.WriteTo(f); err == nil {
+	if _, err = canvas.WriteTo(f); err == nil {
 		err = f.Close()
 	}
 	if err != nil {
@@ -53,39 +53,39 @@
 	return nil
 }
 
-func panel(rows []Row, measure, title string, most float64) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text = "a router: "+title, "routers of the site"
-	p.Legend.Top, p.Legend.Left = true, true
-	p.Y.Min = 0
-	var last int
+func panel(rows []Row, measure, title string, ceiling float64) (*plot.Plot, error) {
+	drawn := plot.New()
+	drawn.Title.Text, drawn.X.Label.Text = "a router: "+title, "routers of the site"
+	drawn.Legend.Top, drawn.Legend.Left = true, true
+	drawn.Y.Min = 0
+	var maxSize int
 	for i, e := range Experiments {
-		var xy plotter.XYs
+		var points plotter.XYs
 		for _, r := range rows {
 			if r.Experiment == e.Name && r.Role == "router" && r.Part == "all" {
-				xy = append(xy, plotter.XY{X: float64(r.Size), Y: at(rows, FittedLine{Experiment: e.Name, Role: "router", Part: "all", Measure: measure}, r.Size)})
-				last = max(last, r.Size)
+				points = append(points, plotter.XY{X: float64(r.Size), Y: valueAt(rows, FittedLine{Experiment: e.Name, Role: "router", Part: "all", Measure: measure}, r.Size)})
+				maxSize = max(maxSize, r.Size)
 			}
 		}
-		if len(xy) == 0 {
+		if len(points) == 0 {
 			continue
 		}
-		l, pts, err := plotter.NewLinePoints(xy)
+		line, markers, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return nil, fmt.Errorf("hollow: %w", err)
 		}
-		l.Color, pts.Color, pts.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
-		p.Add(l, pts)
-		p.Legend.Add(e.Name, l, pts)
+		line.Color, markers.Color, markers.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
+		drawn.Add(line, markers)
+		drawn.Legend.Add(e.Name, line, markers)
 	}
-	if most > 0 {
-		l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: most}, {X: float64(last), Y: most}})
+	if ceiling > 0 {
+		line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: ceiling}, {X: float64(maxSize), Y: ceiling}})
 		if err != nil {
 			return nil, fmt.Errorf("hollow: %w", err)
 		}
-		l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-		p.Add(l)
-		p.Legend.Add("ceiling", l)
+		line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+		drawn.Add(line)
+		drawn.Legend.Add("ceiling", line)
 	}
-	return p, nil
+	return drawn, nil
 }
--- a/internal/scaletest/table.go
+++ b/internal/scaletest/tables.go
@@ -15,7 +15,7 @@
 	MaxCorePercent    = 4.2            // percent of a core
 	MaxBytesPerSecond = 9 * 1024       // a second
 	MaxHeapKB         = 256 * 1024     // KB
-	sizeMost          = 100 * FullSize // beyond it a line that was fitted says nothing
+	maxFittedSize     = 100 * FullSize // beyond it a line that was fitted says nothing
 	FullSize          = 400
 )
 
@@ -37,34 +37,34 @@
 
 // WriteCSV writes all rows as CSV.
 func WriteCSV(w io.Writer, rows []Row) error {
-	c := csv.NewWriter(w)
-	head := []string{"experiment", "role", "part", "size"}
+	out := csv.NewWriter(w)
+	header := []string{"experiment", "role", "part", "size"}
 	for _, m := range measures {
-		head = append(head, m.name)
+		header = append(header, m.name)
 	}
-	_ = c.Write(head)
+	_ = out.Write(header)
 	for _, r := range rows {
-		l := []string{r.Experiment, r.Role, r.Part, strconv.Itoa(r.Size)}
+		record := []string{r.Experiment, r.Role, r.Part, strconv.Itoa(r.Size)}
 		for _, m := range measures {
-			l = append(l, num(m.of(r)))
+			record = append(record, formatNumber(m.of(r)))
 		}
-		_ = c.Write(l)
+		_ = out.Write(record)
 	}
-	c.Flush()
-	if err := c.Error(); err != nil {
+	out.Flush()
+	if err := out.Error(); err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
 	return nil
 }
 
-// num writes a number with four digits that count.
-func num(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
+// formatNumber writes a number with four digits that count.
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
-func whole(x float64) string {
+func formatCell(x float64) string {
 	if x >= 100 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	}
-	return num(x)
+	return formatNumber(x)
 }
 
 // FittedLine is a straight line through one measure of one part at all sizes.
@@ -78,44 +78,44 @@
 }
 
 // FitLines puts lines through rows; a single size gives none.
-func FitLines(rows []Row) (l []FittedLine) {
+func FitLines(rows []Row) (lines []FittedLine) {
 	type key struct{ e, r, p string }
 	var order []key
-	by := map[key][]Row{}
+	rowsByKey := map[key][]Row{}
 	for _, r := range rows {
 		k := key{r.Experiment, r.Role, r.Part}
-		if by[k] == nil {
+		if rowsByKey[k] == nil {
 			order = append(order, k)
 		}
-		by[k] = append(by[k], r)
+		rowsByKey[k] = append(rowsByKey[k], r)
 	}
 	for _, k := range order {
 		for _, m := range measures {
 			var x, y []float64
-			n := FittedLine{Experiment: k.e, Role: k.r, Part: k.p, Measure: m.name}
-			for _, r := range by[k] {
+			line := FittedLine{Experiment: k.e, Role: k.r, Part: k.p, Measure: m.name}
+			for _, r := range rowsByKey[k] {
 				x, y = append(x, float64(r.Size)), append(y, m.of(r))
 				if r.Size == FullSize {
-					n.FullSizeMeasured, n.AtFullSize = true, m.of(r)
+					line.FullSizeMeasured, line.AtFullSize = true, m.of(r)
 				}
 			}
 			if len(x) < 3 || slices.Max(y) == 0 {
 				continue
 			}
-			n.Intercept, n.Slope = stat.LinearRegression(x, y, nil, false)
-			n.R2 = stat.RSquared(x, y, nil, n.Intercept, n.Slope)
-			if !n.FullSizeMeasured {
-				n.AtFullSize = n.Intercept + n.Slope*FullSize
+			line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
+			line.R2 = stat.RSquared(x, y, nil, line.Intercept, line.Slope)
+			if !line.FullSizeMeasured {
+				line.AtFullSize = line.Intercept + line.Slope*FullSize
 			}
-			if m.most > 0 && k.p == "all" && n.Slope > 0 {
-				if at := (m.most - n.Intercept) / n.Slope; at > 0 && at < sizeMost {
-					n.CeilingSize = at
+			if m.most > 0 && k.p == "all" && line.Slope > 0 {
+				if size := (m.most - line.Intercept) / line.Slope; size > 0 && size < maxFittedSize {
+					line.CeilingSize = size
 				}
 			}
-			l = append(l, n)
+			lines = append(lines, line)
 		}
 	}
-	return l
+	return lines
 }
 
 // WriteMarkdown writes, for each experiment and role, what the whole of it cost at each size, with the fitted lines.
@@ -126,47 +126,47 @@
 			sizes = append(sizes, r.Size)
 		}
 	}
-	b := "| experiment | role | part | per node and second |"
+	text := "| experiment | role | part | per node and second |"
 	rule := "|---|---|---|---|"
-	for _, s := range sizes {
-		b += fmt.Sprintf(" %d |", s)
+	for _, size := range sizes {
+		text += fmt.Sprintf(" %d |", size)
 		rule += "---|"
 	}
-	b += " slope per node | R^2 | ceiling met at |\n" + rule + "---|---|---|\n"
-	for _, n := range lines {
-		if n.Max = max(n.AtFullSize, at(rows, n, slices.Max(sizes))); !shown(n) {
+	text += " slope per node | R^2 | ceiling met at |\n" + rule + "---|---|---|\n"
+	for _, line := range lines {
+		if line.Max = max(line.AtFullSize, valueAt(rows, line, slices.Max(sizes))); !inMarkdown(line) {
 			continue
 		}
-		b += fmt.Sprintf("| %s | %s | %s | %s |", n.Experiment, n.Role, n.Part, n.Measure)
-		for _, s := range sizes {
-			b += " " + whole(at(rows, n, s)) + " |"
+		text += fmt.Sprintf("| %s | %s | %s | %s |", line.Experiment, line.Role, line.Part, line.Measure)
+		for _, size := range sizes {
+			text += " " + formatCell(valueAt(rows, line, size)) + " |"
 		}
-		cross := ""
-		if n.CeilingSize > 0 {
-			cross = fmt.Sprintf("%.0f", n.CeilingSize)
+		ceilingSize := ""
+		if line.CeilingSize > 0 {
+			ceilingSize = fmt.Sprintf("%.0f", line.CeilingSize)
 		}
-		b += fmt.Sprintf(" %s | %.3f | %s |\n", num(n.Slope), n.R2, cross)
+		text += fmt.Sprintf(" %s | %.3f | %s |\n", formatNumber(line.Slope), line.R2, ceilingSize)
 	}
-	if _, err := io.WriteString(w, b); err != nil {
+	if _, err := io.WriteString(w, text); err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
 	return nil
 }
 
-// shown says which lines the page's table has: the whole of each role, and the parts that send the most at the largest
+// inMarkdown says which lines the page's table has: the whole of each role, and the parts that send the most at the largest
 // size that ran or, by the line, at the full one.
-func shown(n FittedLine) bool {
-	if n.Part == "all" {
-		return n.Measure != "notes_s" || n.AtFullSize > 0.01
+func inMarkdown(line FittedLine) bool {
+	if line.Part == "all" {
+		return line.Measure != "notes_s" || line.AtFullSize > 0.01
 	}
-	return n.Measure == "out_bytes_s" && n.Max > 200 || n.Measure == "core_pct" && n.Max > 0.2
+	return line.Measure == "out_bytes_s" && line.Max > 200 || line.Measure == "core_pct" && line.Max > 0.2
 }
 
-func at(rows []Row, n FittedLine, size int) float64 {
+func valueAt(rows []Row, line FittedLine, size int) float64 {
 	for _, r := range rows {
-		if r.Experiment == n.Experiment && r.Role == n.Role && r.Part == n.Part && r.Size == size {
+		if r.Experiment == line.Experiment && r.Role == line.Role && r.Part == line.Part && r.Size == size {
 			for _, m := range measures {
-				if m.name == n.Measure {
+				if m.name == line.Measure {
 					return m.of(r)
 				}
 			}
--- a/internal/standin/addr.go
+++ b/internal/standin/addr.go
@@ -7,16 +7,16 @@
 	"sync/atomic"
 )
 
-var addrs atomic.Uint32
+var addrCount atomic.Uint32
 
 // FreeAddr gives a loopback address with a port of the kernel's choice that nothing else will take before it is
 // used: each call has an IP number of its own, while outgoing wires on this machine begin at 127.0.0.1.
 func FreeAddr() (string, error) {
-	n, pid := addrs.Add(1), os.Getpid()
-	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+n%250, pid>>8&255, max(1, pid&255)))
+	n, pid := addrCount.Add(1), os.Getpid()
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+n%250, pid>>8&255, max(1, pid&255)))
 	if err != nil {
 		return "", fmt.Errorf("standin: %w", err)
 	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
--- a/internal/standin/journal.go
+++ b/internal/standin/journal.go
@@ -46,17 +46,17 @@
 
 // Journal is a file of entries.
 type Journal struct {
-	mu sync.Mutex
-	f  *os.File
+	mu   sync.Mutex
+	file *os.File
 }
 
 // OpenJournal makes or continues a journal.
 func OpenJournal(path string) (*Journal, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	return &Journal{f: f}, nil
+	return &Journal{file: file}, nil
 }
 
 // Now is the journal's time.
@@ -70,10 +70,10 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if _, err := j.f.Write(append(b, '\n')); err != nil {
+	if _, err := j.file.Write(append(b, '\n')); err != nil {
 		fmt.Fprintln(os.Stderr, "journal:", err)
 	}
 }
 
 // Close closes the file.
-func (j *Journal) Close() { j.f.Close() }
+func (j *Journal) Close() { j.file.Close() }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,30 +13,30 @@
 
 // Platform lists workers, marks leaving ones, and limits how often it may be asked.
 type Platform struct {
-	mu               sync.Mutex
-	pools            map[string][]config.Worker
-	born             map[string]time.Time
-	FailureMode      string            // "", refuse, empty, slow, bad, old
-	before           map[string][]byte // what it answers while it is old
-	MaxPerSecond     int               // questions allowed in a second; 0 for any number
-	second           int64
-	asked            int
-	RequestCount     int
-	RateLimitedCount int
-	HandleEvent      func(event string) error // what the harness does on a drill's wish
+	mu                 sync.Mutex
+	pools              map[string][]config.Worker
+	startedAt          map[string]time.Time
+	FailureMode        string            // "", refuse, empty, slow, bad, old
+	staleAnswers       map[string][]byte // what it answers while it is old
+	MaxPerSecond       int               // questions allowed in a second; 0 for any number
+	currentSecond      int64
+	requestsThisSecond int
+	RequestCount       int
+	RateLimitedCount   int
+	HandleEvent        func(event string) error // what the harness does on a drill's wish
 }
 
 // NewPlatform gives one without workers.
 func NewPlatform(perSec int) *Platform {
-	return &Platform{pools: map[string][]config.Worker{}, born: map[string]time.Time{}, MaxPerSecond: perSec}
+	return &Platform{pools: map[string][]config.Worker{}, startedAt: map[string]time.Time{}, MaxPerSecond: perSec}
 }
 
 // SetWorker adds a worker or replaces its entry; age is how long it has been warm already.
 func (p *Platform) SetWorker(pool string, w config.Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, ok := p.born[w.ID]; !ok {
-		p.born[w.ID] = time.Now().Add(-w.Age)
+	if _, ok := p.startedAt[w.ID]; !ok {
+		p.startedAt[w.ID] = time.Now().Add(-w.Age)
 	}
 	for i, x := range p.pools[pool] {
 		if x.ID == w.ID {
@@ -50,7 +50,7 @@
 // RecordRestart says that a worker has just started again in its place.
 func (p *Platform) RecordRestart(id string) {
 	p.mu.Lock()
-	p.born[id] = time.Now()
+	p.startedAt[id] = time.Now()
 	p.mu.Unlock()
 }
 
@@ -58,13 +58,13 @@
 func (p *Platform) RemoveWorker(pool, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var l []config.Worker
+	var remaining []config.Worker
 	for _, x := range p.pools[pool] {
 		if x.ID != id {
-			l = append(l, x)
+			remaining = append(remaining, x)
 		}
 	}
-	p.pools[pool] = l
+	p.pools[pool] = remaining
 }
 
 // FindWorker finds a worker.
@@ -80,11 +80,11 @@
 }
 
 // SetFailureMode changes how the platform answers.
-func (p *Platform) SetFailureMode(m string) {
+func (p *Platform) SetFailureMode(mode string) {
 	p.mu.Lock()
-	p.FailureMode, p.before = m, map[string][]byte{}
+	p.FailureMode, p.staleAnswers = mode, map[string][]byte{}
 	for pool := range p.pools {
-		p.before[pool] = p.list(pool)
+		p.staleAnswers[pool] = p.marshalPool(pool)
 	}
 	p.mu.Unlock()
 }
@@ -102,9 +102,9 @@
 		}
 		return
 	}
-	pool, ok := strings.CutPrefix(string(ctx.Path()), "/v1/pools/")
-	pool, ok2 := strings.CutSuffix(pool, "/workers")
-	if !ok || !ok2 {
+	pool, hasPrefix := strings.CutPrefix(string(ctx.Path()), "/v1/pools/")
+	pool, hasSuffix := strings.CutSuffix(pool, "/workers")
+	if !hasPrefix || !hasSuffix {
 		ctx.SetStatusCode(404)
 		return
 	}
@@ -117,12 +117,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.RequestCount++
-	if now := time.Now().Unix(); now != p.second {
-		p.second, p.asked = now, 0
+	if now := time.Now().Unix(); now != p.currentSecond {
+		p.currentSecond, p.requestsThisSecond = now, 0
 	}
-	p.asked++
+	p.requestsThisSecond++
 	switch {
-	case p.MaxPerSecond > 0 && p.asked > p.MaxPerSecond:
+	case p.MaxPerSecond > 0 && p.requestsThisSecond > p.MaxPerSecond:
 		p.RateLimitedCount++
 		ctx.SetStatusCode(429)
 	case p.FailureMode == "refuse":
@@ -132,17 +132,17 @@
 	case p.FailureMode == "empty":
 		ctx.SetBodyString(`{"workers": []}`)
 	case p.FailureMode == "old":
-		ctx.SetBody(p.before[pool])
+		ctx.SetBody(p.staleAnswers[pool])
 	default:
 		ctx.SetContentType("application/json")
-		ctx.SetBody(p.list(pool))
+		ctx.SetBody(p.marshalPool(pool))
 	}
 }
 
-func (p *Platform) list(pool string) []byte {
-	l := append([]config.Worker(nil), p.pools[pool]...)
-	for i := range l {
-		l[i].Age = time.Since(p.born[l[i].ID])
+func (p *Platform) marshalPool(pool string) []byte {
+	workers := append([]config.Worker(nil), p.pools[pool]...)
+	for i := range workers {
+		workers[i].Age = time.Since(p.startedAt[workers[i].ID])
 	}
-	return config.MarshalWorkers(l)
+	return config.MarshalWorkers(workers)
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -37,18 +37,18 @@
 	FaultMode        string // how it answers wrongly; empty for rightly
 	Journal          *Journal
 	mu               sync.Mutex
-	flight           int
+	inFlight         int
 	cache            cache
 }
 
 // Serve answers on ln until it is closed.
 func (w *Worker) Serve(ln net.Listener) error {
 	w.cache = newCache(w.Model.CacheBlocks)
-	s := &fasthttp.Server{Handler: w.handle, Name: "worker", MaxRequestBodySize: 8 << 20, NoDefaultDate: true, Concurrency: 65536}
-	return s.Serve(ln)
+	server := &fasthttp.Server{Handler: w.handle, Name: "worker", MaxRequestBodySize: 8 << 20, NoDefaultDate: true, Concurrency: 65536}
+	return server.Serve(ln)
 }
 
-type job struct {
+type generateRequest struct {
 	Prompt string `json:"prompt"`
 	Job    string `json:"job"`
 	Pieces int    `json:"pieces"`
@@ -56,71 +56,71 @@
 
 func (w *Worker) handle(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek("Request-Id"))
-	left, err := strconv.Atoi(string(ctx.Request.Header.Peek("Time-Left-Ms")))
-	var j job
-	if err != nil || id == "" || json.Unmarshal(ctx.PostBody(), &j) != nil {
+	timeLeftMs, err := strconv.Atoi(string(ctx.Request.Header.Peek("Time-Left-Ms")))
+	var request generateRequest
+	if err != nil || id == "" || json.Unmarshal(ctx.PostBody(), &request) != nil {
 		ctx.SetStatusCode(400)
 		return
 	}
 	w.mu.Lock()
-	full := w.flight >= w.Model.MaxBatch
+	full := w.inFlight >= w.Model.MaxBatch
 	if !full {
-		w.flight++
+		w.inFlight++
 	}
-	n := w.flight
-	hit := 0.0
+	inFlight := w.inFlight
+	cacheHit := 0.0
 	if !full {
-		hit = w.cache.take(j.Prompt)
+		cacheHit = w.cache.matchAndStore(request.Prompt)
 	}
 	w.mu.Unlock()
-	if full || left <= 0 {
+	if full || timeLeftMs <= 0 {
 		if !full {
-			w.leave()
+			w.release()
 		}
 		ctx.SetStatusCode(503)
 		ctx.SetBodyString(fmt.Sprintf(`{"id":%q,"ran":false}`, id))
 		return
 	}
-	w.Journal.Write(Entry{Kind: "start", At: Now(), Job: j.Job, Worker: w.Name, Pool: w.Pool, Zone: w.Zone, ID: id, CacheHit: hit, InFlight: n, Bytes: len(j.Prompt)})
-	pieces := j.Pieces
+	w.Journal.Write(Entry{Kind: "start", At: Now(), Job: request.Job, Worker: w.Name, Pool: w.Pool, Zone: w.Zone, ID: id, CacheHit: cacheHit, InFlight: inFlight, Bytes: len(request.Prompt)})
+	pieces := request.Pieces
 	if pieces <= 0 {
 		pieces = 10
 	}
 	conn := ctx.Conn()
-	due := time.Now().Add(time.Duration(left) * time.Millisecond)
-	miss := time.Duration(float64(len(j.Prompt)) * (1 - hit) * float64(w.Model.PrefillPerByte))
+	deadline := time.Now().Add(time.Duration(timeLeftMs) * time.Millisecond)
+	prefill := time.Duration(float64(len(request.Prompt)) * (1 - cacheHit) * float64(w.Model.PrefillPerByte))
 	if w.FaultMode == "id" {
 		id = "somebody-else"
 	}
 	ctx.Response.Header.Set("Request-Id", id)
-	ctx.SetBodyStreamWriter(func(b *bufio.Writer) {
-		how := w.run(b, conn, id, j, pieces, miss, due)
-		w.leave()
-		w.Journal.Write(Entry{Kind: "end", At: Now(), Job: j.Job, Worker: w.Name, ID: id, How: how})
+	ctx.SetBodyStreamWriter(func(out *bufio.Writer) {
+		outcome := w.streamAnswer(out, conn, id, request, pieces, prefill, deadline)
+		w.release()
+		w.Journal.Write(Entry{Kind: "end", At: Now(), Job: request.Job, Worker: w.Name, ID: id, How: outcome})
 	})
 }
 
-func (w *Worker) leave() {
+func (w *Worker) release() {
 	w.mu.Lock()
-	w.flight--
+	w.inFlight--
 	w.mu.Unlock()
 }
 
-// slow is how much a step takes longer now. Past the knee, recomputation sets in.
-func (w *Worker) slow() float64 {
+// slowdown is how much a step takes longer now. Past the knee, recomputation sets in.
+func (w *Worker) slowdown() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := 1 + 0.05*float64(min(w.flight, w.Model.Knee))
-	if over := w.flight - w.Model.Knee; over > 0 {
-		f *= 1 + 0.5*float64(over)
+	factor := 1 + 0.05*float64(min(w.inFlight, w.Model.Knee))
+	if excess := w.inFlight - w.Model.Knee; excess > 0 {
+		factor *= 1 + 0.5*float64(excess)
 	}
-	return f
+	return factor
 }
 
-// pause waits a step; it says false when the caller is gone or the time is out.
-func (w *Worker) pause(conn net.Conn, d time.Duration, due time.Time) bool {
-	for d = time.Duration(float64(d) * w.slow()); d > 0; d -= 50 * time.Millisecond {
-		if time.Now().After(due) || socket.PeerClosed(conn) {
+// wait waits a step; it says false when the caller is gone or the time is out.
+func (w *Worker) wait(conn net.Conn, d time.Duration, deadline time.Time) bool {
+	for d = time.Duration(float64(d) * w.slowdown()); d > 0; d -= 50 * time.Millisecond {
+		if time.Now().After(deadline) || socket.PeerClosed(conn) {
 			return false
 		}
 		time.Sleep(min(d, 50*time.Millisecond))
@@ -128,56 +128,56 @@
 	return true
 }
 
-// dark says nothing and notices nothing till the time is out, as a worker does whose machine hangs.
-func (w *Worker) dark(due time.Time) string {
-	time.Sleep(time.Until(due))
+// hang says nothing and notices nothing till the time is out, as a worker does whose machine hangs.
+func (w *Worker) hang(deadline time.Time) string {
+	time.Sleep(time.Until(deadline))
 	return "dark"
 }
 
-func (w *Worker) run(b *bufio.Writer, conn net.Conn, id string, j job, pieces int, miss time.Duration, due time.Time) string {
-	sum, bytes := sha256.New(), 0
+func (w *Worker) streamAnswer(out *bufio.Writer, conn net.Conn, id string, request generateRequest, pieces int, prefill time.Duration, deadline time.Time) string {
+	digest, bytes := sha256.New(), 0
 	if w.FaultMode == "dark" {
-		return w.dark(due)
+		return w.hang(deadline)
 	}
-	if !w.pause(conn, miss, due) {
+	if !w.wait(conn, prefill, deadline) {
 		conn.Close()
 		return "cut"
 	}
 	for i := 0; i < pieces || w.FaultMode == "endless"; i++ {
-		if !w.pause(conn, w.Model.TimePerPiece, due) {
+		if !w.wait(conn, w.Model.TimePerPiece, deadline) {
 			conn.Close()
 			return "cut"
 		}
-		text := fmt.Sprintf("%s:%d %s", j.Job, i, strings.Repeat("word ", 4))
-		n := i
+		text := fmt.Sprintf("%s:%d %s", request.Job, i, strings.Repeat("word ", 4))
+		number := i
 		switch {
 		case w.FaultMode == "mute" && i == 2:
-			return w.dark(due)
+			return w.hang(deadline)
 		case w.FaultMode == "gap" && i >= 2:
-			n++
+			number++
 		case w.FaultMode == "double" && i == 2:
-			n--
+			number--
 		case w.FaultMode == "cut" && i == 2:
 			conn.Close()
 			return "cut"
 		}
 		if w.FaultMode == "text" && i == 1 {
-			sum.Write([]byte("other"))
+			digest.Write([]byte("other"))
 		}
-		sum.Write([]byte(text))
+		digest.Write([]byte(text))
 		bytes += len(text)
-		fmt.Fprintf(b, "{\"n\":%d,\"text\":%q}\n", n, text)
-		if b.Flush() != nil {
+		fmt.Fprintf(out, "{\"n\":%d,\"text\":%q}\n", number, text)
+		if out.Flush() != nil {
 			return "cut"
 		}
 	}
 	if w.FaultMode != "seal" {
-		fmt.Fprintf(b, "{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, pieces, bytes, hex.EncodeToString(sum.Sum(nil)))
+		fmt.Fprintf(out, "{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, pieces, bytes, hex.EncodeToString(digest.Sum(nil)))
 		if w.FaultMode == "more" {
-			fmt.Fprintf(b, "{\"n\":%d,\"text\":\"more\"}\n", pieces)
+			fmt.Fprintf(out, "{\"n\":%d,\"text\":\"more\"}\n", pieces)
 		}
 	}
-	if b.Flush() != nil {
+	if out.Flush() != nil {
 		return "cut"
 	}
 	return "done"
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -9,15 +9,15 @@
 )
 
 // WaitUntil looks again and again until f holds.
-func WaitUntil(t testing.TB, what string, f func() bool) {
+func WaitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	end := time.After(60 * time.Second) // only to give up on what never comes: a full machine takes its time
+	timeout := time.After(60 * time.Second) // only to give up on what never comes: a full machine takes its time
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for !f() {
+	for !condition() {
 		select {
 		case <-tick.C:
-		case <-end:
+		case <-timeout:
 			t.Fatalf("never: %s", what)
 		}
 	}
@@ -26,9 +26,9 @@
 // FreeAddr gives an address that nothing else takes.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
-	a, err := standin.FreeAddr()
+	addr, err := standin.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return addr
 }
