--- a/internal/partition/doc.go
+++ b/internal/partition/doc.go
@@ -1,6 +1,8 @@
-// Package partition is what wires go out through. In a build with the tag "cuts", which only local fleets use, a file
-// names the addresses that nothing gets to; shipped programs hold nothing of it (design 1).
+// Package partition opens all outgoing connections. In a build with the tag "cuts", which only local fleets use, it
+// simulates network partitions and packet loss: a file lists the addresses that can't be reached. Shipped programs
+// contain none of that code (docs/design.md, section 1).
 package partition
 
-// FileEnv names the file of cuts to a process of a local fleet: lines of an address and a percentage of what is lost.
+// FileEnv is the environment variable with the path of the partition file of a process. Each line of the file has an
+// address and the percentage of packets to it that are lost; 100 is a partition.
 const FileEnv = "SEAMSHUNT_CUTS"
--- a/internal/partition/enabled.go
+++ b/internal/partition/enabled.go
@@ -15,19 +15,20 @@
 	"time"
 )
 
-// Enabled says that this build can be cut off.
+// Enabled reports whether this build can simulate partitions.
 const Enabled = true
 
-// buildMark stands in every program built so, and in no other.
+// buildMark is contained in every program built with the tag "cuts", and in no other.
 const buildMark = "seamshunt: built for being cut off"
 
+// rules holds the partition file as it was read last.
 var rules struct {
 	sync.Mutex
-	at   time.Time
-	lost map[string]int
+	readAt      time.Time
+	lossPercent map[string]int // by address
 }
 
-// lossPercent gives the percentage of what is lost on the way to an address. The file is read again every 50 ms.
+// lossPercent returns the percentage of packets to an address that are lost. The file is read again every 50 ms.
 func lossPercent(addr string) int {
 	path := os.Getenv(FileEnv)
 	if path == "" {
@@ -35,37 +36,37 @@
 	}
 	rules.Lock()
 	defer rules.Unlock()
-	if time.Since(rules.at) > 50*time.Millisecond {
-		if rules.at.IsZero() {
+	if time.Since(rules.readAt) > 50*time.Millisecond {
+		if rules.readAt.IsZero() {
 			fmt.Fprintln(os.Stderr, buildMark)
 		}
-		rules.at = time.Now()
+		rules.readAt = time.Now()
 		if b, err := os.ReadFile(path); err == nil {
-			rules.lost = map[string]int{}
+			rules.lossPercent = map[string]int{}
 			for s := bufio.NewScanner(strings.NewReader(string(b))); s.Scan(); {
-				var a string
-				var n int
-				if k, _ := fmt.Sscan(s.Text(), &a, &n); k == 2 {
-					rules.lost[a] = n
+				var address string
+				var percent int
+				if fields, _ := fmt.Sscan(s.Text(), &address, &percent); fields == 2 {
+					rules.lossPercent[address] = percent
 				}
 			}
 		}
 	}
-	return rules.lost[addr]
+	return rules.lossPercent[addr]
 }
 
-// ShouldDrop says whether a note to an address is lost on its way.
+// ShouldDrop reports whether a message to an address has to be dropped, which it decides at random by its loss rate.
 func ShouldDrop(addr string) bool {
 	percent := lossPercent(addr)
 	return percent > 0 && rand.IntN(100) < percent
 }
 
-// Dial opens a connection; through a cut nothing comes back, not even a refusal.
+// Dial opens a TCP connection. During a partition it times out; no refusal arrives either.
 func Dial(addr string, timeout time.Duration) (net.Conn, error) {
 	return DialContext(context.Background(), addr, timeout)
 }
 
-// DialContext opens a connection, unless the context ends first.
+// DialContext opens a TCP connection unless the context ends first.
 func DialContext(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	deadline := time.Now().Add(timeout)
 	if !waitUntilReachable(ctx, addr, deadline) {
@@ -81,7 +82,8 @@
 	return c, nil
 }
 
-// waitUntilReachable waits until an address is not wholly cut off.
+// waitUntilReachable waits until the loss on the way to an address is below 100 %. It reports false at the deadline or
+// when the context ends.
 func waitUntilReachable(ctx context.Context, addr string, deadline time.Time) bool {
 	for lossPercent(addr) >= 100 {
 		if time.Now().After(deadline) || ctx.Err() != nil {
@@ -92,11 +94,11 @@
 	return true
 }
 
-// conn holds its bytes back while its other end is cut off, as a net that sends them again later would.
+// conn delays its bytes while its remote address is partitioned, as TCP does, which retransmits them later.
 type conn struct {
 	*net.TCPConn
 	addr     string
-	deadline atomic.Int64 // the deadline, in nanoseconds of the clock
+	deadline atomic.Int64 // Unix time in nanoseconds
 }
 
 func (c *conn) SetDeadline(t time.Time) error {
@@ -119,5 +121,6 @@
 	return c.TCPConn.Write(b)
 }
 
-// Unwrap is the wire itself, for an event loop that wants its descriptor; Lost drops what is cut off there.
+// Unwrap returns the TCP connection itself, for an event loop that needs its descriptor. Its bytes are not delayed:
+// the event loop asks ShouldDrop instead.
 func Unwrap(c net.Conn) net.Conn { return c.(*conn).TCPConn }
