--- a/internal/scaletest/controller.go
+++ b/internal/scaletest/controller.go
@@ -16,14 +16,14 @@
 	"seamshunt/internal/units"
 )
 
-// Founders vote; the other machines that are set aside for control stand by.
+// The first VoterCount controllers of a site vote; the others are on standby.
 const (
 	VoterCount      = 5
 	ControllerCount = 8
 	pollInterval    = 500 * time.Millisecond
 )
 
-// controller is package controller without its web side, its locks and its file.
+// controller is package controller without its HTTP interface, its locks and its disk.
 type controller struct {
 	node          *node
 	replica       *register.Replica
@@ -38,9 +38,11 @@
 
 func newController(n *node) *controller {
 	sim := n.sim
-	c := &controller{node: n, replica: register.New(n.id, units.NodeID(sim.rng.Uint64())), claims: idempotency.LoadRegistry(n.id, sim.Now, nil), catalog: discovery.New(),
-		pollSchedules: map[string]*discovery.Schedule{}, planner: register.Planner{FixedSize: VoterCount, ReplaceAfter: register.ReplaceFixedAfter}}
-	c.lease = lease.New(n.id, "platform", func() []units.NodeID { return c.replica.Quorum().Members }, sim.Now, rand.New(rand.NewPCG(sim.rng.Uint64(), 1)))
+	c := &controller{node: n, replica: register.New(n.id, units.NodeID(sim.rng.Uint64())),
+		claims: idempotency.LoadRegistry(n.id, sim.Now, nil), catalog: discovery.New(), pollSchedules: map[string]*discovery.Schedule{},
+		planner: register.Planner{FixedSize: VoterCount, ReplaceAfter: register.ReplaceFixedAfter}}
+	c.lease = lease.New(n.id, "platform", func() []units.NodeID { return c.replica.Quorum().Members }, sim.Now,
+		rand.New(rand.NewPCG(sim.rng.Uint64(), 1)))
 	c.syncer = antientropy.New(n.id, sim.Now, rand.New(rand.NewPCG(sim.rng.Uint64(), 2)))
 	n.feed.StoredVersions = func() map[string]units.Version { return c.replica.KnownVersions() }
 	return c
@@ -71,7 +73,7 @@
 	return c.replica.Quorum().Version > 0 && (c.claims.Complete() || !c.replica.Quorum().Has(c.node.id))
 }
 
-// tick is the controller's loop, and its poller's.
+// tick is the controller's loop, including that of its platform poller.
 func (c *controller) tick(now units.Time, _ []membership.Member) message.Effects {
 	members := c.node.membership
 	all := members.All()
@@ -102,7 +104,7 @@
 	return out
 }
 
-// pollPlatform asks the world's platform for each pool, at this node's share of the fleet's rate.
+// pollPlatform polls the simulated platform for each pool, at this node's share of the site's poll rate.
 func (c *controller) pollPlatform(now units.Time, out *message.Effects) {
 	share := c.lease.Share(now)
 	for _, pool := range c.node.sim.poolNames {
@@ -122,6 +124,7 @@
 	}
 }
 
+// collectResults counts the outcomes of configuration changes and publishes the values that the register has chosen.
 func (c *controller) collectResults(now units.Time, out *message.Effects) {
 	for _, result := range c.replica.Results {
 		c.node.sim.ChangeResults[result.Code]++
@@ -144,10 +147,11 @@
 	out.Append(c.node.feed.Publish(now, item, to))
 }
 
-// writeConfig writes the configuration anew, as an operator's confirmed plan does.
+// writeConfig writes a new configuration, as an operator's confirmed plan does.
 func (c *controller) writeConfig(data []byte) {
 	c.lastTag++
-	request := register.Request{Tag: c.lastTag, Key: "config", Write: true, ExpectedVersion: register.AnyVersion, RequestID: units.Hex(c.node.sim.rng.Uint64()), Data: data}
+	request := register.Request{Tag: c.lastTag, Key: "config", Write: true, ExpectedVersion: register.AnyVersion,
+		RequestID: units.Hex(c.node.sim.rng.Uint64()), Data: data}
 	c.node.runTimed(message.KindRegister, func() message.Effects {
 		out := c.replica.Submit(c.node.sim.Now, request)
 		c.collectResults(c.node.sim.Now, &out)
--- a/internal/scaletest/limits.go
+++ b/internal/scaletest/limits.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// What a run holds, measured at sizes 12 to 400 (docs/CAPACITY.md) and rounded up: so much for each node, and so much
-// for each other one that it knows of. The collector lets the heap grow to twice what lives.
+// The live heap of a run is about bytesPerNode for each node plus bytesPerPair for each node that it knows of, measured
+// at sizes 12 to 400 (docs/CAPACITY.md) and rounded up. The garbage collector lets the heap grow to twice that.
 const (
 	bytesPerNode = 256 << 10
 	bytesPerPair = 4 << 10
 )
 
-// RequiredMemory is about how much memory a run of n routers takes.
+// RequiredMemory returns about how many bytes of memory a run takes.
 func RequiredMemory(routers int) uint64 {
 	nodes := uint64(routers + ControllerCount)
 	return 2 * (nodes*bytesPerNode + nodes*nodes*bytesPerPair)
 }
 
-// MaxRouters is the largest site that fits into so much memory.
+// MaxRouters returns the number of routers of the largest site that fits into memory bytes.
 func MaxRouters(memory uint64) int {
 	routers := 0
 	for step := 1 << 20; step > 0; step /= 2 {
@@ -32,11 +32,11 @@
 	return routers
 }
 
-// HalfOfMemory is half of this machine's memory.
+// HalfOfMemory returns half of this machine's memory in bytes.
 func HalfOfMemory() (uint64, error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
-		return 0, fmt.Errorf("hollow: %w", err)
+		return 0, fmt.Errorf("scaletest: %w", err)
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
@@ -47,10 +47,10 @@
 			}
 		}
 	}
-	return 0, errors.New("hollow: /proc/meminfo names no memory")
+	return 0, errors.New("scaletest: /proc/meminfo has no MemTotal")
 }
 
-// CheckSizes says whether sizes can be run here, and else what the bounds are.
+// CheckSizes returns an error that states the limits if not all sizes fit into memory bytes.
 func CheckSizes(sizes []int, memory uint64) error {
 	maxRouters := MaxRouters(memory)
 	if len(sizes) == 0 {
--- a/internal/scaletest/network.go
+++ b/internal/scaletest/network.go
@@ -1,6 +1,3 @@
-// Package scaletest runs many nodes in one process to measure what each role costs at a size: the daemons' own step
-// machines for membership, news, keepers, claims and control state, with no engine behind and frames counted instead
-// of sent (docs/CAPACITY.md).
 package scaletest
 
 import (
@@ -12,9 +9,11 @@
 	"seamshunt/internal/units"
 )
 
-const frameHeaderBytes = 24 // of a frame, as package transport lays it out
+// frameHeaderBytes is the size of the header that package transport sends before each frame.
+const frameHeaderBytes = 24
 
-// event is a note that arrives, or a thing to do, at one millisecond of virtual time.
+// event is a message that arrives or a function to run at one millisecond of virtual time. A message is discarded if its
+// node has been restarted since it was sent.
 type event struct {
 	to         *node
 	generation int
@@ -22,15 +21,15 @@
 	run        func()
 }
 
-// program is what a node runs on top of membership and news.
+// program is the part of a node above membership and configuration push: a router or a controller.
 type program interface {
-	step(now units.Time, n message.Message) message.Effects
+	step(now units.Time, msg message.Message) message.Effects
 	tick(now units.Time, all []membership.Member) message.Effects
-	processesEnded(now units.Time, l []units.NodeID)
-	operational(now units.Time) bool // it serves, or votes, or stands by
+	processesEnded(now units.Time, ended []units.NodeID)
+	operational(now units.Time) bool // reports whether it serves, votes or is on standby
 }
 
-// usage is what one part of one role did.
+// usage sums up the traffic and the call time of one part of all nodes of one role.
 type usage struct {
 	Messages, BytesOut, BytesIn int
 	CallTime                    time.Duration
@@ -38,35 +37,36 @@
 
 type partKey struct {
 	role membership.Role
-	kind message.Kind // zero for ticks of the program, and for disk work
+	kind message.Kind // zero for ticks of the program and for disk work
 }
 
-// Simulation is one site of hollow nodes, on a virtual clock.
+// Simulation is one site of simulated nodes on a virtual clock.
 type Simulation struct {
 	Now               units.Time
 	rng               *rand.Rand
 	nodes             []*node
 	byID              map[units.NodeID]*node
 	byAddr            map[string]*node
-	events            map[int64][]event
+	events            map[int64][]event // by millisecond of virtual time
 	usageByPart       map[partKey]*usage
-	partitionedRegion string // a region that nothing gets into or out of
+	partitionedRegion string // the region without traffic to or from the others; empty for none
 	DiskSyncs         int
-	SyncedBytes       int // bytes of records
+	SyncedBytes       int // of records
 	SiteSize
 	*workload
 }
 
-// SiteSize says how large a site is.
+// SiteSize is the size and the load of a site.
 type SiteSize struct {
 	Routers, Workers, Models, Tenants int
-	Rate                              float64 // requests a second
+	Rate                              float64 // requests per second
 	Seed                              uint64
 }
 
-// siteZones lays a zone out: eleven zones in three regions.
+// siteZones are the eleven zones of a site, in three regions.
 var siteZones = []struct{ zone, region string }{
-	{"a1", "a"}, {"a2", "a"}, {"a3", "a"}, {"a4", "a"}, {"b1", "b"}, {"b2", "b"}, {"b3", "b"}, {"b4", "b"}, {"c1", "c"}, {"c2", "c"}, {"c3", "c"},
+	{"a1", "a"}, {"a2", "a"}, {"a3", "a"}, {"a4", "a"}, {"b1", "b"}, {"b2", "b"}, {"b3", "b"}, {"b4", "b"},
+	{"c1", "c"}, {"c2", "c"}, {"c3", "c"},
 }
 
 func (s *Simulation) enqueue(due units.Time, e event) {
@@ -74,12 +74,12 @@
 	s.events[ms] = append(s.events[ms], e)
 }
 
-// Schedule plans a thing for a span from now.
+// Schedule runs a function after a delay of virtual time.
 func (s *Simulation) Schedule(delay time.Duration, run func()) {
 	s.enqueue(s.Now.Add(delay), event{run: run})
 }
 
-// Advance lets virtual time go on for a span.
+// Advance advances the virtual clock by a duration and processes the events that fall due.
 func (s *Simulation) Advance(d time.Duration) {
 	for end := s.Now.Add(d); s.Now < end; {
 		ms := int64(s.Now)/1e6 + 1
@@ -106,7 +106,8 @@
 	return u
 }
 
-// send counts one frame and brings it to where it goes.
+// send counts one frame and schedules its arrival. Like a real frame it is lost during a partition, and refused if the
+// receiving process has stopped.
 func (s *Simulation) send(from *node, msg message.Message) {
 	msg.From = from.id
 	to := s.byID[msg.To]
@@ -114,7 +115,7 @@
 		to = s.byAddr[msg.Addr]
 	}
 	size := frameHeaderBytes + len(msg.Body)
-	if to != from { // a note to oneself never leaves the process
+	if to != from { // a message to the node itself does not leave the process
 		sent := s.usage(from.role, msg.Kind&^15)
 		sent.Messages++
 		sent.BytesOut += size
@@ -135,7 +136,7 @@
 	s.enqueue(s.Now.Add(s.latency(from, to)), event{to: to, generation: to.generation, message: msg})
 }
 
-// refuseConnection tells a sender that nobody listens at an address, as the kernel does when its wire is dialled.
+// refuseConnection reports to a sender that nothing listens at an address, as the kernel does when it dials.
 func (s *Simulation) refuseConnection(from *node, addr string) {
 	generation := from.generation
 	s.Schedule(time.Millisecond, func() {
--- a/internal/scaletest/node.go
+++ b/internal/scaletest/node.go
@@ -14,7 +14,7 @@
 	"seamshunt/internal/units"
 )
 
-// How often the daemons' loops run: package node's, the router's and the controller's.
+// The intervals of the daemons' loops (of package node, the router and the controller), and the time of a disk sync.
 const (
 	membershipInterval = 50 * time.Millisecond
 	routerInterval     = 20 * time.Millisecond
@@ -22,7 +22,7 @@
 	diskSyncTime       = 2 * time.Millisecond
 )
 
-// node is one hollow process: what package node holds, and a program.
+// node is one simulated process: the state of package node, and a program.
 type node struct {
 	sim        *Simulation
 	id         units.NodeID
@@ -31,15 +31,15 @@
 	region     string
 	role       membership.Role
 	running    bool
-	generation int
+	generation int // changes whenever the process starts or stops
 	membership *membership.Gossip
 	feed       *configpush.Feed
 	program    program
-	bytesOut   int // of frames sent, and taken
+	bytesOut   int // of frames
 	bytesIn    int
 }
 
-// addNode puts a machine into the world; its process starts at once.
+// addNode adds a machine to the simulation and starts its process.
 func (s *Simulation) addNode(i int, role membership.Role) *node {
 	place := siteZones[i%len(siteZones)]
 	n := &node{sim: s, zone: place.zone, region: place.region, role: role}
@@ -63,18 +63,19 @@
 	return addrs
 }
 
-// start begins a fresh process on the machine.
+// start starts a new process on the machine.
 func (n *node) start() {
 	sim := n.sim
 	delete(sim.byID, n.id)
 	n.generation++
 	n.running = true
-	if n.id == 0 || n.role == membership.Router { // a controller is known by its disk
+	if n.id == 0 || n.role == membership.Router { // a controller keeps its ID on its disk
 		n.id = units.NodeID(sim.rng.Uint64() | 1)
 	}
 	sim.byID[n.id] = n
 	httpAddr := n.addr[:len(n.addr)-2] + "80"
-	self := membership.Member{Node: n.id, Incarnation: uint64(1e12 + int64(sim.Now)/1e6), Role: n.role, Addr: n.addr, HTTPAddr: httpAddr, Zone: n.zone}
+	self := membership.Member{Node: n.id, Incarnation: uint64(1e12 + int64(sim.Now)/1e6), Role: n.role, Addr: n.addr,
+		HTTPAddr: httpAddr, Zone: n.zone}
 	n.membership = membership.New(self, sim.seedAddrs(), rand.New(rand.NewPCG(sim.rng.Uint64(), 0)))
 	n.feed = configpush.New(n.id)
 	interval := routerInterval
@@ -88,7 +89,7 @@
 	n.runLoop(interval, 0, func(now units.Time) message.Effects { return n.program.tick(now, nil) })
 }
 
-// runLoop runs a loop of the process as long as it lives, and puts its time down to a part.
+// runLoop runs a loop of the process as long as it lives, and adds its time to the part that kind names.
 func (n *node) runLoop(interval time.Duration, kind message.Kind, step func(units.Time) message.Effects) {
 	generation := n.generation
 	var tick func()
@@ -102,7 +103,7 @@
 	n.sim.Schedule(time.Duration(n.sim.rng.Int64N(int64(interval))), tick)
 }
 
-// tick is package node's: membership, then news.
+// tick is the loop of package node: membership, then configuration push.
 func (n *node) tick(now units.Time) message.Effects {
 	n.membership.FeedDigest = n.feed.Digest
 	out := n.membership.Tick(now)
@@ -110,6 +111,7 @@
 	return out
 }
 
+// runTimed runs one step, adds its time to the part that kind names, and sends its effects.
 func (n *node) runTimed(kind message.Kind, step func() message.Effects) {
 	start := time.Now()
 	out := step()
@@ -117,7 +119,7 @@
 	n.sendEffects(out)
 }
 
-// receive gives a note to its machine, as package node does.
+// receive passes a message to the state machine that handles it, as package node does.
 func (n *node) receive(msg message.Message) {
 	kind := msg.Kind &^ 15
 	n.runTimed(kind, func() message.Effects {
@@ -131,9 +133,9 @@
 	})
 }
 
-// sendEffects sends what a step gave out; a controller's later notes wait for the disk.
+// sendEffects sends the messages of a step; those that a controller sends after a disk sync wait for it.
 func (n *node) sendEffects(out message.Effects) {
-	// The order of a step's notes may hang on a map; the world's must not.
+	// The order of a step's messages may depend on map iteration. They are sorted so that a seed gives the same run.
 	slices.SortStableFunc(out.Messages, func(a, b message.Message) int {
 		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Kind, b.Kind), bytes.Compare(a.Body, b.Body))
 	})
@@ -165,7 +167,7 @@
 	})
 }
 
-// stop ends the process after its goodbye; what was meant for it is refused from then on.
+// stop ends the process after it has announced that it leaves; connections to it are refused from then on.
 func (n *node) stop() {
 	n.runTimed(message.KindMembership, n.membership.Leave)
 	n.running = false
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -12,21 +12,23 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// WritePlot draws four panels, bytes, notes, processor time and memory of a router against the size of its site, a line for
-// each experiment, and the ceilings.
+// WritePlot writes an SVG with four panels: bytes, messages, processor time and memory of a router against the size of its
+// site, with a line for each experiment and one for the ceiling.
 func WritePlot(path string, rows []Row) error {
 	const side = 12 * vg.Centimeter
 	canvas := vgsvg.New(2*side, 2*side)
-	tiles := draw.Tiles{Rows: 2, Cols: 2, PadX: vg.Centimeter / 2, PadY: vg.Centimeter / 2, PadTop: vg.Centimeter / 4, PadRight: vg.Centimeter / 4}
+	tiles := draw.Tiles{Rows: 2, Cols: 2, PadX: vg.Centimeter / 2, PadY: vg.Centimeter / 2,
+		PadTop: vg.Centimeter / 4, PadRight: vg.Centimeter / 4}
 	panels := []struct {
 		measure, title string
-		most           float64
-	}{{"out_bytes_s", "bytes sent a second", MaxBytesPerSecond}, {"notes_s", "notes sent a second", 0}, {"core_pct", "percent of a core", MaxCorePercent}, {"heap_kb", "heap, KB", 0}}
+		ceiling        float64
+	}{{"out_bytes_s", "bytes sent a second", MaxBytesPerSecond}, {"notes_s", "notes sent a second", 0},
+		{"core_pct", "percent of a core", MaxCorePercent}, {"heap_kb", "heap, KB", 0}}
 	var grid [][]*plot.Plot
 	for i := range 2 {
 		var l []*plot.Plot
 		for _, x := range panels[2*i : 2*i+2] {
-			p, err := panel(rows, x.measure, x.title, x.most)
+			p, err := panel(rows, x.measure, x.title, x.ceiling)
 			if err != nil {
 				return err
 			}
@@ -42,28 +44,29 @@
 	}
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("scaletest: %w", err)
 	}
 	if _, err = canvas.WriteTo(f); err == nil {
 		err = f.Close()
 	}
 	if err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("scaletest: %w", err)
 	}
 	return nil
 }
 
 func panel(rows []Row, measure, title string, ceiling float64) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text = "a router: "+title, "routers of the site"
-	drawn.Legend.Top, drawn.Legend.Left = true, true
-	drawn.Y.Min = 0
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text = "a router: "+title, "routers of the site"
+	chart.Legend.Top, chart.Legend.Left = true, true
+	chart.Y.Min = 0
 	var maxSize int
 	for i, e := range Experiments {
 		var points plotter.XYs
 		for _, r := range rows {
 			if r.Experiment == e.Name && r.Role == "router" && r.Part == "all" {
-				points = append(points, plotter.XY{X: float64(r.Size), Y: valueAt(rows, FittedLine{Experiment: e.Name, Role: "router", Part: "all", Measure: measure}, r.Size)})
+				points = append(points, plotter.XY{X: float64(r.Size),
+					Y: valueAt(rows, FittedLine{Experiment: e.Name, Role: "router", Part: "all", Measure: measure}, r.Size)})
 				maxSize = max(maxSize, r.Size)
 			}
 		}
@@ -72,20 +75,20 @@
 		}
 		line, markers, err := plotter.NewLinePoints(points)
 		if err != nil {
-			return nil, fmt.Errorf("hollow: %w", err)
+			return nil, fmt.Errorf("scaletest: %w", err)
 		}
 		line.Color, markers.Color, markers.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
-		drawn.Add(line, markers)
-		drawn.Legend.Add(e.Name, line, markers)
+		chart.Add(line, markers)
+		chart.Legend.Add(e.Name, line, markers)
 	}
 	if ceiling > 0 {
 		line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: ceiling}, {X: float64(maxSize), Y: ceiling}})
 		if err != nil {
-			return nil, fmt.Errorf("hollow: %w", err)
+			return nil, fmt.Errorf("scaletest: %w", err)
 		}
 		line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-		drawn.Add(line)
-		drawn.Legend.Add("ceiling", line)
+		chart.Add(line)
+		chart.Legend.Add("ceiling", line)
 	}
-	return drawn, nil
+	return chart, nil
 }
--- a/internal/scaletest/router.go
+++ b/internal/scaletest/router.go
@@ -18,7 +18,7 @@
 	"seamshunt/internal/units"
 )
 
-// router is package router without its web side, its streams and its locks.
+// router is package router without its HTTP interface, its streams and its locks.
 type router struct {
 	node           *node
 	config         *config.Config
@@ -33,14 +33,15 @@
 	claimant       *idempotency.Claimant
 	placer         placement.Placer
 	peers          []capacity.Peer
-	changed        bool
+	changed        bool // since the ledger was refreshed last
 	startedAt      units.Time
 	lastTag        uint64
 }
 
 func newRouter(n *node) *router {
-	return &router{node: n, pools: map[string][]config.Worker{}, evacuatedZones: map[string]bool{}, catalog: discovery.New(), queue: admission.New(n.id),
-		ledger: capacity.New(n.id), tracker: capacity.NewRouterTracker(), claimant: idempotency.New(n.id, n.sim.Now), startedAt: n.sim.Now, lastTag: n.sim.rng.Uint64() >> 1}
+	return &router{node: n, pools: map[string][]config.Worker{}, evacuatedZones: map[string]bool{}, catalog: discovery.New(),
+		queue: admission.New(n.id), ledger: capacity.New(n.id), tracker: capacity.NewRouterTracker(),
+		claimant: idempotency.New(n.id, n.sim.Now), startedAt: n.sim.Now, lastTag: n.sim.rng.Uint64() >> 1}
 }
 
 func (r *router) step(now units.Time, msg message.Message) (out message.Effects) {
@@ -70,7 +71,8 @@
 
 func (r *router) operational(units.Time) bool { return r.ready }
 
-// tick is the router's loop; like the daemon's it takes membership's table anew for each of its three looks.
+// tick is the router's loop. Like the daemon's it copies the membership table in each of the three places that use it,
+// so that the cost of the copies is measured too.
 func (r *router) tick(now units.Time, _ []membership.Member) message.Effects {
 	r.refreshLedger(now)
 	out := r.queue.Tick(now)
@@ -93,7 +95,8 @@
 	return out
 }
 
-// refreshLedger brings news and membership into the tables and, when they changed, to the keeper.
+// refreshLedger applies configuration updates and membership changes and, if anything changed, passes them on to the
+// ledger of the workers that this router coordinates.
 func (r *router) refreshLedger(now units.Time) {
 	updates := r.node.feed.Changes
 	r.node.feed.Changes = nil
@@ -146,7 +149,7 @@
 	out.Append(requests)
 }
 
-// candidates is the daemon's own search for a prompt's workers and their keepers.
+// candidates returns the ranked workers for a prompt and their coordinators, found as the daemon does it.
 func (r *router) candidates(now units.Time, service *config.Service, prefix uint64) ([]string, map[string]units.NodeID) {
 	query := placement.Query{Prefix: prefix, Zone: r.node.zone, PreferredCount: service.PreferredCount}
 	coordinators := map[string]units.NodeID{}
--- a/internal/scaletest/simulation.go
+++ b/internal/scaletest/simulation.go
@@ -10,24 +10,26 @@
 	"seamshunt/internal/units"
 )
 
-// FullSite is the size to design for.
+// FullSite is the size that the system is designed for.
 var FullSite = SiteSize{Routers: 400, Workers: 640, Models: 21, Tenants: 870, Rate: 1700}
 
-// ScaledSite is a site of n routers with its share of all that grows with a site: workers, models, tenants and requests.
+// ScaledSite returns a site with this number of routers, and workers, models, tenants and requests in proportion.
 func ScaledSite(routers int, seed uint64) SiteSize {
 	scaled := func(x int) int { return max(1, x*routers/FullSite.Routers) }
-	return SiteSize{Routers: routers, Workers: scaled(FullSite.Workers), Models: scaled(FullSite.Models), Tenants: scaled(FullSite.Tenants), Rate: FullSite.Rate * float64(routers) / float64(FullSite.Routers), Seed: seed}
+	return SiteSize{Routers: routers, Workers: scaled(FullSite.Workers), Models: scaled(FullSite.Models), Tenants: scaled(FullSite.Tenants),
+		Rate: FullSite.Rate * float64(routers) / float64(FullSite.Routers), Seed: seed}
 }
 
-// NewSimulation founds the control state among its voters and writes the first configuration; no router runs yet.
+// NewSimulation starts the controllers, bootstraps the control state among the voters and writes the first
+// configuration. No router runs yet.
 func NewSimulation(size SiteSize) (*Simulation, error) {
-	s := &Simulation{SiteSize: size, rng: rand.New(rand.NewPCG(size.Seed, 17)), byID: map[units.NodeID]*node{}, byAddr: map[string]*node{}, events: map[int64][]event{},
-		usageByPart: map[partKey]*usage{}, workload: newWorkload(size)}
+	s := &Simulation{SiteSize: size, rng: rand.New(rand.NewPCG(size.Seed, 17)), byID: map[units.NodeID]*node{},
+		byAddr: map[string]*node{}, events: map[int64][]event{}, usageByPart: map[partKey]*usage{}, workload: newWorkload(size)}
 	for i := range VoterCount {
-		s.addNode(i*3, membership.Controller) // zones of all regions
+		s.addNode(i*3, membership.Controller) // so that the controllers are spread over all regions
 	}
 	if !s.advanceUntil(30*time.Second, s.allOperational) {
-		return nil, errors.New("hollow: the voters did not found a fleet")
+		return nil, errors.New("scaletest: the voters did not bootstrap the control state")
 	}
 	for i := VoterCount; i < ControllerCount; i++ {
 		s.addNode(i*3, membership.Controller)
@@ -38,14 +40,15 @@
 	return s, nil
 }
 
-// StartRouters starts all routers at once, and says how long it takes until all serve and all know all.
+// StartRouters starts all routers at once, and returns how long it takes until all of them serve and every node knows
+// all others.
 func (s *Simulation) StartRouters() (time.Duration, error) {
 	startedAt := s.Now
 	for i := range s.Routers {
 		s.addNode(i, membership.Router)
 	}
 	if !s.advanceUntil(2*time.Minute, func() bool { return s.allOperational() && s.membershipAgrees() }) {
-		return 0, fmt.Errorf("hollow: %d routers did not all come to serve in 2 minutes", s.Routers)
+		return 0, fmt.Errorf("scaletest: %d routers did not all become ready in 2 minutes", s.Routers)
 	}
 	return s.Now.Sub(startedAt), nil
 }
@@ -68,7 +71,7 @@
 	return true
 }
 
-// membershipAgrees says whether every node knows every live one, and none that is not.
+// membershipAgrees reports whether the membership of every node has exactly as many live nodes as are running.
 func (s *Simulation) membershipAgrees() bool {
 	running := 0
 	for _, n := range s.nodes {
@@ -84,7 +87,7 @@
 	return true
 }
 
-// forEachRouter does a thing to every router that runs.
+// forEachRouter calls f for every running router.
 func (s *Simulation) forEachRouter(f func(*router)) {
 	for _, n := range s.nodes {
 		if r, ok := n.program.(*router); ok && n.running {
@@ -93,20 +96,20 @@
 	}
 }
 
-// startTraffic opens the doors.
+// startTraffic starts requests, claims of idempotency keys or both at all routers.
 func (s *Simulation) startTraffic(sendRequests, claimKeys bool) {
 	s.sendRequests, s.claimKeys = sendRequests, claimKeys
 	s.forEachRouter((*router).scheduleRequests)
 }
 
-// repeat does a thing again and again while a span lasts, first after half a gap.
+// repeat schedules f at an interval for a duration, the first time after half an interval.
 func (s *Simulation) repeat(interval, duration time.Duration, f func()) {
 	for t := interval / 2; t < duration; t += interval {
 		s.Schedule(t, f)
 	}
 }
 
-// restartRouter stops one router with its goodbye; the next process starts on its machine a second later.
+// restartRouter stops one router, which announces that it leaves. A new process starts on its machine a second later.
 func (s *Simulation) restartRouter() {
 	n := s.nodes[ControllerCount+s.nextRestart%s.Routers]
 	s.nextRestart += 7
@@ -117,7 +120,7 @@
 	s.Schedule(time.Second, n.start)
 }
 
-// replaceWorker lists one new worker and takes the oldest of its pool off the list.
+// replaceWorker adds one new worker to the platform's list and removes the oldest of the same pool.
 func (s *Simulation) replaceWorker() {
 	index := len(s.workers)
 	s.addWorker(index)
--- a/internal/scaletest/tables.go
+++ b/internal/scaletest/tables.go
@@ -10,20 +10,20 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Ceilings of control on one node.
+// Ceilings for the cost of the control traffic on one node, and the site size that the system is designed for.
 const (
-	MaxCorePercent    = 4.2            // percent of a core
-	MaxBytesPerSecond = 9 * 1024       // a second
-	MaxHeapKB         = 256 * 1024     // KB
-	maxFittedSize     = 100 * FullSize // beyond it a line that was fitted says nothing
-	FullSize          = 400
+	MaxCorePercent    = 4.2
+	MaxBytesPerSecond = 9 * 1024
+	MaxHeapKB         = 256 * 1024
+	maxFittedSize     = 100 * FullSize // a fitted line can't be extrapolated further
+	FullSize          = 400            // routers
 )
 
-// measures are the columns that lines are fitted to.
+// measures are the columns of the table, to which lines are fitted.
 var measures = []struct {
-	name string
-	most float64
-	of   func(Row) float64
+	name    string
+	ceiling float64 // 0 for none
+	of      func(Row) float64
 }{
 	{"notes_s", 0, func(r Row) float64 { return r.Messages }},
 	{"out_bytes_s", MaxBytesPerSecond, func(r Row) float64 { return r.BytesOut }},
@@ -52,14 +52,15 @@
 	}
 	out.Flush()
 	if err := out.Error(); err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("scaletest: %w", err)
 	}
 	return nil
 }
 
-// formatNumber writes a number with four digits that count.
+// formatNumber formats a number with four significant digits.
 func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
+// formatCell formats a number without decimals from 100 on, and with four significant digits below.
 func formatCell(x float64) string {
 	if x >= 100 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
@@ -67,17 +68,17 @@
 	return formatNumber(x)
 }
 
-// FittedLine is a straight line through one measure of one part at all sizes.
+// FittedLine is the linear regression of one measure of one part over the size of the site.
 type FittedLine struct {
 	Experiment, Role, Part, Measure string
-	Intercept, Slope, R2            float64 // per node of the site
-	AtFullSize                      float64 // the full size
-	FullSizeMeasured                bool    // the full size was run: At is what was measured there
-	CeilingSize                     float64 // the size at which the line meets the ceiling; 0 for never, or none
-	Max                             float64 // the larger of At and what the largest size that ran came to
+	Intercept, Slope, R2            float64 // Slope is per router of the site
+	AtFullSize                      float64 // the value at FullSize
+	FullSizeMeasured                bool    // FullSize was run: AtFullSize is measured, not fitted
+	CeilingSize                     float64 // the size at which the line reaches the ceiling; 0 if it never does or there is none
+	Max                             float64 // the larger of AtFullSize and the value at the largest size that was run
 }
 
-// FitLines puts lines through rows; a single size gives none.
+// FitLines fits lines to rows. A measure with fewer than three sizes, or of zeros only, gets none.
 func FitLines(rows []Row) (lines []FittedLine) {
 	type key struct{ e, r, p string }
 	var order []key
@@ -107,8 +108,8 @@
 			if !line.FullSizeMeasured {
 				line.AtFullSize = line.Intercept + line.Slope*FullSize
 			}
-			if m.most > 0 && k.p == "all" && line.Slope > 0 {
-				if size := (m.most - line.Intercept) / line.Slope; size > 0 && size < maxFittedSize {
+			if m.ceiling > 0 && k.p == "all" && line.Slope > 0 {
+				if size := (m.ceiling - line.Intercept) / line.Slope; size > 0 && size < maxFittedSize {
 					line.CeilingSize = size
 				}
 			}
@@ -118,7 +119,7 @@
 	return lines
 }
 
-// WriteMarkdown writes, for each experiment and role, what the whole of it cost at each size, with the fitted lines.
+// WriteMarkdown writes a table of the cost at each size, by experiment and role, with the fitted lines.
 func WriteMarkdown(w io.Writer, rows []Row, lines []FittedLine) error {
 	var sizes []int
 	for _, r := range rows {
@@ -148,13 +149,13 @@
 		text += fmt.Sprintf(" %s | %.3f | %s |\n", formatNumber(line.Slope), line.R2, ceilingSize)
 	}
 	if _, err := io.WriteString(w, text); err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("scaletest: %w", err)
 	}
 	return nil
 }
 
-// inMarkdown says which lines the page's table has: the whole of each role, and the parts that send the most at the largest
-// size that ran or, by the line, at the full one.
+// inMarkdown reports whether the Markdown table has a line: those of a whole role, and of the parts that cost most at the
+// largest size that was run or, by the fitted line, at the full size.
 func inMarkdown(line FittedLine) bool {
 	if line.Part == "all" {
 		return line.Measure != "notes_s" || line.AtFullSize > 0.01
@@ -162,6 +163,7 @@
 	return line.Measure == "out_bytes_s" && line.Max > 200 || line.Measure == "core_pct" && line.Max > 0.2
 }
 
+// valueAt returns what the measure of a line came to at a size, or 0 if there is no such row.
 func valueAt(rows []Row, line FittedLine, size int) float64 {
 	for _, r := range rows {
 		if r.Experiment == line.Experiment && r.Role == line.Role && r.Part == line.Part && r.Size == size {
--- a/internal/scaletest/workload.go
+++ b/internal/scaletest/workload.go
@@ -14,8 +14,8 @@
 	"seamshunt/internal/units"
 )
 
-// What prompts are like: their mean run keeps 30,870 streams open at 1,700 requests a second (490,000 tokens a
-// second at one in 63 ms each), which is 48 to a worker.
+// The properties of prompts. At 1,700 requests per second the mean stream time keeps 30,870 streams open, which is 48 per
+// worker (490,000 tokens per second, one per stream in 63 ms).
 const (
 	meanStreamTime  = 18200 * time.Millisecond
 	requestDeadline = 60 * time.Second
@@ -23,44 +23,45 @@
 	prefixCount     = 1_100_000
 )
 
-// workload is what the world asks of its nodes, and what came of it.
+// workload is the load on the nodes of a simulation, with the results.
 type workload struct {
 	workers       []config.Worker
-	workersByPool map[string][]int
+	workersByPool map[string][]int // indices in workers
 	poolNames     []string
 	sendRequests  bool
 	claimKeys     bool
 	Polls         int
-	ChangeResults map[resultcode.Code]int // operators' changes by their outcome
+	ChangeResults map[resultcode.Code]int // configuration changes by result code
 	Decisions     map[resultcode.Code]int
 	ClaimResults  map[resultcode.Code]int
 	writtenAt     map[units.Version]units.Time
-	appliedBy     map[units.Version]int
-	MaxApplyTime  time.Duration // the longest from an operator's change to its being in force on the last router
+	appliedBy     map[units.Version]int // the number of routers
+	MaxApplyTime  time.Duration         // the longest time from a change until the last router applied it
 	configWrites  int
 	nextRestart   int
 }
 
 func newWorkload(size SiteSize) *workload {
-	l := &workload{workersByPool: map[string][]int{}, ChangeResults: map[resultcode.Code]int{}, Decisions: map[resultcode.Code]int{}, ClaimResults: map[resultcode.Code]int{},
-		writtenAt: map[units.Version]units.Time{}, appliedBy: map[units.Version]int{}}
+	w := &workload{workersByPool: map[string][]int{}, ChangeResults: map[resultcode.Code]int{}, Decisions: map[resultcode.Code]int{},
+		ClaimResults: map[resultcode.Code]int{}, writtenAt: map[units.Version]units.Time{}, appliedBy: map[units.Version]int{}}
 	for i := range size.Models {
-		l.poolNames = append(l.poolNames, fmt.Sprintf("pool%02d", i))
+		w.poolNames = append(w.poolNames, fmt.Sprintf("pool%02d", i))
 	}
 	for i := range size.Workers {
-		l.addWorker(i)
+		w.addWorker(i)
 	}
-	return l
+	return w
 }
 
-func (l *workload) addWorker(i int) {
-	zone := siteZones[(i/len(l.poolNames)+i)%len(siteZones)].zone
-	l.workers = append(l.workers, config.Worker{ID: fmt.Sprintf("w%04d", i), Addr: fmt.Sprintf("w%04d.%s.site.example:8000", i, zone), Zone: zone, Age: time.Hour})
-	pool := l.poolNames[i%len(l.poolNames)]
-	l.workersByPool[pool] = append(l.workersByPool[pool], i)
+func (w *workload) addWorker(i int) {
+	zone := siteZones[(i/len(w.poolNames)+i)%len(siteZones)].zone
+	w.workers = append(w.workers, config.Worker{ID: fmt.Sprintf("w%04d", i), Addr: fmt.Sprintf("w%04d.%s.site.example:8000", i, zone),
+		Zone: zone, Age: time.Hour})
+	pool := w.poolNames[i%len(w.poolNames)]
+	w.workersByPool[pool] = append(w.workersByPool[pool], i)
 }
 
-// listWorkers is the platform's answer for one pool.
+// listWorkers returns the platform's answer for one pool.
 func (s *Simulation) listWorkers(pool string) []config.Worker {
 	workers := make([]config.Worker, len(s.workersByPool[pool]))
 	for i, index := range s.workersByPool[pool] {
@@ -70,11 +71,12 @@
 	return workers
 }
 
-// ConfigDocument lays out a configuration of a service for each model and a mapping for each tenant.
+// ConfigDocument returns a configuration document with a service for each model and a mapping for each tenant.
 func ConfigDocument(models, tenants int, comment string) []byte {
 	var services, mappings []string
 	for i := range models {
-		services = append(services, fmt.Sprintf(`{"name":"m%02d","pool":"pool%02d","cap":%d,"waitlist":%d,"warm_ms":0,"spread":4,"first_ms":160}`, i, i, workerSlots, 2*workerSlots))
+		services = append(services, fmt.Sprintf(`{"name":"m%02d","pool":"pool%02d","cap":%d,"waitlist":%d,"warm_ms":0,"spread":4,"first_ms":160}`,
+			i, i, workerSlots, 2*workerSlots))
 	}
 	for i := range tenants {
 		mappings = append(mappings, fmt.Sprintf(`"mapping t%03d { when path = \"/v1/chat\" and header \"Tenant\" = \"tenant-%03d\" to m%02d promise talk repeat }"`, i, i, i%models))
@@ -83,7 +85,7 @@
 		strings.Join(services, ",\n"), requestDeadline.Milliseconds(), comment, strings.Join(mappings, ",\n")))
 }
 
-// WriteConfig has the first voter's operator write a new configuration.
+// WriteConfig writes a new configuration at the first controller.
 func (s *Simulation) WriteConfig() {
 	s.configWrites++
 	s.writtenAt[units.Version(s.configWrites)] = s.Now
@@ -95,14 +97,14 @@
 	}
 }
 
-// recordApplied is told that one more router has a configuration in force.
+// recordApplied records that one more router has applied a version of the configuration.
 func (s *Simulation) recordApplied(version units.Version, now units.Time) {
 	if s.appliedBy[version]++; s.appliedBy[version] == s.Routers {
 		s.MaxApplyTime = max(s.MaxApplyTime, now.Sub(s.writtenAt[version]))
 	}
 }
 
-// scheduleRequests has a router's callers come at its share of the rate, as long as there is traffic.
+// scheduleRequests sends requests to a router at its share of the site's request rate, as long as traffic is on.
 func (r *router) scheduleRequests() {
 	sim, generation := r.node.sim, r.node.generation
 	meanGap := float64(sim.Routers) / sim.Rate * 1e9
@@ -120,26 +122,28 @@
 	})
 }
 
-// submitRequest takes one prompt to the desk; nothing runs behind it but the time that its stream would last.
+// submitRequest submits one prompt to the admission queue. No worker runs it: its permit is released after the time that
+// its stream would take.
 func (r *router) submitRequest() message.Effects {
 	sim, now := r.node.sim, r.node.sim.Now
 	service := r.config.Services[fmt.Sprintf("m%02d", sim.rng.IntN(sim.Models))]
 	candidates, coordinators := r.candidates(now, service, units.Mix("prefix", fmt.Sprint(sim.rng.IntN(prefixCount))))
 	r.lastTag++
-	out := r.queue.Submit(now, admission.Request{Tag: r.lastTag, Policy: service.AdmissionPolicy, Candidates: candidates, MaxCandidates: service.PreferredCount + 4, Deadline: now.Add(requestDeadline), FirstTokenTime: service.FirstTokenTime,
+	out := r.queue.Submit(now, admission.Request{Tag: r.lastTag, Policy: service.AdmissionPolicy, Candidates: candidates,
+		MaxCandidates: service.PreferredCount + 4, Deadline: now.Add(requestDeadline), FirstTokenTime: service.FirstTokenTime,
 		Coordinator: func(worker string) units.NodeID { return coordinators[worker] }})
 	r.collectResults()
 	return out
 }
 
-// claimKey claims one fresh key, as a prompt that may not repeat does first.
+// claimKey claims a new idempotency key, as the router does before a prompt that must not be repeated.
 func (r *router) claimKey() message.Effects {
 	r.lastTag++
 	key := "notice/" + units.Hex(r.lastTag)
 	return r.claimant.Claim(r.node.sim.Now, r.lastTag<<8^uint64(r.node.id), key, idempotency.Holders(r.node.membership.All(), key))
 }
 
-// collectResults takes the queue's verdicts and the claimant's results.
+// collectResults counts the queue's decisions and the claimant's results, and schedules the release of granted permits.
 func (r *router) collectResults() {
 	sim, generation := r.node.sim, r.node.generation
 	for _, decision := range r.queue.Decisions {
