--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -2,20 +2,22 @@
 
 import "container/list"
 
+// blockBytes is the length of the blocks in which prompts are cached.
 const blockBytes = 256
 
-// cache is a worker's prefix cache: least recently used blocks go first, a block counts only behind all before it.
+// cache is a worker's prefix cache. The least recently used blocks are evicted first; a block is a hit only if all blocks
+// before it are.
 type cache struct {
 	maxBlocks int
-	blocks    map[uint64]*list.Element
-	byRecency *list.List
+	blocks    map[uint64]*list.Element // by the FNV-1a hash of the prompt up to the end of the block
+	byRecency *list.List               // of hashes; the front is the most recently used
 }
 
 func newCache(maxBlocks int) cache {
 	return cache{maxBlocks: maxBlocks, blocks: map[uint64]*list.Element{}, byRecency: list.New()}
 }
 
-// matchAndStore gives the share of the prompt whose prefix is held, and holds all of it from now on.
+// matchAndStore returns the fraction of the prompt that is a cached prefix, and caches the whole prompt.
 func (c *cache) matchAndStore(prompt string) float64 {
 	hash := uint64(14695981039346656037)
 	hits, total, matching := 0, 0, true
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -16,32 +16,32 @@
 	"seamshunt/internal/router/upstream"
 )
 
-// RequestKind is one kind of request that callers send.
+// RequestKind is one kind of request that clients send.
 type RequestKind struct {
 	Mapping      string
 	Path         string
-	AtMostOnce   bool
+	AtMostOnce   bool // the request must not be repeated
 	TimeLeftMs   int
-	PrefixBytes  int // bytes shared by all of a topic
-	SessionBytes int // bytes of the session's own
+	PrefixBytes  int // shared by all prompts of a topic
+	SessionBytes int // unique to the session
 	Pieces       int
 }
 
-// RequestKinds are the three of the brief, in like measure.
+// RequestKinds are the kinds of requests of the specification. All are equally frequent.
 var RequestKinds = []RequestKind{
 	{Mapping: "briefing", Path: "/v1/briefing", TimeLeftMs: 6000, PrefixBytes: 8192, SessionBytes: 768, Pieces: 30},
 	{Mapping: "notice", Path: "/v1/notice", AtMostOnce: true, TimeLeftMs: 4000, PrefixBytes: 2048, SessionBytes: 256, Pieces: 8},
 	{Mapping: "chat", Path: "/v1/chat", TimeLeftMs: 20000, PrefixBytes: 4096, SessionBytes: 512, Pieces: 70},
 }
 
-// Request is one request, ready to be sent.
+// Request is one request to send.
 type Request struct {
 	RequestKind
 	Job    string
 	Prompt string
 }
 
-// RequestGenerator draws requests: sorts in like measure, topics by a steep popularity.
+// RequestGenerator draws random requests: all kinds are equally frequent, topics follow a Zipf distribution.
 type RequestGenerator struct {
 	rng    *rand.Rand
 	zipf   *rand.Zipf
@@ -50,13 +50,13 @@
 	topics int
 }
 
-// NewRequestGenerator gives the same requests for the same seed. Hot is the share of the one most popular topic's steepness.
+// NewRequestGenerator returns a generator of requests on a number of topics. The same seed gives the same requests.
 func NewRequestGenerator(seed uint64, topics int) *RequestGenerator {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	return &RequestGenerator{rng: rng, zipf: rand.NewZipf(rng, 1.3, 4, uint64(topics-1)), seed: seed, topics: topics}
 }
 
-// Next draws one request.
+// Next returns the next request.
 func (g *RequestGenerator) Next() Request {
 	g.drawn++
 	kind := RequestKinds[g.rng.IntN(len(RequestKinds))]
@@ -67,18 +67,20 @@
 		Prompt: repeatToLength(topicText, kind.PrefixBytes) + repeatToLength(sessionText, kind.SessionBytes)}
 }
 
+// repeatToLength repeats a text up to a length in bytes.
 func repeatToLength(text string, length int) string {
 	return strings.Repeat(text, length/len(text)+1)[:length]
 }
 
-// NextDelay draws the time to the next request at a rate.
-func (g *RequestGenerator) NextDelay(perSec float64) time.Duration {
-	return time.Duration(g.rng.ExpFloat64() / perSec * float64(time.Second))
+// NextDelay returns a random time until the next request, exponentially distributed.
+func (g *RequestGenerator) NextDelay(perSecond float64) time.Duration {
+	return time.Duration(g.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-// Send sends a request to one router and judges what comes back.
+// Send sends a request to one router and checks the answer.
 func Send(ctx context.Context, router string, request Request, key string) Entry {
-	entry := Entry{Kind: "call", At: Now(), Job: request.Job, Mapping: request.Mapping, Router: router, TimeLeftMs: request.TimeLeftMs}
+	entry := Entry{Kind: "call", At: Now(), Job: request.Job, Mapping: request.Mapping, Router: router,
+		TimeLeftMs: request.TimeLeftMs}
 	exchange(ctx, router, request, key, &entry)
 	entry.End = Now()
 	return entry
@@ -153,15 +155,16 @@
 	}
 }
 
+// recordRefusal records the reason, and whether the request may be sent again, of an answer other than 200.
 func recordRefusal(lines *bufio.Scanner, entry *Entry) {
 	var answer struct {
-		Code   int  `json:"code"`
-		NotRun bool `json:"not_run"`
-		Back   int  `json:"retry_after_ms"`
+		Code         int  `json:"code"`
+		NotRun       bool `json:"not_run"`
+		RetryAfterMs int  `json:"retry_after_ms"`
 	}
 	if !lines.Scan() || json.Unmarshal(lines.Bytes(), &answer) != nil {
 		entry.Fault = "a refusal that can't be read"
 		return
 	}
-	entry.Code, entry.NotRun, entry.RetryAfterMs = answer.Code, answer.NotRun, answer.Back
+	entry.Code, entry.NotRun, entry.RetryAfterMs = answer.Code, answer.NotRun, answer.RetryAfterMs
 }
--- a/internal/standin/journal.go
+++ b/internal/standin/journal.go
@@ -1,4 +1,4 @@
-// Package standin holds the stand-ins for what is outside: model workers, the platform and callers.
+// Package standin holds stand-ins for the systems around the fleet: model workers, the platform and clients.
 package standin
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Entry is one line of a journal; the observer judges a run by them alone.
+// Entry is one line of a journal. The checker checks a run by these entries alone.
 type Entry struct {
 	Kind         string  `json:"kind"` // start, end, turn, call, event
-	At           int64   `json:"at"`   // microseconds of the wall clock, one machine's for all
+	At           int64   `json:"at"`   // wall clock in microseconds; all processes share one machine's clock
 	Job          string  `json:"job,omitempty"`
 	Worker       string  `json:"worker,omitempty"`
 	Pool         string  `json:"pool,omitempty"`
 	Zone         string  `json:"zone,omitempty"`
 	ID           string  `json:"id,omitempty"`
-	How          string  `json:"how,omitempty"` // end: done or cut; event: what was done
-	CacheHit     float64 `json:"hit,omitempty"` // share of the prompt found in the prefix cache
+	How          string  `json:"how,omitempty"` // end: done, cut or dark; event: what was done
+	CacheHit     float64 `json:"hit,omitempty"` // fraction of the prompt found in the prefix cache
 	InFlight     int     `json:"flight,omitempty"`
 	Mapping      string  `json:"mapping,omitempty"`
 	Router       string  `json:"router,omitempty"`
@@ -30,27 +30,27 @@
 	Code         int     `json:"code,omitempty"`
 	NotRun       bool    `json:"not_run,omitempty"`
 	RetryAfterMs int     `json:"back_ms,omitempty"`
-	Complete     bool    `json:"whole,omitempty"` // ended properly, as HTTP has it
-	Fault        string  `json:"fault,omitempty"` // what the caller found wrong in an answer that ended properly
+	Complete     bool    `json:"whole,omitempty"` // the answer ended as HTTP requires
+	Fault        string  `json:"fault,omitempty"` // what the client found wrong in an answer that ended as HTTP requires
 	Pieces       int     `json:"pieces,omitempty"`
 	Target       string  `json:"target,omitempty"`
 	Bytes        int     `json:"bytes,omitempty"`
-	Fingerprint  string  `json:"sum,omitempty"`   // of method, path and body: as sent, as arrived
-	OrderFault   string  `json:"order,omitempty"` // what is wrong in the order of a stream's pieces, whole or not
+	Fingerprint  string  `json:"sum,omitempty"`   // of method, path and body: as sent or as received
+	OrderFault   string  `json:"order,omitempty"` // what is wrong in the order of a stream's pieces, complete or not
 	WarmingUp    bool    `json:"cold,omitempty"`
-	ArrivedAt    int64   `json:"came,omitempty"` // when the request had arrived at the worker
+	ArrivedAt    int64   `json:"came,omitempty"` // when the worker had received the request
 }
 
-// FaultClientDisconnected is the fault of a call whose caller left before its end.
+// FaultClientDisconnected is the fault of a call whose client disconnected before its end.
 const FaultClientDisconnected = "the caller left"
 
-// Journal is a file of entries.
+// Journal is a file of entries, one JSON object per line.
 type Journal struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// OpenJournal makes or continues a journal.
+// OpenJournal creates a journal, or opens it to append to it.
 func OpenJournal(path string) (*Journal, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -59,10 +59,10 @@
 	return &Journal{file: file}, nil
 }
 
-// Now is the journal's time.
+// Now returns the current time as journals have it.
 func Now() int64 { return time.Now().UnixMicro() }
 
-// Write adds an entry at once; a killed process loses none that it wrote.
+// Write appends an entry without buffering, so that a killed process loses none that it wrote.
 func (j *Journal) Write(e Entry) {
 	b, err := json.Marshal(e)
 	if err != nil {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,27 +11,27 @@
 	"seamshunt/internal/config"
 )
 
-// Platform lists workers, marks leaving ones, and limits how often it may be asked.
+// Platform serves the lists of workers, marks draining ones and limits its request rate.
 type Platform struct {
 	mu                 sync.Mutex
 	pools              map[string][]config.Worker
-	startedAt          map[string]time.Time
-	FailureMode        string            // "", refuse, empty, slow, bad, old
-	staleAnswers       map[string][]byte // what it answers while it is old
-	MaxPerSecond       int               // questions allowed in a second; 0 for any number
+	startedAt          map[string]time.Time // by worker
+	FailureMode        string               // "" (none), refuse, empty, slow, bad or old
+	staleAnswers       map[string][]byte    // by pool: the answers of the failure mode old
+	MaxPerSecond       int                  // rate limit; 0 for none
 	currentSecond      int64
 	requestsThisSecond int
 	RequestCount       int
 	RateLimitedCount   int
-	HandleEvent        func(event string) error // what the harness does on a drill's wish
+	HandleEvent        func(event string) error // called by a request to /harness, which runs an event of a drill
 }
 
-// NewPlatform gives one without workers.
-func NewPlatform(perSec int) *Platform {
-	return &Platform{pools: map[string][]config.Worker{}, startedAt: map[string]time.Time{}, MaxPerSecond: perSec}
+// NewPlatform returns a platform without workers and with a rate limit in requests per second.
+func NewPlatform(maxPerSecond int) *Platform {
+	return &Platform{pools: map[string][]config.Worker{}, startedAt: map[string]time.Time{}, MaxPerSecond: maxPerSecond}
 }
 
-// SetWorker adds a worker or replaces its entry; age is how long it has been warm already.
+// SetWorker adds a worker or replaces its entry. The age of a new worker is how long ago it started.
 func (p *Platform) SetWorker(pool string, w config.Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,14 +47,14 @@
 	p.pools[pool] = append(p.pools[pool], w)
 }
 
-// RecordRestart says that a worker has just started again in its place.
+// RecordRestart sets the start time of a worker to now, as after a restart in place.
 func (p *Platform) RecordRestart(id string) {
 	p.mu.Lock()
 	p.startedAt[id] = time.Now()
 	p.mu.Unlock()
 }
 
-// RemoveWorker takes a worker off the list.
+// RemoveWorker removes a worker from the list.
 func (p *Platform) RemoveWorker(pool, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +67,7 @@
 	p.pools[pool] = remaining
 }
 
-// FindWorker finds a worker.
+// FindWorker returns a worker, and whether it is listed.
 func (p *Platform) FindWorker(pool, id string) (config.Worker, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 	return config.Worker{}, false
 }
 
-// SetFailureMode changes how the platform answers.
+// SetFailureMode changes how the platform answers. In the mode old it answers with its lists of this moment.
 func (p *Platform) SetFailureMode(mode string) {
 	p.mu.Lock()
 	p.FailureMode, p.staleAnswers = mode, map[string][]byte{}
@@ -89,7 +89,7 @@
 	p.mu.Unlock()
 }
 
-// Serve answers on ln until it is closed.
+// Serve serves requests on ln until it is closed.
 func (p *Platform) Serve(ln net.Listener) error {
 	return (&fasthttp.Server{Handler: p.handle, Name: "platform", NoDefaultDate: true}).Serve(ln)
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -17,34 +17,36 @@
 	"seamshunt/internal/socket"
 )
 
-// LoadModel says how a stand-in worker behaves. Its shape is the source's: a batch that slows with its size, a
-// prefix cache, and past the knee recomputation that makes everything late.
+// LoadModel is how the speed of a stand-in worker depends on its load. As with a real model worker, a batch becomes slower
+// with its size, a prefix cache shortens the prefill, and past the knee recomputation delays all requests.
 type LoadModel struct {
-	Knee           int
-	CacheBlocks    int           // prefix cache, in blocks
-	PrefillPerByte time.Duration // prefill of a byte that isn't cached
+	Knee           int           // requests in flight above which recomputation sets in
+	CacheBlocks    int           // of the prefix cache
+	PrefillPerByte time.Duration // for bytes that aren't cached
 	TimePerPiece   time.Duration
-	MaxBatch       int // what it refuses beyond, sealed as not run
+	MaxBatch       int // requests in flight; it refuses further ones as not run
 }
 
-// DefaultLoadModel is the one that the docs' measurements use.
-var DefaultLoadModel = LoadModel{Knee: 4, CacheBlocks: 400, PrefillPerByte: 40 * time.Microsecond, TimePerPiece: 20 * time.Millisecond, MaxBatch: 64}
+// DefaultLoadModel is the model that the measurements in the documentation use.
+var DefaultLoadModel = LoadModel{Knee: 4, CacheBlocks: 400, PrefillPerByte: 40 * time.Microsecond,
+	TimePerPiece: 20 * time.Millisecond, MaxBatch: 64}
 
-// Worker is one stand-in back end.
+// Worker is a stand-in for one model worker.
 type Worker struct {
 	Name, Pool, Zone string
 	Model            LoadModel
-	FaultMode        string // how it answers wrongly; empty for rightly
+	FaultMode        string // how its answers are wrong; empty for correct answers
 	Journal          *Journal
 	mu               sync.Mutex
 	inFlight         int
 	cache            cache
 }
 
-// Serve answers on ln until it is closed.
+// Serve serves requests on ln until it is closed.
 func (w *Worker) Serve(ln net.Listener) error {
 	w.cache = newCache(w.Model.CacheBlocks)
-	server := &fasthttp.Server{Handler: w.handle, Name: "worker", MaxRequestBodySize: 8 << 20, NoDefaultDate: true, Concurrency: 65536}
+	server := &fasthttp.Server{Handler: w.handle, Name: "worker", MaxRequestBodySize: 8 << 20, NoDefaultDate: true,
+		Concurrency: 65536}
 	return server.Serve(ln)
 }
 
@@ -81,7 +83,8 @@
 		ctx.SetBodyString(fmt.Sprintf(`{"id":%q,"ran":false}`, id))
 		return
 	}
-	w.Journal.Write(Entry{Kind: "start", At: Now(), Job: request.Job, Worker: w.Name, Pool: w.Pool, Zone: w.Zone, ID: id, CacheHit: cacheHit, InFlight: inFlight, Bytes: len(request.Prompt)})
+	w.Journal.Write(Entry{Kind: "start", At: Now(), Job: request.Job, Worker: w.Name, Pool: w.Pool, Zone: w.Zone, ID: id,
+		CacheHit: cacheHit, InFlight: inFlight, Bytes: len(request.Prompt)})
 	pieces := request.Pieces
 	if pieces <= 0 {
 		pieces = 10
@@ -106,7 +109,7 @@
 	w.mu.Unlock()
 }
 
-// slowdown is how much a step takes longer now. Past the knee, recomputation sets in.
+// slowdown returns the factor by which a step takes longer at the current load. Past the knee, recomputation sets in.
 func (w *Worker) slowdown() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,7 +120,7 @@
 	return factor
 }
 
-// wait waits a step; it says false when the caller is gone or the time is out.
+// wait waits for the time of a step. It reports false if the client has disconnected or the deadline has passed.
 func (w *Worker) wait(conn net.Conn, d time.Duration, deadline time.Time) bool {
 	for d = time.Duration(float64(d) * w.slowdown()); d > 0; d -= 50 * time.Millisecond {
 		if time.Now().After(deadline) || socket.PeerClosed(conn) {
@@ -128,13 +131,16 @@
 	return true
 }
 
-// hang says nothing and notices nothing till the time is out, as a worker does whose machine hangs.
+// hang sends and notices nothing until the deadline, like a worker whose machine hangs.
 func (w *Worker) hang(deadline time.Time) string {
 	time.Sleep(time.Until(deadline))
 	return "dark"
 }
 
-func (w *Worker) streamAnswer(out *bufio.Writer, conn net.Conn, id string, request generateRequest, pieces int, prefill time.Duration, deadline time.Time) string {
+// streamAnswer streams the pieces of an answer and its seal, with the faults of the fault mode, and returns how it ended:
+// done, cut or dark.
+func (w *Worker) streamAnswer(out *bufio.Writer, conn net.Conn, id string, request generateRequest, pieces int,
+	prefill time.Duration, deadline time.Time) string {
 	digest, bytes := sha256.New(), 0
 	if w.FaultMode == "dark" {
 		return w.hang(deadline)
@@ -172,7 +178,8 @@
 		}
 	}
 	if w.FaultMode != "seal" {
-		fmt.Fprintf(out, "{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, pieces, bytes, hex.EncodeToString(digest.Sum(nil)))
+		fmt.Fprintf(out, "{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, pieces, bytes,
+			hex.EncodeToString(digest.Sum(nil)))
 		if w.FaultMode == "more" {
 			fmt.Fprintf(out, "{\"n\":%d,\"text\":\"more\"}\n", pieces)
 		}
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil is what tests of the daemons share: waiting for a thing to come true, and free addresses.
+// Package testutil holds helpers for tests of the daemons: waiting for a condition, and free addresses.
 package testutil
 
 import (
@@ -8,10 +8,10 @@
 	"seamshunt/internal/standin"
 )
 
-// WaitUntil looks again and again until f holds.
+// WaitUntil checks a condition repeatedly until it holds, and fails the test if it never does.
 func WaitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	timeout := time.After(60 * time.Second) // only to give up on what never comes: a full machine takes its time
+	timeout := time.After(60 * time.Second) // long, since a busy machine is slow; it only ends tests whose condition never holds
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for !condition() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// FreeAddr gives an address that nothing else takes.
+// FreeAddr returns an address that nothing else takes.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := standin.FreeAddr()
