--- a/ci_test.go
+++ b/ci_test.go
@@ -10,7 +10,8 @@
 	"github.com/rogpeppe/go-internal/txtar"
 )
 
-// runCITest runs .ci/test over the module of testdata/known-red.txtar with this KNOWN-RED.txt; none is written if it is "-".
+// runCITest runs .ci/test on the module in testdata/known-red.txtar with this text as KNOWN-RED.txt, or without the file if
+// the text is "-".
 func runCITest(t *testing.T, knownRed string) (output string, passed bool) {
 	t.Helper()
 	script, err := filepath.Abs(".ci/test")
@@ -43,7 +44,7 @@
 	return string(out), err == nil
 }
 
-// KNOWN-RED.txt lets CI pass over just the tests that it names, and shows its lines.
+// CI skips exactly the tests that KNOWN-RED.txt names, and prints its lines. An invalid file fails CI.
 func TestKnownRed(t *testing.T) {
 	const red, redder = "TestRed, a fault, in words, issue 1", "TestRedder, a fault, issue 2"
 	for _, test := range []struct {
--- a/docs_test.go
+++ b/docs_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	// markdownLink finds a link's target; a title behind it isn't used in this repository.
+	// markdownLink matches the target of a link. Titles of links aren't used in this repository.
 	markdownLink = regexp.MustCompile(`\]\(([^)\s]+)\)`)
-	// markdownCode is what links are not looked for in.
+	// markdownCode matches code, in which there are no links.
 	markdownCode = regexp.MustCompile("(?s)```.*?```|`[^`\n]*`")
 	heading      = regexp.MustCompile(`(?m)^#+ +(.+)$`)
 	notInAnchor  = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
@@ -39,13 +39,13 @@
 	return found
 }
 
-// anchor is the fragment by which a heading is linked.
+// anchor returns the fragment of a link to a heading.
 func anchor(title string) string {
 	plain := notInAnchor.ReplaceAllString(strings.ToLower(strings.TrimSpace(title)), "")
 	return strings.ReplaceAll(plain, " ", "-")
 }
 
-// hasAnchor tells whether a page has a heading with this fragment.
+// hasAnchor reports whether a page has a heading with this fragment.
 func hasAnchor(text, fragment string) bool {
 	for _, found := range heading.FindAllStringSubmatch(text, -1) {
 		if anchor(found[1]) == fragment {
@@ -90,7 +90,7 @@
 	return broken, nil
 }
 
-// Every relative link of the pages leads to a file, and to a heading of it where it names one.
+// The file of every relative link in the pages exists, and so does the heading if the link has a fragment.
 func TestRelativeLinks(t *testing.T) {
 	for _, path := range pages(t) {
 		broken, err := brokenLinks(path)
@@ -98,12 +98,12 @@
 			t.Error(err)
 		}
 		for _, link := range broken {
-			t.Errorf("%s: nothing is at %s", path, link)
+			t.Errorf("%s: broken link %s", path, link)
 		}
 	}
 }
 
-// The check itself: what it must find, and what it must leave alone.
+// The check finds links to missing files and headings, and ignores absolute links and code.
 func TestRelativeLinksFindsBroken(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "page.md")
 	text := "# A page, of sorts\n\n[a](page.md) [b](none.md) [c](#a-page-of-sorts) [d](page.md#none)\n" +
--- a/imports_test.go
+++ b/imports_test.go
@@ -16,20 +16,20 @@
 type layer string
 
 const (
-	base      layer = "base"       // small types, goroutines, logs, settings
-	cluster   layer = "cluster"    // messages, connections, membership, spreading of numbered values
+	base      layer = "base"       // basic types, goroutines, logs, settings
+	cluster   layer = "cluster"    // messages, connections, membership, push of versioned values
 	storage   layer = "storage"    // files of a process with a disk
-	config    layer = "config"     // the operator's configuration, compiled, and what an adapter fills in
-	process   layer = "process"    // what both programs stand on
+	config    layer = "config"     // the operator's compiled configuration, and the parts of it that an adapter fills in
+	process   layer = "process"    // what both daemons are built on
 	control   layer = "control"    // control plane
-	dataPlane layer = "data plane" // requests: admission, placement, hand-over
+	dataPlane layer = "data plane" // requests: admission, placement, dispatch
 	adapter   layer = "adapter"    // the users' platform
-	rig       layer = "rig"        // simulator, local fleets, stand-ins, judge; no part of the shipped programs
+	rig       layer = "rig"        // simulator, local fleets, stand-ins, checker; not part of the shipped programs
 	command   layer = "command"    // programs
 )
 
-// below lists the layers that each layer may import besides itself. Neither plane is below the other, and nothing but
-// commands and the rig is above the rig.
+// below lists the layers that each layer may import besides itself. Neither plane is below the other, and only commands
+// may import the rig.
 var below = map[layer][]layer{
 	base:      {},
 	cluster:   {base},
@@ -43,7 +43,7 @@
 	command:   {base, cluster, config, process, control, dataPlane, adapter, rig},
 }
 
-// layers gives each folder's layer; the longest folder that holds a package decides.
+// layers has the layer of each folder. A package belongs to the layer of the longest path here that contains it.
 var layers = map[string]layer{
 	"cmd":                      command,
 	"internal/adapter":         config,
@@ -77,19 +77,20 @@
 // dependency is an import of one package of this module by another.
 type dependency struct{ from, to string }
 
-// exceptions are the imports that break the layers today, with the reason. One that is gone has to be taken out.
+// exceptions are the present imports that violate the layers, with the reason. An exception that is no longer needed has
+// to be removed.
 var exceptions = map[dependency]string{
-	{"internal/control/controller", "internal/router/idempotency"}: "control nodes hold the idempotency claims on their disks and answer for them (idempotency.Registry)",
-	{"internal/control/controller", "internal/router"}:             "the JSON form of a member in /status is written once, in router.Member",
+	{"internal/control/controller", "internal/router/idempotency"}: "controllers store the idempotency claims on their disks and answer claim messages (idempotency.Registry)",
+	{"internal/control/controller", "internal/router"}:             "the JSON form of a member in /status is defined once, in router.MemberJSON",
 	{"internal/router/idempotency", "internal/control/register"}:   "a claim needs a majority of the same register.QuorumSet",
-	{"internal/router", "internal/control/register"}:               "the quorum set comes to routers as a value of the key voters",
-	{"internal/config", "internal/router/capacity"}:                "the compiled configuration gives capacity keepers their settings (capacity.Worker)",
+	{"internal/router", "internal/control/register"}:               "routers receive the quorum set as the value of the key voters",
+	{"internal/config", "internal/router/capacity"}:                "the compiled configuration has the settings of capacity coordinators (capacity.Worker)",
 	{"internal/config", "internal/router/admission"}:               "the compiler checks the names of admission policies",
 	{"internal/config", "internal/router/placement"}:               "the compiler checks the names of placement policies",
-	{"internal/cluster/discovery", "internal/config"}:              "a sighting of the platform's list is made of config.Worker",
+	{"internal/cluster/discovery", "internal/config"}:              "an observation of the platform's list consists of config.Worker",
 }
 
-// layerOf gives a package's layer, and whether it has one.
+// layerOf returns a package's layer, and whether it has one.
 func layerOf(folder string) (layer, bool) {
 	for f := folder; f != "."; f = path.Dir(f) {
 		if l, ok := layers[f]; ok {
@@ -99,12 +100,12 @@
 	return "", false
 }
 
-// mayImport tells whether the layers allow an import.
+// mayImport reports whether the layers allow an import.
 func mayImport(from, to layer) bool {
 	return from == to || slices.Contains(below[from], to)
 }
 
-// dependencies reads the imports of this module's packages by one another, tests apart.
+// dependencies returns the imports between packages of this module, except those of tests.
 func dependencies(t *testing.T) map[dependency]bool {
 	t.Helper()
 	found := map[dependency]bool{}
@@ -141,7 +142,8 @@
 	return found
 }
 
-// Imports go down only, and from neither plane into the other, but for the exceptions above.
+// Packages import only their own layer and those below it, except for the exceptions above. Neither plane imports the
+// other.
 func TestImportsGoDown(t *testing.T) {
 	found := dependencies(t)
 	for d := range found {
@@ -153,19 +155,19 @@
 		}
 		_, excepted := exceptions[d]
 		if allowed := mayImport(from, to); allowed && excepted {
-			t.Errorf("%s may import %s: take its exception out", d.from, d.to)
+			t.Errorf("%s may import %s: remove its exception", d.from, d.to)
 		} else if !allowed && !excepted {
 			t.Errorf("%s (%s) imports %s (%s)", d.from, from, d.to, to)
 		}
 	}
 	for d := range exceptions {
 		if !found[d] {
-			t.Errorf("%s doesn't import %s any more: take its exception out", d.from, d.to)
+			t.Errorf("%s doesn't import %s any more: remove its exception", d.from, d.to)
 		}
 	}
 }
 
-// The layers have no cycle: there is an order in which each one's lower ones come before it.
+// The layers have no cycle: they have an order in which each layer comes after those that it may import.
 func TestLayersHaveNoCycle(t *testing.T) {
 	order := []layer{base, cluster, storage, config, process, control, dataPlane, adapter, rig, command}
 	for upper, lowers := range below {
--- a/tracked_test.go
+++ b/tracked_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// executableMagic begins every program that a build makes on Linux.
+// executableMagic is the start of every executable file on Linux.
 var executableMagic = []byte("\x7fELF")
 
-// notSources are folders that hold what builds and runs leave behind; none of it is committed.
+// notSources are folders for the output of builds and runs, which is not committed.
 var notSources = map[string]bool{".git": true, "bin": true, "bin-cuts": true, "run": true, "target": true}
 
-// No built program lies among the sources.
+// There are no executable files among the sources.
 func TestNoBuiltPrograms(t *testing.T) {
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		switch {
@@ -32,7 +32,7 @@
 		defer file.Close()
 		magic := make([]byte, len(executableMagic))
 		if n, _ := file.Read(magic); n == len(magic) && bytes.Equal(magic, executableMagic) {
-			t.Errorf("%s is a built program", path)
+			t.Errorf("%s is an executable file", path)
 		}
 		return nil
 	})
--- a/walkthrough_test.go
+++ b/walkthrough_test.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	// codeName is package.function or package.type.function in a page.
+	// codeName matches package.function or package.type.function in a page.
 	codeName = regexp.MustCompile("`([a-z]+\\.(?:[A-Za-z]+\\.)?[A-Za-z]+)`")
-	// folderName is a folder of this module in a page.
+	// folderName matches a folder of this module in a page.
 	folderName = regexp.MustCompile("`((?:internal|cmd|platform)(?:/[a-z]+)*)`")
 )
 
-// receiver gives the name of a method's type with a dot behind it, and nothing for a function.
+// receiver returns the name of a method's type followed by a dot, or an empty string for a function.
 func receiver(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return ""
@@ -34,7 +34,8 @@
 	return ""
 }
 
-// declaredNames collects package.function, package.type.function and package.type of this module, tests apart.
+// declaredNames returns package.function, package.type.function and package.type of all declarations in this module,
+// except those of tests.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -68,7 +69,7 @@
 	return names
 }
 
-// Each function and type that the walkthrough names exists.
+// Every function and type named in the walkthrough exists.
 func TestWalkthroughNames(t *testing.T) {
 	page, err := os.ReadFile("docs/walkthrough.md")
 	if err != nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// The design's map of folders names each folder that has a layer, and no other.
+// The design page names every folder with a package of this module, and no folder that doesn't exist.
 func TestDesignMap(t *testing.T) {
 	page, err := os.ReadFile("docs/design.md")
 	if err != nil {
@@ -102,7 +103,7 @@
 	for d := range dependencies(t) {
 		for _, folder := range []string{d.from, d.to} {
 			if !named[folder] {
-				t.Errorf("docs/design.md doesn't say where %s belongs", folder)
+				t.Errorf("docs/design.md doesn't name the folder %s", folder)
 			}
 		}
 	}
