--- a/internal/scaletest/router.go
+++ b/internal/scaletest/router.go
@@ -71,8 +71,7 @@
 
 func (r *router) operational(units.Time) bool { return r.ready }
 
-// tick is the router's loop. Like the daemon's it copies the membership table in each of the three places that use it,
-// so that the cost of the copies is measured too.
+// tick is the router's loop. Like the daemon's it copies the membership table once for each of its three uses.
 func (r *router) tick(now units.Time, _ []membership.Member) message.Effects {
 	r.refreshLedger(now)
 	out := r.queue.Tick(now)
