--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -13,21 +13,21 @@
 
 	"seamshunt/internal/config"
 	"seamshunt/internal/console"
-	"seamshunt/internal/fleet"
+	"seamshunt/internal/localfleet"
 	"seamshunt/internal/standin"
 )
 
 // drillCmd takes a zone out and checks the promises.
 func drillCmd() *cobra.Command {
-	d := &fleet.Drill{Say: os.Stdout}
+	d := &localfleet.Drill{Output: os.Stdout}
 	c := &cobra.Command{Use: "drill", Short: "take a zone out of a running fleet, check the promises, give it back", Args: cobra.NoArgs}
 	c.RunE = func(*cobra.Command, []string) error {
 		switch {
-		case d.How != "evacuate" && d.How != "kill":
+		case d.Method != "evacuate" && d.Method != "kill":
 			return errors.New("--how is evacuate or kill")
-		case d.How == "kill" && d.Harness == "":
+		case d.Method == "kill" && d.HarnessAddr == "":
 			return errors.New("--how kill wants --harness: only a local fleet's harness ends processes")
-		case d.Hold < 7*time.Second:
+		case d.Duration < 7*time.Second:
 			return errors.New("--hold is at least 7s, so that the 5 s can be judged")
 		}
 		ctx, stop := interrupted()
@@ -39,11 +39,11 @@
 		bad := 0
 		for _, f := range l {
 			word := "holds"
-			if !f.Good {
+			if !f.Holds {
 				word = "BROKEN"
 				bad++
 			}
-			fmt.Printf("%-7s %s: %s\n", word, f.Promise, f.Seen)
+			fmt.Printf("%-7s %s: %s\n", word, f.Invariant, f.Detail)
 		}
 		if bad > 0 {
 			return console.ErrCheckFailed
@@ -51,12 +51,12 @@
 		return nil
 	}
 	f := c.Flags()
-	f.StringVar(&d.At, "at", "", "a controller's web address")
+	f.StringVar(&d.ControllerAddr, "at", "", "a controller's web address")
 	f.StringVar(&d.Zone, "zone", "", "the zone")
-	f.StringVar(&d.How, "how", "evacuate", "evacuate, or kill")
-	f.StringVar(&d.Harness, "harness", "", "a local fleet's harness, for kill")
-	f.StringVar(&d.Journal, "dir", "", "a local fleet's journals, to be judged too")
-	f.DurationVar(&d.Hold, "hold", 10*time.Second, "how long the zone stays out")
+	f.StringVar(&d.Method, "how", "evacuate", "evacuate, or kill")
+	f.StringVar(&d.HarnessAddr, "harness", "", "a local fleet's harness, for kill")
+	f.StringVar(&d.JournalDir, "dir", "", "a local fleet's journals, to be judged too")
+	f.DurationVar(&d.Duration, "hold", 10*time.Second, "how long the zone stays out")
 	_ = c.MarkFlagRequired("at")
 	_ = c.MarkFlagRequired("zone")
 	return c
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -15,15 +15,15 @@
 
 	"github.com/spf13/cobra"
 
+	"seamshunt/internal/checker"
 	"seamshunt/internal/console"
-	"seamshunt/internal/fleet"
-	"seamshunt/internal/observer"
+	"seamshunt/internal/localfleet"
 )
 
 // trial is one run of a deployment, as the flags say it.
 type trial struct {
 	dep, dir, events, wrong, allow, place string
-	plan                                  fleet.Plan
+	plan                                  localfleet.RunPlan
 	secs, perSec                          int
 	served                                float64
 	wrongs                                map[string]string
@@ -43,14 +43,14 @@
 }
 
 // check reads what can be wrong before anything starts.
-func (x *trial) check() (d *fleet.Deployment, err error) {
-	if d, err = fleet.Load(x.dep); err != nil {
+func (x *trial) check() (d *localfleet.Deployment, err error) {
+	if d, err = localfleet.LoadDeployment(x.dep); err != nil {
 		return nil, err
 	}
-	if x.plan.Events, err = fleet.ParseEvents(x.events); err != nil {
+	if x.plan.Events, err = localfleet.ParseEvents(x.events); err != nil {
 		return nil, err
 	}
-	if err = d.Check(x.plan.Events); err != nil {
+	if err = d.CheckEvents(x.plan.Events); err != nil {
 		return nil, err
 	}
 	if x.wrongs, err = readWrong(d, x.wrong); err != nil {
@@ -59,20 +59,20 @@
 	if x.secs < 1 || x.plan.Rate <= 0 || x.plan.Topics < 2 {
 		return nil, errors.New("--seconds, --rate and --topics are above 0, topics above 1")
 	}
-	x.plan.From, x.plan.Traffic = 10*time.Second, time.Duration(x.secs)*time.Second
-	x.plan.Edit = edit(x.allow, x.place)
+	x.plan.TrafficStart, x.plan.TrafficDuration = 10*time.Second, time.Duration(x.secs)*time.Second
+	x.plan.EditConfig = edit(x.allow, x.place)
 	return d, nil
 }
 
 // readWrong reads which workers shall answer wrongly, and how.
-func readWrong(d *fleet.Deployment, s string) (map[string]string, error) {
+func readWrong(d *localfleet.Deployment, s string) (map[string]string, error) {
 	m := map[string]string{}
 	for _, w := range strings.Split(s, ",") {
 		if w == "" {
 			continue
 		}
 		n, how, _ := strings.Cut(w, "=")
-		if how == "" || !slices.Contains(wrongs, how) || d.Check([]fleet.Event{{Verb: "kill", On: n}}) != nil {
+		if how == "" || !slices.Contains(wrongs, how) || d.CheckEvents([]localfleet.Event{{Verb: "kill", Target: n}}) != nil {
 			return nil, fmt.Errorf("--wrong %q: a worker's name and one of %q are wanted", w, wrongs[1:])
 		}
 		m[n] = how
@@ -97,23 +97,23 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.New(d, fleet.Abs(dir), filepath.Dir(me), x.perSec)
+	f, err := localfleet.New(d, localfleet.AbsPath(dir), filepath.Dir(me), x.perSec)
 	if err != nil {
 		return err
 	}
-	defer f.Down()
+	defer f.StopAll()
 	for n, how := range x.wrongs {
-		f.Wrong[n] = how
-		f.Event("wrong", n)
+		f.WorkerFaults[n] = how
+		f.RecordEvent("wrong", n)
 	}
 	if err := f.Run(ctx, x.plan, say); err != nil {
 		return err
 	}
-	var u observer.Rules
-	if u, err = f.Rules(x.plan.Edit); err != nil {
+	var u checker.Rules
+	if u, err = f.Rules(x.plan.EditConfig); err != nil {
 		return err
 	}
-	u.Served = x.served
+	u.MinServed = x.served
 	good, err := f.Report(u, say)
 	if err == nil && !good {
 		err = console.ErrCheckFailed
@@ -194,19 +194,19 @@
 	var dep string
 	c := &cobra.Command{Use: "check DIR", Short: "judge what callers and workers of a run wrote down", Args: cobra.ExactArgs(1)}
 	c.RunE = func(_ *cobra.Command, a []string) error {
-		d, err := fleet.Load(dep)
+		d, err := localfleet.LoadDeployment(dep)
 		if err != nil {
 			return err
 		}
-		u, err := (&fleet.Fleet{Dep: d}).Rules(nil)
+		u, err := (&localfleet.Fleet{Deployment: d}).Rules(nil)
 		if err != nil {
 			return err
 		}
-		r, err := observer.Load(a[0])
+		r, err := checker.Load(a[0])
 		if err != nil {
 			return err
 		}
-		if !fleet.Show(r, u, nil, os.Stdout) {
+		if !localfleet.PrintReport(r, u, nil, os.Stdout) {
 			return console.ErrCheckFailed
 		}
 		return nil
--- a/cmd/testbed/pages_test.go
+++ b/cmd/testbed/pages_test.go
@@ -20,7 +20,7 @@
 	if err != nil || !strings.Contains(string(out), "seamshunt/internal/router\n") {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for _, bad := range []string{"os/exec", "seamshunt/internal/fleet", "seamshunt/internal/standin", "seamshunt/platform/standin", "testing"} {
+	for _, bad := range []string{"os/exec", "seamshunt/internal/localfleet", "seamshunt/internal/standin", "seamshunt/platform/standin", "testing"} {
 		if strings.Contains("\n"+string(out), "\n"+bad+"\n") {
 			t.Errorf("they hold package %s", bad)
 		}
--- a/cmd/testbed/play.go
+++ b/cmd/testbed/play.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"seamshunt/internal/fleet"
+	"seamshunt/internal/localfleet"
 	"seamshunt/internal/netfault"
 	"seamshunt/platform"
 	"seamshunt/platform/standin"
@@ -19,7 +19,7 @@
 // play is a site that runs.
 type play struct {
 	*site
-	f      *fleet.Fleet
+	f      *localfleet.Fleet
 	began  time.Time
 	place  standin.Site
 	list   *standin.List
@@ -45,7 +45,7 @@
 // workerListener gives one that can fall silent where the plan has the worker do so: its queue is short, so that a crowd of
 // new connections may have to come again.
 func (p *play) workerListener(worker string) (net.Listener, error) {
-	silenced := slices.ContainsFunc(p.plan, func(e fleet.Event) bool { return e.Verb == "silence" && e.On == worker })
+	silenced := slices.ContainsFunc(p.plan, func(e localfleet.Event) bool { return e.Verb == "silence" && e.Target == worker })
 	if !silenced {
 		return p.listen()
 	}
@@ -97,7 +97,7 @@
 			if err != nil {
 				return err
 			}
-			p.f.Add(m.Name+"."+program, m.Zone, program, m.Front(), []string{"serve"}, []string{platform.SettingsEnv + "=" + path})
+			p.f.AddProcess(m.Name+"."+program, m.Zone, program, m.Front(), []string{"serve"}, []string{platform.SettingsEnv + "=" + path})
 			if err := p.f.Start(m.Name + "." + program); err != nil {
 				return err
 			}
--- a/cmd/testbed/play_events.go
+++ b/cmd/testbed/play_events.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"seamshunt/internal/fleet"
+	"seamshunt/internal/localfleet"
 	"seamshunt/platform/standin"
 )
 
@@ -22,9 +22,9 @@
 
 // carryOut has every event happen at its time. Those on one thing come one behind the other, those on several overlap.
 func (p *play) carryOut(ctx context.Context, start time.Time) error {
-	series := map[string][]fleet.Event{}
+	series := map[string][]localfleet.Event{}
 	for _, e := range p.plan {
-		series[e.On] = append(series[e.On], e)
+		series[e.Target] = append(series[e.Target], e)
 	}
 	failed := make(chan error, len(series))
 	for _, events := range series {
@@ -37,12 +37,12 @@
 	return err
 }
 
-func (p *play) inSeries(ctx context.Context, start time.Time, events []fleet.Event) error {
+func (p *play) inSeries(ctx context.Context, start time.Time, events []localfleet.Event) error {
 	for _, e := range events {
 		wait(ctx, start.Add(e.At))
-		fmt.Printf("%6.1f s: %s %s\n", time.Since(start).Seconds(), e.Verb, e.On)
+		fmt.Printf("%6.1f s: %s %s\n", time.Since(start).Seconds(), e.Verb, e.Target)
 		if err := p.event(e); err != nil {
-			return fmt.Errorf("event %s %s: %w", e.Verb, e.On, err)
+			return fmt.Errorf("event %s %s: %w", e.Verb, e.Target, err)
 		}
 	}
 	return nil
@@ -63,30 +63,30 @@
 }
 
 // event carries one out and notes it.
-func (p *play) event(e fleet.Event) error {
+func (p *play) event(e localfleet.Event) error {
 	switch e.Verb {
 	case "evacuate", "readmit":
 		f := p.op.Evacuate
 		if e.Verb == "readmit" {
 			f = p.op.Readmit
 		}
-		if status, err := f(e.On); status/100 != 2 {
+		if status, err := f(e.Target); status/100 != 2 {
 			return fmt.Errorf("%d %v", status, err)
 		}
 		return nil
 	case "leave":
-		p.list.Drain(e.On)
+		p.list.Drain(e.Target)
 		return nil
 	case "silence":
-		p.f.Event(e.Verb, e.On)
-		return p.work[e.On].Blackhole()
+		p.f.RecordEvent(e.Verb, e.Target)
+		return p.work[e.Target].Blackhole()
 	case "wake":
-		p.f.Event(e.Verb, e.On)
-		return p.work[e.On].Restore()
+		p.f.RecordEvent(e.Verb, e.Target)
+		return p.work[e.Target].Restore()
 	case "storm":
 		return p.storm()
 	case "killall", "startall":
-		p.f.Event(e.Verb, "")
+		p.f.RecordEvent(e.Verb, "")
 		e.Verb = e.Verb[:len(e.Verb)-len("all")]
 	}
 	return p.each(e)
@@ -104,19 +104,19 @@
 }
 
 // frontEvent notes what happens to a machine by its front's address as well: clients know a router by that.
-func (p *play) frontEvent(e fleet.Event) {
+func (p *play) frontEvent(e localfleet.Event) {
 	for _, m := range p.place.Machines {
-		if verb := noted(e.Verb); m.Name == e.On && (verb == "freeze" || verb == "thaw") {
-			p.f.Event(verb, m.Front())
+		if verb := noted(e.Verb); m.Name == e.Target && (verb == "freeze" || verb == "thaw") {
+			p.f.RecordEvent(verb, m.Front())
 		}
 	}
 }
 
 // each does a thing to every process of a machine, or of all.
-func (p *play) each(e fleet.Event) error {
+func (p *play) each(e localfleet.Event) error {
 	p.frontEvent(e)
-	for _, n := range p.procs(e.On) {
-		p.f.Event(noted(e.Verb), n)
+	for _, n := range p.procs(e.Target) {
+		p.f.RecordEvent(noted(e.Verb), n)
 		var err error
 		switch e.Verb {
 		case "kill":
@@ -143,7 +143,7 @@
 	if e.Verb != "restart" {
 		return nil
 	}
-	for _, n := range p.procs(e.On) {
+	for _, n := range p.procs(e.Target) {
 		if err := p.f.Wait(n, 12*time.Second); err != nil {
 			return err
 		}
--- a/cmd/testbed/random_plan.go
+++ b/cmd/testbed/random_plan.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"seamshunt/internal/fleet"
+	"seamshunt/internal/localfleet"
 	"seamshunt/platform/standin"
 )
 
@@ -44,7 +44,7 @@
 	out      []time.Duration // until when each zone that was evacuated is so
 	orders   bool
 	several  bool // more than one zone may be evacuated at a time
-	events   []fleet.Event
+	events   []localfleet.Event
 }
 
 // planOptions say what a random plan holds beside its usual troubles.
@@ -56,7 +56,7 @@
 }
 
 // newRandomPlan draws a plan for a run of a length.
-func newRandomPlan(rng *rand.Rand, machines []standin.Machine, disks int, workers []string, length time.Duration, options planOptions) []fleet.Event {
+func newRandomPlan(rng *rand.Rand, machines []standin.Machine, disks int, workers []string, length time.Duration, options planOptions) []localfleet.Event {
 	p := &randomPlan{rng: rng, machines: machines, workers: workers, disks: disks, length: length, orders: options.orders, several: options.partial, busy: map[string]time.Duration{}}
 	more := &partialTroubles{plan: p, rng: rand.New(rand.NewPCG(options.seed, 13))}
 	for at := time.Duration(0); at < length-settleBeforeEnd; at += time.Duration(rng.Int64N(int64(troubleGapMost))) {
@@ -69,7 +69,7 @@
 			p.draw(at)
 		}
 	}
-	slices.SortStableFunc(p.events, func(a, b fleet.Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(p.events, func(a, b localfleet.Event) int { return cmp.Compare(a.At, b.At) })
 	return p.events
 }
 
@@ -92,7 +92,7 @@
 }
 
 func (p *randomPlan) add(at time.Duration, verb, on string) {
-	p.events = append(p.events, fleet.Event{At: at, Verb: verb, On: on})
+	p.events = append(p.events, localfleet.Event{At: at, Verb: verb, Target: on})
 }
 
 // pair has something begin and end, unless it is in a trouble already.
--- a/cmd/testbed/random_plan_test.go
+++ b/cmd/testbed/random_plan_test.go
@@ -38,21 +38,21 @@
 				t.Fatalf("seed %d: %v is out of order", seed, e)
 			}
 			if end := endOf[e.Verb]; end != "" {
-				if open[e.On] != "" {
+				if open[e.Target] != "" {
 					t.Fatalf("seed %d: %v while another trouble lasts there", seed, e)
 				}
-				open[e.On] = end
-			} else if open[e.On] == e.Verb {
-				delete(open, e.On)
+				open[e.Target] = end
+			} else if open[e.Target] == e.Verb {
+				delete(open, e.Target)
 			}
 			switch {
 			case e.Verb == "silence":
 				silent++
 			case e.Verb == "wake":
 				silent--
-			case loses(disk, e.On) && slices.Contains([]string{"kill", "freeze", "slow"}, e.Verb):
+			case loses(disk, e.Target) && slices.Contains([]string{"kill", "freeze", "slow"}, e.Verb):
 				down++
-			case loses(disk, e.On) && slices.Contains([]string{"start", "thaw", "fast"}, e.Verb):
+			case loses(disk, e.Target) && slices.Contains([]string{"start", "thaw", "fast"}, e.Verb):
 				down--
 			}
 			evacuated := 0
@@ -64,7 +64,7 @@
 			if silent > len(workers)/2 || down > 2 || evacuated > 2 || evacuated > 1 && !options.partial {
 				t.Fatalf("seed %d: %d silent workers, %d of the core down, %d zones evacuated", seed, silent, down, evacuated)
 			}
-			single[e.Verb] = single[e.Verb] || strings.Contains(e.On, ".")
+			single[e.Verb] = single[e.Verb] || strings.Contains(e.Target, ".")
 			severally = severally || evacuated > 1
 			if len(open) > 1 {
 				overlaps++
--- a/cmd/testbed/site.go
+++ b/cmd/testbed/site.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
+	"seamshunt/internal/checker"
 	"seamshunt/internal/console"
-	"seamshunt/internal/fleet"
-	"seamshunt/internal/observer"
+	"seamshunt/internal/localfleet"
 	"seamshunt/platform/standin"
 )
 
@@ -28,7 +28,7 @@
 	seed                            uint64
 	random, orders, partial, rolls  bool
 	events, dir                     string
-	plan                            []fleet.Event
+	plan                            []localfleet.Event
 	nodes                           []standin.Machine
 }
 
@@ -87,7 +87,7 @@
 	case x.reviews < 0 || x.reviews > 1:
 		return errors.New("--reviews is 0 to 1")
 	}
-	if x.plan, err = fleet.ParseEvents(x.events, "silence", "wake", "slow", "fast"); err != nil {
+	if x.plan, err = localfleet.ParseEvents(x.events, "silence", "wake", "slow", "fast"); err != nil {
 		return err
 	}
 	var machines, programs, zones, workers []string
@@ -117,13 +117,13 @@
 		case "leave", "silence", "wake":
 			names = workers
 		case "killall", "startall", "storm":
-			names = []string{e.On}
+			names = []string{e.Target}
 		}
 		if !slices.Contains(siteVerbs, e.Verb) {
 			return fmt.Errorf("--events: %s is not known here; the verbs are %s", e.Verb, strings.Join(siteVerbs, " "))
 		}
-		if !slices.Contains(names, e.On) {
-			return fmt.Errorf("--events: %s %s: one of %s is wanted", e.Verb, e.On, strings.Join(names, " "))
+		if !slices.Contains(names, e.Target) {
+			return fmt.Errorf("--events: %s %s: one of %s is wanted", e.Verb, e.Target, strings.Join(names, " "))
 		}
 	}
 	return nil
@@ -144,11 +144,11 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Bare(fleet.Abs(dir), filepath.Dir(me))
+	f, err := localfleet.NewEmpty(localfleet.AbsPath(dir), filepath.Dir(me))
 	if err != nil {
 		return err
 	}
-	defer f.Down()
+	defer f.StopAll()
 	p := &play{site: x, f: f, began: time.Now(), missed: map[string]int{}, slowed: map[string]chan struct{}{}}
 	defer p.close()
 	if err := p.up(ctx); err != nil {
@@ -157,21 +157,21 @@
 	if err := p.day(ctx); err != nil {
 		return err
 	}
-	r, err := observer.Load(f.Dir)
+	r, err := checker.Load(f.Dir)
 	if err != nil {
 		return err
 	}
 	good := true
 	for _, x := range standin.Check(r, standin.DefaultGuarantees, x.served, standin.AllowedDocuments(p.op.SentDocuments())...) {
 		word := "kept"
-		if !x.Good {
+		if !x.Holds {
 			word, good = "BROKEN", false
 		}
-		fmt.Printf("%-7s %-9s %s: %s\n", word, x.Rule, x.Promise, x.Seen)
+		fmt.Printf("%-7s %-9s %s: %s\n", word, x.Rule, x.Invariant, x.Detail)
 	}
 	for _, m := range r.Measure(0, 1<<62) {
 		fmt.Printf("%-8s %5d sent, %5.1f%% on time, %d refused, %d broken, %d other, %d left; first words %.0f ms, 95th %.0f ms\n", m.Mapping, m.Sent,
-			100*float64(m.OnTime)/float64(max(1, m.Sent)), m.Refused, m.Broken, m.Other, m.Left, m.First50, m.First9)
+			100*float64(m.OnTime)/float64(max(1, m.Sent)), m.Refused, m.Broken, m.Other, m.Abandoned, m.FirstTokenP50, m.FirstTokenP95)
 	}
 	if !good {
 		return console.ErrCheckFailed
--- a/internal/observer/arrivals.go
+++ b/internal/checker/arrivals.go
@@ -1,4 +1,4 @@
-package observer
+package checker
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 			bad = append(bad, fmt.Sprintf("%s ran %s otherwise than it was sent", s.Worker, s.Job))
 		}
 	}
-	return find(Asked, bad, fmt.Sprintf("%d runs", len(r.Starts)))
+	return find(OnlySentRequests, bad, fmt.Sprintf("%d runs", len(r.Starts)))
 }
 
 // order: callers look at every piece as it comes, also of an answer that breaks.
@@ -32,14 +32,14 @@
 			bad = append(bad, c.Job+": "+c.Order)
 		}
 	}
-	return find(Order, bad, fmt.Sprintf("%d pieces", n))
+	return find(StreamOrder, bad, fmt.Sprintf("%d pieces", n))
 }
 
 // arrivals are runs and what was turned away, in the order of time. What reached a worker that it was not meant for
 // does not count.
 func (r *Run) arrivals() []standin.Entry {
 	l := slices.Clone(r.Starts)
-	for _, t := range r.Turns {
+	for _, t := range r.Rejections {
 		if t.How != Misdirected {
 			l = append(l, t)
 		}
@@ -54,7 +54,7 @@
 // budget counts, for each service and in every window, the arrivals beyond the first of each request, against the
 // requests for it: in that window, in the one before, or in the one half a window before.
 func (r *Run) budget(u Rules) Finding {
-	w := u.Window.Microseconds()
+	w := u.RetryWindow.Microseconds()
 	sent, further, seen := map[string][]int64{}, map[string][]int64{}, map[string]bool{}
 	for _, c := range r.Calls {
 		for _, s := range u.Pools[c.Mapping] {
@@ -81,13 +81,13 @@
 			n := within(l, t-w, t)
 			most = max(most, n)
 			asked := max(within(sent[s], t-w, t), within(sent[s], t-2*w, t-w), within(sent[s], t-3*w/2, t-w/2))
-			if float64(n) > u.Budget*float64(asked)+float64(u.Slack) {
+			if float64(n) > u.RetryBudget*float64(asked)+float64(u.RetrySlack) {
 				bad = append(bad, fmt.Sprintf("%d further arrivals at %s for %d requests", n, s, asked))
 			}
 		}
 	}
 	slices.Sort(bad)
-	return find(Budget, bad, fmt.Sprintf("at most %d", most))
+	return find(RetryBudget, bad, fmt.Sprintf("at most %d", most))
 }
 
 // cold: a worker that is cold bears few arrivals in any second.
@@ -96,7 +96,7 @@
 	var bad []string
 	most := 0
 	for _, a := range r.arrivals() {
-		limit, ok := u.Cold[a.Pool]
+		limit, ok := u.WarmUpRates[a.Pool]
 		if !a.Cold || !ok {
 			continue
 		}
@@ -110,5 +110,5 @@
 			bad = append(bad, fmt.Sprintf("%s had %d in a second, cold, of %.1f", a.Worker, len(l), limit))
 		}
 	}
-	return find(Cold, bad, fmt.Sprintf("at most %d in a second", most))
+	return find(WarmUpRate, bad, fmt.Sprintf("at most %d in a second", most))
 }
--- a/internal/observer/attended.go
+++ b/internal/checker/attended.go
@@ -1,4 +1,4 @@
-package observer
+package checker
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 			left++
 		}
 	}
-	for _, arrivals := range [][]standin.Entry{r.Starts, r.Turns} {
+	for _, arrivals := range [][]standin.Entry{r.Starts, r.Rejections} {
 		for _, a := range arrivals {
 			c, known := calls[a.Job]
 			if !known || c.Fault != standin.Left || a.Came == 0 {
@@ -37,5 +37,5 @@
 	if len(bad) <= attendedMost {
 		bad = nil
 	}
-	return find(Attended, bad, fmt.Sprintf("%d callers left", left))
+	return find(NoAbandonedRequests, bad, fmt.Sprintf("%d callers left", left))
 }
--- a/internal/observer/judge.go
+++ b/internal/checker/judge.go
@@ -1,4 +1,4 @@
-package observer
+package checker
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	var bad []string
 	n := 0
 	for job, l := range runs {
-		if !u.Once[calls[job].Mapping] {
+		if !u.NonRepeatable[calls[job].Mapping] {
 			continue
 		}
 		n++
@@ -20,7 +20,7 @@
 		}
 	}
 	slices.Sort(bad)
-	return find(Once, bad, fmt.Sprintf("%d ran, each once", n))
+	return find(RunsOnce, bad, fmt.Sprintf("%d ran, each once", n))
 }
 
 func (r *Run) notRun(runs map[string][]standin.Entry) Finding {
@@ -35,7 +35,7 @@
 			bad = append(bad, fmt.Sprintf("%s was said not to run (code %d) and ran on %s", c.Job, c.Code, l[0].Worker))
 		}
 	}
-	return find(NotRun, bad, fmt.Sprintf("%d refusals said so", n))
+	return find(NotRunIsFinal, bad, fmt.Sprintf("%d refusals said so", n))
 }
 
 func (r *Run) whole(runs map[string][]standin.Entry) Finding {
@@ -58,7 +58,7 @@
 			bad = append(bad, c.Job+": answered as "+c.ID+", which no worker ran for it")
 		}
 	}
-	return find(Whole, bad, fmt.Sprintf("%d answers whole", n))
+	return find(CompleteAnswers, bad, fmt.Sprintf("%d answers whole", n))
 }
 
 func (r *Run) service(u Rules, calls map[string]standin.Entry) Finding {
@@ -69,7 +69,7 @@
 			bad = append(bad, fmt.Sprintf("%s of %s ran in pool %s", s.Job, c.Mapping, s.Pool))
 		}
 	}
-	return find(Services, bad, fmt.Sprintf("%d runs", len(r.Starts)))
+	return find(AllowedServices, bad, fmt.Sprintf("%d runs", len(r.Starts)))
 }
 
 // atOnce: a prompt that is given up is told so while most of its time is left, not near its end.
@@ -94,13 +94,13 @@
 			bad = append(bad, fmt.Sprintf("%s was refused (code %d) with %.0f%% of its time gone", c.Job, c.Code, 100*x))
 		}
 		if c.Code < 400 && c.BackMs <= 0 {
-			return Finding{AtOnce, false, c.Job + " was not told when to come back"}
+			return Finding{PromptRefusals, false, c.Job + " was not told when to come back"}
 		}
 	}
 	if len(bad) <= len(part)/50 {
 		bad = nil // a waitlist may empty more slowly than foreseen, for one in fifty
 	}
-	return find(AtOnce, bad,
+	return find(PromptRefusals, bad,
 		fmt.Sprintf("%d refusals; share of the time left gone: median %.1f%%, 95th %.1f%%", len(part), 100*at(part, 0.5), 100*at(part, 0.95)))
 }
 
@@ -150,8 +150,8 @@
 func (r *Run) leaving(u Rules) Finding {
 	m := r.spans("leave", "stay")
 	none := func(standin.Entry) bool { return false }
-	bad, worst := r.late(m, func(s standin.Entry) string { return s.Worker }, u.Leave.Microseconds(), none)
-	return find(Leaving, bad, fmt.Sprintf("%d left; the last new run came after %s", len(m), ms(worst)))
+	bad, worst := r.late(m, func(s standin.Entry) string { return s.Worker }, u.DrainDelay.Microseconds(), none)
+	return find(WorkerDraining, bad, fmt.Sprintf("%d left; the last new run came after %s", len(m), ms(worst)))
 }
 
 // zones: what a router hands over that stood still a moment ago isn't judged.
@@ -159,14 +159,14 @@
 	m, frozen := r.spans("evacuate", "readmit"), r.spans("freeze", "thaw")
 	stood := func(s standin.Entry) bool {
 		for _, x := range frozen[calls[s.Job].Router] {
-			if s.At >= x[0] && s.At-x[1] < u.Contact.Microseconds() {
+			if s.At >= x[0] && s.At-x[1] < u.ReconnectDelay.Microseconds() {
 				return true
 			}
 		}
 		return false
 	}
-	bad, worst := r.late(m, func(s standin.Entry) string { return s.Zone }, u.Evac.Microseconds(), stood)
-	return find(Zones, bad, fmt.Sprintf("%d evacuated; the last new run came after %s", len(m), ms(worst)))
+	bad, worst := r.late(m, func(s standin.Entry) string { return s.Zone }, u.EvacuationDelay.Microseconds(), stood)
+	return find(ZoneEvacuation, bad, fmt.Sprintf("%d evacuated; the last new run came after %s", len(m), ms(worst)))
 }
 
 // retries counts, in every ten seconds, runs that were not their job's first.
@@ -190,7 +190,7 @@
 		n, a := i+1-from, again[i+1]-again[from]
 		x := float64(a) / float64(max(n, 20))
 		worst = max(worst, x)
-		if x > u.Budget {
+		if x > u.RetryBudget {
 			bad = append(bad, fmt.Sprintf("%d of %d runs in ten seconds were further tries", a, n))
 		}
 	}
--- a/internal/observer/more.go
+++ b/internal/checker/more.go
@@ -1,4 +1,4 @@
-package observer
+package checker
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 
 // config: the harness writes down what was acknowledged and what was read back at the end.
 func (r *Run) config() Finding {
-	const p = ReadBack
+	const p = ConfigReadBack
 	acked, read, n := "", "", 0
 	for _, e := range r.Events {
 		switch e.How {
@@ -72,7 +72,7 @@
 			bad = append(bad, fmt.Sprintf("%s on %s by %s broke after %s", c.Job, c.Worker, c.Router, ms(c.End-c.At)))
 		}
 	}
-	return find(Cuts, bad, fmt.Sprintf("%d streams broke, all with their node or worker or out of time", broken))
+	return find(UnbrokenStreams, bad, fmt.Sprintf("%d streams broke, all with their node or worker or out of time", broken))
 }
 
 func worker(name string) string {
@@ -106,8 +106,8 @@
 			top = max(top, n)
 		}
 		most = max(most, top)
-		if top > u.Cap {
-			bad = append(bad, fmt.Sprintf("%s had %d runs at once, cap %d", w, top, u.Cap))
+		if top > u.MaxInFlight {
+			bad = append(bad, fmt.Sprintf("%s had %d runs at once, cap %d", w, top, u.MaxInFlight))
 		}
 	}
 	return find("no worker carries more than its cap", bad, fmt.Sprintf("at most %d at once", most))
@@ -128,28 +128,28 @@
 				first = c.End
 			}
 		}
-		if first == 0 || first-e.At > u.Back.Microseconds() {
+		if first == 0 || first-e.At > u.RecoveryTime.Microseconds() {
 			bad = append(bad, "the first answer came after "+ms(first-e.At))
 		}
 		worst = max(worst, first-e.At)
 	}
-	return find(Back, bad, fmt.Sprintf("%d full losses; back after %s", n, ms(worst)))
+	return find(RecoveryTime, bad, fmt.Sprintf("%d full losses; back after %s", n, ms(worst)))
 }
 
-// Figures are what a run measured.
-type Figures struct {
-	Mapping         string
-	Sent            int
-	OnTime          int // whole, and within the caller's time left
-	Refused, Broken int
-	Other           int
-	Left            int     // their callers left; not counted as sent
-	First50, First9 float64 // ms to first words: median and 95th
+// Statistics are what a run measured.
+type Statistics struct {
+	Mapping                      string
+	Sent                         int
+	OnTime                       int // whole, and within the caller's time left
+	Refused, Broken              int
+	Other                        int
+	Abandoned                    int     // their callers left; not counted as sent
+	FirstTokenP50, FirstTokenP95 float64 // ms to first words: median and 95th
 }
 
 // Measure counts per mapping, over the calls that began in a span of the run.
-func (r *Run) Measure(from, to int64) []Figures {
-	by := map[string]*Figures{}
+func (r *Run) Measure(from, to int64) []Statistics {
+	by := map[string]*Statistics{}
 	firsts := map[string][]float64{}
 	for _, c := range r.Calls {
 		if c.At < from || c.At >= to {
@@ -157,11 +157,11 @@
 		}
 		f := by[c.Mapping]
 		if f == nil {
-			f = &Figures{Mapping: c.Mapping}
+			f = &Statistics{Mapping: c.Mapping}
 			by[c.Mapping] = f
 		}
 		if c.Fault == standin.Left {
-			f.Left++
+			f.Abandoned++
 			continue
 		}
 		f.Sent++
@@ -179,18 +179,18 @@
 			firsts[c.Mapping] = append(firsts[c.Mapping], float64(c.FirstUs)/1000)
 		}
 	}
-	var l []Figures
+	var l []Statistics
 	for m, f := range by {
-		f.First50, f.First9 = at(firsts[m], 0.5), at(firsts[m], 0.95)
+		f.FirstTokenP50, f.FirstTokenP95 = at(firsts[m], 0.5), at(firsts[m], 0.95)
 		l = append(l, *f)
 	}
-	slices.SortFunc(l, func(a, b Figures) int { return cmp.Compare(a.Mapping, b.Mapping) })
+	slices.SortFunc(l, func(a, b Statistics) int { return cmp.Compare(a.Mapping, b.Mapping) })
 	return l
 }
 
-// Hits gives the mean share of prompt bytes found in workers' prefix caches, and the share of runs outside
+// CacheHits gives the mean share of prompt bytes found in workers' prefix caches, and the share of runs outside
 // the zone of the router that handed them over with their prompts' bytes.
-func (r *Run) Hits(zone map[string]string) (hit, cross float64, bytes int) {
+func (r *Run) CacheHits(zone map[string]string) (hit, cross float64, bytes int) {
 	router := map[string]string{}
 	for _, c := range r.Calls {
 		router[c.Job] = c.Router
@@ -219,6 +219,6 @@
 		all += f.Sent
 	}
 	x := float64(good) / float64(max(1, all))
-	f := Finding{Served, x >= u.Served, fmt.Sprintf("%.1f%% whole and on time, at least %.0f%% wanted", 100*x, 100*u.Served)}
+	f := Finding{ClientsServed, x >= u.MinServed, fmt.Sprintf("%.1f%% whole and on time, at least %.0f%% wanted", 100*x, 100*u.MinServed)}
 	return f
 }
--- a/internal/observer/observer_test.go
+++ b/internal/checker/observer_test.go
@@ -1,4 +1,4 @@
-package observer
+package checker
 
 import (
 	"fmt"
@@ -14,9 +14,9 @@
 
 func rules() Rules {
 	u := DefaultRules()
-	u.Once = map[string]bool{"notice": true}
+	u.NonRepeatable = map[string]bool{"notice": true}
 	u.Pools = map[string][]string{"notice": {"main"}, "chat": {"main"}}
-	u.Cap, u.Served = 2, 0.5
+	u.MaxInFlight, u.MinServed = 2, 0.5
 	return u
 }
 
@@ -43,9 +43,9 @@
 
 // Each planted violation is seen, by the rule it belongs to and by no other; the good run passes.
 func TestPlantedViolations(t *testing.T) {
-	for _, f := range good().Judge(rules()) {
-		if !f.Good {
-			t.Fatalf("a good run: %s: %s", f.Promise, f.Seen)
+	for _, f := range good().Check(rules()) {
+		if !f.Holds {
+			t.Fatalf("a good run: %s: %s", f.Invariant, f.Detail)
 		}
 	}
 	call := func(e entry) func(*Run) {
@@ -104,10 +104,10 @@
 		r := good()
 		x.plant(r)
 		seen := false
-		for _, f := range r.Judge(rules()) {
-			seen = seen || !f.Good && f.Promise == x.promise
-			if !f.Good && f.Promise != x.promise {
-				t.Errorf("%s: also %q: %s", name, f.Promise, f.Seen)
+		for _, f := range r.Check(rules()) {
+			seen = seen || !f.Holds && f.Invariant == x.promise
+			if !f.Holds && f.Invariant != x.promise {
+				t.Errorf("%s: also %q: %s", name, f.Invariant, f.Detail)
 			}
 		}
 		if !seen {
@@ -135,8 +135,8 @@
 		for _, c := range r.Calls {
 			calls[c.Job] = c
 		}
-		if f := r.zones(rules(), calls); f.Good != x.good {
-			t.Errorf("%s: %v, %s", name, f.Good, f.Seen)
+		if f := r.zones(rules(), calls); f.Holds != x.good {
+			t.Errorf("%s: %v, %s", name, f.Holds, f.Detail)
 		}
 	}
 }
--- a/internal/fleet/cut.go
+++ b/internal/localfleet/cut.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"errors"
@@ -34,7 +34,7 @@
 		return f.writeCuts()
 	}
 	if e.Verb == "lossy" {
-		n, err := strconv.Atoi(e.On)
+		n, err := strconv.Atoi(e.Target)
 		if err != nil {
 			return err
 		}
@@ -46,20 +46,20 @@
 		})
 		return f.writeCuts()
 	}
-	f.cutOn = append(f.cutOn, e.On)
-	f.Journal.Write(standin.Entry{Kind: "event", At: standin.Now(), How: "cut", Target: e.On})
-	in := f.side(e.On)
+	f.cutOn = append(f.cutOn, e.Target)
+	f.Journal.Write(standin.Entry{Kind: "event", At: standin.Now(), How: "cut", Target: e.Target})
+	in := f.side(e.Target)
 	f.parted = append(f.parted, func(from, to *proc) int {
 		cut := in(from) != in(to)
 		switch {
 		case e.Arg == platformProc:
 			cut = in(from) && to.kind == platformProc
-		case e.On == "core":
+		case e.Target == "core":
 			cut = cut && from.kind == "controller" && to.kind == "controller"
-		case e.On == "control":
+		case e.Target == "control":
 			cut = cut && to.kind != "worker" && to.kind != platformProc
 		case to.kind == platformProc:
-			cut = cut && !f.zone(e.On) // the platform is outside the zones
+			cut = cut && !f.zone(e.Target) // the platform is outside the zones
 		}
 		if cut && (e.Arg != "out" || in(from)) && (e.Arg != "in" || in(to)) {
 			return 100
@@ -70,7 +70,7 @@
 }
 
 func (f *Fleet) zone(name string) bool {
-	return slices.ContainsFunc(f.Dep.Machines, func(m Machine) bool { return m.Zone == name })
+	return slices.ContainsFunc(f.Deployment.Machines, func(m Machine) bool { return m.Zone == name })
 }
 
 // side says which processes stand on one side of a cut: a zone, the first half of the core, all of it, or one process.
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// Check names what events ask for that this deployment has not; nothing has started then.
-func (d *Deployment) Check(l []Event) error {
+// CheckEvents names what events ask for that this deployment has not; nothing has started then.
+func (d *Deployment) CheckEvents(l []Event) error {
 	names, zones, workers := map[string]bool{}, map[string]bool{}, 0
 	for _, m := range d.Machines {
 		names[m.Name], zones[m.Zone] = true, true
@@ -142,35 +142,35 @@
 		var err error
 		switch e.Verb {
 		case "kill", "stop", "start", "restart", "freeze", "thaw", "wipe", "leave", "drop", "bounce":
-			if !names[e.On] {
-				err = fmt.Errorf("nothing is called %q", e.On)
+			if !names[e.Target] {
+				err = fmt.Errorf("nothing is called %q", e.Target)
 			}
 		case "evacuate", "readmit", "killzone", "startzone":
-			if !zones[e.On] {
-				err = fmt.Errorf("there is no zone %q", e.On)
+			if !zones[e.Target] {
+				err = fmt.Errorf("there is no zone %q", e.Target)
 			}
 		case "join":
-			if names[e.On] = true; !zones[e.Arg] {
+			if names[e.Target] = true; !zones[e.Arg] {
 				err = fmt.Errorf("there is no zone %q", e.Arg)
 			}
 		case "cut":
-			if !names[e.On] && !zones[e.On] && e.On != "core" && e.On != "control" {
-				err = fmt.Errorf("%q is no process, no zone, nor core or control", e.On)
+			if !names[e.Target] && !zones[e.Target] && e.Target != "core" && e.Target != "control" {
+				err = fmt.Errorf("%q is no process, no zone, nor core or control", e.Target)
 			}
 			if !slices.Contains([]string{"", "out", "in", platformProc}, e.Arg) {
 				err = fmt.Errorf("a cut is whole, or out, in, or platform; not %q", e.Arg)
 			}
 		case "lossy":
-			if n, bad := strconv.Atoi(e.On); bad != nil || n < 0 || n > 99 {
-				err = fmt.Errorf("lossy wants a percentage below 100, not %q", e.On)
+			if n, bad := strconv.Atoi(e.Target); bad != nil || n < 0 || n > 99 {
+				err = fmt.Errorf("lossy wants a percentage below 100, not %q", e.Target)
 			}
 		case "rate":
-			if x, bad := strconv.ParseFloat(e.On, 64); bad != nil || x <= 0 {
-				err = fmt.Errorf("rate wants a number above 0, not %q", e.On)
+			if x, bad := strconv.ParseFloat(e.Target, 64); bad != nil || x <= 0 {
+				err = fmt.Errorf("rate wants a number above 0, not %q", e.Target)
 			}
 		case "mood":
-			if !slices.Contains([]string{"", "refuse", "empty", "bad", "slow", "old"}, e.On) {
-				err = fmt.Errorf("the platform knows no mood %q", e.On)
+			if !slices.Contains([]string{"", "refuse", "empty", "bad", "slow", "old"}, e.Target) {
+				err = fmt.Errorf("the platform knows no mood %q", e.Target)
 			}
 		}
 		if err == nil && (e.Verb == "cut" || e.Verb == "lossy") && !shield.Cuts {
@@ -189,7 +189,7 @@
 		return err
 	}
 	f.Platform.Born(name)
-	f.Event("born", name)
+	f.RecordEvent("born", name)
 	return f.Start(name)
 }
 
@@ -207,7 +207,7 @@
 	f.Tasks.Go(func() {
 		for _, n := range l {
 			if err := f.replace(n); err != nil {
-				f.Event("release-failed", n+": "+err.Error())
+				f.RecordEvent("release-failed", n+": "+err.Error())
 			}
 			time.Sleep(time.Second)
 		}
@@ -223,13 +223,13 @@
 	if err := f.join(name+"b", p.zone); err != nil {
 		return err
 	}
-	f.Event("leave", name)
-	if err := f.leave(Event{Verb: "leave", On: name}); err != nil {
+	f.RecordEvent("leave", name)
+	if err := f.leave(Event{Verb: "leave", Target: name}); err != nil {
 		return err
 	}
 	f.Tasks.Go(func() {
 		time.Sleep(25 * time.Second) // longer than any stream lasts
-		_ = f.leave(Event{Verb: "drop", On: name})
+		_ = f.leave(Event{Verb: "drop", Target: name})
 	})
 	return nil
 }
--- a/internal/fleet/deploy.go
+++ b/internal/localfleet/deploy.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole deployment on one machine, with stand-ins for what is outside. It is the only
+// Package localfleet runs a whole deployment on one machine, with stand-ins for what is outside. It is the only
 // thing that starts processes, and no part of the product.
-package fleet
+package localfleet
 
 import (
 	"encoding/json"
@@ -31,8 +31,8 @@
 	dir    string
 }
 
-// Load reads a deployment's file.
-func Load(path string) (*Deployment, error) {
+// LoadDeployment reads a deployment's file.
+func LoadDeployment(path string) (*Deployment, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -54,8 +54,8 @@
 	return &d, nil
 }
 
-// Disks counts the machines with a disk.
-func (d *Deployment) Disks() int {
+// DiskCount counts the machines with a disk.
+func (d *Deployment) DiskCount() int {
 	k := 0
 	for _, m := range d.Machines {
 		if m.Disk {
--- a/internal/fleet/drill.go
+++ b/internal/localfleet/drill.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"context"
@@ -10,24 +10,24 @@
 	"slices"
 	"time"
 
+	"seamshunt/internal/checker"
 	"seamshunt/internal/cluster/transport"
 	"seamshunt/internal/config"
 	"seamshunt/internal/config/routing"
-	"seamshunt/internal/observer"
 	"seamshunt/internal/standin"
 )
 
 // Drill takes one zone out of a running fleet, checks the promises meanwhile, and gives the zone back.
 type Drill struct {
-	At      string // a controller's web address
-	Zone    string
-	How     string        // evacuate, or kill by way of the harness
-	Harness string        // the harness's address, for kill
-	Journal string        // a local run's journals, judged too when given
-	Hold    time.Duration // how long the zone stays out
-	Say     io.Writer
-	members []member
-	path    string
+	ControllerAddr string // a controller's web address
+	Zone           string
+	Method         string        // evacuate, or kill by way of the harness
+	HarnessAddr    string        // the harness's address, for kill
+	JournalDir     string        // a local run's journals, judged too when given
+	Duration       time.Duration // how long the zone stays out
+	Output         io.Writer
+	members        []member
+	path           string
 }
 
 type member struct {
@@ -35,20 +35,20 @@
 	Draining, Unfit, Ready             bool
 }
 
-// ErrShort refuses a drill on a fleet that is short already.
-var ErrShort = errors.New("drill refused")
+// ErrNotReady refuses a drill on a fleet that is short already.
+var ErrNotReady = errors.New("drill refused")
 
 func (d *Drill) status() (l []member, voters []string, err error) {
-	code, b, _, err := transport.HTTPRequest("GET", d.At, "/status", nil, nil, 3*time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", d.ControllerAddr, "/status", nil, nil, 3*time.Second)
 	if err != nil || code != 200 {
-		return nil, nil, fmt.Errorf("drill: no status from %s: %d %v", d.At, code, err)
+		return nil, nil, fmt.Errorf("drill: no status from %s: %d %v", d.ControllerAddr, code, err)
 	}
 	var x struct {
 		Members []member
 		Voters  []string
 	}
 	if err := json.Unmarshal(b, &x); err != nil {
-		return nil, nil, fmt.Errorf("drill: %s is no controller: %w", d.At, err)
+		return nil, nil, fmt.Errorf("drill: %s is no controller: %w", d.ControllerAddr, err)
 	}
 	return x.Members, x.Voters, nil
 }
@@ -74,23 +74,23 @@
 	for _, m := range l {
 		switch {
 		case m.State != "alive" && m.State != "left" && !live[m.Addr]:
-			return fmt.Errorf("%w: %s in zone %s is %s", ErrShort, m.Addr, m.Zone, m.State)
+			return fmt.Errorf("%w: %s in zone %s is %s", ErrNotReady, m.Addr, m.Zone, m.State)
 		case m.State == "alive" && (m.Unfit || m.Draining || m.Role == "router" && !m.Ready):
-			return fmt.Errorf("%w: %s in zone %s is not whole (unfit %v, draining %v, ready %v)", ErrShort, m.Addr, m.Zone, m.Unfit, m.Draining, m.Ready)
+			return fmt.Errorf("%w: %s in zone %s is not whole (unfit %v, draining %v, ready %v)", ErrNotReady, m.Addr, m.Zone, m.Unfit, m.Draining, m.Ready)
 		}
 	}
 	if zones[d.Zone] == 0 {
-		return fmt.Errorf("%w: no ready router in zone %q", ErrShort, d.Zone)
+		return fmt.Errorf("%w: no ready router in zone %q", ErrNotReady, d.Zone)
 	}
 	if len(zones) < 2 {
-		return fmt.Errorf("%w: there is no other zone", ErrShort)
+		return fmt.Errorf("%w: there is no other zone", ErrNotReady)
 	}
 	if left <= len(voters)/2 {
-		return fmt.Errorf("%w: %d of %d voters would be left", ErrShort, left, len(voters))
+		return fmt.Errorf("%w: %d of %d voters would be left", ErrNotReady, left, len(voters))
 	}
 	for z := range zones {
-		if code, b, _, err := transport.HTTPRequest("GET", d.At, "/v1/zones/"+z, nil, nil, 8*time.Second); err != nil || code == 200 && string(b) != `{"evacuated":false}` {
-			return fmt.Errorf("%w: zone %s stands at %s %v", ErrShort, z, b, err)
+		if code, b, _, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/zones/"+z, nil, nil, 8*time.Second); err != nil || code == 200 && string(b) != `{"evacuated":false}` {
+			return fmt.Errorf("%w: zone %s stands at %s %v", ErrNotReady, z, b, err)
 		}
 	}
 	d.members = l
@@ -99,9 +99,9 @@
 
 // probePath finds a mapping that may repeat, to send probes to.
 func (d *Drill) probePath() error {
-	code, b, _, err := transport.HTTPRequest("GET", d.At, "/v1/config", nil, nil, 8*time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/config", nil, nil, 8*time.Second)
 	if err != nil || code != 200 {
-		return fmt.Errorf("%w: no configuration can be read: %d %v", ErrShort, code, err)
+		return fmt.Errorf("%w: no configuration can be read: %d %v", ErrNotReady, code, err)
 	}
 	c, faults := config.Parse(b)
 	if len(faults) > 0 {
@@ -113,7 +113,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: no mapping that may repeat can be probed", ErrShort)
+	return fmt.Errorf("%w: no mapping that may repeat can be probed", ErrNotReady)
 }
 
 // handed counts the hand-overs into the zone, over all routers that answer.
@@ -146,18 +146,18 @@
 }
 
 func (d *Drill) take(out bool) error {
-	if d.How == "evacuate" {
-		f := &Fleet{procs: map[string]*proc{"core": {kind: "controller", web: d.At}}}
+	if d.Method == "evacuate" {
+		f := &Fleet{procs: map[string]*proc{"core": {kind: "controller", web: d.ControllerAddr}}}
 		for _, m := range d.members {
 			if m.Role == "controller" {
 				f.procs[m.Node] = &proc{kind: "controller", web: m.Web}
 			}
 		}
-		_, err := f.Set("/v1/zones/"+d.Zone, fmt.Appendf(nil, `{"evacuated":%v}`, out), 10*time.Second)
+		_, err := f.WriteKey("/v1/zones/"+d.Zone, fmt.Appendf(nil, `{"evacuated":%v}`, out), 10*time.Second)
 		return err
 	}
 	verb := map[bool]string{true: "killzone", false: "startzone"}[out]
-	code, b, _, err := transport.HTTPRequest("GET", d.Harness, "/harness?event="+url.QueryEscape(verb+":"+d.Zone), nil, nil, 30*time.Second)
+	code, b, _, err := transport.HTTPRequest("GET", d.HarnessAddr, "/harness?event="+url.QueryEscape(verb+":"+d.Zone), nil, nil, 30*time.Second)
 	if err == nil && code != 200 {
 		err = fmt.Errorf("drill: the harness says %s", b)
 	}
@@ -168,19 +168,19 @@
 func (d *Drill) giveBack() error {
 	err := d.take(false)
 	if err == nil {
-		fmt.Fprintf(d.Say, "zone %s is given back\n", d.Zone)
+		fmt.Fprintf(d.Output, "zone %s is given back\n", d.Zone)
 		return nil
 	}
 	stands, how := "EVACUATED", "controller readmit --at ADDRESS "+d.Zone+", and confirm the plan"
-	if d.How == "kill" {
+	if d.Method == "kill" {
 		stands, how = "DOWN", "start its processes"
 	}
-	fmt.Fprintf(d.Say, "zone %s MAY STILL BE %s: %s\n", d.Zone, stands, how)
+	fmt.Fprintf(d.Output, "zone %s MAY STILL BE %s: %s\n", d.Zone, stands, how)
 	return fmt.Errorf("drill: zone %s could not be given back: %w", d.Zone, err)
 }
 
 // Run does the drill. The findings say what was seen; the error, why there was none.
-func (d *Drill) Run(ctx context.Context) (l []observer.Finding, err error) {
+func (d *Drill) Run(ctx context.Context) (l []checker.Finding, err error) {
 	if err := d.ready(); err != nil {
 		return nil, err
 	}
@@ -200,9 +200,9 @@
 	}
 	d.note("evacuate")
 	out := time.Now()
-	fmt.Fprintf(d.Say, "zone %s is out\n", d.Zone)
+	fmt.Fprintf(d.Output, "zone %s is out\n", d.Zone)
 	at5, sent, good := -1, 0, 0
-	for i := 0; time.Since(out) < d.Hold && ctx.Err() == nil; i++ {
+	for i := 0; time.Since(out) < d.Duration && ctx.Err() == nil; i++ {
 		if at5 < 0 && time.Since(out) >= 5*time.Second {
 			at5 = d.handed()
 		}
@@ -221,11 +221,11 @@
 	if ctx.Err() != nil {
 		return nil, errors.New("drill: interrupted; the zone was given back, and nothing was judged")
 	}
-	if d.How == "evacuate" {
-		l = append(l, observer.Finding{Promise: "the zone gets nothing new after 5 s", Good: at5 >= 0 && after == at5,
-			Seen: fmt.Sprintf("%d hand-overs into it between 5 s and the end", after-at5)})
+	if d.Method == "evacuate" {
+		l = append(l, checker.Finding{Invariant: "the zone gets nothing new after 5 s", Holds: at5 >= 0 && after == at5,
+			Detail: fmt.Sprintf("%d hand-overs into it between 5 s and the end", after-at5)})
 	}
-	l = append(l, observer.Finding{Promise: "the other zones serve on", Good: sent > 0 && good*100 >= sent*95, Seen: fmt.Sprintf("%d of %d probes answered whole", good, sent)})
+	l = append(l, checker.Finding{Invariant: "the other zones serve on", Holds: sent > 0 && good*100 >= sent*95, Detail: fmt.Sprintf("%d of %d probes answered whole", good, sent)})
 	whole := "not within 20 s"
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); _ = sleep(ctx, time.Now().Add(250*time.Millisecond)) {
 		if d.ready() == nil {
@@ -233,13 +233,13 @@
 			break
 		}
 	}
-	l = append(l, observer.Finding{Promise: "the fleet is whole again", Good: whole[0] == 'a', Seen: whole})
+	l = append(l, checker.Finding{Invariant: "the fleet is whole again", Holds: whole[0] == 'a', Detail: whole})
 	if now, err := d.config(); err != nil || now != before {
-		l = append(l, observer.Finding{Promise: observer.ReadBack, Seen: fmt.Sprintf("it was %s, now %s %v", before, now, err)})
+		l = append(l, checker.Finding{Invariant: checker.ConfigReadBack, Detail: fmt.Sprintf("it was %s, now %s %v", before, now, err)})
 	} else {
-		l = append(l, observer.Finding{Promise: observer.ReadBack, Good: true, Seen: "the same number and bytes as before the drill"})
+		l = append(l, checker.Finding{Invariant: checker.ConfigReadBack, Holds: true, Detail: "the same number and bytes as before the drill"})
 	}
-	if d.Journal != "" {
+	if d.JournalDir != "" {
 		more, err := d.judge(began)
 		return append(l, more...), err
 	}
--- a/internal/fleet/drill_test.go
+++ b/internal/localfleet/drill_test.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"bytes"
@@ -80,7 +80,7 @@
 				stop()
 			}
 			defer stop()
-			_, err = (&Drill{At: ln.Addr().String(), Zone: "z2", How: "evacuate", Hold: time.Minute, Say: &say}).Run(ctx)
+			_, err = (&Drill{ControllerAddr: ln.Addr().String(), Zone: "z2", Method: "evacuate", Duration: time.Minute, Output: &say}).Run(ctx)
 			if err == nil || !strings.Contains(say.String(), x.says) {
 				t.Errorf("%v, said %q", err, say.String())
 			}
--- a/internal/fleet/events.go
+++ b/internal/localfleet/events.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"cmp"
@@ -14,10 +14,10 @@
 
 // Event is one thing that the harness does at a time of the run.
 type Event struct {
-	At   time.Duration
-	Verb string
-	On   string
-	Arg  string
+	At     time.Duration
+	Verb   string
+	Target string
+	Arg    string
 }
 
 var verbs = []string{"kill", "stop", "start", "restart", "freeze", "thaw", "evacuate", "readmit", "leave", "drop", "mood",
@@ -40,70 +40,70 @@
 			return nil, fmt.Errorf("fleet: event %q: the verbs are %s", x, strings.Join(verbs, " "))
 		}
 		p = append(p, "", "")
-		l = append(l, Event{At: time.Duration(at * float64(time.Second)), Verb: p[1], On: p[2], Arg: p[3]})
+		l = append(l, Event{At: time.Duration(at * float64(time.Second)), Verb: p[1], Target: p[2], Arg: p[3]})
 	}
 	slices.SortStableFunc(l, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return l, nil
 }
 
-// Do carries one event out and notes it in the journal.
-func (f *Fleet) Do(e Event, t *Traffic) error {
+// Execute carries one event out and notes it in the journal.
+func (f *Fleet) Execute(e Event, t *Traffic) error {
 	if e.Verb != "cut" && e.Verb != "heal" { // these note themselves, by the name that was cut off
-		f.Event(e.Verb, e.On)
+		f.RecordEvent(e.Verb, e.Target)
 	}
 	switch e.Verb {
 	case "kill":
-		return f.kill(e.On)
+		return f.kill(e.Target)
 	case "stop":
-		return f.Signal(e.On, syscall.SIGTERM)
+		return f.Signal(e.Target, syscall.SIGTERM)
 	case "start":
-		return f.Start(e.On)
+		return f.Start(e.Target)
 	case "restart":
-		if err := f.Signal(e.On, syscall.SIGTERM); err != nil {
+		if err := f.Signal(e.Target, syscall.SIGTERM); err != nil {
 			return err
 		}
-		if err := f.Wait(e.On, 30*time.Second); err != nil {
+		if err := f.Wait(e.Target, 30*time.Second); err != nil {
 			return err
 		}
-		return f.Start(e.On)
+		return f.Start(e.Target)
 	case "freeze":
-		return f.Signal(e.On, syscall.SIGSTOP)
+		return f.Signal(e.Target, syscall.SIGSTOP)
 	case "thaw":
-		return f.Signal(e.On, syscall.SIGCONT)
+		return f.Signal(e.Target, syscall.SIGCONT)
 	case "evacuate", "readmit":
-		_, err := f.Set("/v1/zones/"+e.On, fmt.Appendf(nil, `{"evacuated":%v}`, e.Verb == "evacuate"), 10*time.Second)
-		f.Event(e.Verb+"-acknowledged", e.On)
+		_, err := f.WriteKey("/v1/zones/"+e.Target, fmt.Appendf(nil, `{"evacuated":%v}`, e.Verb == "evacuate"), 10*time.Second)
+		f.RecordEvent(e.Verb+"-acknowledged", e.Target)
 		return err
 	case "leave", "drop":
 		return f.leave(e)
 	case "mood":
-		f.Platform.SetMood(e.On)
+		f.Platform.SetMood(e.Target)
 	case "wipe":
-		return f.wipe(e.On)
+		return f.wipe(e.Target)
 	case "apply":
-		b, err := os.ReadFile(e.On)
+		b, err := os.ReadFile(e.Target)
 		if err != nil {
 			return err
 		}
-		return f.Apply(b)
+		return f.ApplyConfig(b)
 	case "storm":
-		return f.storm(e.On)
+		return f.storm(e.Target)
 	case "rate":
-		r, err := strconv.ParseFloat(e.On, 64)
+		r, err := strconv.ParseFloat(e.Target, 64)
 		if err != nil {
 			return err
 		}
-		t.Rate(r)
+		t.SetRate(r)
 	case "cut", "lossy", "heal":
 		return f.part(e)
 	case "bounce":
-		return f.bounce(e.On)
+		return f.bounce(e.Target)
 	case "release":
 		return f.release()
 	case "killall", "startall", "killzone", "startzone":
-		return f.all(e.Verb, e.On)
+		return f.all(e.Verb, e.Target)
 	case "join":
-		return f.join(e.On, e.Arg)
+		return f.join(e.Target, e.Arg)
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := f.Dep.ConfigBytes()
+	b, err := f.Deployment.ConfigBytes()
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 		f.Tasks.Go(func() {
 			for i := range n {
 				// A conflict is the race's own outcome; what counts is what was acknowledged.
-				_ = f.Apply(append(slices.Clone(b), strings.Repeat(" ", 1+2*i+side)...))
+				_ = f.ApplyConfig(append(slices.Clone(b), strings.Repeat(" ", 1+2*i+side)...))
 			}
 			done <- nil
 		})
@@ -151,16 +151,16 @@
 }
 
 func (f *Fleet) leave(e Event) error {
-	w, ok := f.Platform.Get(f.Dep.Pool, e.On)
+	w, ok := f.Platform.Get(f.Deployment.Pool, e.Target)
 	if !ok {
-		return fmt.Errorf("fleet: no worker %s", e.On)
+		return fmt.Errorf("fleet: no worker %s", e.Target)
 	}
 	if e.Verb == "drop" {
-		f.Platform.Remove(f.Dep.Pool, e.On)
+		f.Platform.Remove(f.Deployment.Pool, e.Target)
 		return nil
 	}
 	w.Draining = true
-	f.Platform.Set(f.Dep.Pool, w)
+	f.Platform.Set(f.Deployment.Pool, w)
 	return nil
 }
 
@@ -197,7 +197,7 @@
 		}
 		if kill {
 			if zone != "" {
-				f.Event("kill", n)
+				f.RecordEvent("kill", n)
 			}
 			_ = f.Signal(n, syscall.SIGKILL)
 		} else if err := f.Start(n); err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"encoding/json"
@@ -33,25 +33,25 @@
 
 // Fleet is a deployment that runs.
 type Fleet struct {
-	Dep      *Deployment
-	Dir      string
-	Bin      string
-	Model    []string // further flags for the workers
-	Wrong    map[string]string
-	Journal  *standin.Journal
-	Platform *standin.Platform
-	Tasks    *tasks.Group
-	mu       sync.Mutex
-	procs    map[string]*proc
-	order    []string
-	ln       net.Listener
-	seeds    []string
-	parted   []parting
-	cutOn    []string
+	Deployment   *Deployment
+	Dir          string
+	BinDir       string
+	WorkerFlags  []string // further flags for the workers
+	WorkerFaults map[string]string
+	Journal      *standin.Journal
+	Platform     *standin.Platform
+	Tasks        *tasks.Group
+	mu           sync.Mutex
+	procs        map[string]*proc
+	order        []string
+	ln           net.Listener
+	seeds        []string
+	parted       []parting
+	cutOn        []string
 }
 
-// Bare begins a fleet without a deployment: whoever adds its processes says what each is told.
-func Bare(dir, bin string) (*Fleet, error) {
+// NewEmpty begins a fleet without a deployment: whoever adds its processes says what each is told.
+func NewEmpty(dir, bin string) (*Fleet, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -59,24 +59,24 @@
 	if len(old) > 0 {
 		return nil, fmt.Errorf("fleet: %s holds the journals of an earlier run", dir)
 	}
-	f := &Fleet{Dir: dir, Bin: bin, procs: map[string]*proc{}, Wrong: map[string]string{}, Tasks: tasks.New(clockwork.NewRealClock(), 1)}
+	f := &Fleet{Dir: dir, BinDir: bin, procs: map[string]*proc{}, WorkerFaults: map[string]string{}, Tasks: tasks.New(clockwork.NewRealClock(), 1)}
 	var err error
 	f.Journal, err = standin.Open(filepath.Join(dir, "harness.jsonl"))
 	return f, err
 }
 
-// Add lays one process out; kind is its program, web is where it is reached.
-func (f *Fleet) Add(name, zone, kind, web string, args, env []string) {
+// AddProcess lays one process out; kind is its program, web is where it is reached.
+func (f *Fleet) AddProcess(name, zone, kind, web string, args, env []string) {
 	f.add(&proc{name: name, zone: zone, kind: kind, web: web, args: args, env: env})
 }
 
 // New lays a fleet out in dir: boot files, data folders, journals. Nothing runs yet.
 func New(d *Deployment, dir, bin string, perSec int) (*Fleet, error) {
-	f, err := Bare(dir, bin)
+	f, err := NewEmpty(dir, bin)
 	if err != nil {
 		return nil, err
 	}
-	f.Dep, f.Platform = d, standin.NewPlatform(perSec)
+	f.Deployment, f.Platform = d, standin.NewPlatform(perSec)
 	workers := 0
 	for _, w := range d.Workers {
 		workers += w.Count
@@ -120,16 +120,16 @@
 
 func (f *Fleet) addWorker(name, zone, addr string, age time.Duration) {
 	p := &proc{name: name, zone: zone, kind: "worker", web: addr}
-	p.args = []string{"worker", "--name", name, "--pool", f.Dep.Pool, "--zone", zone, "--listen", addr, "--journal", filepath.Join(f.Dir, name+".jsonl")}
+	p.args = []string{"worker", "--name", name, "--pool", f.Deployment.Pool, "--zone", zone, "--listen", addr, "--journal", filepath.Join(f.Dir, name+".jsonl")}
 	f.add(p)
-	f.Platform.Set(f.Dep.Pool, config.Worker{ID: name, Addr: addr, Zone: zone, Age: age})
+	f.Platform.Set(f.Deployment.Pool, config.Worker{ID: name, Addr: addr, Zone: zone, Age: age})
 }
 
 // boot writes a process's boot file.
 func (f *Fleet) boot(p *proc) error {
 	b := map[string]any{"name": p.name, "zone": p.zone, "addr": p.addr, "web": p.web, "seeds": f.seeds, "drain_ms": 15000}
 	if p.kind == "controller" {
-		b["data"], b["founders"], b["platform"], b["pools"] = p.data, f.Dep.Disks(), f.ln.Addr().String(), []string{f.Dep.Pool}
+		b["data"], b["founders"], b["platform"], b["pools"] = p.data, f.Deployment.DiskCount(), f.ln.Addr().String(), []string{f.Deployment.Pool}
 		b["poll_ms"], b["reserve_bytes"] = 500, 1<<20
 	}
 	path := filepath.Join(f.Dir, p.name+".boot.json")
@@ -141,8 +141,8 @@
 	return os.WriteFile(path, x, 0o644)
 }
 
-// Up starts every process.
-func (f *Fleet) Up() error {
+// StartAll starts every process.
+func (f *Fleet) StartAll() error {
 	f.Tasks.Go(func() { _ = f.Platform.Serve(f.ln) })
 	for _, n := range f.order {
 		if err := f.Start(n); err != nil {
@@ -174,8 +174,8 @@
 	bin := map[string]string{"router": "router", "controller": "controller", "worker": "testbed"}[p.kind]
 	args := append([]string(nil), p.args...)
 	if p.kind == "worker" {
-		args = append(args, f.Model...)
-		if w := f.Wrong[name]; w != "" {
+		args = append(args, f.WorkerFlags...)
+		if w := f.WorkerFaults[name]; w != "" {
 			args = append(args, "--wrong", w)
 		}
 	}
@@ -184,7 +184,7 @@
 		return fmt.Errorf("fleet: %w", err)
 	}
 	defer out.Close()
-	c := exec.Command(filepath.Join(f.Bin, bin), args...)
+	c := exec.Command(filepath.Join(f.BinDir, bin), args...)
 	c.Stdout, c.Stderr = out, out
 	c.Env = append(append(os.Environ(), shield.Env+"="+f.cutFile(name)), p.env...)
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/fleet/operator.go
+++ b/internal/localfleet/operator.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"encoding/json"
@@ -13,19 +13,19 @@
 
 func (f *Fleet) controllers() []string {
 	var l []string
-	for _, w := range f.Webs("controller") {
+	for _, w := range f.HTTPAddrs("controller") {
 		l = append(l, w)
 	}
 	slices.Sort(l)
 	return l
 }
 
-// Set writes a key under an operator's rules: read its number, write on it, send the same plan again while
+// WriteKey writes a key under an operator's rules: read its number, write on it, send the same plan again while
 // the outcome is unknown.
-func (f *Fleet) Set(path string, body []byte, limit time.Duration) (uint64, error) {
+func (f *Fleet) WriteKey(path string, body []byte, limit time.Duration) (uint64, error) {
 	end := time.Now().Add(limit)
 	plan := fmt.Sprintf("harness-%x", rand.Uint64())
-	last := ErrNone
+	last := ErrNoController
 	num, have := "", false
 	for time.Now().Before(end) {
 		for _, at := range f.controllers() {
@@ -59,10 +59,10 @@
 	return 0, last
 }
 
-// Get reads a key back.
-func (f *Fleet) Get(path string, limit time.Duration) ([]byte, uint64, error) {
+// ReadKey reads a key back.
+func (f *Fleet) ReadKey(path string, limit time.Duration) ([]byte, uint64, error) {
 	end := time.Now().Add(limit)
-	last := ErrNone
+	last := ErrNoController
 	for time.Now().Before(end) {
 		for _, at := range f.controllers() {
 			code, b, n, err := transport.HTTPRequest("GET", at, path, nil, nil, 8*time.Second)
@@ -77,10 +77,10 @@
 	return nil, 0, last
 }
 
-// Ready lists the routers that say they are ready, by zone.
-func (f *Fleet) Ready() map[string][]string {
+// ReadyRouters lists the routers that say they are ready, by zone.
+func (f *Fleet) ReadyRouters() map[string][]string {
 	m := map[string][]string{}
-	for name, web := range f.Webs("router") {
+	for name, web := range f.HTTPAddrs("router") {
 		p, _ := f.get(name)
 		f.mu.Lock()
 		up := p.cmd != nil
--- a/internal/fleet/proc.go
+++ b/internal/localfleet/proc.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"errors"
@@ -41,8 +41,8 @@
 	}
 }
 
-// Down ends every process that this fleet started, by its id.
-func (f *Fleet) Down() {
+// StopAll ends every process that this fleet started, by its id.
+func (f *Fleet) StopAll() {
 	for _, n := range f.order {
 		_ = f.Signal(n, syscall.SIGCONT)
 		_ = f.Signal(n, syscall.SIGKILL)
@@ -57,16 +57,16 @@
 	f.Journal.Close()
 }
 
-// Event notes in the journal what the harness did.
-func (f *Fleet) Event(how, target string) {
+// RecordEvent notes in the journal what the harness did.
+func (f *Fleet) RecordEvent(how, target string) {
 	if p, err := f.get(target); err == nil && p.kind == "router" {
 		target = p.web // callers know a node by its address
 	}
 	f.Journal.Write(standin.Entry{Kind: "event", At: standin.Now(), How: how, Target: target})
 }
 
-// Webs lists the web addresses of a kind, running or not.
-func (f *Fleet) Webs(kind string) map[string]string {
+// HTTPAddrs lists the web addresses of a kind, running or not.
+func (f *Fleet) HTTPAddrs(kind string) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := map[string]string{}
@@ -78,5 +78,5 @@
 	return m
 }
 
-// ErrNone says that no controller answered.
-var ErrNone = errors.New("fleet: no controller answers")
+// ErrNoController says that no controller answered.
+var ErrNoController = errors.New("fleet: no controller answers")
--- a/internal/fleet/run.go
+++ b/internal/localfleet/run.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"context"
@@ -7,46 +7,46 @@
 	"path/filepath"
 	"time"
 
+	"seamshunt/internal/checker"
 	"seamshunt/internal/config"
-	"seamshunt/internal/observer"
 	"seamshunt/internal/units"
 )
 
-// Plan is one run of a deployment.
-type Plan struct {
-	Seed    uint64
-	Rate    float64
-	Topics  int
-	Traffic time.Duration
-	Events  []Event
-	From    time.Duration // when traffic begins, after the start
-	Edit    func([]byte) []byte
+// RunPlan is one run of a deployment.
+type RunPlan struct {
+	Seed            uint64
+	Rate            float64
+	Topics          int
+	TrafficDuration time.Duration
+	Events          []Event
+	TrafficStart    time.Duration // when traffic begins, after the start
+	EditConfig      func([]byte) []byte
 }
 
 // Run brings the fleet up, applies its configuration, sends traffic from the tenth second on, carries the
 // events out, and reads the configuration back at the end.
-func (f *Fleet) Run(ctx context.Context, p Plan, say io.Writer) error {
+func (f *Fleet) Run(ctx context.Context, p RunPlan, say io.Writer) error {
 	start := time.Now()
-	if err := f.Up(); err != nil {
+	if err := f.StartAll(); err != nil {
 		return err
 	}
-	config, err := f.Dep.ConfigBytes()
+	config, err := f.Deployment.ConfigBytes()
 	if err != nil {
 		return err
 	}
-	if p.Edit != nil {
-		config = p.Edit(config)
+	if p.EditConfig != nil {
+		config = p.EditConfig(config)
 	}
-	if err := f.Apply(config); err != nil {
+	if err := f.ApplyConfig(config); err != nil {
 		return err
 	}
 	fmt.Fprintf(say, "configuration acknowledged %.1f s after the start\n", time.Since(start).Seconds())
 	t := NewTraffic(f, p.Seed, p.Topics)
-	t.Rate(p.Rate)
+	t.SetRate(p.Rate)
 	f.Platform.Control = func(s string) error {
 		l, err := ParseEvents("0:" + s)
 		if err == nil && len(l) == 1 {
-			err = f.Do(l[0], t)
+			err = f.Execute(l[0], t)
 		}
 		return err
 	}
@@ -56,38 +56,38 @@
 	sent := make(chan struct{})
 	f.Tasks.Go(func() {
 		defer close(sent)
-		if sleep(tctx, start.Add(p.From)) == nil {
-			f.Event("traffic", "")
+		if sleep(tctx, start.Add(p.TrafficStart)) == nil {
+			f.RecordEvent("traffic", "")
 			t.Run(tctx)
 		}
 	})
-	end := start.Add(p.From + p.Traffic)
+	end := start.Add(p.TrafficStart + p.TrafficDuration)
 	for _, e := range p.Events {
 		if err := sleep(ctx, start.Add(e.At)); err != nil {
 			break
 		}
-		fmt.Fprintf(say, "%6.1f s: %s %s %s\n", time.Since(start).Seconds(), e.Verb, e.On, e.Arg)
-		if err := f.Do(e, t); err != nil {
+		fmt.Fprintf(say, "%6.1f s: %s %s %s\n", time.Since(start).Seconds(), e.Verb, e.Target, e.Arg)
+		if err := f.Execute(e, t); err != nil {
 			cancel()
-			return fmt.Errorf("event %s %s: %w", e.Verb, e.On, err)
+			return fmt.Errorf("event %s %s: %w", e.Verb, e.Target, err)
 		}
 	}
 	_ = sleep(ctx, end)
 	cancel()
 	<-sent
-	b, num, err := f.Get("/v1/config", 15*time.Second)
+	b, num, err := f.ReadKey("/v1/config", 15*time.Second)
 	if err != nil {
 		return err
 	}
-	f.Event("config-read", mark(num, b))
+	f.RecordEvent("config-read", mark(num, b))
 	return nil
 }
 
-// Apply sends a configuration and notes its acknowledgement.
-func (f *Fleet) Apply(b []byte) error {
-	num, err := f.Set("/v1/config", b, 20*time.Second)
+// ApplyConfig sends a configuration and notes its acknowledgement.
+func (f *Fleet) ApplyConfig(b []byte) error {
+	num, err := f.WriteKey("/v1/config", b, 20*time.Second)
 	if err == nil {
-		f.Event("config-acknowledged", mark(num, b))
+		f.RecordEvent("config-acknowledged", mark(num, b))
 	}
 	return err
 }
@@ -107,9 +107,9 @@
 }
 
 // Rules takes what is promised from the deployment's own configuration.
-func (f *Fleet) Rules(edit func([]byte) []byte) (observer.Rules, error) {
-	u := observer.DefaultRules()
-	b, err := f.Dep.ConfigBytes()
+func (f *Fleet) Rules(edit func([]byte) []byte) (checker.Rules, error) {
+	u := checker.DefaultRules()
+	b, err := f.Deployment.ConfigBytes()
 	if err != nil {
 		return u, err
 	}
@@ -121,42 +121,42 @@
 		return u, faults[0]
 	}
 	for _, m := range c.Mappings {
-		u.Once[m.Name] = m.Once
+		u.NonRepeatable[m.Name] = m.Once
 		for _, s := range m.Services {
 			u.Pools[m.Name] = append(u.Pools[m.Name], c.Services[s].Pool)
 		}
 	}
 	for _, s := range c.Services {
 		if s.AdmissionPolicy == "knee" {
-			u.Cap = max(u.Cap, s.Capacity)
+			u.MaxInFlight = max(u.MaxInFlight, s.Capacity)
 		}
 	}
 	return u, nil
 }
 
 // Report judges the run and prints what it measured. It says whether every promise held.
-func (f *Fleet) Report(u observer.Rules, say io.Writer) (bool, error) {
-	r, err := observer.Load(f.Dir)
+func (f *Fleet) Report(u checker.Rules, say io.Writer) (bool, error) {
+	r, err := checker.Load(f.Dir)
 	if err != nil {
 		return false, err
 	}
 	zone := map[string]string{}
-	for n, w := range f.Webs("router") {
+	for n, w := range f.HTTPAddrs("router") {
 		p, _ := f.get(n)
 		zone[w] = p.zone
 	}
-	return Show(r, u, zone, say), nil
+	return PrintReport(r, u, zone, say), nil
 }
 
-// Show prints findings and figures.
-func Show(r *observer.Run, u observer.Rules, zone map[string]string, say io.Writer) bool {
+// PrintReport prints findings and figures.
+func PrintReport(r *checker.Run, u checker.Rules, zone map[string]string, say io.Writer) bool {
 	good := true
-	for _, x := range r.Judge(u) {
+	for _, x := range r.Check(u) {
 		word := "holds"
-		if !x.Good {
+		if !x.Holds {
 			word, good = "BROKEN", false
 		}
-		fmt.Fprintf(say, "%-7s %s: %s\n", word, x.Promise, x.Seen)
+		fmt.Fprintf(say, "%-7s %s: %s\n", word, x.Invariant, x.Detail)
 	}
 	from, name := int64(0), "all"
 	for _, e := range r.Events {
@@ -166,22 +166,22 @@
 		}
 	}
 	figures(r, from, 1<<62, name, say)
-	hit, cross, bytes := r.Hits(zone)
+	hit, cross, bytes := r.CacheHits(zone)
 	fmt.Fprintf(say, "prefix hit rate %.1f%%; runs handed over to another zone %.1f%%, with %d bytes of prompts\n", 100*hit, 100*cross, bytes)
 	return good
 }
 
 // figures prints what was measured over a span of the run.
-func figures(r *observer.Run, from, to int64, name string, say io.Writer) {
+func figures(r *checker.Run, from, to int64, name string, say io.Writer) {
 	fmt.Fprintf(say, "%-16s %7s %8s %8s %7s %6s %10s %10s\n", name, "sent", "on time", "refused", "broken", "other", "first p50", "first p95")
 	for _, x := range r.Measure(from, to) {
 		fmt.Fprintf(say, "  %-14s %7d %7.1f%% %8d %7d %6d %7.0f ms %7.0f ms\n", x.Mapping, x.Sent, 100*float64(x.OnTime)/float64(max(1, x.Sent)),
-			x.Refused, x.Broken, x.Other, x.First50, x.First9)
+			x.Refused, x.Broken, x.Other, x.FirstTokenP50, x.FirstTokenP95)
 	}
 }
 
-// Abs makes a folder's path whole.
-func Abs(p string) string {
+// AbsPath makes a folder's path whole.
+func AbsPath(p string) string {
 	a, err := filepath.Abs(p)
 	if err != nil {
 		return p
--- a/internal/fleet/traffic.go
+++ b/internal/localfleet/traffic.go
@@ -1,4 +1,4 @@
-package fleet
+package localfleet
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 // NewTraffic prepares traffic; the same seed asks for the same things.
 func NewTraffic(f *Fleet, seed uint64, topics int) *Traffic {
 	t := &Traffic{f: f, mix: standin.NewMix(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
-	for _, m := range f.Dep.Machines {
+	for _, m := range f.Deployment.Machines {
 		if !slices.Contains(t.zones, m.Zone) {
 			t.zones = append(t.zones, m.Zone)
 		}
@@ -35,17 +35,17 @@
 	return t
 }
 
-// Rate sets how many requests come in a second.
-func (t *Traffic) Rate(perSec float64) { t.rate.Store(uint64(perSec * 1000)) }
+// SetRate sets how many requests come in a second.
+func (t *Traffic) SetRate(perSec float64) { t.rate.Store(uint64(perSec * 1000)) }
 
 // Run sends until the context ends, then waits for what is under way.
 func (t *Traffic) Run(ctx context.Context) {
-	t.ready = t.f.Ready()
+	t.ready = t.f.ReadyRouters()
 	look := make(chan struct{})
 	t.f.Tasks.Go(func() {
 		defer close(look)
 		for ctx.Err() == nil {
-			r := t.f.Ready()
+			r := t.f.ReadyRouters()
 			t.mu.Lock()
 			t.ready = r
 			t.mu.Unlock()
