--- a/internal/checker/arrivals.go
+++ b/internal/checker/arrivals.go
@@ -7,8 +7,8 @@
 	"seamshunt/internal/standin"
 )
 
-// asked: what runs was sent by a caller, with that method, path and body.
-func (r *Run) asked(calls map[string]standin.Entry) Finding {
+// checkSentRequests checks that every request that a worker ran was sent by a client, with the same method, path and body.
+func (r *Run) checkSentRequests(calls map[string]standin.Entry) Finding {
 	var bad []string
 	for _, s := range r.Starts {
 		c, ok := calls[s.Job]
@@ -19,11 +19,11 @@
 			bad = append(bad, fmt.Sprintf("%s ran %s otherwise than it was sent", s.Worker, s.Job))
 		}
 	}
-	return find(OnlySentRequests, bad, fmt.Sprintf("%d runs", len(r.Starts)))
+	return newFinding(OnlySentRequests, bad, fmt.Sprintf("%d runs", len(r.Starts)))
 }
 
-// order: callers look at every piece as it comes, also of an answer that breaks.
-func (r *Run) order() Finding {
+// checkStreamOrder reports what clients found wrong in the order of a stream's events, also in streams that broke off.
+func (r *Run) checkStreamOrder() Finding {
 	var bad []string
 	n := 0
 	for _, c := range r.Calls {
@@ -32,11 +32,10 @@
 			bad = append(bad, c.Job+": "+c.Order)
 		}
 	}
-	return find(StreamOrder, bad, fmt.Sprintf("%d pieces", n))
+	return newFinding(StreamOrder, bad, fmt.Sprintf("%d pieces", n))
 }
 
-// arrivals are runs and what was turned away, in the order of time. What reached a worker that it was not meant for
-// does not count.
+// arrivals returns the requests that workers ran or rejected, ordered by time. Misdirected requests don't count.
 func (r *Run) arrivals() []standin.Entry {
 	l := slices.Clone(r.Starts)
 	for _, t := range r.Rejections {
@@ -48,25 +47,25 @@
 	return l
 }
 
-// Misdirected is how a worker turns away what was meant for another one.
+// Misdirected is a worker's reason for rejecting a request that was meant for another worker.
 const Misdirected = "misdirected"
 
-// budget counts, for each service and in every window, the arrivals beyond the first of each request, against the
-// requests for it: in that window, in the one before, or in the one half a window before.
-func (r *Run) budget(u Rules) Finding {
-	w := u.RetryWindow.Microseconds()
-	sent, further, seen := map[string][]int64{}, map[string][]int64{}, map[string]bool{}
+// checkRetryBudget compares, per service and sliding window, the arrivals beyond the first of each request with the requests
+// that were sent for it: in that window, in the previous one, or in the one that began half a window earlier.
+func (r *Run) checkRetryBudget(u Rules) Finding {
+	window := u.RetryWindow.Microseconds()
+	sent, retries, seen := map[string][]int64{}, map[string][]int64{}, map[string]bool{}
 	for _, c := range r.Calls {
 		for _, s := range u.Pools[c.Mapping] {
 			sent[s] = append(sent[s], c.At)
 		}
 	}
 	for _, a := range r.arrivals() {
-		k := a.Pool + "\n" + a.Job
-		if seen[k] {
-			further[a.Pool] = append(further[a.Pool], a.At)
+		key := a.Pool + "\n" + a.Job
+		if seen[key] {
+			retries[a.Pool] = append(retries[a.Pool], a.At)
 		}
-		seen[k] = true
+		seen[key] = true
 	}
 	within := func(l []int64, from, to int64) int {
 		i, _ := slices.BinarySearch(l, from+1)
@@ -74,41 +73,41 @@
 		return j - i
 	}
 	var bad []string
-	most := 0
-	for s, l := range further {
+	maxRetries := 0
+	for s, l := range retries {
 		slices.Sort(sent[s])
 		for _, t := range l {
-			n := within(l, t-w, t)
-			most = max(most, n)
-			asked := max(within(sent[s], t-w, t), within(sent[s], t-2*w, t-w), within(sent[s], t-3*w/2, t-w/2))
-			if float64(n) > u.RetryBudget*float64(asked)+float64(u.RetrySlack) {
-				bad = append(bad, fmt.Sprintf("%d further arrivals at %s for %d requests", n, s, asked))
+			n := within(l, t-window, t)
+			maxRetries = max(maxRetries, n)
+			requests := max(within(sent[s], t-window, t), within(sent[s], t-2*window, t-window), within(sent[s], t-3*window/2, t-window/2))
+			if float64(n) > u.RetryBudget*float64(requests)+float64(u.RetrySlack) {
+				bad = append(bad, fmt.Sprintf("%d further arrivals at %s for %d requests", n, s, requests))
 			}
 		}
 	}
 	slices.Sort(bad)
-	return find(RetryBudget, bad, fmt.Sprintf("at most %d", most))
+	return newFinding(RetryBudget, bad, fmt.Sprintf("at most %d", maxRetries))
 }
 
-// cold: a worker that is cold bears few arrivals in any second.
-func (r *Run) cold(u Rules) Finding {
-	last := map[string][]int64{}
+// checkWarmUpRate checks that a worker that is warming up gets no more arrivals in any second than its limit.
+func (r *Run) checkWarmUpRate(u Rules) Finding {
+	recent := map[string][]int64{}
 	var bad []string
-	most := 0
+	maxArrivals := 0
 	for _, a := range r.arrivals() {
 		limit, ok := u.WarmUpRates[a.Pool]
 		if !a.Cold || !ok {
 			continue
 		}
-		l := append(last[a.Worker], a.At)
+		l := append(recent[a.Worker], a.At)
 		for l[0] <= a.At-1_000_000 {
 			l = l[1:]
 		}
-		last[a.Worker] = l
-		most = max(most, len(l))
+		recent[a.Worker] = l
+		maxArrivals = max(maxArrivals, len(l))
 		if float64(len(l)) > limit {
 			bad = append(bad, fmt.Sprintf("%s had %d in a second, cold, of %.1f", a.Worker, len(l), limit))
 		}
 	}
-	return find(WarmUpRate, bad, fmt.Sprintf("at most %d in a second", most))
+	return newFinding(WarmUpRate, bad, fmt.Sprintf("at most %d in a second", maxArrivals))
 }
--- a/internal/checker/observer.go
+++ b/internal/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker judges a run by what workers and callers wrote down, against the brief's list. It knows
-// nothing of the daemons' own counters.
+// Package checker checks the invariants of a run against the journals of its workers and clients only; the
+// programs' own counters are not used.
 package checker
 
 import (
@@ -15,31 +15,32 @@
 	"seamshunt/internal/standin"
 )
 
-// Rules say what was promised in the run that is judged.
+// Rules are the limits that a run is checked against.
 type Rules struct {
 	NonRepeatable   map[string]bool     // mappings that may not repeat
 	Pools           map[string][]string // pools that each mapping may reach
-	MaxInFlight     int                 // prompts in flight per worker; 0 leaves it unjudged
-	FirstTokenTime  time.Duration       // first words
-	DrainDelay      time.Duration
-	EvacuationDelay time.Duration
-	RecoveryTime    time.Duration
-	ReconnectDelay  time.Duration // how long after a freeze a router isn't yet in touch
-	RetryBudget     float64
-	MinServed       float64            // least share of calls answered whole and on time; 0 leaves it unjudged
-	CheckArrivals   bool               // callers and workers wrote down what was sent and what arrived
-	RetryWindow     time.Duration      // of the budget where arrivals turned away count as well; 0 leaves that unjudged
-	RetrySlack      int                // further arrivals of a service in it that are free
-	WarmUpRates     map[string]float64 // arrivals that a service's cold workers may have in any second
+	MaxInFlight     int                 // requests in flight per worker; 0 disables the check
+	FirstTokenTime  time.Duration       // to the first token
+	DrainDelay      time.Duration       // after which a draining worker starts no new request
+	EvacuationDelay time.Duration       // after which no request starts in an evacuated zone
+	RecoveryTime    time.Duration       // until the first complete answer after a restart of the whole fleet
+	ReconnectDelay  time.Duration       // a resumed router may lack current state for this long
+	RetryBudget     float64             // retries as a share of the requests
+	MinServed       float64             // minimum share of calls answered completely and on time; 0 accepts any share
+	CheckArrivals   bool                // the journals hold fingerprints of requests, as sent and as received
+	RetryWindow     time.Duration       // sliding window in which rejected arrivals count as well; 0 disables the check
+	RetrySlack      int                 // retries per service and window beyond the budget's share
+	WarmUpRates     map[string]float64  // by service: arrivals per second at a worker that is warming up
 }
 
-// DefaultRules are the brief's figures.
+// DefaultRules returns the limits that the product promises.
 func DefaultRules() Rules {
-	return Rules{DrainDelay: 3 * time.Second, EvacuationDelay: 5 * time.Second, RecoveryTime: 12 * time.Second, ReconnectDelay: 3 * time.Second, RetryBudget: 0.2, FirstTokenTime: 160 * time.Millisecond,
+	return Rules{DrainDelay: 3 * time.Second, EvacuationDelay: 5 * time.Second, RecoveryTime: 12 * time.Second,
+		ReconnectDelay: 3 * time.Second, RetryBudget: 0.2, FirstTokenTime: 160 * time.Millisecond,
 		NonRepeatable: map[string]bool{}, Pools: map[string][]string{}}
 }
 
-// Names of promises that others leave out, judge themselves or name otherwise.
+// Names of the invariants that other packages exclude, check themselves or map to rules of their own.
 const (
 	AllowedServices     = "nothing goes to a service that its mapping may not reach"
 	CompleteAnswers     = "a success is the worker's whole, sealed answer, the caller's own"
@@ -59,52 +60,52 @@
 	ConfigReadBack      = "the configuration read back is the newest acknowledged one, as sent"
 )
 
-// Finding is one promise with what was seen.
+// Finding is the result of checking one invariant.
 type Finding struct {
 	Invariant string
 	Holds     bool
 	Detail    string
 }
 
-// Run is all that was written down.
+// Run holds the journal entries of a run.
 type Run struct {
 	Calls      []standin.Entry
 	Starts     []standin.Entry
-	Rejections []standin.Entry          // arrivals that workers turned away
+	Rejections []standin.Entry          // arrivals that workers rejected
 	Ends       map[string]standin.Entry // by worker and request id
 	Events     []standin.Entry
 }
 
-// Load reads every journal of a folder.
+// Load reads all journals of a directory.
 func Load(dir string) (*Run, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if err != nil || len(files) == 0 {
-		return nil, fmt.Errorf("observer: no journals in %s", dir)
+		return nil, fmt.Errorf("checker: no journals in %s", dir)
 	}
 	r := &Run{Ends: map[string]standin.Entry{}}
 	for _, path := range files {
-		if err := r.file(path); err != nil {
+		if err := r.readFile(path); err != nil {
 			return nil, err
 		}
 	}
 	if len(r.Calls) == 0 {
-		return nil, fmt.Errorf("observer: no call was written down in %s", dir)
+		return nil, fmt.Errorf("checker: no call is recorded in %s", dir)
 	}
 	r.Sort()
 	return r, nil
 }
 
-// Sort puts what was written down in the order of time.
+// Sort orders the entries by time.
 func (r *Run) Sort() {
 	for _, l := range [][]standin.Entry{r.Calls, r.Starts, r.Events, r.Rejections} {
 		slices.SortStableFunc(l, func(a, b standin.Entry) int { return cmp.Compare(a.At, b.At) })
 	}
 }
 
-func (r *Run) file(path string) error {
+func (r *Run) readFile(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("observer: %w", err)
+		return fmt.Errorf("checker: %w", err)
 	}
 	defer f.Close()
 	s := bufio.NewScanner(f)
@@ -112,14 +113,14 @@
 	for n := 1; s.Scan(); n++ {
 		var e standin.Entry
 		if err := json.Unmarshal(s.Bytes(), &e); err != nil {
-			return fmt.Errorf("observer: %s line %d: %w", path, n, err)
+			return fmt.Errorf("checker: %s line %d: %w", path, n, err)
 		}
 		r.Add(e)
 	}
 	return s.Err()
 }
 
-// Add takes one entry.
+// Add adds one entry.
 func (r *Run) Add(e standin.Entry) {
 	switch e.Kind {
 	case "call":
@@ -135,7 +136,7 @@
 	}
 }
 
-// Check looks at every promise.
+// Check checks every invariant that the rules enable.
 func (r *Run) Check(u Rules) []Finding {
 	runs := map[string][]standin.Entry{}
 	for _, s := range r.Starts {
@@ -146,32 +147,32 @@
 		calls[c.Job] = c
 	}
 	l := []Finding{
-		r.once(u, calls, runs), r.notRun(runs), r.whole(runs), r.service(u, calls),
-		r.atOnce(), r.leaving(u), r.zones(u, calls), r.config(), r.cuts(), r.attended(calls),
+		r.checkRunsOnce(u, calls, runs), r.checkNotRun(runs), r.checkCompleteAnswers(runs), r.checkServices(u, calls),
+		r.checkPromptRefusals(), r.checkDraining(u), r.checkEvacuation(u, calls), r.checkConfigReadBack(), r.checkUnbrokenStreams(), r.checkAbandoned(calls),
 	}
 	if u.RetryWindow == 0 {
-		l = append(l, r.retries(u))
+		l = append(l, r.checkRetries(u))
 	}
 	if u.MaxInFlight > 0 {
-		l = append(l, r.caps(u))
+		l = append(l, r.checkCapacity(u))
 	}
 	if u.CheckArrivals {
-		l = append(l, r.asked(calls), r.order())
+		l = append(l, r.checkSentRequests(calls), r.checkStreamOrder())
 	}
 	if u.RetryWindow > 0 {
-		l = append(l, r.budget(u))
+		l = append(l, r.checkRetryBudget(u))
 	}
 	if len(u.WarmUpRates) > 0 {
-		l = append(l, r.cold(u))
+		l = append(l, r.checkWarmUpRate(u))
 	}
-	return append(l, r.back(u), r.served(u))
+	return append(l, r.checkRecovery(u), r.checkServed(u))
 }
 
-func find(promise string, bad []string, seen string) Finding {
+func newFinding(invariant string, bad []string, detail string) Finding {
 	if len(bad) > 0 {
-		return Finding{promise, false, fmt.Sprintf("%d violations, first: %s", len(bad), bad[0])}
+		return Finding{invariant, false, fmt.Sprintf("%d violations, first: %s", len(bad), bad[0])}
 	}
-	return Finding{promise, true, seen}
+	return Finding{invariant, true, detail}
 }
 
 func ms(us int64) string { return fmt.Sprintf("%d ms", us/1000) }
--- a/internal/checker/observer_test.go
+++ b/internal/checker/checker_test.go
@@ -20,8 +20,8 @@
 	return u
 }
 
-// good is a run in which every promise holds and every rule has something to look at.
-func good() *Run {
+// validRun returns a run in which every invariant holds and every check has entries to look at.
+func validRun() *Run {
 	r := &Run{Ends: map[string]entry{}}
 	for i := range 60 {
 		at := int64(i+10) * sec
@@ -41,11 +41,11 @@
 	return r
 }
 
-// Each planted violation is seen, by the rule it belongs to and by no other; the good run passes.
+// Each planted violation is found by its own invariant's check and by no other; the valid run passes.
 func TestPlantedViolations(t *testing.T) {
-	for _, f := range good().Check(rules()) {
+	for _, f := range validRun().Check(rules()) {
 		if !f.Holds {
-			t.Fatalf("a good run: %s: %s", f.Invariant, f.Detail)
+			t.Fatalf("a valid run: %s: %s", f.Invariant, f.Detail)
 		}
 	}
 	call := func(e entry) func(*Run) {
@@ -63,8 +63,8 @@
 		return func(r *Run) { r.Add(e) }
 	}
 	for name, x := range map[string]struct {
-		promise string
-		plant   func(*Run)
+		invariant string
+		plant     func(*Run)
 	}{
 		"run twice":         {"what may not repeat never runs twice", start(entry{At: 11 * sec, Job: "j0", ID: "other", Worker: "w2", Zone: "a"})},
 		"not run, but ran":  {`"not run" is true forever`, start(entry{At: 95 * sec, Job: "shed", ID: "late", Worker: "w2", Zone: "a"})},
@@ -73,17 +73,17 @@
 		"another's answer":  {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", ID: "r3", Status: 200, Whole: true})},
 		"wrong service":     {"nothing goes to a service that its mapping may not reach", func(r *Run) { r.Starts[3].Pool = "side" }},
 		"refused late":      {"a refusal comes at once and says when to come back", call(entry{Job: "x", At: 90 * sec, End: 93_900_000, Status: 503, Code: 302, NotRun: true, BackMs: 5})},
-		"not told when":     {"a refusal comes at once and says when to come back", call(entry{Job: "x", At: 90 * sec, End: 90*sec + 5, Status: 503, Code: 302, NotRun: true})},
+		"no retry time":     {"a refusal comes at once and says when to come back", call(entry{Job: "x", At: 90 * sec, End: 90*sec + 5, Status: 503, Code: 302, NotRun: true})},
 		"leaving":           {"a leaving worker gets nothing new after 3 s", func(r *Run) { r.Events = append(r.Events, entry{How: "leave", At: 20 * sec, Target: "w1"}) }},
 		"evacuated":         {"an evacuated zone gets nothing new after 5 s", func(r *Run) { r.Events = append(r.Events, entry{How: "evacuate", At: 20 * sec, Target: "a"}) }},
 		"old configuration": {"the configuration read back is the newest acknowledged one, as sent", func(r *Run) { r.Add(entry{Kind: "event", How: "config-read", At: 100 * sec, Target: "1/x"}) }},
-		"cut by a restart": {"planned restarts and changes cut no stream", func(r *Run) {
+		"broken by a restart": {"planned restarts and changes cut no stream", func(r *Run) {
 			call(entry{Job: "x", Status: 200, Worker: "s/w1"})(r)
 			r.Add(entry{Kind: "event", How: "stop", Target: "v1"})
 		}},
-		"never back": {"after a full loss, service is back within 12 s", func(r *Run) { r.Add(entry{Kind: "event", How: "startall", At: 98 * sec}) }},
-		"back late":  {"after a full loss, service is back within 12 s", func(r *Run) { r.Events[5].At = -10 * sec }},
-		"over the cap": {"no worker carries more than its cap", func(r *Run) {
+		"no recovery":   {"after a full loss, service is back within 12 s", func(r *Run) { r.Add(entry{Kind: "event", How: "startall", At: 98 * sec}) }},
+		"late recovery": {"after a full loss, service is back within 12 s", func(r *Run) { r.Events[5].At = -10 * sec }},
+		"over capacity": {"no worker carries more than its cap", func(r *Run) {
 			for i := range 3 {
 				id := fmt.Sprint("c", i)
 				start(entry{At: 90 * sec, Job: id, ID: id, Worker: "w3", Zone: "a"})(r)
@@ -101,28 +101,28 @@
 			}
 		}},
 	} {
-		r := good()
+		r := validRun()
 		x.plant(r)
 		seen := false
 		for _, f := range r.Check(rules()) {
-			seen = seen || !f.Holds && f.Invariant == x.promise
-			if !f.Holds && f.Invariant != x.promise {
+			seen = seen || !f.Holds && f.Invariant == x.invariant
+			if !f.Holds && f.Invariant != x.invariant {
 				t.Errorf("%s: also %q: %s", name, f.Invariant, f.Detail)
 			}
 		}
 		if !seen {
-			t.Errorf("%s is not seen", name)
+			t.Errorf("%s: the violation is not found", name)
 		}
 	}
 }
 
-// A run in an evacuated zone counts against every router but one that stood still a moment before.
-func TestZonesOfFrozenRouters(t *testing.T) {
+// A run that starts in an evacuated zone is a violation, unless its router was paused until a moment before.
+func TestEvacuationWithPausedRouters(t *testing.T) {
 	for name, x := range map[string]struct {
 		thaw int64 // the run begins in second 40
 		good bool
-	}{"none stood still": {0, false}, "long ago": {36 * sec, false}, "just now": {38 * sec, true}, "it does still": {41 * sec, true}} {
-		r := good()
+	}{"none paused": {0, false}, "long ago": {36 * sec, false}, "just now": {38 * sec, true}, "still paused": {41 * sec, true}} {
+		r := validRun()
 		for _, e := range []entry{{How: "evacuate", At: 30 * sec, Target: "a"}, {How: "freeze", At: 31 * sec, Target: "v1"}, {How: "thaw", At: x.thaw, Target: "v1"},
 			{How: "readmit", At: 41 * sec, Target: "a"}} {
 			if e.Kind = "event"; x.thaw > 0 || e.Target == "a" {
@@ -135,7 +135,7 @@
 		for _, c := range r.Calls {
 			calls[c.Job] = c
 		}
-		if f := r.zones(rules(), calls); f.Holds != x.good {
+		if f := r.checkEvacuation(rules(), calls); f.Holds != x.good {
 			t.Errorf("%s: %v, %s", name, f.Holds, f.Detail)
 		}
 	}
