--- a/internal/localfleet/deploy.go
+++ b/internal/localfleet/deploy.go
@@ -1,5 +1,5 @@
-// Package localfleet runs a whole deployment on one machine, with stand-ins for what is outside. It is the only
-// thing that starts processes, and no part of the product.
+// Package localfleet runs a whole deployment on one machine, with test doubles for workers, platform and clients. Only this
+// package starts processes; it is not part of the product.
 package localfleet
 
 import (
@@ -18,7 +18,7 @@
 	Disk bool   `json:"disk"`
 }
 
-// Deployment is a user's machines and their pool.
+// Deployment describes a user's machines and their pool of workers.
 type Deployment struct {
 	Name     string    `json:"name"`
 	Machines []Machine `json:"machines"`
@@ -31,15 +31,15 @@
 	dir    string
 }
 
-// LoadDeployment reads a deployment's file.
+// LoadDeployment reads a deployment file.
 func LoadDeployment(path string) (*Deployment, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("localfleet: %w", err)
 	}
 	var d Deployment
 	if err := json.Unmarshal(b, &d); err != nil {
-		return nil, fmt.Errorf("fleet: %s: %w", path, err)
+		return nil, fmt.Errorf("localfleet: %s: %w", path, err)
 	}
 	d.dir = filepath.Dir(path)
 	disks := 0
@@ -49,12 +49,12 @@
 		}
 	}
 	if disks == 0 || disks == len(d.Machines) || len(d.Workers) == 0 || d.Pool == "" || d.Config == "" {
-		return nil, fmt.Errorf("fleet: %s: machines with and without a disk, a pool, workers and a configuration are wanted", path)
+		return nil, fmt.Errorf("localfleet: %s: machines with and without a disk, a pool, workers and a configuration are wanted", path)
 	}
 	return &d, nil
 }
 
-// DiskCount counts the machines with a disk.
+// DiskCount returns the number of machines with a disk.
 func (d *Deployment) DiskCount() int {
 	k := 0
 	for _, m := range d.Machines {
@@ -70,8 +70,8 @@
 	return os.ReadFile(filepath.Join(d.dir, d.Config))
 }
 
-// ports gives free addresses.
-func ports(n int) ([]string, error) {
+// freeAddrs returns n free local addresses.
+func freeAddrs(n int) ([]string, error) {
 	l := make([]string, n)
 	for i := range l {
 		var err error
--- a/internal/localfleet/drill.go
+++ b/internal/localfleet/drill.go
@@ -17,17 +17,17 @@
 	"seamshunt/internal/standin"
 )
 
-// Drill takes one zone out of a running fleet, checks the promises meanwhile, and gives the zone back.
+// Drill takes one zone out of a running fleet, checks the invariants meanwhile, and restores the zone.
 type Drill struct {
-	ControllerAddr string // a controller's web address
+	ControllerAddr string // a controller's HTTP address
 	Zone           string
-	Method         string        // evacuate, or kill by way of the harness
+	Method         string        // evacuate, or kill through the harness
 	HarnessAddr    string        // the harness's address, for kill
-	JournalDir     string        // a local run's journals, judged too when given
+	JournalDir     string        // journals of a local run; checked as well if set
 	Duration       time.Duration // how long the zone stays out
 	Output         io.Writer
 	members        []member
-	path           string
+	probeTarget    string
 }
 
 type member struct {
@@ -35,10 +35,10 @@
 	Draining, Unfit, Ready             bool
 }
 
-// ErrNotReady refuses a drill on a fleet that is short already.
+// ErrNotReady is returned if the fleet can't tolerate the loss of the zone.
 var ErrNotReady = errors.New("drill refused")
 
-func (d *Drill) status() (l []member, voters []string, err error) {
+func (d *Drill) fetchStatus() (l []member, voters []string, err error) {
 	code, b, _, err := transport.HTTPRequest("GET", d.ControllerAddr, "/status", nil, nil, 3*time.Second)
 	if err != nil || code != 200 {
 		return nil, nil, fmt.Errorf("drill: no status from %s: %d %v", d.ControllerAddr, code, err)
@@ -53,30 +53,30 @@
 	return x.Members, x.Voters, nil
 }
 
-// ready refuses a fleet that can't bear losing the zone.
-func (d *Drill) ready() error {
-	l, voters, err := d.status()
+// checkReady returns ErrNotReady if the fleet can't tolerate the loss of the zone.
+func (d *Drill) checkReady() error {
+	l, voters, err := d.fetchStatus()
 	if err != nil {
 		return err
 	}
-	live, zones, left := map[string]bool{}, map[string]int{}, 0
+	alive, zones, remainingVoters := map[string]bool{}, map[string]int{}, 0
 	for _, m := range l {
 		if m.State == "alive" {
-			live[m.Addr] = true
+			alive[m.Addr] = true
 			if m.Role == "router" && m.Ready {
 				zones[m.Zone]++
 			}
 			if m.Zone != d.Zone && slices.Contains(voters, m.Node) {
-				left++
+				remainingVoters++
 			}
 		}
 	}
 	for _, m := range l {
 		switch {
-		case m.State != "alive" && m.State != "left" && !live[m.Addr]:
+		case m.State != "alive" && m.State != "left" && !alive[m.Addr]:
 			return fmt.Errorf("%w: %s in zone %s is %s", ErrNotReady, m.Addr, m.Zone, m.State)
 		case m.State == "alive" && (m.Unfit || m.Draining || m.Role == "router" && !m.Ready):
-			return fmt.Errorf("%w: %s in zone %s is not whole (unfit %v, draining %v, ready %v)", ErrNotReady, m.Addr, m.Zone, m.Unfit, m.Draining, m.Ready)
+			return fmt.Errorf("%w: %s in zone %s is not fully operational (unfit %v, draining %v, ready %v)", ErrNotReady, m.Addr, m.Zone, m.Unfit, m.Draining, m.Ready)
 		}
 	}
 	if zones[d.Zone] == 0 {
@@ -85,20 +85,20 @@
 	if len(zones) < 2 {
 		return fmt.Errorf("%w: there is no other zone", ErrNotReady)
 	}
-	if left <= len(voters)/2 {
-		return fmt.Errorf("%w: %d of %d voters would be left", ErrNotReady, left, len(voters))
+	if remainingVoters <= len(voters)/2 {
+		return fmt.Errorf("%w: %d of %d voters would be left", ErrNotReady, remainingVoters, len(voters))
 	}
 	for z := range zones {
 		if code, b, _, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/zones/"+z, nil, nil, 8*time.Second); err != nil || code == 200 && string(b) != `{"evacuated":false}` {
-			return fmt.Errorf("%w: zone %s stands at %s %v", ErrNotReady, z, b, err)
+			return fmt.Errorf("%w: zone %s is in state %s %v", ErrNotReady, z, b, err)
 		}
 	}
 	d.members = l
-	return d.probePath()
+	return d.findProbePath()
 }
 
-// probePath finds a mapping that may repeat, to send probes to.
-func (d *Drill) probePath() error {
+// findProbePath finds a mapping whose requests may be repeated, as the target of probes.
+func (d *Drill) findProbePath() error {
 	code, b, _, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/config", nil, nil, 8*time.Second)
 	if err != nil || code != 200 {
 		return fmt.Errorf("%w: no configuration can be read: %d %v", ErrNotReady, code, err)
@@ -109,15 +109,15 @@
 	}
 	for _, m := range c.Mappings {
 		if !m.Once && len(m.Conditions) == 1 && m.Conditions[0].Op == routing.OpPath {
-			d.path = m.Conditions[0].Text
+			d.probeTarget = m.Conditions[0].Text
 			return nil
 		}
 	}
 	return fmt.Errorf("%w: no mapping that may repeat can be probed", ErrNotReady)
 }
 
-// handed counts the hand-overs into the zone, over all routers that answer.
-func (d *Drill) handed() (n int) {
+// dispatchCount returns the number of requests dispatched into the zone, over all routers that answer.
+func (d *Drill) dispatchCount() (n int) {
 	for _, m := range d.members {
 		if m.Role != "router" {
 			continue
@@ -132,25 +132,25 @@
 	return n
 }
 
-// probe sends one prompt by way of a router outside the zone.
-func (d *Drill) probe(ctx context.Context, i int) bool {
+// sendProbe sends one request through a router outside the zone and reports whether it was answered completely.
+func (d *Drill) sendProbe(ctx context.Context, i int) bool {
 	var l []string
 	for _, m := range d.members {
 		if m.Role == "router" && m.Zone != d.Zone {
 			l = append(l, m.Web)
 		}
 	}
-	e := standin.Call(ctx, l[i%len(l)], standin.Ask{Sort: standin.Sort{Path: d.path, LeftMs: 4000, Pieces: 3},
+	e := standin.Call(ctx, l[i%len(l)], standin.Ask{Sort: standin.Sort{Path: d.probeTarget, LeftMs: 4000, Pieces: 3},
 		Job: fmt.Sprintf("drill-%d-%d", standin.Now(), i), Prompt: fmt.Sprintf("drill %d", i)}, "")
 	return e.Status == 200 && e.Whole
 }
 
-func (d *Drill) take(out bool) error {
+func (d *Drill) setZoneOut(out bool) error {
 	if d.Method == "evacuate" {
-		f := &Fleet{procs: map[string]*proc{"core": {kind: "controller", web: d.ControllerAddr}}}
+		f := &Fleet{processes: map[string]*process{"core": {kind: "controller", httpAddr: d.ControllerAddr}}}
 		for _, m := range d.members {
 			if m.Role == "controller" {
-				f.procs[m.Node] = &proc{kind: "controller", web: m.Web}
+				f.processes[m.Node] = &process{kind: "controller", httpAddr: m.Web}
 			}
 		}
 		_, err := f.WriteKey("/v1/zones/"+d.Zone, fmt.Appendf(nil, `{"evacuated":%v}`, out), 10*time.Second)
@@ -159,89 +159,89 @@
 	verb := map[bool]string{true: "killzone", false: "startzone"}[out]
 	code, b, _, err := transport.HTTPRequest("GET", d.HarnessAddr, "/harness?event="+url.QueryEscape(verb+":"+d.Zone), nil, nil, 30*time.Second)
 	if err == nil && code != 200 {
-		err = fmt.Errorf("drill: the harness says %s", b)
+		err = fmt.Errorf("drill: the harness answered %s", b)
 	}
 	return err
 }
 
-// giveBack gives the zone back, by any controller that it knows; if none takes it, it says loudly what stands.
-func (d *Drill) giveBack() error {
-	err := d.take(false)
+// restoreZone restores the zone through any known controller. If all fail, it prints the possible state and the remedy.
+func (d *Drill) restoreZone() error {
+	err := d.setZoneOut(false)
 	if err == nil {
 		fmt.Fprintf(d.Output, "zone %s is given back\n", d.Zone)
 		return nil
 	}
-	stands, how := "EVACUATED", "controller readmit --at ADDRESS "+d.Zone+", and confirm the plan"
+	state, remedy := "EVACUATED", "controller readmit --at ADDRESS "+d.Zone+", and confirm the plan"
 	if d.Method == "kill" {
-		stands, how = "DOWN", "start its processes"
+		state, remedy = "DOWN", "start its processes"
 	}
-	fmt.Fprintf(d.Output, "zone %s MAY STILL BE %s: %s\n", d.Zone, stands, how)
+	fmt.Fprintf(d.Output, "zone %s MAY STILL BE %s: %s\n", d.Zone, state, remedy)
 	return fmt.Errorf("drill: zone %s could not be given back: %w", d.Zone, err)
 }
 
-// Run does the drill. The findings say what was seen; the error, why there was none.
+// Run runs the drill. It returns the findings, or the error that prevented them.
 func (d *Drill) Run(ctx context.Context) (l []checker.Finding, err error) {
-	if err := d.ready(); err != nil {
+	if err := d.checkReady(); err != nil {
 		return nil, err
 	}
-	before, err := d.config()
+	before, err := d.readConfig()
 	if err != nil {
 		return nil, err
 	}
-	began := standin.Now()
-	back := false
+	startedAt := standin.Now()
+	restoreTried := false
 	defer func() {
-		if !back {
-			err = errors.Join(err, d.giveBack())
+		if !restoreTried {
+			err = errors.Join(err, d.restoreZone())
 		}
 	}()
-	if err := d.take(true); err != nil {
-		return nil, err // it may stand all the same
+	if err := d.setZoneOut(true); err != nil {
+		return nil, err // the change may have been made all the same, so the zone is restored
 	}
-	d.note("evacuate")
-	out := time.Now()
+	d.recordEvacuation("evacuate")
+	outSince := time.Now()
 	fmt.Fprintf(d.Output, "zone %s is out\n", d.Zone)
-	at5, sent, good := -1, 0, 0
-	for i := 0; time.Since(out) < d.Duration && ctx.Err() == nil; i++ {
-		if at5 < 0 && time.Since(out) >= 5*time.Second {
-			at5 = d.handed()
+	countAt5s, sent, answered := -1, 0, 0
+	for i := 0; time.Since(outSince) < d.Duration && ctx.Err() == nil; i++ {
+		if countAt5s < 0 && time.Since(outSince) >= 5*time.Second {
+			countAt5s = d.dispatchCount()
 		}
 		sent++
-		if d.probe(ctx, i) {
-			good++
+		if d.sendProbe(ctx, i) {
+			answered++
 		}
-		_ = sleep(ctx, time.Now().Add(100*time.Millisecond))
+		_ = sleepUntil(ctx, time.Now().Add(100*time.Millisecond))
 	}
-	after := d.handed()
-	back = true
-	d.note("readmit")
-	if err := d.giveBack(); err != nil {
+	finalCount := d.dispatchCount()
+	restoreTried = true
+	d.recordEvacuation("readmit")
+	if err := d.restoreZone(); err != nil {
 		return nil, err
 	}
 	if ctx.Err() != nil {
 		return nil, errors.New("drill: interrupted; the zone was given back, and nothing was judged")
 	}
 	if d.Method == "evacuate" {
-		l = append(l, checker.Finding{Invariant: "the zone gets nothing new after 5 s", Holds: at5 >= 0 && after == at5,
-			Detail: fmt.Sprintf("%d hand-overs into it between 5 s and the end", after-at5)})
-	}
-	l = append(l, checker.Finding{Invariant: "the other zones serve on", Holds: sent > 0 && good*100 >= sent*95, Detail: fmt.Sprintf("%d of %d probes answered whole", good, sent)})
-	whole := "not within 20 s"
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); _ = sleep(ctx, time.Now().Add(250*time.Millisecond)) {
-		if d.ready() == nil {
-			whole = fmt.Sprintf("after %.1f s", 20-time.Until(end).Seconds())
+		l = append(l, checker.Finding{Invariant: "the zone gets nothing new after 5 s", Holds: countAt5s >= 0 && finalCount == countAt5s,
+			Detail: fmt.Sprintf("%d hand-overs into it between 5 s and the end", finalCount-countAt5s)})
+	}
+	l = append(l, checker.Finding{Invariant: "the other zones serve on", Holds: sent > 0 && answered*100 >= sent*95, Detail: fmt.Sprintf("%d of %d probes answered whole", answered, sent)})
+	recovery := "not within 20 s"
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); _ = sleepUntil(ctx, time.Now().Add(250*time.Millisecond)) {
+		if d.checkReady() == nil {
+			recovery = fmt.Sprintf("after %.1f s", 20-time.Until(end).Seconds())
 			break
 		}
 	}
-	l = append(l, checker.Finding{Invariant: "the fleet is whole again", Holds: whole[0] == 'a', Detail: whole})
-	if now, err := d.config(); err != nil || now != before {
+	l = append(l, checker.Finding{Invariant: "the fleet is whole again", Holds: recovery[0] == 'a', Detail: recovery})
+	if now, err := d.readConfig(); err != nil || now != before {
 		l = append(l, checker.Finding{Invariant: checker.ConfigReadBack, Detail: fmt.Sprintf("it was %s, now %s %v", before, now, err)})
 	} else {
 		l = append(l, checker.Finding{Invariant: checker.ConfigReadBack, Holds: true, Detail: "the same number and bytes as before the drill"})
 	}
 	if d.JournalDir != "" {
-		more, err := d.judge(began)
-		return append(l, more...), err
+		journalFindings, err := d.checkJournals(startedAt)
+		return append(l, journalFindings...), err
 	}
 	return l, nil
 }
--- a/internal/localfleet/drill_check.go
+++ b/internal/localfleet/drill_check.go
@@ -12,8 +12,8 @@
 	"seamshunt/internal/units"
 )
 
-// config reads the configuration in force, as a mark.
-func (d *Drill) config() (string, error) {
+// readConfig returns a fingerprint of the configuration in force.
+func (d *Drill) readConfig() (string, error) {
 	code, b, num, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/config", nil, nil, 8*time.Second)
 	if err != nil || code != 200 {
 		return "", fmt.Errorf("drill: no configuration can be read: %d %v", code, err)
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("%s/%x", num, units.Mix(string(b))), nil
 }
 
-// note writes an evacuation into a local run's journals, so that the workers' own entries are judged by it.
-func (d *Drill) note(how string) {
+// recordEvacuation records an evacuation in a local run's journals, so that the workers' entries are checked against it.
+func (d *Drill) recordEvacuation(how string) {
 	if d.JournalDir == "" || d.Method != "evacuate" {
 		return
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// judge looks at a local run's journals from the drill's beginning on.
-func (d *Drill) judge(from int64) ([]checker.Finding, error) {
+// checkJournals checks a local run's journals from the start of the drill on.
+func (d *Drill) checkJournals(from int64) ([]checker.Finding, error) {
 	r, err := checker.Load(d.JournalDir)
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	u.NonRepeatable["notice"] = true
 	var l []checker.Finding
 	for _, f := range r.Check(u) {
-		// The drill knows no deployment file, and reads the configuration back itself.
+		// The drill has no deployment file, and reads the configuration back itself.
 		if f.Invariant != checker.AllowedServices && f.Invariant != checker.ConfigReadBack {
 			l = append(l, f)
 		}
--- a/internal/localfleet/drill_test.go
+++ b/internal/localfleet/drill_test.go
@@ -13,15 +13,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// door is a controller as a drill sees it: a whole fleet of two zones, whose answers to changes a test plans.
-type door struct {
-	mu     sync.Mutex
-	out    bool
-	num    int
-	refuse func(out bool) bool // whether a change is refused; it is made all the same when it answers nothing
+// fakeController answers a drill as the controller of a healthy fleet with two zones would. A test chooses which changes it
+// refuses.
+type fakeController struct {
+	mu        sync.Mutex
+	evacuated bool
+	version   int
+	refuse    func(out bool) bool // whether a change is answered with an error; it is made all the same
 }
 
-func (d *door) serve(at string, ctx *fasthttp.RequestCtx) {
+func (d *fakeController) serve(at string, ctx *fasthttp.RequestCtx) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	member := func(node, role, zone string) string {
@@ -36,32 +37,32 @@
 			`"layout":"mapping m { when path = \"/m\" to a promise p repeat }"}`)
 	case path == "/v1/zones/z2" && ctx.IsPut():
 		out := bytes.Contains(ctx.PostBody(), []byte("true"))
-		d.out, d.num = out, d.num+1
+		d.evacuated, d.version = out, d.version+1
 		if d.refuse != nil && d.refuse(out) {
 			ctx.SetStatusCode(400)
 			return
 		}
-		fmt.Fprintf(ctx, `{"number":%d}`, d.num)
+		fmt.Fprintf(ctx, `{"number":%d}`, d.version)
 	case strings.HasPrefix(path, "/v1/zones/"):
-		ctx.Response.Header.Set("Number", fmt.Sprint(d.num))
-		fmt.Fprintf(ctx, `{"evacuated":%v}`, d.out && path == "/v1/zones/z2")
+		ctx.Response.Header.Set("Number", fmt.Sprint(d.version))
+		fmt.Fprintf(ctx, `{"evacuated":%v}`, d.evacuated && path == "/v1/zones/z2")
 	default:
 		ctx.SetStatusCode(503)
 	}
 }
 
-// A drill that is interrupted, or fails half-way with the evacuation standing, gives the zone back; where that fails
-// too it says loudly what stands.
-func TestDrillGivesBack(t *testing.T) {
+// A drill restores the zone if it is interrupted or fails after the evacuation. If that fails too, it prints the state in
+// which it may have left the zone.
+func TestDrillRestoresZone(t *testing.T) {
 	for name, x := range map[string]struct {
 		refuse    func(bool) bool
 		interrupt bool
 		out       bool
-		says      string
+		output    string
 	}{
-		"interrupted":           {interrupt: true, says: "given back"},
-		"an unknown outcome":    {refuse: func(out bool) bool { return out }, says: "given back"},
-		"it can't be withdrawn": {refuse: func(out bool) bool { return !out }, interrupt: true, says: "MAY STILL BE EVACUATED"},
+		"interrupted":     {interrupt: true, output: "given back"},
+		"unknown outcome": {refuse: func(out bool) bool { return out }, output: "given back"},
+		"restoring fails": {refuse: func(out bool) bool { return !out }, interrupt: true, output: "MAY STILL BE EVACUATED"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -69,25 +70,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := &door{refuse: x.refuse}
+			d := &fakeController{refuse: x.refuse}
 			s := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { d.serve(ln.Addr().String(), ctx) }}
 			served := make(chan struct{})
 			t.Cleanup(func() { _ = s.Shutdown(); <-served })
 			go func() { _ = s.Serve(ln); close(served) }()
-			var say bytes.Buffer
+			var out bytes.Buffer
 			ctx, stop := context.WithCancel(context.Background())
 			if x.interrupt {
 				stop()
 			}
 			defer stop()
-			_, err = (&Drill{ControllerAddr: ln.Addr().String(), Zone: "z2", Method: "evacuate", Duration: time.Minute, Output: &say}).Run(ctx)
-			if err == nil || !strings.Contains(say.String(), x.says) {
-				t.Errorf("%v, said %q", err, say.String())
+			_, err = (&Drill{ControllerAddr: ln.Addr().String(), Zone: "z2", Method: "evacuate", Duration: time.Minute, Output: &out}).Run(ctx)
+			if err == nil || !strings.Contains(out.String(), x.output) {
+				t.Errorf("%v, printed %q", err, out.String())
 			}
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			if name != "it can't be withdrawn" && (d.out || d.num < 2) {
-				t.Errorf("the zone stands evacuated: %v, after %d changes", d.out, d.num)
+			if name != "restoring fails" && (d.evacuated || d.version < 2) {
+				t.Errorf("the zone is evacuated: %v, after %d changes", d.evacuated, d.version)
 			}
 		})
 	}
--- a/internal/localfleet/events.go
+++ b/internal/localfleet/events.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Event is one thing that the harness does at a time of the run.
+// Event is an action of the harness at a time of the run.
 type Event struct {
 	At     time.Duration
 	Verb   string
@@ -20,10 +20,11 @@
 	Arg    string
 }
 
+// verbs are the actions of events.
 var verbs = []string{"kill", "stop", "start", "restart", "freeze", "thaw", "evacuate", "readmit", "leave", "drop", "mood",
 	"wipe", "apply", "rate", "killall", "startall", "killzone", "startzone", "join", "storm", "cut", "heal", "lossy", "bounce", "release"}
 
-// ParseEvents reads a list like "12:kill:n1,15:start:n1", of the usual verbs and more of the harness's own.
+// ParseEvents reads a list like "12:kill:n1,15:start:n1", with the usual verbs and the additional ones in more.
 func ParseEvents(s string, more ...string) ([]Event, error) {
 	verbs := append(slices.Clone(verbs), more...)
 	var l []Event
@@ -34,10 +35,10 @@
 		p := strings.SplitN(x, ":", 4)
 		at, err := strconv.ParseFloat(p[0], 64)
 		if err != nil || len(p) < 2 || at < 0 {
-			return nil, fmt.Errorf("fleet: event %q: SECONDS:VERB[:NAME[:VALUE]] is wanted", x)
+			return nil, fmt.Errorf("localfleet: event %q: SECONDS:VERB[:NAME[:VALUE]] is wanted", x)
 		}
 		if !slices.Contains(verbs, p[1]) {
-			return nil, fmt.Errorf("fleet: event %q: the verbs are %s", x, strings.Join(verbs, " "))
+			return nil, fmt.Errorf("localfleet: event %q: the verbs are %s", x, strings.Join(verbs, " "))
 		}
 		p = append(p, "", "")
 		l = append(l, Event{At: time.Duration(at * float64(time.Second)), Verb: p[1], Target: p[2], Arg: p[3]})
@@ -46,9 +47,9 @@
 	return l, nil
 }
 
-// Execute carries one event out and notes it in the journal.
+// Execute carries out one event and records it in the journal.
 func (f *Fleet) Execute(e Event, t *Traffic) error {
-	if e.Verb != "cut" && e.Verb != "heal" { // these note themselves, by the name that was cut off
+	if e.Verb != "cut" && e.Verb != "heal" { // recorded by setNetworkFault, under the name of the partitioned side
 		f.RecordEvent(e.Verb, e.Target)
 	}
 	switch e.Verb {
@@ -75,11 +76,11 @@
 		f.RecordEvent(e.Verb+"-acknowledged", e.Target)
 		return err
 	case "leave", "drop":
-		return f.leave(e)
+		return f.drainOrRemove(e)
 	case "mood":
 		f.Platform.SetMood(e.Target)
 	case "wipe":
-		return f.wipe(e.Target)
+		return f.replaceController(e.Target)
 	case "apply":
 		b, err := os.ReadFile(e.Target)
 		if err != nil {
@@ -87,7 +88,7 @@
 		}
 		return f.ApplyConfig(b)
 	case "storm":
-		return f.storm(e.Target)
+		return f.raceConfigurations(e.Target)
 	case "rate":
 		r, err := strconv.ParseFloat(e.Target, 64)
 		if err != nil {
@@ -95,22 +96,22 @@
 		}
 		t.SetRate(r)
 	case "cut", "lossy", "heal":
-		return f.part(e)
+		return f.setNetworkFault(e)
 	case "bounce":
-		return f.bounce(e.Target)
+		return f.restartCold(e.Target)
 	case "release":
-		return f.release()
+		return f.replaceAllWorkers()
 	case "killall", "startall", "killzone", "startzone":
-		return f.all(e.Verb, e.Target)
+		return f.killOrStartAll(e.Verb, e.Target)
 	case "join":
-		return f.join(e.Target, e.Arg)
+		return f.joinWorker(e.Target, e.Arg)
 	}
 	return nil
 }
 
-// join starts one more worker, cold.
-func (f *Fleet) join(name, zone string) error {
-	as, err := ports(1)
+// joinWorker starts an additional worker, which has to warm up.
+func (f *Fleet) joinWorker(name, zone string) error {
+	as, err := freeAddrs(1)
 	if err != nil {
 		return err
 	}
@@ -120,8 +121,8 @@
 	return f.Start(name)
 }
 
-// storm has two operators race each other with so many configurations, alike but for their last bytes.
-func (f *Fleet) storm(count string) error {
+// raceConfigurations has two operators race with count configurations each, which differ only in trailing spaces.
+func (f *Fleet) raceConfigurations(count string) error {
 	n, err := strconv.Atoi(count)
 	if err != nil {
 		return err
@@ -134,7 +135,7 @@
 	for side := range 2 {
 		f.Tasks.Go(func() {
 			for i := range n {
-				// A conflict is the race's own outcome; what counts is what was acknowledged.
+				// Conflicts are expected in the race; only acknowledged configurations are checked.
 				_ = f.ApplyConfig(append(slices.Clone(b), strings.Repeat(" ", 1+2*i+side)...))
 			}
 			done <- nil
@@ -150,10 +151,10 @@
 	return f.Wait(name, 5*time.Second)
 }
 
-func (f *Fleet) leave(e Event) error {
+func (f *Fleet) drainOrRemove(e Event) error {
 	w, ok := f.Platform.Get(f.Deployment.Pool, e.Target)
 	if !ok {
-		return fmt.Errorf("fleet: no worker %s", e.Target)
+		return fmt.Errorf("localfleet: no worker %s", e.Target)
 	}
 	if e.Verb == "drop" {
 		f.Platform.Remove(f.Deployment.Pool, e.Target)
@@ -164,35 +165,35 @@
 	return nil
 }
 
-// wipe replaces a core machine by an empty one at a new address.
-func (f *Fleet) wipe(name string) error {
+// replaceController replaces a controller by one with an empty disk at a new address.
+func (f *Fleet) replaceController(name string) error {
 	_ = f.kill(name)
-	p, err := f.get(name)
+	p, err := f.lookup(name)
 	if err != nil {
 		return err
 	}
-	as, err := ports(2)
+	as, err := freeAddrs(2)
 	if err != nil {
 		return err
 	}
-	p.addr, p.web = as[0], as[1]
-	p.data += ".next"
-	if err := f.boot(p); err != nil {
+	p.addr, p.httpAddr = as[0], as[1]
+	p.dataDir += ".next"
+	if err := f.writeSettings(p); err != nil {
 		return err
 	}
 	return f.Start(name)
 }
 
-// all ends or starts every process of the product at once, or those of one zone; workers are not part of it.
-func (f *Fleet) all(verb, zone string) error {
+// killOrStartAll kills or starts all routers and controllers at once, or those of one zone; workers are left alone.
+func (f *Fleet) killOrStartAll(verb, zone string) error {
 	kill := strings.HasPrefix(verb, "kill")
-	mine := func(p *proc) bool { return p.kind != "worker" && (zone == "" || p.zone == zone) }
-	for _, n := range f.order {
-		p, err := f.get(n)
+	selected := func(p *process) bool { return p.kind != "worker" && (zone == "" || p.zone == zone) }
+	for _, n := range f.startOrder {
+		p, err := f.lookup(n)
 		if err != nil {
 			return err
 		}
-		if !mine(p) {
+		if !selected(p) {
 			continue
 		}
 		if kill {
@@ -205,8 +206,8 @@
 		}
 	}
 	if kill {
-		for _, n := range f.order {
-			if p, _ := f.get(n); mine(p) {
+		for _, n := range f.startOrder {
+			if p, _ := f.lookup(n); selected(p) {
 				if err := f.Wait(n, 5*time.Second); err != nil {
 					return err
 				}
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -19,58 +19,58 @@
 	"seamshunt/internal/tasks"
 )
 
-// proc is one process of the fleet.
-type proc struct {
+// process is one process of the fleet: a router, a controller or a worker.
+type process struct {
 	name, zone, kind string
 	args             []string
 	env              []string
-	addr, web        string
-	data             string
+	addr, httpAddr   string
+	dataDir          string
 	cmd              *exec.Cmd
-	done             chan struct{}
-	frozen           bool
+	exited           chan struct{}
+	paused           bool
 }
 
-// Fleet is a deployment that runs.
+// Fleet is a running deployment.
 type Fleet struct {
 	Deployment   *Deployment
 	Dir          string
 	BinDir       string
-	WorkerFlags  []string // further flags for the workers
+	WorkerFlags  []string // additional flags for the workers
 	WorkerFaults map[string]string
 	Journal      *standin.Journal
 	Platform     *standin.Platform
 	Tasks        *tasks.Group
 	mu           sync.Mutex
-	procs        map[string]*proc
-	order        []string
-	ln           net.Listener
+	processes    map[string]*process
+	startOrder   []string
+	listener     net.Listener
 	seeds        []string
-	parted       []parting
-	cutOn        []string
+	lossRules    []lossRule
+	partitioned  []string
 }
 
-// NewEmpty begins a fleet without a deployment: whoever adds its processes says what each is told.
+// NewEmpty returns a fleet without a deployment; the caller adds its processes with their arguments.
 func NewEmpty(dir, bin string) (*Fleet, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("localfleet: %w", err)
 	}
 	old, _ := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if len(old) > 0 {
-		return nil, fmt.Errorf("fleet: %s holds the journals of an earlier run", dir)
+		return nil, fmt.Errorf("localfleet: %s contains the journals of an earlier run", dir)
 	}
-	f := &Fleet{Dir: dir, BinDir: bin, procs: map[string]*proc{}, WorkerFaults: map[string]string{}, Tasks: tasks.New(clockwork.NewRealClock(), 1)}
+	f := &Fleet{Dir: dir, BinDir: bin, processes: map[string]*process{}, WorkerFaults: map[string]string{}, Tasks: tasks.New(clockwork.NewRealClock(), 1)}
 	var err error
 	f.Journal, err = standin.Open(filepath.Join(dir, "harness.jsonl"))
 	return f, err
 }
 
-// AddProcess lays one process out; kind is its program, web is where it is reached.
-func (f *Fleet) AddProcess(name, zone, kind, web string, args, env []string) {
-	f.add(&proc{name: name, zone: zone, kind: kind, web: web, args: args, env: env})
+// AddProcess adds a process without starting it; kind is its program, httpAddr its HTTP address.
+func (f *Fleet) AddProcess(name, zone, kind, httpAddr string, args, env []string) {
+	f.register(&process{name: name, zone: zone, kind: kind, httpAddr: httpAddr, args: args, env: env})
 }
 
-// New lays a fleet out in dir: boot files, data folders, journals. Nothing runs yet.
+// New prepares a fleet in dir: settings files, data directories and journals. No process runs yet.
 func New(d *Deployment, dir, bin string, perSec int) (*Fleet, error) {
 	f, err := NewEmpty(dir, bin)
 	if err != nil {
@@ -81,25 +81,25 @@
 	for _, w := range d.Workers {
 		workers += w.Count
 	}
-	as, err := ports(2*len(d.Machines) + workers)
+	as, err := freeAddrs(2*len(d.Machines) + workers)
 	if err != nil {
 		return nil, err
 	}
-	if f.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+	if f.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		return nil, fmt.Errorf("localfleet: %w", err)
 	}
 	for i, m := range d.Machines {
-		p := &proc{name: m.Name, zone: m.Zone, kind: "router", addr: as[2*i], web: as[2*i+1]}
+		p := &process{name: m.Name, zone: m.Zone, kind: "router", addr: as[2*i], httpAddr: as[2*i+1]}
 		if m.Disk {
-			p.kind, p.data = "controller", filepath.Join(dir, m.Name+".data")
+			p.kind, p.dataDir = "controller", filepath.Join(dir, m.Name+".data")
 		}
 		if len(f.seeds) < 3 && m.Disk {
 			f.seeds = append(f.seeds, p.addr)
 		}
-		f.add(p)
+		f.register(p)
 	}
-	for _, p := range f.procs {
-		if err := f.boot(p); err != nil {
+	for _, p := range f.processes {
+		if err := f.writeSettings(p); err != nil {
 			return nil, err
 		}
 	}
@@ -113,23 +113,23 @@
 	return f, nil
 }
 
-func (f *Fleet) add(p *proc) {
-	f.procs[p.name] = p
-	f.order = append(f.order, p.name)
+func (f *Fleet) register(p *process) {
+	f.processes[p.name] = p
+	f.startOrder = append(f.startOrder, p.name)
 }
 
 func (f *Fleet) addWorker(name, zone, addr string, age time.Duration) {
-	p := &proc{name: name, zone: zone, kind: "worker", web: addr}
+	p := &process{name: name, zone: zone, kind: "worker", httpAddr: addr}
 	p.args = []string{"worker", "--name", name, "--pool", f.Deployment.Pool, "--zone", zone, "--listen", addr, "--journal", filepath.Join(f.Dir, name+".jsonl")}
-	f.add(p)
+	f.register(p)
 	f.Platform.Set(f.Deployment.Pool, config.Worker{ID: name, Addr: addr, Zone: zone, Age: age})
 }
 
-// boot writes a process's boot file.
-func (f *Fleet) boot(p *proc) error {
-	b := map[string]any{"name": p.name, "zone": p.zone, "addr": p.addr, "web": p.web, "seeds": f.seeds, "drain_ms": 15000}
+// writeSettings writes a process's settings file.
+func (f *Fleet) writeSettings(p *process) error {
+	b := map[string]any{"name": p.name, "zone": p.zone, "addr": p.addr, "web": p.httpAddr, "seeds": f.seeds, "drain_ms": 15000}
 	if p.kind == "controller" {
-		b["data"], b["founders"], b["platform"], b["pools"] = p.data, f.Deployment.DiskCount(), f.ln.Addr().String(), []string{f.Deployment.Pool}
+		b["data"], b["founders"], b["platform"], b["pools"] = p.dataDir, f.Deployment.DiskCount(), f.listener.Addr().String(), []string{f.Deployment.Pool}
 		b["poll_ms"], b["reserve_bytes"] = 500, 1<<20
 	}
 	path := filepath.Join(f.Dir, p.name+".boot.json")
@@ -143,8 +143,8 @@
 
 // StartAll starts every process.
 func (f *Fleet) StartAll() error {
-	f.Tasks.Go(func() { _ = f.Platform.Serve(f.ln) })
-	for _, n := range f.order {
+	f.Tasks.Go(func() { _ = f.Platform.Serve(f.listener) })
+	for _, n := range f.startOrder {
 		if err := f.Start(n); err != nil {
 			return err
 		}
@@ -152,24 +152,24 @@
 	return nil
 }
 
-func (f *Fleet) get(name string) (*proc, error) {
+func (f *Fleet) lookup(name string) (*process, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.procs[name]
+	p := f.processes[name]
 	if p == nil {
-		return nil, fmt.Errorf("fleet: nothing is called %s", name)
+		return nil, fmt.Errorf("localfleet: no process is named %s", name)
 	}
 	return p, nil
 }
 
-// Start runs a process that does not run.
+// Start starts a process that is not running.
 func (f *Fleet) Start(name string) error {
-	p, err := f.get(name)
+	p, err := f.lookup(name)
 	if err != nil {
 		return err
 	}
 	if p.cmd != nil {
-		return fmt.Errorf("fleet: %s runs already", name)
+		return fmt.Errorf("localfleet: %s is already running", name)
 	}
 	bin := map[string]string{"router": "router", "controller": "controller", "worker": "testbed"}[p.kind]
 	args := append([]string(nil), p.args...)
@@ -181,19 +181,19 @@
 	}
 	out, err := os.OpenFile(filepath.Join(f.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("localfleet: %w", err)
 	}
 	defer out.Close()
 	c := exec.Command(filepath.Join(f.BinDir, bin), args...)
 	c.Stdout, c.Stderr = out, out
-	c.Env = append(append(os.Environ(), shield.Env+"="+f.cutFile(name)), p.env...)
+	c.Env = append(append(os.Environ(), shield.Env+"="+f.partitionFile(name)), p.env...)
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("localfleet: %w", err)
 	}
 	done := make(chan struct{})
 	f.mu.Lock()
-	p.cmd, p.done, p.frozen = c, done, false
+	p.cmd, p.exited, p.paused = c, done, false
 	f.mu.Unlock()
 	f.Tasks.Go(func() {
 		_ = c.Wait()
--- a/internal/localfleet/partition.go
+++ b/internal/localfleet/partition.go
@@ -14,118 +14,120 @@
 	"seamshunt/internal/standin"
 )
 
-// parting says how much of what one process sends to another is lost, in percent.
-type parting func(from, to *proc) int
+// lossRule returns the packet loss, in percent, from one process to another.
+type lossRule func(from, to *process) int
 
-func (f *Fleet) cutFile(name string) string { return filepath.Join(f.Dir, name+".cuts") }
+func (f *Fleet) partitionFile(name string) string { return filepath.Join(f.Dir, name+".cuts") }
 
-// platformProc stands for the platform in partings.
-const platformProc = "platform"
+// platformProcess names the platform in partitions.
+const platformProcess = "platform"
 
-// part cuts the net, makes it lossy, or heals it. Callers are outside of it.
-func (f *Fleet) part(e Event) error {
+// setNetworkFault adds a network partition or packet loss, or heals them all. Clients are not affected.
+func (f *Fleet) setNetworkFault(e Event) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e.Verb == "heal" {
-		for _, n := range f.cutOn {
+		for _, n := range f.partitioned {
 			f.Journal.Write(standin.Entry{Kind: "event", At: standin.Now(), How: "heal", Target: n})
 		}
-		f.parted, f.cutOn = nil, nil
-		return f.writeCuts()
+		f.lossRules, f.partitioned = nil, nil
+		return f.writePartitions()
 	}
 	if e.Verb == "lossy" {
 		n, err := strconv.Atoi(e.Target)
 		if err != nil {
 			return err
 		}
-		f.parted = append(f.parted, func(_, to *proc) int {
-			if to.kind == "worker" || to.kind == platformProc {
-				return 0 // only notes are lost singly
+		f.lossRules = append(f.lossRules, func(_, to *process) int {
+			if to.kind == "worker" || to.kind == platformProcess {
+				return 0 // packet loss applies only to messages between routers and controllers
 			}
 			return n
 		})
-		return f.writeCuts()
+		return f.writePartitions()
 	}
-	f.cutOn = append(f.cutOn, e.Target)
+	f.partitioned = append(f.partitioned, e.Target)
 	f.Journal.Write(standin.Entry{Kind: "event", At: standin.Now(), How: "cut", Target: e.Target})
-	in := f.side(e.Target)
-	f.parted = append(f.parted, func(from, to *proc) int {
+	in := f.sideOf(e.Target)
+	f.lossRules = append(f.lossRules, func(from, to *process) int {
 		cut := in(from) != in(to)
 		switch {
-		case e.Arg == platformProc:
-			cut = in(from) && to.kind == platformProc
+		case e.Arg == platformProcess:
+			cut = in(from) && to.kind == platformProcess
 		case e.Target == "core":
 			cut = cut && from.kind == "controller" && to.kind == "controller"
 		case e.Target == "control":
-			cut = cut && to.kind != "worker" && to.kind != platformProc
-		case to.kind == platformProc:
-			cut = cut && !f.zone(e.Target) // the platform is outside the zones
+			cut = cut && to.kind != "worker" && to.kind != platformProcess
+		case to.kind == platformProcess:
+			cut = cut && !f.isZone(e.Target) // the platform is outside the zones
 		}
 		if cut && (e.Arg != "out" || in(from)) && (e.Arg != "in" || in(to)) {
 			return 100
 		}
 		return 0
 	})
-	return f.writeCuts()
+	return f.writePartitions()
 }
 
-func (f *Fleet) zone(name string) bool {
+func (f *Fleet) isZone(name string) bool {
 	return slices.ContainsFunc(f.Deployment.Machines, func(m Machine) bool { return m.Zone == name })
 }
 
-// side says which processes stand on one side of a cut: a zone, the first half of the core, all of it, or one process.
-func (f *Fleet) side(name string) func(*proc) bool {
+// sideOf returns a test for the processes on one side of a partition: a zone, the first half of the controllers, all of them,
+// or one process.
+func (f *Fleet) sideOf(name string) func(*process) bool {
 	var core []string
-	for _, n := range f.order {
-		if f.procs[n].kind == "controller" {
+	for _, n := range f.startOrder {
+		if f.processes[n].kind == "controller" {
 			core = append(core, n)
 		}
 	}
 	switch {
 	case name == "core":
-		return func(p *proc) bool { return slices.Contains(core[:len(core)/2], p.name) }
+		return func(p *process) bool { return slices.Contains(core[:len(core)/2], p.name) }
 	case name == "control":
-		return func(p *proc) bool { return p.kind == "controller" }
-	case f.zone(name):
-		return func(p *proc) bool { return p.zone == name }
+		return func(p *process) bool { return p.kind == "controller" }
+	case f.isZone(name):
+		return func(p *process) bool { return p.zone == name }
 	}
-	return func(p *proc) bool { return p.name == name }
+	return func(p *process) bool { return p.name == name }
 }
 
-// writeCuts tells every process what gets lost on its way out; f.mu is held.
-func (f *Fleet) writeCuts() error {
+// writePartitions writes each process's outbound loss to its partition file. Callers hold f.mu.
+func (f *Fleet) writePartitions() error {
 	if !shield.Cuts {
-		return errors.New("fleet: these programs can't be cut off: build them with -tags cuts")
+		return errors.New("localfleet: these programs can't be partitioned: build them with -tags cuts")
 	}
-	to := []*proc{{name: platformProc, kind: platformProc, web: f.ln.Addr().String()}}
-	for _, n := range f.order {
-		to = append(to, f.procs[n])
+	to := []*process{{name: platformProcess, kind: platformProcess, httpAddr: f.listener.Addr().String()}}
+	for _, n := range f.startOrder {
+		to = append(to, f.processes[n])
 	}
-	for _, n := range f.order {
+	for _, n := range f.startOrder {
 		var b strings.Builder
 		for _, p := range to {
 			lost := 0
-			for _, g := range f.parted {
-				lost = max(lost, g(f.procs[n], p))
+			for _, g := range f.lossRules {
+				lost = max(lost, g(f.processes[n], p))
 			}
-			for _, a := range []string{p.addr, p.web} {
+			for _, a := range []string{p.addr, p.httpAddr} {
 				if lost > 0 && a != "" && p.name != n {
 					fmt.Fprintln(&b, a, lost)
 				}
 			}
 		}
-		next := f.cutFile(n) + ".next"
+		next := f.partitionFile(n) + ".next"
 		if err := os.WriteFile(next, []byte(b.String()), 0o644); err != nil {
 			return err
 		}
-		if err := os.Rename(next, f.cutFile(n)); err != nil {
+		if err := os.Rename(next, f.partitionFile(n)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// CheckEvents names what events ask for that this deployment has not; nothing has started then.
+// CheckEvents returns an error if an event has an invalid value or a target that is not in this deployment. It runs before
+// any process starts.
 func (d *Deployment) CheckEvents(l []Event) error {
 	names, zones, workers := map[string]bool{}, map[string]bool{}, 0
 	for _, m := range d.Machines {
@@ -157,7 +159,7 @@
 			if !names[e.Target] && !zones[e.Target] && e.Target != "core" && e.Target != "control" {
 				err = fmt.Errorf("%q is no process, no zone, nor core or control", e.Target)
 			}
-			if !slices.Contains([]string{"", "out", "in", platformProc}, e.Arg) {
+			if !slices.Contains([]string{"", "out", "in", platformProcess}, e.Arg) {
 				err = fmt.Errorf("a cut is whole, or out, in, or platform; not %q", e.Arg)
 			}
 		case "lossy":
@@ -174,7 +176,7 @@
 			}
 		}
 		if err == nil && (e.Verb == "cut" || e.Verb == "lossy") && !shield.Cuts {
-			err = errors.New("these programs can't be cut off: build them with -tags cuts")
+			err = errors.New("these programs can't be partitioned: build them with -tags cuts")
 		}
 		if err != nil {
 			return fmt.Errorf("event %s at %v: %w", e.Verb, e.At, err)
@@ -183,8 +185,8 @@
 	return nil
 }
 
-// bounce starts a worker again in its place, cold.
-func (f *Fleet) bounce(name string) error {
+// restartCold kills a worker and starts it at the same address; it has to warm up again.
+func (f *Fleet) restartCold(name string) error {
 	if err := f.kill(name); err != nil {
 		return err
 	}
@@ -193,20 +195,20 @@
 	return f.Start(name)
 }
 
-// release replaces all workers, one a second: a new one joins under another name, and the old one is marked, and
-// dropped from the list once no stream can be left on it.
-func (f *Fleet) release() error {
+// replaceAllWorkers replaces all workers, one a second: a worker with a new name joins, and the old one is marked as draining,
+// and removed from the list once all its streams must have ended.
+func (f *Fleet) replaceAllWorkers() error {
 	var l []string
 	f.mu.Lock()
-	for _, n := range f.order {
-		if f.procs[n].kind == "worker" {
+	for _, n := range f.startOrder {
+		if f.processes[n].kind == "worker" {
 			l = append(l, n)
 		}
 	}
 	f.mu.Unlock()
 	f.Tasks.Go(func() {
 		for _, n := range l {
-			if err := f.replace(n); err != nil {
+			if err := f.replaceWorker(n); err != nil {
 				f.RecordEvent("release-failed", n+": "+err.Error())
 			}
 			time.Sleep(time.Second)
@@ -215,21 +217,21 @@
 	return nil
 }
 
-func (f *Fleet) replace(name string) error {
-	p, err := f.get(name)
+func (f *Fleet) replaceWorker(name string) error {
+	p, err := f.lookup(name)
 	if err != nil {
 		return err
 	}
-	if err := f.join(name+"b", p.zone); err != nil {
+	if err := f.joinWorker(name+"b", p.zone); err != nil {
 		return err
 	}
 	f.RecordEvent("leave", name)
-	if err := f.leave(Event{Verb: "leave", Target: name}); err != nil {
+	if err := f.drainOrRemove(Event{Verb: "leave", Target: name}); err != nil {
 		return err
 	}
 	f.Tasks.Go(func() {
 		time.Sleep(25 * time.Second) // longer than any stream lasts
-		_ = f.leave(Event{Verb: "drop", Target: name})
+		_ = f.drainOrRemove(Event{Verb: "drop", Target: name})
 	})
 	return nil
 }
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -12,20 +12,20 @@
 	"seamshunt/internal/units"
 )
 
-// RunPlan is one run of a deployment.
+// RunPlan describes one run of a deployment.
 type RunPlan struct {
 	Seed            uint64
 	Rate            float64
 	Topics          int
 	TrafficDuration time.Duration
 	Events          []Event
-	TrafficStart    time.Duration // when traffic begins, after the start
+	TrafficStart    time.Duration // from the start of the fleet until traffic begins
 	EditConfig      func([]byte) []byte
 }
 
-// Run brings the fleet up, applies its configuration, sends traffic from the tenth second on, carries the
-// events out, and reads the configuration back at the end.
-func (f *Fleet) Run(ctx context.Context, p RunPlan, say io.Writer) error {
+// Run starts the fleet, applies its configuration, sends traffic from TrafficStart on, carries out the events, and reads
+// the configuration back at the end.
+func (f *Fleet) Run(ctx context.Context, p RunPlan, out io.Writer) error {
 	start := time.Now()
 	if err := f.StartAll(); err != nil {
 		return err
@@ -40,64 +40,64 @@
 	if err := f.ApplyConfig(config); err != nil {
 		return err
 	}
-	fmt.Fprintf(say, "configuration acknowledged %.1f s after the start\n", time.Since(start).Seconds())
-	t := NewTraffic(f, p.Seed, p.Topics)
-	t.SetRate(p.Rate)
+	fmt.Fprintf(out, "configuration acknowledged %.1f s after the start\n", time.Since(start).Seconds())
+	traffic := NewTraffic(f, p.Seed, p.Topics)
+	traffic.SetRate(p.Rate)
 	f.Platform.Control = func(s string) error {
 		l, err := ParseEvents("0:" + s)
 		if err == nil && len(l) == 1 {
-			err = f.Execute(l[0], t)
+			err = f.Execute(l[0], traffic)
 		}
 		return err
 	}
-	fmt.Fprintf(say, "controller at %s, harness at %s, journals in %s\n", f.controllers()[0], f.ln.Addr(), f.Dir)
-	tctx, cancel := context.WithCancel(ctx)
+	fmt.Fprintf(out, "controller at %s, harness at %s, journals in %s\n", f.controllers()[0], f.listener.Addr(), f.Dir)
+	trafficCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	sent := make(chan struct{})
 	f.Tasks.Go(func() {
 		defer close(sent)
-		if sleep(tctx, start.Add(p.TrafficStart)) == nil {
+		if sleepUntil(trafficCtx, start.Add(p.TrafficStart)) == nil {
 			f.RecordEvent("traffic", "")
-			t.Run(tctx)
+			traffic.Run(trafficCtx)
 		}
 	})
 	end := start.Add(p.TrafficStart + p.TrafficDuration)
 	for _, e := range p.Events {
-		if err := sleep(ctx, start.Add(e.At)); err != nil {
+		if err := sleepUntil(ctx, start.Add(e.At)); err != nil {
 			break
 		}
-		fmt.Fprintf(say, "%6.1f s: %s %s %s\n", time.Since(start).Seconds(), e.Verb, e.Target, e.Arg)
-		if err := f.Execute(e, t); err != nil {
+		fmt.Fprintf(out, "%6.1f s: %s %s %s\n", time.Since(start).Seconds(), e.Verb, e.Target, e.Arg)
+		if err := f.Execute(e, traffic); err != nil {
 			cancel()
 			return fmt.Errorf("event %s %s: %w", e.Verb, e.Target, err)
 		}
 	}
-	_ = sleep(ctx, end)
+	_ = sleepUntil(ctx, end)
 	cancel()
 	<-sent
-	b, num, err := f.ReadKey("/v1/config", 15*time.Second)
+	b, version, err := f.ReadKey("/v1/config", 15*time.Second)
 	if err != nil {
 		return err
 	}
-	f.RecordEvent("config-read", mark(num, b))
+	f.RecordEvent("config-read", fingerprint(version, b))
 	return nil
 }
 
-// ApplyConfig sends a configuration and notes its acknowledgement.
+// ApplyConfig sends a configuration and records its acknowledgement.
 func (f *Fleet) ApplyConfig(b []byte) error {
-	num, err := f.WriteKey("/v1/config", b, 20*time.Second)
+	version, err := f.WriteKey("/v1/config", b, 20*time.Second)
 	if err == nil {
-		f.RecordEvent("config-acknowledged", mark(num, b))
+		f.RecordEvent("config-acknowledged", fingerprint(version, b))
 	}
 	return err
 }
 
-// mark names a configuration by its number and its bytes.
-func mark(num uint64, b []byte) string {
-	return fmt.Sprintf("%d/%d/%x", num, len(b), units.Mix(string(b)))
+// fingerprint identifies a configuration by its version, length and hash.
+func fingerprint(version uint64, b []byte) string {
+	return fmt.Sprintf("%d/%d/%x", version, len(b), units.Mix(string(b)))
 }
 
-func sleep(ctx context.Context, until time.Time) error {
+func sleepUntil(ctx context.Context, until time.Time) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -106,7 +106,7 @@
 	}
 }
 
-// Rules takes what is promised from the deployment's own configuration.
+// Rules derives the limits of the run from the deployment's configuration.
 func (f *Fleet) Rules(edit func([]byte) []byte) (checker.Rules, error) {
 	u := checker.DefaultRules()
 	b, err := f.Deployment.ConfigBytes()
@@ -134,53 +134,53 @@
 	return u, nil
 }
 
-// Report judges the run and prints what it measured. It says whether every promise held.
-func (f *Fleet) Report(u checker.Rules, say io.Writer) (bool, error) {
+// Report checks the run and prints findings and statistics. It reports whether every invariant held.
+func (f *Fleet) Report(u checker.Rules, out io.Writer) (bool, error) {
 	r, err := checker.Load(f.Dir)
 	if err != nil {
 		return false, err
 	}
 	zone := map[string]string{}
 	for n, w := range f.HTTPAddrs("router") {
-		p, _ := f.get(n)
+		p, _ := f.lookup(n)
 		zone[w] = p.zone
 	}
-	return PrintReport(r, u, zone, say), nil
+	return PrintReport(r, u, zone, out), nil
 }
 
-// PrintReport prints findings and figures.
-func PrintReport(r *checker.Run, u checker.Rules, zone map[string]string, say io.Writer) bool {
+// PrintReport prints findings and statistics, and reports whether every invariant held.
+func PrintReport(r *checker.Run, u checker.Rules, zone map[string]string, out io.Writer) bool {
 	good := true
 	for _, x := range r.Check(u) {
 		word := "holds"
 		if !x.Holds {
 			word, good = "BROKEN", false
 		}
-		fmt.Fprintf(say, "%-7s %s: %s\n", word, x.Invariant, x.Detail)
+		fmt.Fprintf(out, "%-7s %s: %s\n", word, x.Invariant, x.Detail)
 	}
 	from, name := int64(0), "all"
 	for _, e := range r.Events {
 		if e.How == "rate" {
-			figures(r, from, e.At, name, say)
+			printStatistics(r, from, e.At, name, out)
 			from, name = e.At, "from rate "+e.Target
 		}
 	}
-	figures(r, from, 1<<62, name, say)
+	printStatistics(r, from, 1<<62, name, out)
 	hit, cross, bytes := r.CacheHits(zone)
-	fmt.Fprintf(say, "prefix hit rate %.1f%%; runs handed over to another zone %.1f%%, with %d bytes of prompts\n", 100*hit, 100*cross, bytes)
+	fmt.Fprintf(out, "prefix hit rate %.1f%%; runs handed over to another zone %.1f%%, with %d bytes of prompts\n", 100*hit, 100*cross, bytes)
 	return good
 }
 
-// figures prints what was measured over a span of the run.
-func figures(r *checker.Run, from, to int64, name string, say io.Writer) {
-	fmt.Fprintf(say, "%-16s %7s %8s %8s %7s %6s %10s %10s\n", name, "sent", "on time", "refused", "broken", "other", "first p50", "first p95")
+// printStatistics prints the statistics of an interval of the run.
+func printStatistics(r *checker.Run, from, to int64, name string, out io.Writer) {
+	fmt.Fprintf(out, "%-16s %7s %8s %8s %7s %6s %10s %10s\n", name, "sent", "on time", "refused", "broken", "other", "first p50", "first p95")
 	for _, x := range r.Measure(from, to) {
-		fmt.Fprintf(say, "  %-14s %7d %7.1f%% %8d %7d %6d %7.0f ms %7.0f ms\n", x.Mapping, x.Sent, 100*float64(x.OnTime)/float64(max(1, x.Sent)),
+		fmt.Fprintf(out, "  %-14s %7d %7.1f%% %8d %7d %6d %7.0f ms %7.0f ms\n", x.Mapping, x.Sent, 100*float64(x.OnTime)/float64(max(1, x.Sent)),
 			x.Refused, x.Broken, x.Other, x.FirstTokenP50, x.FirstTokenP95)
 	}
 }
 
-// AbsPath makes a folder's path whole.
+// AbsPath returns a directory's absolute path, or the path as it is if that fails.
 func AbsPath(p string) string {
 	a, err := filepath.Abs(p)
 	if err != nil {
--- a/internal/localfleet/traffic.go
+++ b/internal/localfleet/traffic.go
@@ -11,12 +11,12 @@
 	"seamshunt/internal/standin"
 )
 
-// Traffic sends requests at a rate, from all zones alike, to routers that the platform finds ready.
+// Traffic sends requests at a given rate, evenly from all zones, to routers whose health check succeeds.
 type Traffic struct {
-	f     *Fleet
+	fleet *Fleet
 	mix   *standin.Mix
 	rng   *rand.Rand
-	rate  atomic.Uint64 // requests a thousand seconds
+	rate  atomic.Uint64 // requests per thousand seconds
 	zones []string
 	mu    sync.Mutex
 	ready map[string][]string
@@ -24,9 +24,9 @@
 	Sent  int
 }
 
-// NewTraffic prepares traffic; the same seed asks for the same things.
+// NewTraffic prepares traffic; the same seed gives the same requests.
 func NewTraffic(f *Fleet, seed uint64, topics int) *Traffic {
-	t := &Traffic{f: f, mix: standin.NewMix(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
+	t := &Traffic{fleet: f, mix: standin.NewMix(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
 	for _, m := range f.Deployment.Machines {
 		if !slices.Contains(t.zones, m.Zone) {
 			t.zones = append(t.zones, m.Zone)
@@ -35,17 +35,17 @@
 	return t
 }
 
-// SetRate sets how many requests come in a second.
+// SetRate sets the number of requests per second.
 func (t *Traffic) SetRate(perSec float64) { t.rate.Store(uint64(perSec * 1000)) }
 
-// Run sends until the context ends, then waits for what is under way.
+// Run sends requests until the context ends, then waits for those in flight.
 func (t *Traffic) Run(ctx context.Context) {
-	t.ready = t.f.ReadyRouters()
-	look := make(chan struct{})
-	t.f.Tasks.Go(func() {
-		defer close(look)
+	t.ready = t.fleet.ReadyRouters()
+	polling := make(chan struct{})
+	t.fleet.Tasks.Go(func() {
+		defer close(polling)
 		for ctx.Err() == nil {
-			r := t.f.ReadyRouters()
+			r := t.fleet.ReadyRouters()
 			t.mu.Lock()
 			t.ready = r
 			t.mu.Unlock()
@@ -62,9 +62,9 @@
 		}
 		t.Sent++
 		t.wg.Add(1)
-		t.f.Tasks.Go(func() {
+		t.fleet.Tasks.Go(func() {
 			defer t.wg.Done()
-			t.f.Journal.Write(standin.Call(context.WithoutCancel(ctx), t.pick(zone), a, key))
+			t.fleet.Journal.Write(standin.Call(context.WithoutCancel(ctx), t.pickRouter(zone), a, key))
 		})
 		select {
 		case <-ctx.Done():
@@ -72,11 +72,11 @@
 		}
 	}
 	t.wg.Wait()
-	<-look
+	<-polling
 }
 
-// pick hands the caller to a ready node of its zone, else to any ready node.
-func (t *Traffic) pick(zone string) string {
+// pickRouter returns a ready router of the zone, or else any ready router.
+func (t *Traffic) pickRouter(zone string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.ready[zone]
