--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -17,10 +17,10 @@
 	"seamshunt/internal/standin"
 )
 
-// drillCmd takes a zone out and checks the promises.
+// drillCmd takes a zone out of a running fleet and checks the invariants.
 func drillCmd() *cobra.Command {
 	d := &localfleet.Drill{Output: os.Stdout}
-	c := &cobra.Command{Use: "drill", Short: "take a zone out of a running fleet, check the promises, give it back", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "drill", Short: "take a zone out of a running fleet, check the invariants, and restore the zone", Args: cobra.NoArgs}
 	c.RunE = func(*cobra.Command, []string) error {
 		switch {
 		case d.Method != "evacuate" && d.Method != "kill":
@@ -30,7 +30,7 @@
 		case d.Duration < 7*time.Second:
 			return errors.New("--hold is at least 7s, so that the 5 s can be judged")
 		}
-		ctx, stop := interrupted()
+		ctx, stop := signalContext()
 		defer stop()
 		l, err := d.Run(ctx)
 		if err != nil {
@@ -51,23 +51,23 @@
 		return nil
 	}
 	f := c.Flags()
-	f.StringVar(&d.ControllerAddr, "at", "", "a controller's web address")
+	f.StringVar(&d.ControllerAddr, "at", "", "a controller's HTTP address")
 	f.StringVar(&d.Zone, "zone", "", "the zone")
 	f.StringVar(&d.Method, "how", "evacuate", "evacuate, or kill")
-	f.StringVar(&d.HarnessAddr, "harness", "", "a local fleet's harness, for kill")
-	f.StringVar(&d.JournalDir, "dir", "", "a local fleet's journals, to be judged too")
+	f.StringVar(&d.HarnessAddr, "harness", "", "HTTP address of a local fleet's harness, for kill")
+	f.StringVar(&d.JournalDir, "dir", "", "directory of a local fleet's journals, to be checked as well")
 	f.DurationVar(&d.Duration, "hold", 10*time.Second, "how long the zone stays out")
 	_ = c.MarkFlagRequired("at")
 	_ = c.MarkFlagRequired("zone")
 	return c
 }
 
-// platformCmd is a stand-in platform with a fixed list.
+// platformCmd serves a test double of the platform with a fixed list of workers.
 func platformCmd() *cobra.Command {
 	var listen, pool string
 	var workers []string
 	var perSec int
-	c := &cobra.Command{Use: "platform", Short: "a stand-in platform that lists workers", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	c := &cobra.Command{Use: "platform", Short: "a test double of the platform, which lists workers", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		p := standin.NewPlatform(perSec)
 		for _, w := range workers {
 			x := strings.Split(w, "=")
@@ -86,17 +86,17 @@
 	f := c.Flags()
 	f.StringVar(&listen, "listen", "127.0.0.1:0", "its address")
 	f.StringVar(&pool, "pool", "main", "the pool")
-	f.StringSliceVar(&workers, "worker", nil, "a worker: ID=ZONE=ADDRESS; may stand again")
-	f.IntVar(&perSec, "limit", 5, "questions a second that it allows; 0 for any number")
+	f.StringSliceVar(&workers, "worker", nil, "a worker: ID=ZONE=ADDRESS; may be repeated")
+	f.IntVar(&perSec, "limit", 5, "requests per second that it allows; 0 for no limit")
 	return c
 }
 
-// callerCmd sends the three kinds of request to one router.
+// callerCmd sends the three kinds of requests to one router.
 func callerCmd() *cobra.Command {
 	var router string
 	var n int
 	var seed uint64
-	c := &cobra.Command{Use: "caller", Short: "a stand-in caller: send requests to a router one after the other", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	c := &cobra.Command{Use: "caller", Short: "a test client: send requests to a router one after the other", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		if n < 1 {
 			return errors.New("--count is above 0")
 		}
@@ -110,12 +110,12 @@
 			}
 		}
 		if bad > 0 {
-			return fmt.Errorf("%w: %d of %d calls were not answered whole", console.ErrCheckFailed, bad, n)
+			return fmt.Errorf("%w: %d of %d calls were not answered completely", console.ErrCheckFailed, bad, n)
 		}
 		return nil
 	}}
 	f := c.Flags()
-	f.StringVar(&router, "router", "", "a router's web address")
+	f.StringVar(&router, "router", "", "a router's HTTP address")
 	f.IntVar(&n, "count", 9, "how many")
 	f.Uint64Var(&seed, "seed", 1, "seed of the requests")
 	_ = c.MarkFlagRequired("router")
--- a/cmd/testbed/fault_schedule.go
+++ b/cmd/testbed/fault_schedule.go
@@ -10,135 +10,136 @@
 	"seamshunt/platform/standin"
 )
 
-// Spans of a random plan.
+// Durations in a random fault schedule.
 const (
-	troubleGapMost  = 1200 * time.Millisecond // between the beginnings of two troubles
-	troubleLeast    = 300 * time.Millisecond  // how long one lasts
-	troubleMost     = 3500 * time.Millisecond
-	freezeMost      = 5200 * time.Millisecond
-	catchUp         = 4 * time.Second // how long a core machine counts as lost after it is back
-	settleBeforeEnd = 6 * time.Second // nothing begins so shortly before the traffic's end
+	maxFaultGap      = 1200 * time.Millisecond // from the start of one fault to that of the next
+	minFaultDuration = 300 * time.Millisecond  // of one fault
+	maxFaultDuration = 3500 * time.Millisecond
+	maxPause         = 5200 * time.Millisecond
+	catchUpTime      = 4 * time.Second // for which a controller still counts as lost after it is back
+	settleTime       = 6 * time.Second // before the end of the traffic; no fault begins in it
 )
 
-// Spans of an evacuation. It stays for longer than the rules allow until the zone gets nothing new; before, it may be withdrawn and
-// given again, as by an operator who can't make up his mind.
+// Durations of an evacuation. Its last part is longer than the rules allow until the zone gets no new request. Before that it
+// may be reversed several times: readmitted and evacuated again at once.
 const (
-	swingsMost     = 3
-	swingGapMost   = 1500 * time.Millisecond
-	freezeAhead    = 200 * time.Millisecond // a freeze that is to hold a withdrawal up begins so long before it
-	evacuatedLeast = 7 * time.Second
-	evacuatedMost  = 12 * time.Second
-	lastWithdrawal = 500 * time.Millisecond // before the traffic's end
+	maxReversals    = 3
+	maxReversalGap  = 1500 * time.Millisecond
+	pauseLead       = 200 * time.Millisecond // a pause that is to delay a readmission begins this long before it
+	minEvacuation   = 7 * time.Second
+	maxEvacuation   = 12 * time.Second
+	lastReadmission = 500 * time.Millisecond // before the end of the traffic
 )
 
-// randomPlan draws troubles that come in series and overlap. Of the machines with a disk only as many are lost at one time as a
-// majority bears; others, workers and zones go at any time.
-type randomPlan struct {
-	rng      *rand.Rand
-	machines []standin.Machine
-	workers  []string
-	disks    int
-	coreLost []time.Duration          // until when a core machine each counts as lost
-	busy     map[string]time.Duration // until when a machine, worker or zone is in a trouble of its own
-	length   time.Duration
-	out      []time.Duration // until when each zone that was evacuated is so
-	orders   bool
-	several  bool // more than one zone may be evacuated at a time
-	events   []localfleet.Event
+// faultSchedule draws faults at random, one after the other and overlapping. So many controllers are lost at a time that a
+// majority remains; routers, workers and zones may be lost at any time.
+type faultSchedule struct {
+	rng                  *rand.Rand
+	machines             []standin.Machine
+	workers              []string
+	disks                int
+	controllersLostUntil []time.Duration          // for each lost controller, until when it counts as lost
+	faultedUntil         map[string]time.Duration // until when a machine, worker or zone is affected by a fault
+	duration             time.Duration
+	evacuatedUntil       []time.Duration // end of each evacuation
+	reversals            bool
+	multipleZones        bool // several zones may be evacuated at a time
+	events               []localfleet.Event
 }
 
-// planOptions say what a random plan holds beside its usual troubles.
-type planOptions struct {
-	orders  bool // evacuations are withdrawn and given again while a machine of the core stands still, as often as can be
-	rolls   bool // nothing but restarts in order beside changes of the configuration
-	partial bool // troubles that don't take a whole machine come too, and several zones are evacuated at a time
-	seed    uint64
+// scheduleOptions select what a random schedule contains besides the usual faults.
+type scheduleOptions struct {
+	reversals     bool // evacuations are reversed as often as possible, while a controller is paused
+	restartsOnly  bool // only graceful restarts, besides changes of the configuration
+	partialFaults bool // also faults of a part of a machine, and evacuations of several zones at a time
+	seed          uint64
 }
 
-// newRandomPlan draws a plan for a run of a length.
-func newRandomPlan(rng *rand.Rand, machines []standin.Machine, disks int, workers []string, length time.Duration, options planOptions) []localfleet.Event {
-	p := &randomPlan{rng: rng, machines: machines, workers: workers, disks: disks, length: length, orders: options.orders, several: options.partial, busy: map[string]time.Duration{}}
-	more := &partialTroubles{plan: p, rng: rand.New(rand.NewPCG(options.seed, 13))}
-	for at := time.Duration(0); at < length-settleBeforeEnd; at += time.Duration(rng.Int64N(int64(troubleGapMost))) {
-		if options.partial {
-			more.upTo(at)
+// newFaultSchedule draws a schedule for a run of the given duration.
+func newFaultSchedule(rng *rand.Rand, machines []standin.Machine, disks int, workers []string, duration time.Duration, options scheduleOptions) []localfleet.Event {
+	p := &faultSchedule{rng: rng, machines: machines, workers: workers, disks: disks, duration: duration,
+		reversals: options.reversals, multipleZones: options.partialFaults, faultedUntil: map[string]time.Duration{}}
+	partialFaults := &partialFaultSource{schedule: p, rng: rand.New(rand.NewPCG(options.seed, 13))}
+	for at := time.Duration(0); at < duration-settleTime; at += time.Duration(rng.Int64N(int64(maxFaultGap))) {
+		if options.partialFaults {
+			partialFaults.drawUntil(at)
 		}
-		if options.rolls {
-			p.roll(at)
+		if options.restartsOnly {
+			p.addRestart(at)
 		} else {
-			p.draw(at)
+			p.addFault(at)
 		}
 	}
 	slices.SortStableFunc(p.events, func(a, b localfleet.Event) int { return cmp.Compare(a.At, b.At) })
 	return p.events
 }
 
-// draw adds one trouble.
-func (p *randomPlan) draw(at time.Duration) {
-	if p.orders && p.coreBears(at) {
-		p.evacuation(at, p.zone())
+// addFault adds one fault.
+func (p *faultSchedule) addFault(at time.Duration) {
+	if p.reversals && p.toleratesControllerLoss(at) {
+		p.addEvacuation(at, p.randomZone())
 	}
-	lasts := troubleLeast + time.Duration(p.rng.Int64N(int64(troubleMost-troubleLeast)))
+	duration := minFaultDuration + time.Duration(p.rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	switch p.rng.IntN(8) {
 	case 0, 1:
-		p.workerTrouble(at, lasts)
+		p.addWorkerFault(at, duration)
 	case 2:
-		p.evacuation(at, p.zone())
+		p.addEvacuation(at, p.randomZone())
 	case 3:
 		p.add(at, "storm", "")
 	default:
-		p.machineTrouble(at, lasts)
+		p.addMachineFault(at, duration)
 	}
 }
 
-func (p *randomPlan) add(at time.Duration, verb, on string) {
+func (p *faultSchedule) add(at time.Duration, verb, on string) {
 	p.events = append(p.events, localfleet.Event{At: at, Verb: verb, Target: on})
 }
 
-// pair has something begin and end, unless it is in a trouble already.
-func (p *randomPlan) pair(at, lasts time.Duration, on, begin, end string) bool {
-	if p.busy[on] > at {
+// addPair adds the begin and end events of a fault, unless its target is already affected by one.
+func (p *faultSchedule) addPair(at, duration time.Duration, on, begin, end string) bool {
+	if p.faultedUntil[on] > at {
 		return false
 	}
-	p.busy[on] = at + lasts
+	p.faultedUntil[on] = at + duration
 	p.add(at, begin, on)
-	p.add(at+lasts, end, on)
+	p.add(at+duration, end, on)
 	return true
 }
 
-// evacuation empties a zone, unless too many others are empty: with all of them evacuated nobody could be served.
-func (p *randomPlan) evacuation(at time.Duration, zone string) {
-	most := 1
-	if p.several && p.silent(at) == 0 {
-		most = p.zones() - 1
+// addEvacuation evacuates a zone, unless too many others are evacuated: with all zones evacuated no request could be served.
+func (p *faultSchedule) addEvacuation(at time.Duration, zone string) {
+	limit := 1
+	if p.multipleZones && p.silentCount(at) == 0 {
+		limit = p.zoneCount() - 1
 	}
-	if p.evacuated(at) >= most || p.busy[zone] > at {
+	if p.evacuatedCount(at) >= limit || p.faultedUntil[zone] > at {
 		return
 	}
 	p.add(at, "evacuate", zone)
-	swings := p.rng.IntN(swingsMost + 1)
-	if p.orders {
-		swings = max(1, swings)
-	}
-	for range swings {
-		at += freezeAhead + time.Duration(p.rng.Int64N(int64(swingGapMost)))
-		if p.orders || p.rng.IntN(2) == 0 {
-			p.freezeCore(at - freezeAhead)
+	reversals := p.rng.IntN(maxReversals + 1)
+	if p.reversals {
+		reversals = max(1, reversals)
+	}
+	for range reversals {
+		at += pauseLead + time.Duration(p.rng.Int64N(int64(maxReversalGap)))
+		if p.reversals || p.rng.IntN(2) == 0 {
+			p.pauseController(at - pauseLead)
 		}
 		p.add(at, "readmit", zone)
 		p.add(at, "evacuate", zone)
 	}
-	end := at + evacuatedLeast + time.Duration(p.rng.Int64N(int64(evacuatedMost-evacuatedLeast)))
-	until := max(at, min(end, p.length-lastWithdrawal))
-	p.out = append(p.out, until)
-	p.busy[zone] = until
+	end := at + minEvacuation + time.Duration(p.rng.Int64N(int64(maxEvacuation-minEvacuation)))
+	until := max(at, min(end, p.duration-lastReadmission))
+	p.evacuatedUntil = append(p.evacuatedUntil, until)
+	p.faultedUntil[zone] = until
 	p.add(until, "readmit", zone)
 }
 
-// evacuated counts the zones that are so at a time.
-func (p *randomPlan) evacuated(at time.Duration) int {
+// evacuatedCount returns the number of zones that are evacuated at a time.
+func (p *faultSchedule) evacuatedCount(at time.Duration) int {
 	n := 0
-	for _, until := range p.out {
+	for _, until := range p.evacuatedUntil {
 		if until > at {
 			n++
 		}
@@ -146,8 +147,8 @@
 	return n
 }
 
-// zones counts the zones.
-func (p *randomPlan) zones() int {
+// zoneCount returns the number of zones.
+func (p *faultSchedule) zoneCount() int {
 	all := map[string]bool{}
 	for _, m := range p.machines {
 		all[m.Zone] = true
@@ -155,76 +156,77 @@
 	return len(all)
 }
 
-// freezeCore freezes a machine of the core, if that bears it, for longer than callers wait for an answer.
-func (p *randomPlan) freezeCore(at time.Duration) {
-	lasts := freezeMost - time.Duration(p.rng.Int64N(int64(freezeMost/2)))
+// pauseController pauses a controller, if a majority remains, for longer than a caller waits for its answer.
+func (p *faultSchedule) pauseController(at time.Duration) {
+	duration := maxPause - time.Duration(p.rng.Int64N(int64(maxPause/2)))
 	i := p.rng.IntN(p.disks)
-	if at+lasts > p.length-lastWithdrawal {
+	if at+duration > p.duration-lastReadmission {
 		return
 	}
 	for _, m := range p.machines {
 		if !m.Disk {
 			continue
 		}
-		if i--; i < 0 && p.busy[m.Name] <= at && p.coreBears(at) {
-			p.pair(at, lasts, m.Name, "freeze", "thaw")
-			p.coreLost = append(p.coreLost, at+lasts+catchUp)
+		if i--; i < 0 && p.faultedUntil[m.Name] <= at && p.toleratesControllerLoss(at) {
+			p.addPair(at, duration, m.Name, "freeze", "thaw")
+			p.controllersLostUntil = append(p.controllersLostUntil, at+duration+catchUpTime)
 			return
 		}
 	}
 }
 
-// zone draws one.
-func (p *randomPlan) zone() string { return p.machines[p.rng.IntN(len(p.machines))].Zone }
+// randomZone returns a random machine's zone.
+func (p *faultSchedule) randomZone() string { return p.machines[p.rng.IntN(len(p.machines))].Zone }
 
-// workerTrouble has a worker fall silent, unless half of them are in a trouble or several zones' workers get nothing.
-func (p *randomPlan) workerTrouble(at, lasts time.Duration) {
-	if 2*(p.silent(at)+1) <= len(p.workers) && p.evacuated(at) <= 1 {
-		p.pair(at, lasts, p.workers[p.rng.IntN(len(p.workers))], "silence", "wake")
+// addWorkerFault makes a worker stop answering, unless half of the workers are affected or the workers of several zones get
+// no requests.
+func (p *faultSchedule) addWorkerFault(at, duration time.Duration) {
+	if 2*(p.silentCount(at)+1) <= len(p.workers) && p.evacuatedCount(at) <= 1 {
+		p.addPair(at, duration, p.workers[p.rng.IntN(len(p.workers))], "silence", "wake")
 	}
 }
 
-// silent counts the workers that are so at a time.
-func (p *randomPlan) silent(at time.Duration) int {
+// silentCount returns the number of workers that don't answer at a time.
+func (p *faultSchedule) silentCount(at time.Duration) int {
 	n := 0
 	for _, w := range p.workers {
-		if p.busy[w] > at {
+		if p.faultedUntil[w] > at {
 			n++
 		}
 	}
 	return n
 }
 
-// machineTrouble kills, freezes or restarts a machine.
-func (p *randomPlan) machineTrouble(at, lasts time.Duration) {
+// addMachineFault kills, pauses or restarts a machine.
+func (p *faultSchedule) addMachineFault(at, duration time.Duration) {
 	m := p.machines[p.rng.IntN(len(p.machines))]
-	if m.Disk && (p.orders || !p.coreBears(at)) || p.busy[m.Name] > at {
+	if m.Disk && (p.reversals || !p.toleratesControllerLoss(at)) || p.faultedUntil[m.Name] > at {
 		return
 	}
-	until := at + lasts
+	until := at + duration
 	switch p.rng.IntN(3) {
 	case 0:
-		p.pair(at, lasts, m.Name, "kill", "start")
+		p.addPair(at, duration, m.Name, "kill", "start")
 	case 1:
-		until = at + troubleLeast + time.Duration(p.rng.Int64N(int64(freezeMost-troubleLeast)))
-		p.pair(at, until-at, m.Name, "freeze", "thaw")
+		until = at + minFaultDuration + time.Duration(p.rng.Int64N(int64(maxPause-minFaultDuration)))
+		p.addPair(at, until-at, m.Name, "freeze", "thaw")
 	case 2:
-		until = at + restartMost
-		p.busy[m.Name] = until
+		until = at + maxRestart
+		p.faultedUntil[m.Name] = until
 		p.add(at, "restart", m.Name)
 	}
 	if m.Disk {
-		p.coreLost = append(p.coreLost, until+catchUp)
+		p.controllersLostUntil = append(p.controllersLostUntil, until+catchUpTime)
 	}
 }
 
-// restartMost is how long a restart in order takes at the most: the grace, and the start.
-const restartMost = 10 * time.Second
+// maxRestart is the maximum duration of a graceful restart: the grace period and the start.
+const maxRestart = 10 * time.Second
 
-// coreBears says whether one more machine of the core may be lost.
-func (p *randomPlan) coreBears(at time.Duration) bool {
+// toleratesControllerLoss reports whether another controller may be lost.
+func (p *faultSchedule) toleratesControllerLoss(at time.Duration) bool {
 	lost := 0
-	for _, until := range p.coreLost {
+	for _, until := range p.controllersLostUntil {
 		if until > at {
 			lost++
 		}
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -20,31 +20,31 @@
 	"seamshunt/internal/localfleet"
 )
 
-// trial is one run of a deployment, as the flags say it.
-type trial struct {
-	dep, dir, events, wrong, allow, place string
-	plan                                  localfleet.RunPlan
-	secs, perSec                          int
-	served                                float64
-	wrongs                                map[string]string
+// fleetRun holds the flags of one run of a deployment.
+type fleetRun struct {
+	deployFile, dir, events, faultSpec, admissionPolicy, placementPolicy string
+	plan                                                                 localfleet.RunPlan
+	seconds, platformLimit                                               int
+	minServed                                                            float64
+	workerFaults                                                         map[string]string
 }
 
-func (x *trial) flags(c *cobra.Command) {
+func (x *fleetRun) flags(c *cobra.Command) {
 	fl := c.Flags()
-	fl.StringVar(&x.dep, "deploy", "deploy/vatuloa.json", "the deployment's file")
+	fl.StringVar(&x.deployFile, "deploy", "deploy/vatuloa.json", "the deployment's file")
 	fl.StringVar(&x.events, "events", "", "what happens: SECONDS:VERB[:NAME[:VALUE]],...")
-	fl.StringVar(&x.wrong, "wrong", "", "workers that answer wrongly: w03=gap,...")
-	fl.IntVar(&x.secs, "seconds", 20, "how long traffic lasts, from the tenth second on")
-	fl.IntVar(&x.perSec, "platform-limit", 5, "questions a second that the platform allows")
+	fl.StringVar(&x.faultSpec, "wrong", "", "workers that answer incorrectly: w03=gap,...")
+	fl.IntVar(&x.seconds, "seconds", 20, "how long traffic lasts, from the tenth second on")
+	fl.IntVar(&x.platformLimit, "platform-limit", 5, "requests per second that the platform allows")
 	fl.Float64Var(&x.plan.Rate, "rate", 30, "requests a second")
 	fl.Uint64Var(&x.plan.Seed, "seed", 1, "seed of the requests")
 	fl.IntVar(&x.plan.Topics, "topics", 24, "how many shared prefixes each kind of request has")
-	fl.Float64Var(&x.served, "served", 0.5, "least share of calls to be answered whole and on time")
+	fl.Float64Var(&x.minServed, "served", 0.5, "minimum share of calls to be answered completely and on time")
 }
 
-// check reads what can be wrong before anything starts.
-func (x *trial) check() (d *localfleet.Deployment, err error) {
-	if d, err = localfleet.LoadDeployment(x.dep); err != nil {
+// check validates the flags and files before any process starts.
+func (x *fleetRun) check() (d *localfleet.Deployment, err error) {
+	if d, err = localfleet.LoadDeployment(x.deployFile); err != nil {
 		return nil, err
 	}
 	if x.plan.Events, err = localfleet.ParseEvents(x.events); err != nil {
@@ -53,35 +53,35 @@
 	if err = d.CheckEvents(x.plan.Events); err != nil {
 		return nil, err
 	}
-	if x.wrongs, err = readWrong(d, x.wrong); err != nil {
+	if x.workerFaults, err = parseWorkerFaults(d, x.faultSpec); err != nil {
 		return nil, err
 	}
-	if x.secs < 1 || x.plan.Rate <= 0 || x.plan.Topics < 2 {
+	if x.seconds < 1 || x.plan.Rate <= 0 || x.plan.Topics < 2 {
 		return nil, errors.New("--seconds, --rate and --topics are above 0, topics above 1")
 	}
-	x.plan.TrafficStart, x.plan.TrafficDuration = 10*time.Second, time.Duration(x.secs)*time.Second
-	x.plan.EditConfig = edit(x.allow, x.place)
+	x.plan.TrafficStart, x.plan.TrafficDuration = 10*time.Second, time.Duration(x.seconds)*time.Second
+	x.plan.EditConfig = editPolicies(x.admissionPolicy, x.placementPolicy)
 	return d, nil
 }
 
-// readWrong reads which workers shall answer wrongly, and how.
-func readWrong(d *localfleet.Deployment, s string) (map[string]string, error) {
+// parseWorkerFaults parses which workers answer incorrectly, and how.
+func parseWorkerFaults(d *localfleet.Deployment, s string) (map[string]string, error) {
 	m := map[string]string{}
 	for _, w := range strings.Split(s, ",") {
 		if w == "" {
 			continue
 		}
 		n, how, _ := strings.Cut(w, "=")
-		if how == "" || !slices.Contains(wrongs, how) || d.CheckEvents([]localfleet.Event{{Verb: "kill", Target: n}}) != nil {
-			return nil, fmt.Errorf("--wrong %q: a worker's name and one of %q are wanted", w, wrongs[1:])
+		if how == "" || !slices.Contains(workerFaultNames, how) || d.CheckEvents([]localfleet.Event{{Verb: "kill", Target: n}}) != nil {
+			return nil, fmt.Errorf("--wrong %q: a worker's name and one of %q are wanted", w, workerFaultNames[1:])
 		}
 		m[n] = how
 	}
 	return m, nil
 }
 
-// run brings the fleet up, carries the plan out, and judges.
-func (x *trial) run(ctx context.Context, say io.Writer) error {
+// run starts the fleet, carries out the plan and checks the run.
+func (x *fleetRun) run(ctx context.Context, out io.Writer) error {
 	d, err := x.check()
 	if err != nil {
 		return err
@@ -97,57 +97,58 @@
 	if err != nil {
 		return err
 	}
-	f, err := localfleet.New(d, localfleet.AbsPath(dir), filepath.Dir(me), x.perSec)
+	f, err := localfleet.New(d, localfleet.AbsPath(dir), filepath.Dir(me), x.platformLimit)
 	if err != nil {
 		return err
 	}
 	defer f.StopAll()
-	for n, how := range x.wrongs {
+	for n, how := range x.workerFaults {
 		f.WorkerFaults[n] = how
 		f.RecordEvent("wrong", n)
 	}
-	if err := f.Run(ctx, x.plan, say); err != nil {
+	if err := f.Run(ctx, x.plan, out); err != nil {
 		return err
 	}
 	var u checker.Rules
 	if u, err = f.Rules(x.plan.EditConfig); err != nil {
 		return err
 	}
-	u.MinServed = x.served
-	good, err := f.Report(u, say)
+	u.MinServed = x.minServed
+	good, err := f.Report(u, out)
 	if err == nil && !good {
 		err = console.ErrCheckFailed
 	}
 	return err
 }
 
-func interrupted() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends at an interrupt or a request to terminate.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// fleetCmd runs a deployment and judges the run.
+// fleetCmd runs a deployment and checks the run.
 func fleetCmd() *cobra.Command {
-	x := &trial{}
-	c := &cobra.Command{Use: "fleet", Short: "run a whole deployment on this machine, and judge the run", Args: cobra.NoArgs}
+	x := &fleetRun{}
+	c := &cobra.Command{Use: "fleet", Short: "run a whole deployment on this machine, and check the run", Args: cobra.NoArgs}
 	c.RunE = func(*cobra.Command, []string) error {
-		ctx, stop := interrupted()
+		ctx, stop := signalContext()
 		defer stop()
 		return x.run(ctx, os.Stdout)
 	}
 	x.flags(c)
-	c.Flags().StringVar(&x.dir, "dir", "", "where the run's files go and stay; a passing folder unless given")
-	c.Flags().StringVar(&x.allow, "allow", "", "another admission policy than the configuration's")
-	c.Flags().StringVar(&x.place, "place", "", "another placement policy than the configuration's")
+	c.Flags().StringVar(&x.dir, "dir", "", "directory for the run's files, which is kept; a temporary one by default")
+	c.Flags().StringVar(&x.admissionPolicy, "allow", "", "another admission policy than the configuration's")
+	c.Flags().StringVar(&x.placementPolicy, "place", "", "another placement policy than the configuration's")
 	return c
 }
 
 // compareCmd runs the same requests under several policies, one after the other.
 func compareCmd() *cobra.Command {
-	x := &trial{}
+	x := &fleetRun{}
 	var allow, place []string
 	c := &cobra.Command{Use: "compare", Short: "run the same seed under several policies, one after the other", Args: cobra.NoArgs}
 	c.RunE = func(*cobra.Command, []string) error {
-		ctx, stop := interrupted()
+		ctx, stop := signalContext()
 		defer stop()
 		if _, err := x.check(); err != nil {
 			return err
@@ -155,7 +156,7 @@
 		var bad error
 		for _, a := range allow {
 			for _, p := range place {
-				x.allow, x.place = a, p
+				x.admissionPolicy, x.placementPolicy = a, p
 				fmt.Printf("== allow %s, place %s, seed %d\n", a, p, x.plan.Seed)
 				if err := x.run(ctx, os.Stdout); errors.Is(err, console.ErrCheckFailed) {
 					bad = err
@@ -172,29 +173,29 @@
 	return c
 }
 
-// edit puts other policies into a configuration, for comparisons.
-func edit(allow, place string) func([]byte) []byte {
-	if allow == "" && place == "" {
+// editPolicies returns a function that replaces the policies of a configuration, for comparisons.
+func editPolicies(admission, placement string) func([]byte) []byte {
+	if admission == "" && placement == "" {
 		return nil
 	}
 	return func(b []byte) []byte {
 		s := string(b)
-		if allow != "" {
-			s = strings.ReplaceAll(s, `"allow": "knee"`, `"allow": "`+allow+`"`)
+		if admission != "" {
+			s = strings.ReplaceAll(s, `"allow": "knee"`, `"allow": "`+admission+`"`)
 		}
-		if place != "" {
-			s = strings.ReplaceAll(s, `"place": "prefix"`, `"place": "`+place+`"`)
+		if placement != "" {
+			s = strings.ReplaceAll(s, `"place": "prefix"`, `"place": "`+placement+`"`)
 		}
 		return []byte(s)
 	}
 }
 
-// checkCmd judges the journals of a run that is over.
+// checkCmd checks the journals of a finished run.
 func checkCmd() *cobra.Command {
-	var dep string
-	c := &cobra.Command{Use: "check DIR", Short: "judge what callers and workers of a run wrote down", Args: cobra.ExactArgs(1)}
+	var deployFile string
+	c := &cobra.Command{Use: "check DIR", Short: "check the journals of a run's clients and workers", Args: cobra.ExactArgs(1)}
 	c.RunE = func(_ *cobra.Command, a []string) error {
-		d, err := localfleet.LoadDeployment(dep)
+		d, err := localfleet.LoadDeployment(deployFile)
 		if err != nil {
 			return err
 		}
@@ -211,6 +212,6 @@
 		}
 		return nil
 	}
-	c.Flags().StringVar(&dep, "deploy", "deploy/vatuloa.json", "the deployment's file")
+	c.Flags().StringVar(&deployFile, "deploy", "deploy/vatuloa.json", "the deployment's file")
 	return c
 }
--- a/cmd/testbed/fleet_test.go
+++ b/cmd/testbed/fleet_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// build makes all programs, and gives their folder.
+// build builds all programs and returns their directory.
 func build(t *testing.T, args ...string) string {
 	t.Helper()
 	bin := t.TempDir()
@@ -20,7 +20,7 @@
 	return bin
 }
 
-func run(t *testing.T, bin, deploy, events string) {
+func runFleet(t *testing.T, bin, deploy, events string) {
 	t.Helper()
 	c := exec.Command(filepath.Join(bin, "testbed"), "fleet", "--deploy", deploy, "--seconds", "8", "--rate", "10", "--events", events)
 	c.Dir = "../.."
@@ -32,22 +32,22 @@
 }
 
 // A whole deployment as real processes: 11 machines, 18 workers, a router and a controller killed and started again in
-// the run, judged by what callers and workers wrote down.
+// the run, checked against the journals of clients and workers.
 func TestWholeFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a run of real processes")
 	}
-	run(t, build(t), "deploy/council.json", "11:kill:n11,12:start:n11,13:kill:core2,14:start:core2,15:leave:w01")
+	runFleet(t, build(t), "deploy/council.json", "11:kill:n11,12:start:n11,13:kill:core2,14:start:core2,15:leave:w01")
 }
 
-// Real cuts between real processes: the core in two with a leaving mark meanwhile, a zone, one machine one way, one
-// controller's way to the platform, a lossy net.
+// Network partitions between real processes: the controllers in two halves while a worker is marked as draining, one
+// controller from the platform, one machine in one direction, and packet loss.
 func TestCutFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a run of real processes")
 	}
 	bin := build(t, "-tags", "cuts")
-	run(t, bin, "deploy/council.json", "10.5:cut:core,11:leave:w01,14:heal,14.5:cut:core1:platform,15:lossy:10,16:cut:n11:out,17:heal")
+	runFleet(t, bin, "deploy/council.json", "10.5:cut:core,11:leave:w01,14:heal,14.5:cut:core1:platform,15:lossy:10,16:cut:n11:out,17:heal")
 	for _, name := range []string{"router", "controller"} {
 		for dir, want := range map[string]bool{bin: true, build(t): false} {
 			b, err := os.ReadFile(filepath.Join(dir, name))
@@ -55,7 +55,7 @@
 				t.Fatal(err)
 			}
 			if got := bytes.Contains(b, []byte("built for being cut off")) || bytes.Contains(b, []byte("SEAMSHUNT_CUTS")); got != want {
-				t.Errorf("%s with what cuts it off: %v, want %v", name, got, want)
+				t.Errorf("%s contains the code for partitions: %v, want %v", name, got, want)
 			}
 		}
 	}
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -20,10 +20,10 @@
 	"seamshunt/internal/hollow"
 )
 
-const jobsMost = 16
+const maxJobs = 16
 
-// study is what the flags of testbed hollow say.
-type study struct {
+// scaleStudy holds the flags of testbed hollow.
+type scaleStudy struct {
 	sizes  []int
 	names  []string
 	seed   uint64
@@ -33,19 +33,19 @@
 	frames int
 }
 
-// hollowCmd measures what each role costs at several sizes, with hollow nodes.
+// hollowCmd measures the cost of each role at several fleet sizes, with hollow nodes.
 func hollowCmd() *cobra.Command {
-	x := &study{}
+	x := &scaleStudy{}
 	for _, e := range hollow.Experiments {
 		x.names = append(x.names, e.Name)
 	}
-	c := &cobra.Command{Use: "hollow", Short: "run hollow nodes at several sizes, and write what each role costs as a table and a plot", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "hollow", Short: "run hollow nodes at several fleet sizes, and write the cost of each role as a table and a plot", Args: cobra.NoArgs}
 	c.RunE = func(*cobra.Command, []string) error {
 		l, err := x.check()
 		if err != nil {
 			return err
 		}
-		ctx, stop := interrupted()
+		ctx, stop := signalContext()
 		defer stop()
 		return x.run(ctx, l)
 	}
@@ -53,22 +53,23 @@
 	f.IntSliceVar(&x.sizes, "sizes", []int{12, 50, 100, 200, 400}, "how many routers; 8 controllers are with them")
 	f.StringSliceVar(&x.names, "experiments", x.names, "what the site does")
 	f.Uint64Var(&x.seed, "seed", 1, "seed")
-	f.StringVar(&x.dir, "dir", "", "a folder for capacity.csv, capacity.md and capacity.svg; the Markdown is printed anyway")
-	f.Uint64Var(&x.memory, "memory-mb", 6144, "the most memory that all runs may take together; never over half of the machine's")
-	f.IntVar(&x.jobs, "jobs", 3, "how many runs at a time, each a process of one thread")
-	f.IntVar(&x.frames, "frames", 20000, "how many real frames to send for the price of one; 0 for none")
-	c.AddCommand(oneCmd())
+	f.StringVar(&x.dir, "dir", "", "a directory for capacity.csv, capacity.md and capacity.svg; the Markdown is printed anyway")
+	f.Uint64Var(&x.memory, "memory-mb", 6144, "maximum memory of all concurrent runs in MB; at most half of the machine's")
+	f.IntVar(&x.jobs, "jobs", 3, "maximum number of concurrent runs, each a process of one thread")
+	f.IntVar(&x.frames, "frames", 20000, "number of real frames to send to measure the cost of one; 0 for none")
+	c.AddCommand(singleRunCmd())
 	return c
 }
 
-func memory(most uint64) (uint64, error) {
+// memoryLimit returns the given limit in bytes, or half of the machine's memory if that is less.
+func memoryLimit(maxMB uint64) (uint64, error) {
 	half, err := hollow.Half()
-	return min(half, most<<20), err
+	return min(half, maxMB<<20), err
 }
 
-// check reads what can be wrong before anything starts.
-func (x *study) check() ([]hollow.Experiment, error) {
-	m, err := memory(x.memory)
+// check validates the flags before any run starts.
+func (x *scaleStudy) check() ([]hollow.Experiment, error) {
+	m, err := memoryLimit(x.memory)
 	if err != nil {
 		return nil, err
 	}
@@ -78,8 +79,8 @@
 		return nil, err
 	case len(l) == 0:
 		return nil, errors.New("--experiments names none")
-	case x.jobs < 1 || x.jobs > jobsMost:
-		return nil, fmt.Errorf("--jobs is 1 to %d", jobsMost)
+	case x.jobs < 1 || x.jobs > maxJobs:
+		return nil, fmt.Errorf("--jobs is 1 to %d", maxJobs)
 	case x.frames < 0:
 		return nil, errors.New("--frames is 0 or above")
 	}
@@ -88,14 +89,14 @@
 	}
 	if x.dir != "" {
 		if s, err := os.Stat(x.dir); err != nil || !s.IsDir() {
-			return nil, fmt.Errorf("--dir %s: no such folder", x.dir)
+			return nil, fmt.Errorf("--dir %s: no such directory", x.dir)
 		}
 	}
 	return l, nil
 }
 
-// oneCmd is one run in its own process, so that its memory and processor time are its own.
-func oneCmd() *cobra.Command {
+// singleRunCmd does one run in a process of its own, so that its memory and processor time can be measured.
+func singleRunCmd() *cobra.Command {
 	var seed uint64
 	c := &cobra.Command{Use: "one EXPERIMENT SIZE", Short: "one run, its result as JSON", Args: cobra.ExactArgs(2)}
 	c.RunE = func(_ *cobra.Command, a []string) error {
@@ -125,8 +126,8 @@
 	return c
 }
 
-// run does the largest first, so that none is left over at the end, and writes what was asked for.
-func (x *study) run(ctx context.Context, l []hollow.Experiment) error {
+// run starts the largest sizes first, so that no long run is left at the end, and writes the results.
+func (x *scaleStudy) run(ctx context.Context, l []hollow.Experiment) error {
 	me, err := os.Executable()
 	if err != nil {
 		return err
@@ -176,7 +177,7 @@
 	return x.write(rows)
 }
 
-func (x *study) write(rows []hollow.Row) error {
+func (x *scaleStudy) write(rows []hollow.Row) error {
 	var md strings.Builder
 	if err := hollow.Markdown(&md, rows, hollow.Fit(rows)); err != nil {
 		return err
@@ -185,12 +186,12 @@
 	if x.dir == "" {
 		return nil
 	}
-	return errors.Join(write(filepath.Join(x.dir, "capacity.md"), func(w io.Writer) error { _, err := io.WriteString(w, md.String()); return err }),
-		write(filepath.Join(x.dir, "capacity.csv"), func(w io.Writer) error { return hollow.Table(w, rows) }),
+	return errors.Join(writeFile(filepath.Join(x.dir, "capacity.md"), func(w io.Writer) error { _, err := io.WriteString(w, md.String()); return err }),
+		writeFile(filepath.Join(x.dir, "capacity.csv"), func(w io.Writer) error { return hollow.Table(w, rows) }),
 		hollow.Plot(filepath.Join(x.dir, "capacity.svg"), rows))
 }
 
-func write(path string, f func(io.Writer) error) error {
+func writeFile(path string, f func(io.Writer) error) error {
 	o, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command testbed tries seamshunt out: stand-ins, whole fleets on one machine, drills and the judging of runs.
+// Command testbed tries out seamshunt: test doubles, whole fleets on one machine, drills and checks of runs.
 package main
 
 import (
@@ -6,7 +6,7 @@
 )
 
 func main() {
-	root := console.NewRootCommand("testbed", "tries seamshunt out: stand-ins, fleets, drills, checks")
+	root := console.NewRootCommand("testbed", "tries out seamshunt: test doubles, fleets, drills, checks")
 	root.AddCommand(workerCmd(), platformCmd(), callerCmd(), fleetCmd(), compareCmd(), drillCmd(), checkCmd(), hollowCmd(), siteCmd())
 	console.Execute(root)
 }
--- a/cmd/testbed/partial_faults.go
+++ b/cmd/testbed/partial_faults.go
@@ -5,64 +5,65 @@
 	"time"
 )
 
-// Spans of troubles that don't take a whole machine.
+// Durations of faults that affect a part of a machine.
 const (
-	partialGapMost = 1500 * time.Millisecond
-	slowLeast      = 2 * time.Second
-	slowMost       = 6 * time.Second
+	maxPartialGap = 1500 * time.Millisecond
+	minSlow       = 2 * time.Second
+	maxSlow       = 6 * time.Second
 )
 
-// partialTroubles draws troubles by a generator of their own, so that a plan without them stays as it is: one program of a machine
-// stands still, a machine runs slow, a controller is killed as an order is under way, or one more zone is evacuated.
-type partialTroubles struct {
-	plan *randomPlan
-	rng  *rand.Rand
-	next time.Duration
+// partialFaultSource draws faults with a random generator of its own, so that a schedule without them stays the same: one program
+// of a machine is paused, a machine runs slowly, or a controller is killed during an operation.
+type partialFaultSource struct {
+	schedule *faultSchedule
+	rng      *rand.Rand
+	next     time.Duration
 }
 
-// upTo draws what begins before a time.
-func (x *partialTroubles) upTo(at time.Duration) {
-	for ; x.next < at; x.next += time.Duration(x.rng.Int64N(int64(partialGapMost))) {
+// drawUntil draws the faults that begin before a time.
+func (x *partialFaultSource) drawUntil(at time.Duration) {
+	for ; x.next < at; x.next += time.Duration(x.rng.Int64N(int64(maxPartialGap))) {
 		x.draw(x.next)
 	}
 }
 
-func (x *partialTroubles) draw(at time.Duration) {
-	m := x.plan.machines[x.rng.IntN(len(x.plan.machines))]
+func (x *partialFaultSource) draw(at time.Duration) {
+	m := x.schedule.machines[x.rng.IntN(len(x.schedule.machines))]
 	kind := x.rng.IntN(4)
-	lasts := troubleLeast + time.Duration(x.rng.Int64N(int64(freezeMost-troubleLeast)))
+	duration := minFaultDuration + time.Duration(x.rng.Int64N(int64(maxPause-minFaultDuration)))
 	switch kind {
 	case 0:
-		x.plan.partial(at, lasts, m.Name, m.Name+".router", "freeze", "thaw")
+		x.schedule.addPartialFault(at, duration, m.Name, m.Name+".router", "freeze", "thaw")
 	case 1:
 		if m.Disk {
-			x.plan.partial(at, lasts, m.Name, m.Name+".controller", "freeze", "thaw")
+			x.schedule.addPartialFault(at, duration, m.Name, m.Name+".controller", "freeze", "thaw")
 		}
 	case 2:
-		lasts = slowLeast + time.Duration(x.rng.Int64N(int64(slowMost-slowLeast)))
-		x.plan.partial(at, lasts, m.Name, m.Name, "slow", "fast")
+		duration = minSlow + time.Duration(x.rng.Int64N(int64(maxSlow-minSlow)))
+		x.schedule.addPartialFault(at, duration, m.Name, m.Name, "slow", "fast")
 	case 3:
 		if m.Disk {
-			x.plan.partial(at, min(lasts, troubleMost), m.Name, m.Name+".controller", "kill", "start")
+			x.schedule.addPartialFault(at, min(duration, maxFaultDuration), m.Name, m.Name+".controller", "kill", "start")
 		}
 	}
 }
 
-// partial has a trouble come over a machine, or over one of its programs, unless it is in one already or the core doesn't bear it.
-func (p *randomPlan) partial(at, lasts time.Duration, machine, on, begin, end string) {
-	core := on != machine+".router" && p.isCore(machine)
-	if p.busy[machine] > at || at+lasts > p.length-lastWithdrawal || core && !p.coreBears(at) {
+// addPartialFault adds a fault of a machine or of one of its programs, unless the machine is already affected by a fault or too
+// few controllers would remain.
+func (p *faultSchedule) addPartialFault(at, duration time.Duration, machine, on, begin, end string) {
+	controllerAffected := on != machine+".router" && p.isController(machine)
+	if p.faultedUntil[machine] > at || at+duration > p.duration-lastReadmission || controllerAffected && !p.toleratesControllerLoss(at) {
 		return
 	}
-	p.pair(at, lasts, on, begin, end)
-	p.busy[machine] = at + lasts
-	if core {
-		p.coreLost = append(p.coreLost, at+lasts+catchUp)
+	p.addPair(at, duration, on, begin, end)
+	p.faultedUntil[machine] = at + duration
+	if controllerAffected {
+		p.controllersLostUntil = append(p.controllersLostUntil, at+duration+catchUpTime)
 	}
 }
 
-// isCore says whether a machine has a disk.
-func (p *randomPlan) isCore(name string) bool {
+// isController reports whether a machine has a disk and so runs a controller.
+func (p *faultSchedule) isController(name string) bool {
 	for _, m := range p.machines {
 		if m.Name == name {
 			return m.Disk
@@ -71,16 +72,16 @@
 	return false
 }
 
-// roll restarts a machine, if it runs and the core bears it, and has two operators race.
-func (p *randomPlan) roll(at time.Duration) {
+// addRestart has two operators race, and restarts a machine if it is running and enough controllers remain.
+func (p *faultSchedule) addRestart(at time.Duration) {
 	p.add(at, "storm", "")
 	m := p.machines[p.rng.IntN(len(p.machines))]
-	if p.busy[m.Name] > at || m.Disk && !p.coreBears(at) {
+	if p.faultedUntil[m.Name] > at || m.Disk && !p.toleratesControllerLoss(at) {
 		return
 	}
-	p.busy[m.Name] = at + restartMost
+	p.faultedUntil[m.Name] = at + maxRestart
 	p.add(at, "restart", m.Name)
 	if m.Disk {
-		p.coreLost = append(p.coreLost, at+restartMost+catchUp)
+		p.controllersLostUntil = append(p.controllersLostUntil, at+maxRestart+catchUpTime)
 	}
 }
--- a/cmd/testbed/readiness.go
+++ b/cmd/testbed/readiness.go
@@ -6,28 +6,28 @@
 	"seamshunt/internal/cluster/transport"
 )
 
-// The users' platform asks each second whether a node is ready, and takes it out once it has missed two questions. Other runs look more
-// often, so that less of them is lost on nodes that are gone.
+// The users' platform probes each node's readiness every second and removes the node after two failed probes. Runs with other
+// faults than restarts probe more often, so that fewer requests are lost on nodes that are down.
 const (
-	platformLooks  = time.Second
-	platformMisses = 2
-	looks          = 200 * time.Millisecond
+	platformProbeInterval = time.Second
+	platformMaxMisses     = 2
+	defaultProbeInterval  = 200 * time.Millisecond
 )
 
-// lookEvery is how often nodes are asked whether they are ready.
-func (p *play) lookEvery() time.Duration {
-	if p.rolls {
-		return platformLooks
+// probeInterval returns the interval between two readiness probes of a node.
+func (p *siteRun) probeInterval() time.Duration {
+	if p.restartsOnly {
+		return platformProbeInterval
 	}
-	return looks
+	return defaultProbeInterval
 }
 
-// look asks every node whether it is ready.
-func (p *play) look() {
+// probeReadiness probes every node and updates the list of ready ones.
+func (p *siteRun) probeReadiness() {
 	ready := map[string][]string{}
-	for _, x := range p.place.Machines {
+	for _, x := range p.deployment.Machines {
 		code, _, _, err := transport.HTTPRequest("GET", x.Ready(), "/readiness", nil, nil, 300*time.Millisecond)
-		if p.stays(x.Name, err == nil && code == 200) {
+		if p.receivesClients(x.Name, err == nil && code == 200) {
 			ready[x.Zone] = append(ready[x.Zone], x.Front())
 		}
 	}
@@ -36,13 +36,13 @@
 	p.mu.Unlock()
 }
 
-// stays says whether a machine goes on receiving clients after a look.
-func (p *play) stays(machine string, answered bool) bool {
+// receivesClients reports whether a machine still receives clients after a probe.
+func (p *siteRun) receivesClients(machine string, answered bool) bool {
 	if answered {
-		p.missed[machine] = 0
+		p.missedProbes[machine] = 0
 		return true
 	}
-	misses, known := p.missed[machine]
-	p.missed[machine] = misses + 1
-	return p.rolls && known && misses+1 < platformMisses
+	misses, known := p.missedProbes[machine]
+	p.missedProbes[machine] = misses + 1
+	return p.restartsOnly && known && misses+1 < platformMaxMisses
 }
--- a/cmd/testbed/site.go
+++ b/cmd/testbed/site.go
@@ -19,25 +19,25 @@
 	"seamshunt/platform/standin"
 )
 
-// site is a fleet on the platform's side of things, as the flags say it.
+// site holds the flags of a fleet that runs as the users' platform would run it.
 type site struct {
-	machines, zones, disks, workers int
-	secs                            int
-	rate, served, leave, reviews    float64
-	patience                        time.Duration
-	seed                            uint64
-	random, orders, partial, rolls  bool
-	events, dir                     string
-	plan                            []localfleet.Event
-	nodes                           []standin.Machine
+	machines, zones, disks, workers                int
+	seconds                                        int
+	rate, minServed, abandonShare, reviewShare     float64
+	patience                                       time.Duration
+	seed                                           uint64
+	random, reversals, partialFaults, restartsOnly bool
+	events, dir                                    string
+	schedule                                       []localfleet.Event
+	nodes                                          []standin.Machine
 }
 
-// siteCmd runs a fleet by way of settings files, with stand-ins of the platform, and judges the run.
+// siteCmd runs a fleet from settings files, with test doubles of the platform's services, and checks the run.
 func siteCmd() *cobra.Command {
 	x := &site{}
-	c := &cobra.Command{Use: "site", Short: "run a fleet as the users' platform would, each machine at an address of its own, and judge the run", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "site", Short: "run a fleet as the users' platform would, each machine at an address of its own, and check the run", Args: cobra.NoArgs}
 	c.RunE = func(*cobra.Command, []string) error {
-		ctx, stop := interrupted()
+		ctx, stop := signalContext()
 		defer stop()
 		if err := x.check(); err != nil {
 			return err
@@ -47,27 +47,28 @@
 	f := c.Flags()
 	f.IntVar(&x.machines, "machines", 6, "how many machines")
 	f.IntVar(&x.zones, "zones", 3, "in how many zones, named z1, z2, ...")
-	f.IntVar(&x.disks, "disks", 3, "how many machines have a disk and serve control")
+	f.IntVar(&x.disks, "disks", 3, "how many machines have a disk and run a controller")
 	f.IntVar(&x.workers, "workers", 6, "how many workers, named w1, w2, ..., in the zones in turn")
-	f.IntVar(&x.secs, "seconds", 20, "how long traffic lasts, from when the nodes are ready")
+	f.IntVar(&x.seconds, "seconds", 20, "how long traffic lasts, from when the nodes are ready")
 	f.Float64Var(&x.rate, "rate", 30, "requests a second")
-	f.Float64Var(&x.served, "served", 0.5, "least share of requests to be answered whole and on time")
-	f.Float64Var(&x.leave, "leave", 0, "share of the clients that leave without waiting for their answer's end")
-	f.DurationVar(&x.patience, "patience", 300*time.Millisecond, "how long those wait at the most")
+	f.Float64Var(&x.minServed, "served", 0.5, "minimum share of requests to be answered completely and on time")
+	f.Float64Var(&x.abandonShare, "leave", 0, "share of the clients that disconnect before the end of their answer")
+	f.DurationVar(&x.patience, "patience", 300*time.Millisecond, "how long such a client waits at most")
 	f.Uint64Var(&x.seed, "seed", 1, "seed of the requests")
-	f.StringVar(&x.events, "events", "", "what happens: SECONDS:VERB:NAME,... of "+strings.Join(siteVerbs, " ")+"; the time counts from the traffic's beginning")
-	f.BoolVar(&x.random, "random", false, "draw what happens by the seed, in series and overlapping, within what the site bears")
-	f.BoolVar(&x.orders, "orders", false, "with --random: evacuations are withdrawn and given again as often as can be, while machines of the core stand still")
-	f.BoolVar(&x.partial, "partial", false, "with --random: single programs stand still or are killed as well, machines run slow, and several zones are evacuated at once")
-	f.BoolVar(&x.rolls, "rolls", false, "with --random: nothing but restarts in order, one behind the other, beside changes of the configuration")
-	f.Float64Var(&x.reviews, "reviews", 0, "share of the requests whose streams last for nearly the grace")
-	f.StringVar(&x.dir, "dir", "", "where the run's files go and stay; a passing folder unless given")
+	f.StringVar(&x.events, "events", "", "what happens: SECONDS:VERB:NAME,... of "+strings.Join(siteVerbs, " ")+"; the time counts from the start of the traffic")
+	f.BoolVar(&x.random, "random", false, "draw a fault schedule from the seed, with overlapping faults, within what the site tolerates")
+	f.BoolVar(&x.reversals, "orders", false, "with --random: evacuations are withdrawn and repeated as often as possible, while controllers are paused")
+	f.BoolVar(&x.partialFaults, "partial", false, "with --random: also single programs are paused or killed, machines run slowly, and several zones are evacuated at once")
+	f.BoolVar(&x.restartsOnly, "rolls", false, "with --random: only graceful restarts, one after the other, besides changes of the configuration")
+	f.Float64Var(&x.reviewShare, "reviews", 0, "share of the requests whose streams last for nearly the grace period")
+	f.StringVar(&x.dir, "dir", "", "directory for the run's files, which is kept; a temporary one by default")
 	return c
 }
 
+// siteVerbs are the events that a site supports.
 var siteVerbs = []string{"kill", "stop", "start", "restart", "freeze", "thaw", "killall", "startall", "evacuate", "readmit", "leave", "silence", "wake", "storm", "slow", "fast"}
 
-// check reads what can be wrong before anything starts.
+// check validates the flags before any process starts.
 func (x *site) check() (err error) {
 	switch {
 	case x.zones < 1 || x.machines < x.zones || x.machines > 60:
@@ -76,18 +77,18 @@
 		return errors.New("--disks is 1 to --machines")
 	case x.workers < 1 || x.workers > 200:
 		return errors.New("--workers is 1 to 200")
-	case x.secs < 1 || x.rate <= 0:
+	case x.seconds < 1 || x.rate <= 0:
 		return errors.New("--seconds and --rate are above 0")
-	case x.leave < 0 || x.leave > 1 || x.patience <= 0:
+	case x.abandonShare < 0 || x.abandonShare > 1 || x.patience <= 0:
 		return errors.New("--leave is 0 to 1, --patience above 0")
-	case (x.orders || x.partial || x.rolls) && !x.random:
+	case (x.reversals || x.partialFaults || x.restartsOnly) && !x.random:
 		return errors.New("--orders, --partial and --rolls go with --random")
-	case x.rolls && (x.orders || x.partial):
+	case x.restartsOnly && (x.reversals || x.partialFaults):
 		return errors.New("--rolls goes without --orders and --partial")
-	case x.reviews < 0 || x.reviews > 1:
+	case x.reviewShare < 0 || x.reviewShare > 1:
 		return errors.New("--reviews is 0 to 1")
 	}
-	if x.plan, err = localfleet.ParseEvents(x.events, "silence", "wake", "slow", "fast"); err != nil {
+	if x.schedule, err = localfleet.ParseEvents(x.events, "silence", "wake", "slow", "fast"); err != nil {
 		return err
 	}
 	var machines, programs, zones, workers []string
@@ -105,9 +106,9 @@
 		workers = append(workers, fmt.Sprint("w", i+1))
 	}
 	if x.random {
-		x.plan = append(x.plan, newRandomPlan(rand.New(rand.NewPCG(x.seed, 12)), x.nodes, x.disks, workers, time.Duration(x.secs)*time.Second, planOptions{orders: x.orders, partial: x.partial, rolls: x.rolls, seed: x.seed})...)
+		x.schedule = append(x.schedule, newFaultSchedule(rand.New(rand.NewPCG(x.seed, 12)), x.nodes, x.disks, workers, time.Duration(x.seconds)*time.Second, scheduleOptions{reversals: x.reversals, partialFaults: x.partialFaults, restartsOnly: x.restartsOnly, seed: x.seed})...)
 	}
-	for _, e := range x.plan {
+	for _, e := range x.schedule {
 		names := machines
 		switch e.Verb {
 		case "freeze", "thaw", "kill", "start", "slow", "fast":
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// run brings the site up, plays, and judges.
+// run starts the site, carries out its schedule and checks the run.
 func (x *site) run(ctx context.Context) error {
 	dir := x.dir
 	if dir == "" {
@@ -149,12 +150,12 @@
 		return err
 	}
 	defer f.StopAll()
-	p := &play{site: x, f: f, began: time.Now(), missed: map[string]int{}, slowed: map[string]chan struct{}{}}
+	p := &siteRun{site: x, fleet: f, startedAt: time.Now(), missedProbes: map[string]int{}, stopSlow: map[string]chan struct{}{}}
 	defer p.close()
-	if err := p.up(ctx); err != nil {
+	if err := p.start(ctx); err != nil {
 		return err
 	}
-	if err := p.day(ctx); err != nil {
+	if err := p.execute(ctx); err != nil {
 		return err
 	}
 	r, err := checker.Load(f.Dir)
@@ -162,7 +163,7 @@
 		return err
 	}
 	good := true
-	for _, x := range standin.Check(r, standin.DefaultGuarantees, x.served, standin.AllowedDocuments(p.op.SentDocuments())...) {
+	for _, x := range standin.Check(r, standin.DefaultGuarantees, x.minServed, standin.AllowedDocuments(p.operator.SentDocuments())...) {
 		word := "kept"
 		if !x.Holds {
 			word, good = "BROKEN", false
--- a/cmd/testbed/site_events.go
+++ b/cmd/testbed/site_events.go
@@ -12,23 +12,23 @@
 	"seamshunt/platform/standin"
 )
 
-// wait waits until a time, or the context's end.
-func wait(ctx context.Context, until time.Time) {
+// waitUntil waits until a time or the end of the context.
+func waitUntil(ctx context.Context, until time.Time) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Until(until)):
 	}
 }
 
-// carryOut has every event happen at its time. Those on one thing come one behind the other, those on several overlap.
-func (p *play) carryOut(ctx context.Context, start time.Time) error {
+// runEvents carries out every event at its time. Events of one target run in order; those of different targets may overlap.
+func (p *siteRun) runEvents(ctx context.Context, start time.Time) error {
 	series := map[string][]localfleet.Event{}
-	for _, e := range p.plan {
+	for _, e := range p.schedule {
 		series[e.Target] = append(series[e.Target], e)
 	}
 	failed := make(chan error, len(series))
 	for _, events := range series {
-		p.f.Tasks.Go(func() { failed <- p.inSeries(ctx, start, events) })
+		p.fleet.Tasks.Go(func() { failed <- p.runSeries(ctx, start, events) })
 	}
 	var err error
 	for range series {
@@ -37,24 +37,24 @@
 	return err
 }
 
-func (p *play) inSeries(ctx context.Context, start time.Time, events []localfleet.Event) error {
+func (p *siteRun) runSeries(ctx context.Context, start time.Time, events []localfleet.Event) error {
 	for _, e := range events {
-		wait(ctx, start.Add(e.At))
+		waitUntil(ctx, start.Add(e.At))
 		fmt.Printf("%6.1f s: %s %s\n", time.Since(start).Seconds(), e.Verb, e.Target)
-		if err := p.event(e); err != nil {
+		if err := p.inject(e); err != nil {
 			return fmt.Errorf("event %s %s: %w", e.Verb, e.Target, err)
 		}
 	}
 	return nil
 }
 
-// procs lists the processes of a machine, of all machines if none is named, or the one that is named.
-func (p *play) procs(on string) []string {
+// processNames returns the processes of a machine, a single process by its own name, or all processes if target is empty.
+func (p *siteRun) processNames(target string) []string {
 	var l []string
-	for _, m := range p.place.Machines {
+	for _, m := range p.deployment.Machines {
 		for _, program := range []string{"controller", "router"} {
 			name := m.Name + "." + program
-			if (program == "router" || m.Disk) && (on == "" || on == m.Name || on == name) {
+			if (program == "router" || m.Disk) && (target == "" || target == m.Name || target == name) {
 				l = append(l, name)
 			}
 		}
@@ -62,38 +62,38 @@
 	return l
 }
 
-// event carries one out and notes it.
-func (p *play) event(e localfleet.Event) error {
+// inject carries out one event and records it.
+func (p *siteRun) inject(e localfleet.Event) error {
 	switch e.Verb {
 	case "evacuate", "readmit":
-		f := p.op.Evacuate
+		f := p.operator.Evacuate
 		if e.Verb == "readmit" {
-			f = p.op.Readmit
+			f = p.operator.Readmit
 		}
 		if status, err := f(e.Target); status/100 != 2 {
 			return fmt.Errorf("%d %v", status, err)
 		}
 		return nil
 	case "leave":
-		p.list.Drain(e.Target)
+		p.workerList.Drain(e.Target)
 		return nil
 	case "silence":
-		p.f.RecordEvent(e.Verb, e.Target)
-		return p.work[e.Target].Blackhole()
+		p.fleet.RecordEvent(e.Verb, e.Target)
+		return p.standinWorkers[e.Target].Blackhole()
 	case "wake":
-		p.f.RecordEvent(e.Verb, e.Target)
-		return p.work[e.Target].Restore()
+		p.fleet.RecordEvent(e.Verb, e.Target)
+		return p.standinWorkers[e.Target].Restore()
 	case "storm":
-		return p.storm()
+		return p.raceOperators()
 	case "killall", "startall":
-		p.f.RecordEvent(e.Verb, "")
+		p.fleet.RecordEvent(e.Verb, "")
 		e.Verb = e.Verb[:len(e.Verb)-len("all")]
 	}
-	return p.each(e)
+	return p.applyToProcesses(e)
 }
 
-// noted is how an event stands in the journal: a slow machine counts as one that stands still, as it does for the rules.
-func noted(verb string) string {
+// journalVerb returns the verb that the journal holds for an event. A slow machine is recorded as paused, as the rules treat it.
+func journalVerb(verb string) string {
 	switch verb {
 	case "slow":
 		return "freeze"
@@ -103,38 +103,38 @@
 	return verb
 }
 
-// frontEvent notes what happens to a machine by its front's address as well: clients know a router by that.
-func (p *play) frontEvent(e localfleet.Event) {
-	for _, m := range p.place.Machines {
-		if verb := noted(e.Verb); m.Name == e.Target && (verb == "freeze" || verb == "thaw") {
-			p.f.RecordEvent(verb, m.Front())
+// recordForClients records pauses of a machine under its client address as well, by which clients know a router.
+func (p *siteRun) recordForClients(e localfleet.Event) {
+	for _, m := range p.deployment.Machines {
+		if verb := journalVerb(e.Verb); m.Name == e.Target && (verb == "freeze" || verb == "thaw") {
+			p.fleet.RecordEvent(verb, m.Front())
 		}
 	}
 }
 
-// each does a thing to every process of a machine, or of all.
-func (p *play) each(e localfleet.Event) error {
-	p.frontEvent(e)
-	for _, n := range p.procs(e.Target) {
-		p.f.RecordEvent(noted(e.Verb), n)
+// applyToProcesses applies an event to the processes that it targets.
+func (p *siteRun) applyToProcesses(e localfleet.Event) error {
+	p.recordForClients(e)
+	for _, n := range p.processNames(e.Target) {
+		p.fleet.RecordEvent(journalVerb(e.Verb), n)
 		var err error
 		switch e.Verb {
 		case "kill":
-			if err = p.f.Signal(n, syscall.SIGKILL); err == nil {
-				err = p.f.Wait(n, 5*time.Second)
+			if err = p.fleet.Signal(n, syscall.SIGKILL); err == nil {
+				err = p.fleet.Wait(n, 5*time.Second)
 			}
 		case "stop", "restart":
-			err = p.f.Signal(n, syscall.SIGTERM)
+			err = p.fleet.Signal(n, syscall.SIGTERM)
 		case "start":
-			err = p.f.Start(n)
+			err = p.fleet.Start(n)
 		case "freeze":
-			err = p.f.Signal(n, syscall.SIGSTOP)
+			err = p.fleet.Signal(n, syscall.SIGSTOP)
 		case "thaw":
-			err = p.f.Signal(n, syscall.SIGCONT)
+			err = p.fleet.Signal(n, syscall.SIGCONT)
 		case "slow":
-			p.slow(n)
+			p.slowDown(n)
 		case "fast":
-			p.fast(n)
+			p.restoreSpeed(n)
 		}
 		if err != nil {
 			return err
@@ -143,41 +143,41 @@
 	if e.Verb != "restart" {
 		return nil
 	}
-	for _, n := range p.procs(e.Target) {
-		if err := p.f.Wait(n, 12*time.Second); err != nil {
+	for _, n := range p.processNames(e.Target) {
+		if err := p.fleet.Wait(n, 12*time.Second); err != nil {
 			return err
 		}
-		if err := p.f.Start(n); err != nil {
+		if err := p.fleet.Start(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// storm has two operators race each other ten times.
-func (p *play) storm() error {
-	p.docMu.Lock()
-	defer p.docMu.Unlock()
+// raceOperators has two operators race ten times with changes on the same version.
+func (p *siteRun) raceOperators() error {
+	p.documentMu.Lock()
+	defer p.documentMu.Unlock()
 	for range 10 {
-		g := p.doc.Generation
+		g := p.document.Generation
 		got := make(chan int, 2)
 		for side := range 2 {
-			d := p.doc
+			d := p.document
 			d.Generation = g + 1 + uint64(side)
-			p.f.Tasks.Go(func() {
-				status, _ := p.op.Put(g, d)
+			p.fleet.Tasks.Go(func() {
+				status, _ := p.operator.Put(g, d)
 				if status == 200 {
-					p.op.RecordAcknowledged(d.Generation, standin.JSON(d))
+					p.operator.RecordAcknowledged(d.Generation, standin.JSON(d))
 				}
 				got <- status
 			})
 		}
 		if a, b := <-got, <-got; a == 200 && b == 200 {
-			return fmt.Errorf("two changes on version %d were both taken", g)
+			return fmt.Errorf("two changes on version %d were both accepted", g)
 		}
-		_, b, err := p.op.Get()
-		if err != nil || json.Unmarshal(b, &p.doc) != nil {
-			return fmt.Errorf("reading back in a storm: %w", err)
+		_, b, err := p.operator.Get()
+		if err != nil || json.Unmarshal(b, &p.document) != nil {
+			return fmt.Errorf("reading back after a race of operators: %w", err)
 		}
 	}
 	return nil
--- a/cmd/testbed/site_test.go
+++ b/cmd/testbed/site_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The way by settings files as real processes: a machine killed and started again, one restarted in order, a zone
-// evacuated, a worker that leaves, two operators that race; all rules kept. And a run that breaks one ends with 1.
+// A fleet of real processes, configured by settings files: one machine is killed and started again, one restarted gracefully, a
+// zone evacuated, a worker drained, and two operators race. All rules hold. A run that violates a rule exits with code 1.
 func TestSite(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a run of real processes")
@@ -28,7 +28,7 @@
 	}
 }
 
-// Troubles drawn by the seed, in series and overlapping, while clients leave early and workers fall silent.
+// Faults drawn from the seed, overlapping, while clients disconnect early and workers stop answering.
 func TestSiteRandom(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a run of real processes")
@@ -45,9 +45,9 @@
 	}
 }
 
-// EVAC: evacuations are withdrawn and given again while machines of the core stand still, by operators that close their
-// connections, keep them, or leave them open; also while single programs stand still or are killed, machines run slow, and several
-// zones are evacuated.
+// EVAC: evacuations are withdrawn and repeated while controllers are paused, by operators that close their connections, reuse
+// them, or abandon them on a timeout; also while single programs are paused or killed, machines run slowly, and several zones are
+// evacuated.
 func TestSiteOrders(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a run of real processes")
@@ -67,7 +67,8 @@
 	}
 }
 
-// LOST: streams that last for nearly the grace are sent to routers that were stopped a moment ago, beside changes of the configuration.
+// LOST: streams that last for nearly the grace period are sent to routers that were stopped a moment before, while the
+// configuration changes.
 func TestSiteRolls(t *testing.T) {
 	if testing.Short() {
 		t.Skip("a run of real processes")
--- a/cmd/testbed/slow.go
+++ b/cmd/testbed/slow.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// A slow machine's programs run for a short while and stand still for a longer one, again and again. They never stand still for as
-// long as a freeze takes to be noticed.
+// A slow machine's programs alternate between a short running phase and a longer pause. A pause is too short to be noticed as a
+// suspension of the process.
 const (
-	slowRuns   = 20 * time.Millisecond
-	slowStands = 180 * time.Millisecond
+	slowRunTime   = 20 * time.Millisecond
+	slowPauseTime = 180 * time.Millisecond
 )
 
-// slow has a process run slow until fast.
-func (p *play) slow(process string) {
+// slowDown makes a process run slowly until restoreSpeed.
+func (p *siteRun) slowDown(process string) {
 	stop := make(chan struct{})
 	p.mu.Lock()
-	p.slowed[process] = stop
+	p.stopSlow[process] = stop
 	p.mu.Unlock()
-	p.f.Tasks.Go(func() {
+	p.fleet.Tasks.Go(func() {
 		for running := true; ; running = !running {
-			signal, lasts := syscall.SIGCONT, slowRuns
+			signal, duration := syscall.SIGCONT, slowRunTime
 			if !running {
-				signal, lasts = syscall.SIGSTOP, slowStands
+				signal, duration = syscall.SIGSTOP, slowPauseTime
 			}
-			_ = p.f.Signal(process, signal) // it may have ended
+			_ = p.fleet.Signal(process, signal) // it may have ended
 			select {
 			case <-stop:
-				_ = p.f.Signal(process, syscall.SIGCONT)
+				_ = p.fleet.Signal(process, syscall.SIGCONT)
 				return
-			case <-time.After(lasts):
+			case <-time.After(duration):
 			}
 		}
 	})
 }
 
-// fast has a process run as before.
-func (p *play) fast(process string) {
+// restoreSpeed ends the slow phase of a process.
+func (p *siteRun) restoreSpeed(process string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if stop := p.slowed[process]; stop != nil {
+	if stop := p.stopSlow[process]; stop != nil {
 		close(stop)
-		delete(p.slowed, process)
+		delete(p.stopSlow, process)
 	}
 }
--- a/cmd/testbed/worker.go
+++ b/cmd/testbed/worker.go
@@ -11,15 +11,16 @@
 	"seamshunt/internal/standin"
 )
 
-var wrongs = []string{"", "id", "gap", "double", "cut", "text", "seal", "more", "endless", "dark", "mute"}
+// workerFaultNames are the values of --wrong.
+var workerFaultNames = []string{"", "id", "gap", "double", "cut", "text", "seal", "more", "endless", "dark", "mute"}
 
-// workerCmd is one stand-in back end.
+// workerCmd serves a test double of a model worker.
 func workerCmd() *cobra.Command {
 	w := &standin.Worker{Model: standin.DefaultModel}
 	var listen, journal string
-	c := &cobra.Command{Use: "worker", Short: "a stand-in model worker", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		if !slices.Contains(wrongs, w.Wrong) {
-			return fmt.Errorf("--wrong is one of %q", wrongs)
+	c := &cobra.Command{Use: "worker", Short: "a test double of a model worker", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		if !slices.Contains(workerFaultNames, w.Wrong) {
+			return fmt.Errorf("--wrong is one of %q", workerFaultNames)
 		}
 		if w.Model.Knee < 1 || w.Model.Blocks < 1 || w.Model.BatchMost < 1 {
 			return errors.New("--knee, --blocks and --batch are above 0")
@@ -39,11 +40,11 @@
 	f.StringVar(&w.Name, "name", "w", "its id")
 	f.StringVar(&w.Pool, "pool", "main", "its pool")
 	f.StringVar(&w.Zone, "zone", "", "its zone")
-	f.StringVar(&w.Wrong, "wrong", "", "answer wrongly: id gap double cut text seal more endless dark mute")
-	f.IntVar(&w.Model.Knee, "knee", w.Model.Knee, "prompts it carries well")
-	f.IntVar(&w.Model.Blocks, "blocks", w.Model.Blocks, "its prefix cache, in blocks of 256 bytes")
-	f.IntVar(&w.Model.BatchMost, "batch", w.Model.BatchMost, "prompts beyond which it refuses, sealed")
+	f.StringVar(&w.Wrong, "wrong", "", "answer incorrectly: id gap double cut text seal more endless dark mute")
+	f.IntVar(&w.Model.Knee, "knee", w.Model.Knee, "concurrent requests that it serves without slowing down")
+	f.IntVar(&w.Model.Blocks, "blocks", w.Model.Blocks, "size of its prefix cache in blocks of 256 bytes")
+	f.IntVar(&w.Model.BatchMost, "batch", w.Model.BatchMost, "concurrent requests beyond which it refuses, with a sealed answer")
 	f.StringVar(&listen, "listen", "127.0.0.1:0", "its address")
-	f.StringVar(&journal, "journal", "worker.jsonl", "where it writes its runs down")
+	f.StringVar(&journal, "journal", "worker.jsonl", "file of its journal")
 	return c
 }
