--- a/cmd/testbed/drill.go
+++ b/cmd/testbed/drill.go
@@ -74,7 +74,7 @@
 			if len(x) != 3 {
 				return fmt.Errorf("--worker %q: ID=ZONE=ADDRESS is wanted", w)
 			}
-			p.Set(pool, config.Worker{ID: x[0], Zone: x[1], Addr: x[2], Age: time.Hour})
+			p.SetWorker(pool, config.Worker{ID: x[0], Zone: x[1], Addr: x[2], Age: time.Hour})
 		}
 		ln, err := net.Listen("tcp", listen)
 		if err != nil {
@@ -100,12 +100,12 @@
 		if n < 1 {
 			return errors.New("--count is above 0")
 		}
-		mix, bad := standin.NewMix(seed, 24), 0
+		mix, bad := standin.NewRequestGenerator(seed, 24), 0
 		for range n {
 			a := mix.Next()
-			e := standin.Call(context.Background(), router, a, fmt.Sprintf("%s-%d", a.Job, standin.Now()))
-			fmt.Printf("%-9s status %d code %d whole %v first words %d ms, all %d ms %s\n", e.Mapping, e.Status, e.Code, e.Whole, e.FirstUs/1000, (e.End-e.At)/1000, e.Fault)
-			if e.Status != 200 || !e.Whole || e.Fault != "" {
+			e := standin.Send(context.Background(), router, a, fmt.Sprintf("%s-%d", a.Job, standin.Now()))
+			fmt.Printf("%-9s status %d code %d whole %v first words %d ms, all %d ms %s\n", e.Mapping, e.Status, e.Code, e.Complete, e.FirstUs/1000, (e.End-e.At)/1000, e.Fault)
+			if e.Status != 200 || !e.Complete || e.Fault != "" {
 				bad++
 			}
 		}
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -17,7 +17,7 @@
 
 	"github.com/spf13/cobra"
 
-	"seamshunt/internal/hollow"
+	"seamshunt/internal/scaletest"
 )
 
 const maxJobs = 16
@@ -36,7 +36,7 @@
 // hollowCmd measures the cost of each role at several fleet sizes, with hollow nodes.
 func hollowCmd() *cobra.Command {
 	x := &scaleStudy{}
-	for _, e := range hollow.Experiments {
+	for _, e := range scaletest.Experiments {
 		x.names = append(x.names, e.Name)
 	}
 	c := &cobra.Command{Use: "hollow", Short: "run hollow nodes at several fleet sizes, and write the cost of each role as a table and a plot", Args: cobra.NoArgs}
@@ -63,17 +63,17 @@
 
 // memoryLimit returns the given limit in bytes, or half of the machine's memory if that is less.
 func memoryLimit(maxMB uint64) (uint64, error) {
-	half, err := hollow.Half()
+	half, err := scaletest.HalfOfMemory()
 	return min(half, maxMB<<20), err
 }
 
 // check validates the flags before any run starts.
-func (x *scaleStudy) check() ([]hollow.Experiment, error) {
+func (x *scaleStudy) check() ([]scaletest.Experiment, error) {
 	m, err := memoryLimit(x.memory)
 	if err != nil {
 		return nil, err
 	}
-	l, err := hollow.Find(x.names)
+	l, err := scaletest.FindExperiments(x.names)
 	switch {
 	case err != nil:
 		return nil, err
@@ -84,7 +84,7 @@
 	case x.frames < 0:
 		return nil, errors.New("--frames is 0 or above")
 	}
-	if err := hollow.CheckSizes(x.sizes, m/uint64(x.jobs)); err != nil {
+	if err := scaletest.CheckSizes(x.sizes, m/uint64(x.jobs)); err != nil {
 		return nil, err
 	}
 	if x.dir != "" {
@@ -100,7 +100,7 @@
 	var seed uint64
 	c := &cobra.Command{Use: "one EXPERIMENT SIZE", Short: "one run, its result as JSON", Args: cobra.ExactArgs(2)}
 	c.RunE = func(_ *cobra.Command, a []string) error {
-		l, err := hollow.Find(a[:1])
+		l, err := scaletest.FindExperiments(a[:1])
 		if err != nil {
 			return err
 		}
@@ -108,15 +108,15 @@
 		if err != nil {
 			return fmt.Errorf("SIZE: %w", err)
 		}
-		m, err := hollow.Half()
+		m, err := scaletest.HalfOfMemory()
 		if err != nil {
 			return err
 		}
-		if err := hollow.CheckSizes([]int{n}, m); err != nil {
+		if err := scaletest.CheckSizes([]int{n}, m); err != nil {
 			return err
 		}
 		runtime.GOMAXPROCS(1) // one thread, so that processor time is steady
-		r, err := hollow.Measure(l[0], hollow.At(n, seed))
+		r, err := scaletest.Measure(l[0], scaletest.ScaledSite(n, seed))
 		if err != nil {
 			return err
 		}
@@ -127,19 +127,19 @@
 }
 
 // run starts the largest sizes first, so that no long run is left at the end, and writes the results.
-func (x *scaleStudy) run(ctx context.Context, l []hollow.Experiment) error {
+func (x *scaleStudy) run(ctx context.Context, l []scaletest.Experiment) error {
 	me, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	all := make([][]hollow.Result, len(l))
+	all := make([][]scaletest.Result, len(l))
 	errs := make([]error, len(l)*len(x.sizes))
 	free := make(chan struct{}, x.jobs)
 	var wait sync.WaitGroup
 	for j := len(x.sizes) - 1; j >= 0; j-- {
 		for i, e := range l {
 			if all[i] == nil {
-				all[i] = make([]hollow.Result, len(x.sizes))
+				all[i] = make([]scaletest.Result, len(x.sizes))
 			}
 			free <- struct{}{}
 			wait.Go(func() {
@@ -156,18 +156,18 @@
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	var rows []hollow.Row
+	var rows []scaletest.Row
 	for i, e := range l {
 		for j, n := range x.sizes {
 			r := all[i][j]
 			rows = append(rows, r.Rows...)
 			fmt.Printf("%-8s %4d: ready after %.1f s; changes %v, slowest in force after %v; verdicts %v; claims %v; polls %d; %.1f s of processor time\n", e.Name, n,
-				r.Ready.Seconds(), r.Changes, r.Force.Round(time.Millisecond), r.Verdicts, r.Claimed, r.Polls, r.Real.Seconds())
+				r.ReadyAfter.Seconds(), r.ChangeResults, r.MaxApplyTime.Round(time.Millisecond), r.Decisions, r.ClaimResults, r.Polls, r.CPUTime.Seconds())
 		}
 	}
 	for _, size := range []int{124, 4096, 65536} {
 		if x.frames > 0 {
-			d, err := hollow.Frames(x.frames, size)
+			d, err := scaletest.MeasureFrames(x.frames, size)
 			if err != nil {
 				return err
 			}
@@ -177,9 +177,9 @@
 	return x.write(rows)
 }
 
-func (x *scaleStudy) write(rows []hollow.Row) error {
+func (x *scaleStudy) write(rows []scaletest.Row) error {
 	var md strings.Builder
-	if err := hollow.Markdown(&md, rows, hollow.Fit(rows)); err != nil {
+	if err := scaletest.WriteMarkdown(&md, rows, scaletest.FitLines(rows)); err != nil {
 		return err
 	}
 	fmt.Print("\n", md.String())
@@ -187,8 +187,8 @@
 		return nil
 	}
 	return errors.Join(writeFile(filepath.Join(x.dir, "capacity.md"), func(w io.Writer) error { _, err := io.WriteString(w, md.String()); return err }),
-		writeFile(filepath.Join(x.dir, "capacity.csv"), func(w io.Writer) error { return hollow.Table(w, rows) }),
-		hollow.Plot(filepath.Join(x.dir, "capacity.svg"), rows))
+		writeFile(filepath.Join(x.dir, "capacity.csv"), func(w io.Writer) error { return scaletest.WriteCSV(w, rows) }),
+		scaletest.WritePlot(filepath.Join(x.dir, "capacity.svg"), rows))
 }
 
 func writeFile(path string, f func(io.Writer) error) error {
--- a/cmd/testbed/pages_test.go
+++ b/cmd/testbed/pages_test.go
@@ -74,7 +74,7 @@
 	if err := os.WriteFile(file, bytes.Replace(now, []byte(`"cap": 4`), []byte(`"cap": 3`), 1), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the plan includes the workers", func() bool {
+	testutil.WaitUntil(t, "the plan includes the workers", func() bool {
 		plan := good("plan", "--at", at, file)
 		if !bytes.Contains(plan, []byte("cap 4 to 3")) {
 			t.Fatalf("the plan is %s", plan)
--- a/internal/checker/abandoned.go
+++ b/internal/checker/abandoned.go
@@ -19,17 +19,17 @@
 	var bad []string
 	abandoned := 0
 	for _, c := range calls {
-		if c.Fault == standin.Left {
+		if c.Fault == standin.FaultClientDisconnected {
 			abandoned++
 		}
 	}
 	for _, arrivals := range [][]standin.Entry{r.Starts, r.Rejections} {
 		for _, a := range arrivals {
 			c, known := calls[a.Job]
-			if !known || c.Fault != standin.Left || a.Came == 0 {
+			if !known || c.Fault != standin.FaultClientDisconnected || a.ArrivedAt == 0 {
 				continue
 			}
-			if delay := a.Came - c.End; delay > abandonedSlack.Microseconds() {
+			if delay := a.ArrivedAt - c.End; delay > abandonedSlack.Microseconds() {
 				bad = append(bad, fmt.Sprintf("%s by %s reached %s %s after its caller left", a.Job, c.Router, a.Worker, ms(delay)))
 			}
 		}
--- a/internal/checker/arrivals.go
+++ b/internal/checker/arrivals.go
@@ -15,7 +15,7 @@
 		switch {
 		case !ok:
 			bad = append(bad, fmt.Sprintf("%s ran %s, which nobody sent", s.Worker, s.Job))
-		case s.Sum != c.Sum:
+		case s.Fingerprint != c.Fingerprint:
 			bad = append(bad, fmt.Sprintf("%s ran %s otherwise than it was sent", s.Worker, s.Job))
 		}
 	}
@@ -28,8 +28,8 @@
 	n := 0
 	for _, c := range r.Calls {
 		n += c.Pieces
-		if c.Order != "" {
-			bad = append(bad, c.Job+": "+c.Order)
+		if c.OrderFault != "" {
+			bad = append(bad, c.Job+": "+c.OrderFault)
 		}
 	}
 	return newFinding(StreamOrder, bad, fmt.Sprintf("%d pieces", n))
@@ -96,7 +96,7 @@
 	maxArrivals := 0
 	for _, a := range r.arrivals() {
 		limit, ok := u.WarmUpRates[a.Pool]
-		if !a.Cold || !ok {
+		if !a.WarmingUp || !ok {
 			continue
 		}
 		l := append(recent[a.Worker], a.At)
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -28,9 +28,9 @@
 		job, id, m := fmt.Sprintf("j%d", i), fmt.Sprintf("r%d", i), []string{"notice", "chat"}[i%2]
 		r.Add(entry{Kind: "start", At: at, Job: job, ID: id, Worker: "w1", Pool: "main", Zone: "a"})
 		r.Add(entry{Kind: "end", At: at + sec/2, Job: job, ID: id, Worker: "w1", How: "done"})
-		r.Add(entry{Kind: "call", At: at - 1000, End: at + sec/2, Job: job, ID: id, Mapping: m, Status: 200, Whole: true, LeftMs: 4000, Worker: "s/w1", Router: "v1", FirstUs: 5000})
+		r.Add(entry{Kind: "call", At: at - 1000, End: at + sec/2, Job: job, ID: id, Mapping: m, Status: 200, Complete: true, TimeLeftMs: 4000, Worker: "s/w1", Router: "v1", FirstUs: 5000})
 	}
-	r.Add(entry{Kind: "call", At: 80 * sec, End: 80*sec + 100, Job: "shed", Mapping: "chat", Status: 503, Code: 301, NotRun: true, BackMs: 700, LeftMs: 4000, Router: "v1"})
+	r.Add(entry{Kind: "call", At: 80 * sec, End: 80*sec + 100, Job: "shed", Mapping: "chat", Status: 503, Code: 301, NotRun: true, RetryAfterMs: 700, TimeLeftMs: 4000, Router: "v1"})
 	for _, e := range []entry{
 		{How: "config-acknowledged", At: 1, Target: "1/x"}, {How: "config-acknowledged", At: 2, Target: "2/y"}, {How: "config-read", At: 99 * sec, Target: "2/y"},
 		{How: "leave", At: 5 * sec, Target: "w9"}, {How: "evacuate", At: 5 * sec, Target: "z9"}, {How: "startall", At: 5 * sec},
@@ -49,7 +49,7 @@
 		}
 	}
 	call := func(e entry) func(*Run) {
-		e.Kind, e.Router, e.LeftMs, e.Mapping = "call", "v1", 4000, "chat"
+		e.Kind, e.Router, e.TimeLeftMs, e.Mapping = "call", "v1", 4000, "chat"
 		if e.At == 0 {
 			e.At, e.End = 90*sec, 91*sec
 		}
@@ -68,11 +68,11 @@
 	}{
 		"run twice":         {"what may not repeat never runs twice", start(entry{At: 11 * sec, Job: "j0", ID: "other", Worker: "w2", Zone: "a"})},
 		"not run, but ran":  {`"not run" is true forever`, start(entry{At: 95 * sec, Job: "shed", ID: "late", Worker: "w2", Zone: "a"})},
-		"fault in a whole":  {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", Status: 200, Whole: true, Fault: "gap"})},
-		"nobody ran it":     {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", ID: "none", Status: 200, Whole: true})},
-		"another's answer":  {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", ID: "r3", Status: 200, Whole: true})},
+		"fault in a whole":  {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", Status: 200, Complete: true, Fault: "gap"})},
+		"nobody ran it":     {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", ID: "none", Status: 200, Complete: true})},
+		"another's answer":  {"a success is the worker's whole, sealed answer, the caller's own", call(entry{Job: "x", ID: "r3", Status: 200, Complete: true})},
 		"wrong service":     {"nothing goes to a service that its mapping may not reach", func(r *Run) { r.Starts[3].Pool = "side" }},
-		"refused late":      {"a refusal comes at once and says when to come back", call(entry{Job: "x", At: 90 * sec, End: 93_900_000, Status: 503, Code: 302, NotRun: true, BackMs: 5})},
+		"refused late":      {"a refusal comes at once and says when to come back", call(entry{Job: "x", At: 90 * sec, End: 93_900_000, Status: 503, Code: 302, NotRun: true, RetryAfterMs: 5})},
 		"no retry time":     {"a refusal comes at once and says when to come back", call(entry{Job: "x", At: 90 * sec, End: 90*sec + 5, Status: 503, Code: 302, NotRun: true})},
 		"leaving":           {"a leaving worker gets nothing new after 3 s", func(r *Run) { r.Events = append(r.Events, entry{How: "leave", At: 20 * sec, Target: "w1"}) }},
 		"evacuated":         {"an evacuated zone gets nothing new after 5 s", func(r *Run) { r.Events = append(r.Events, entry{How: "evacuate", At: 20 * sec, Target: "a"}) }},
@@ -97,7 +97,7 @@
 		}},
 		"everyone refused": {"callers are served", func(r *Run) {
 			for range 100 {
-				call(entry{Job: "x", At: 90 * sec, End: 90 * sec, Status: 503, Code: 301, NotRun: true, BackMs: 9})(r)
+				call(entry{Job: "x", At: 90 * sec, End: 90 * sec, Status: 503, Code: 301, NotRun: true, RetryAfterMs: 9})(r)
 			}
 		}},
 	} {
--- a/internal/checker/invariants.go
+++ b/internal/checker/invariants.go
@@ -42,7 +42,7 @@
 	var bad []string
 	n := 0
 	for _, c := range r.Calls {
-		if c.Status != 200 || !c.Whole {
+		if c.Status != 200 || !c.Complete {
 			continue
 		}
 		n++
@@ -78,7 +78,7 @@
 	var shares []float64
 	paused := r.intervals("freeze", "thaw")
 	for _, c := range r.Calls {
-		if !c.NotRun || c.LeftMs == 0 || c.Code < 300 {
+		if !c.NotRun || c.TimeLeftMs == 0 || c.Code < 300 {
 			continue
 		}
 		wasPaused := false
@@ -88,12 +88,12 @@
 		if wasPaused {
 			continue // a paused process can't answer
 		}
-		x := float64(c.End-c.At) / 1000 / float64(c.LeftMs)
+		x := float64(c.End-c.At) / 1000 / float64(c.TimeLeftMs)
 		shares = append(shares, x)
 		if x > 0.8 {
 			bad = append(bad, fmt.Sprintf("%s was refused (code %d) with %.0f%% of its time gone", c.Job, c.Code, 100*x))
 		}
-		if c.Code < 400 && c.BackMs <= 0 {
+		if c.Code < 400 && c.RetryAfterMs <= 0 {
 			return Finding{PromptRefusals, false, c.Job + " was not told when to come back"}
 		}
 	}
--- a/internal/checker/statistics.go
+++ b/internal/checker/statistics.go
@@ -51,7 +51,7 @@
 	broken := 0
 	partitions := r.intervals("cut", "heal")
 	for _, c := range r.Calls {
-		if c.Status != 200 || c.Whole || c.Fault == standin.Left {
+		if c.Status != 200 || c.Complete || c.Fault == standin.FaultClientDisconnected {
 			continue
 		}
 		broken++
@@ -67,7 +67,7 @@
 				excused = excused || c.End >= x[0] && c.At <= x[1]
 			}
 		}
-		timedOut := (c.End-c.At)/1000 >= int64(c.LeftMs)-50
+		timedOut := (c.End-c.At)/1000 >= int64(c.TimeLeftMs)-50
 		if !excused && !timedOut {
 			bad = append(bad, fmt.Sprintf("%s on %s by %s broke after %s", c.Job, c.Worker, c.Router, ms(c.End-c.At)))
 		}
@@ -124,7 +124,7 @@
 		n++
 		firstAnswer := int64(0)
 		for _, c := range r.Calls {
-			if c.At > e.At && c.Status == 200 && c.Whole && (firstAnswer == 0 || c.End < firstAnswer) {
+			if c.At > e.At && c.Status == 200 && c.Complete && (firstAnswer == 0 || c.End < firstAnswer) {
 				firstAnswer = c.End
 			}
 		}
@@ -160,13 +160,13 @@
 			f = &Statistics{Mapping: c.Mapping}
 			byMapping[c.Mapping] = f
 		}
-		if c.Fault == standin.Left {
+		if c.Fault == standin.FaultClientDisconnected {
 			f.Abandoned++
 			continue
 		}
 		f.Sent++
 		switch {
-		case c.Status == 200 && c.Whole && c.Fault == "" && (c.End-c.At)/1000 <= int64(c.LeftMs):
+		case c.Status == 200 && c.Complete && c.Fault == "" && (c.End-c.At)/1000 <= int64(c.TimeLeftMs):
 			f.OnTime++
 		case c.Status == 200:
 			f.Broken++
@@ -198,7 +198,7 @@
 	n, crossZone := 0, 0
 	var sum float64
 	for _, s := range r.Starts {
-		sum += s.Hit
+		sum += s.CacheHit
 		n++
 		if z, ok := zone[router[s.Job]]; ok && z != s.Zone {
 			crossZone++
--- a/internal/cluster/transport/engine_test.go
+++ b/internal/cluster/transport/engine_test.go
@@ -19,7 +19,7 @@
 // Invariant CONFIG: a listener that fails is reopened, and the failure is reported. If it stayed closed, the node would
 // never again receive messages from others.
 func TestListenerIsReopened(t *testing.T) {
-	addr := testutil.Addr(t)
+	addr := testutil.FreeAddr(t)
 	group := tasks.New(clockwork.NewRealClock(), 1)
 	received, ended := make(chan message.Message, 1), make(chan error, 8)
 	transport, err := Open(1, addr, group, Handlers{Receive: func(n message.Message) { received <- n }, ListenerFailed: func(err error) { ended <- err }})
@@ -33,7 +33,7 @@
 	if err := <-ended; err == nil {
 		t.Error("ListenerFailed was called without an error")
 	}
-	testutil.Until(t, "the listener is reopened", func() bool { return delivers(addr, received) })
+	testutil.WaitUntil(t, "the listener is reopened", func() bool { return delivers(addr, received) })
 }
 
 // delivers reports whether a message sent by a peer arrives.
--- a/internal/cluster/transport/http.go
+++ b/internal/cluster/transport/http.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 // HTTPRequest sends one HTTP request to an address, on a connection of its own and with fasthttp's retries turned off. It
@@ -14,7 +14,7 @@
 func HTTPRequest(method, addr, path string, body []byte, header map[string]string,
 	timeout time.Duration) (int, []byte, string, error) {
 	client := &fasthttp.HostClient{Addr: addr, MaxIdemponentCallAttempts: 1,
-		Dial:       func(a string) (net.Conn, error) { return shield.Dial(a, timeout) },
+		Dial:       func(a string) (net.Conn, error) { return partition.Dial(a, timeout) },
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
 	defer client.CloseIdleConnections()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -11,7 +11,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"seamshunt/internal/cluster/message"
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 	"seamshunt/internal/tasks"
 	"seamshunt/internal/units"
 )
@@ -81,7 +81,7 @@
 	if addr == "" {
 		addr = t.addrs[msg.To]
 	}
-	if addr == "" || shield.Lost(addr) {
+	if addr == "" || partition.ShouldDrop(addr) {
 		t.mu.Unlock()
 		return
 	}
@@ -116,11 +116,11 @@
 }
 
 func (t *Transport) dial(addr string, conn *peerConn) {
-	nc, err := shield.Dial(addr, dialTimeout)
+	nc, err := partition.Dial(addr, dialTimeout)
 	l := &link{}
 	if err == nil {
-		setTimeouts(shield.Bare(nc))
-		_, err = t.engine.EnrollContext(shield.Bare(nc), l)
+		setTimeouts(partition.Unwrap(nc))
+		_, err = t.engine.EnrollContext(partition.Unwrap(nc), l)
 	}
 	t.mu.Lock()
 	conn.dialing = false
--- a/internal/control/controller/adapter_calls_test.go
+++ b/internal/control/controller/adapter_calls_test.go
@@ -52,7 +52,7 @@
 	var settingsList []*settings.Settings
 	var seeds []string
 	for i := range n {
-		nodeSettings := &settings.Settings{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: t.TempDir(), Platform: testutil.Addr(t),
+		nodeSettings := &settings.Settings{Name: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i), Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DataDir: t.TempDir(), Platform: testutil.FreeAddr(t),
 			PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true, Zones: []string{"z0", "z9"}, MaxLostMachines: (n - 1) / 2}
 		settingsList = append(settingsList, nodeSettings)
 		if len(seeds) < 3 {
@@ -73,7 +73,7 @@
 		controllers = append(controllers, c)
 	}
 	members := n - 1 + n%2 // the quorum set has the largest odd size; of an even number of controllers one is a standby
-	testutil.Until(t, "all controllers know the whole quorum set", func() bool {
+	testutil.WaitUntil(t, "all controllers know the whole quorum set", func() bool {
 		inSet := 0
 		for _, c := range controllers {
 			quorum := c.quorumSet()
@@ -93,7 +93,7 @@
 func retryUntilClear(t *testing.T, call func() (resultcode.Code, []*resultcode.Fault)) resultcode.Code {
 	t.Helper()
 	var code resultcode.Code
-	testutil.Until(t, "a clear outcome", func() bool {
+	testutil.WaitUntil(t, "a clear outcome", func() bool {
 		code, _ = call()
 		return code != resultcode.CommitUnknown && code != resultcode.NoMajority
 	})
--- a/internal/control/controller/damage_test.go
+++ b/internal/control/controller/damage_test.go
@@ -35,7 +35,7 @@
 func TestDamagedDiskIsReported(t *testing.T) {
 	dir := t.TempDir()
 	c := startSingle(t, dir)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
--- a/internal/control/controller/delayed_request_test.go
+++ b/internal/control/controller/delayed_request_test.go
@@ -63,7 +63,7 @@
 		setZoneUntilClear(t, setter, evacuated)
 	}
 	latest, _ := readZone(t, setter)
-	testutil.Until(t, "the observer knows the last write", func() bool {
+	testutil.WaitUntil(t, "the observer knows the last write", func() bool {
 		version, _ := observer.knownValue(node.ZonePrefix + testZone)
 		return version == latest
 	})
--- a/internal/control/controller/disk_test.go
+++ b/internal/control/controller/disk_test.go
@@ -23,7 +23,7 @@
 // startSingle starts the only controller of a fleet. The edits are applied before its start.
 func startSingle(t *testing.T, dir string, edit ...func(*Controller)) *Controller {
 	t.Helper()
-	nodeSettings := &settings.Settings{Name: "c", Zone: "z", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: dir, BootstrapDisks: 1, Platform: testutil.Addr(t), Pools: []string{"main"}, PollMs: 500, ReserveBytes: 64 << 10}
+	nodeSettings := &settings.Settings{Name: "c", Zone: "z", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DataDir: dir, BootstrapDisks: 1, Platform: testutil.FreeAddr(t), Pools: []string{"main"}, PollMs: 500, ReserveBytes: 64 << 10}
 	nodeSettings.Seeds = []string{nodeSettings.Addr}
 	c, err := New(nodeSettings, nil)
 	if err != nil {
@@ -62,7 +62,7 @@
 	t.Parallel()
 	dir := t.TempDir()
 	c := startSingle(t, dir)
-	testutil.Until(t, "the bootstrap is done", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 404 })
+	testutil.WaitUntil(t, "the bootstrap is done", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 404 })
 	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=0", `{"services":[]}`); code != 400 || !bytes.Contains(b, []byte(`"code":501`)) {
 		t.Errorf("an invalid configuration: %d %s", code, b)
 	}
@@ -102,7 +102,7 @@
 	c.Drain()
 	c = startSingle(t, dir)
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the configuration is read back", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
+	testutil.WaitUntil(t, "the configuration is read back", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
 	if _, b := sendRequest(t, c, "GET", "/v1/config", ""); string(b) != configText {
 		t.Errorf("read back %q", b)
 	}
@@ -154,7 +154,7 @@
 	t.Parallel()
 	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
@@ -164,14 +164,14 @@
 	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+" "); code != 502 {
 		t.Errorf("the write during which the disk runs full must have an unknown outcome: %d %s", code, b)
 	}
-	testutil.Until(t, "the disk is reported as full", func() bool {
+	testutil.WaitUntil(t, "the disk is reported as full", func() bool {
 		code, b := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+" ")
 		return code == 503 && bytes.Contains(b, []byte(`"code":515`))
 	})
 	c.disk.mu.Lock()
 	c.disk.injectedFault = nil
 	c.disk.mu.Unlock()
-	testutil.Until(t, "writes succeed again", func() bool {
+	testutil.WaitUntil(t, "writes succeed again", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+"  ")
 		return code == 200
 	})
@@ -186,7 +186,7 @@
 	dir := t.TempDir()
 	c := startSingle(t, dir)
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
--- a/internal/control/controller/outcome_test.go
+++ b/internal/control/controller/outcome_test.go
@@ -56,7 +56,7 @@
 	c.disk.mu.Unlock()
 	t.Cleanup(func() { close(held) })
 	c.Tasks.Go(func() { c.Control().Put(1, doc(2)) })
-	testutil.Until(t, "the disk stalls", func() bool {
+	testutil.WaitUntil(t, "the disk stalls", func() bool {
 		select {
 		case <-writing:
 			return true
--- a/internal/control/controller/partition_test.go
+++ b/internal/control/controller/partition_test.go
@@ -94,7 +94,7 @@
 	}); code != resultcode.OK {
 		t.Fatalf("the first write: %d", code)
 	}
-	testutil.Until(t, "the controller knows the first write", func() bool { version, _ := controllers[0].knownValue(keyConfig); return version == 1 })
+	testutil.WaitUntil(t, "the controller knows the first write", func() bool { version, _ := controllers[0].knownValue(keyConfig); return version == 1 })
 	others := controllers[1:]
 	for _, c := range others {
 		c.Drain()
--- a/internal/control/controller/reserve_test.go
+++ b/internal/control/controller/reserve_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	c := startSingle(t, dir, fill)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
@@ -55,7 +55,7 @@
 	c.Drain()
 	c = startSingle(t, dir, fill)
 	t.Cleanup(func() { c.Drain() })
-	testutil.Until(t, "the configuration is read back", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
+	testutil.WaitUntil(t, "the configuration is read back", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
 	if _, b := sendRequest(t, c, "GET", "/v1/config", ""); string(b) != text(20) {
 		t.Errorf("read back %d bytes, %d sent", len(b), len(text(20)))
 	}
@@ -65,12 +65,12 @@
 	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=21", large); code != 502 {
 		t.Errorf("larger than the reserve: %d %s", code, b)
 	}
-	testutil.Until(t, "the disk is reported as full", func() bool {
+	testutil.WaitUntil(t, "the disk is reported as full", func() bool {
 		code, b := sendRequest(t, c, "PUT", "/v1/config?number=21", large)
 		return code == 503 && bytes.Contains(b, []byte(`"code":515`))
 	})
 	full.Store(false)
-	testutil.Until(t, "writes succeed again", func() bool {
+	testutil.WaitUntil(t, "writes succeed again", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=21", text(21))
 		return code == 200 || code == 409
 	})
@@ -97,7 +97,7 @@
 			return bytes.Contains(b, []byte(want))
 		}
 	}
-	testutil.Until(t, "the status reports a missing member", reports("founding: 1 of 2 blank disks seen"))
+	testutil.WaitUntil(t, "the status reports a missing member", reports("founding: 1 of 2 blank disks seen"))
 	if code, b := sendRequest(t, c, "PUT", "/v1/config?number=0", configText); code != 503 || !bytes.Contains(b, []byte(`"code":514`)) {
 		t.Errorf("a change before the bootstrap: %d %s", code, b)
 	}
@@ -106,5 +106,5 @@
 		x.Gossip = membership.New(membership.Member{Node: x.Self, Incarnation: 1, Role: membership.Controller, Addr: x.Settings.Addr, HTTPAddr: x.Settings.HTTPAddr, Zone: "z"}, []string{seed}, rand.New(rand.NewPCG(1, 2)))
 	})
 	t.Cleanup(late.Drain)
-	testutil.Until(t, "both are voters", reports(`"state":"voter"`))
+	testutil.WaitUntil(t, "both are voters", reports(`"state":"voter"`))
 }
--- a/internal/control/controller/seed_bootstrap_test.go
+++ b/internal/control/controller/seed_bootstrap_test.go
@@ -59,7 +59,7 @@
 	var settingsList []*settings.Settings
 	var seeds []string
 	for i := range 3 {
-		nodeSettings := &settings.Settings{Name: fmt.Sprint("c", i), Zone: "z", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DataDir: t.TempDir(), Platform: testutil.Addr(t), PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true}
+		nodeSettings := &settings.Settings{Name: fmt.Sprint("c", i), Zone: "z", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DataDir: t.TempDir(), Platform: testutil.FreeAddr(t), PollMs: 500, ReserveBytes: 64 << 10, GrowVoters: true, Bootstrap: true, MayVote: true}
 		settingsList, seeds = append(settingsList, nodeSettings), append(seeds, nodeSettings.Addr)
 	}
 	start := func(nodeSettings *settings.Settings) *Controller {
@@ -77,7 +77,7 @@
 	}
 	one, two := start(settingsList[0]), start(settingsList[1])
 	t.Cleanup(two.Drain)
-	testutil.Until(t, "the first seeds wait for the third", func() bool {
+	testutil.WaitUntil(t, "the first seeds wait for the third", func() bool {
 		_, body := sendRequest(t, one, "GET", "/status", "")
 		return strings.Contains(string(body), "founding: 2 of 3 seeds seen")
 	})
@@ -88,7 +88,7 @@
 	t.Cleanup(one.Drain)
 	three := start(settingsList[2])
 	t.Cleanup(three.Drain)
-	testutil.Until(t, "all three are voters", func() bool { v := three.quorumSet(); return len(v.Members) == 3 && v.Has(id) })
+	testutil.WaitUntil(t, "all three are voters", func() bool { v := three.quorumSet(); return len(v.Members) == 3 && v.Has(id) })
 }
 
 // TestWorkersOfAnAdapter polls one list for all services over a connection that is kept open. Failed pages and empty
@@ -146,12 +146,12 @@
 		c.adapter, c.Settings.Platform, c.Settings.Pools, c.Settings.PollMs = siteAdapter, ln.Addr().String(), []string{allPools}, 50
 	})
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := c.Control().Put(0, []byte(`{"v":1}`))
 		return code == 100
 	})
 	mode.Store("w1 s 0\nw2 s 1000\nw3 r 0")
-	testutil.Until(t, "three workers are known", func() bool { return len(c.knownWorkers(allPools)) == 3 })
+	testutil.WaitUntil(t, "three workers are known", func() bool { return len(c.knownWorkers(allPools)) == 3 })
 	for _, w := range c.knownWorkers(allPools) {
 		if want := map[string]time.Duration{"w1": warmWorkerAge, "w2": 2 * time.Second, "w3": warmWorkerAge}[w.ID]; w.Age != want {
 			t.Errorf("%s is %v old, want %v: its service's workers warm up for 3 s", w.ID, w.Age, want)
@@ -165,13 +165,13 @@
 	for _, response := range []string{"429", "broken", ""} {
 		_, failures := counts()
 		mode.Store(response)
-		testutil.Until(t, "the failure is counted: "+response, func() bool { _, b := counts(); return b > failures+1 })
+		testutil.WaitUntil(t, "the failure is counted: "+response, func() bool { _, b := counts(); return b > failures+1 })
 		if n := len(c.knownWorkers(allPools)); n != 3 {
 			t.Errorf("%q: %d workers left", response, n)
 		}
 	}
 	mode.Store("w1 s 0\nw3 r 0")
-	testutil.Until(t, "one worker is removed", func() bool { return len(c.knownWorkers(allPools)) == 2 })
+	testutil.WaitUntil(t, "one worker is removed", func() bool { return len(c.knownWorkers(allPools)) == 2 })
 	if n := connections.Load(); n > 2 {
 		t.Errorf("%d connections were opened", n)
 	}
--- a/internal/control/controller/shortfall_test.go
+++ b/internal/control/controller/shortfall_test.go
@@ -13,7 +13,7 @@
 	t.Parallel()
 	c := startSingle(t, t.TempDir(), func(c *Controller) { c.Settings.MaxLostMachines = 1 })
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
@@ -23,6 +23,6 @@
 			return bytes.Contains(b, []byte(text))
 		}
 	}
-	testutil.Until(t, "the status reports it", contains("/status", `"voters_fall_short":"1 members bear the loss of 0, not of 1: 3 disks that count are wanted"`))
-	testutil.Until(t, "the metrics report it", contains("/metrics", "seamshunt_voters_fall_short 1"))
+	testutil.WaitUntil(t, "the status reports it", contains("/status", `"voters_fall_short":"1 members bear the loss of 0, not of 1: 3 disks that count are wanted"`))
+	testutil.WaitUntil(t, "the metrics report it", contains("/metrics", "seamshunt_voters_fall_short 1"))
 }
--- a/internal/control/controller/stale_list_test.go
+++ b/internal/control/controller/stale_list_test.go
@@ -36,7 +36,7 @@
 	known := func(want ...string) {
 		t.Helper()
 		for _, c := range controllers {
-			testutil.Until(t, "all know the list", func() bool { return slices.Equal(workerIDs(c), want) })
+			testutil.WaitUntil(t, "all know the list", func() bool { return slices.Equal(workerIDs(c), want) })
 		}
 	}
 	poll(controllers[0], leaves, stays)
--- a/internal/control/controller/stall_test.go
+++ b/internal/control/controller/stall_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
@@ -45,13 +45,13 @@
 		}
 		return false
 	}
-	testutil.Until(t, "the node reports itself as unfit", unfit)
+	testutil.WaitUntil(t, "the node reports itself as unfit", unfit)
 	c.disk.mu.Lock()
 	c.disk.injectedFault = nil
 	c.disk.mu.Unlock()
 	close(held)
-	testutil.Until(t, "it is fit again", func() bool { return !unfit() })
-	testutil.Until(t, "writes succeed again", func() bool {
+	testutil.WaitUntil(t, "it is fit again", func() bool { return !unfit() })
+	testutil.WaitUntil(t, "writes succeed again", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+" ")
 		return code == 200 || code == 409
 	})
@@ -63,7 +63,7 @@
 	t.Parallel()
 	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the first configuration is written", func() bool {
+	testutil.WaitUntil(t, "the first configuration is written", func() bool {
 		code, _ := sendRequest(t, c, "PUT", "/v1/config?number=0", configText)
 		return code == 200
 	})
@@ -76,7 +76,7 @@
 	}
 	c.disk.mu.Unlock()
 	code, _ := sendRequest(t, c, "PUT", "/v1/config?number=1", configText+"   ")
-	testutil.Until(t, "reads succeed again", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
+	testutil.WaitUntil(t, "reads succeed again", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 200 })
 	_, b := sendRequest(t, c, "GET", "/v1/config", "")
 	if code == 200 && string(b) != configText+"   " || code != 200 && string(b) != configText && string(b) != configText+"   " {
 		t.Errorf("answered %d, read back %q", code, b)
@@ -89,18 +89,18 @@
 	t.Parallel()
 	c := startSingle(t, t.TempDir())
 	t.Cleanup(c.Drain)
-	testutil.Until(t, "the bootstrap is done", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 404 })
+	testutil.WaitUntil(t, "the bootstrap is done", func() bool { code, _ := sendRequest(t, c, "GET", "/v1/config", ""); return code == 404 })
 	slow := func() {
 		c.disk.mu.Lock()
 		c.disk.lastWriteDuration = 2 * stallThreshold
 		c.disk.mu.Unlock()
 	}
-	testutil.Until(t, "it owns no keys", func() bool {
+	testutil.WaitUntil(t, "it owns no keys", func() bool {
 		slow()
 		c.replicaMu.Lock()
 		defer c.replicaMu.Unlock()
 		return c.replica.Owner(keyConfig) == 0
 	})
 	slow()
-	testutil.Until(t, "it is fit again", func() bool { return !c.disk.unfit(c.Tasks.Now()) })
+	testutil.WaitUntil(t, "it is fit again", func() bool { return !c.disk.unfit(c.Tasks.Now()) })
 }
--- a/internal/control/controller/worker_list.go
+++ b/internal/control/controller/worker_list.go
@@ -13,7 +13,7 @@
 
 	"seamshunt/internal/cluster/transport"
 	"seamshunt/internal/config"
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 // allPools is the pool name under which an adapter lists the workers of all services at once.
@@ -83,7 +83,7 @@
 	p.mu.Lock()
 	if p.http == nil {
 		p.http = &fasthttp.HostClient{Addr: addr, MaxConns: 4, MaxIdleConnDuration: 30 * time.Second, MaxIdemponentCallAttempts: 2, MaxResponseBodySize: 16 << 20,
-			Dial: func(a string) (net.Conn, error) { return shield.Dial(a, platformTimeout) },
+			Dial: func(a string) (net.Conn, error) { return partition.Dial(a, platformTimeout) },
 			RetryIfErr: func(_ *fasthttp.Request, n int, err error) (bool, bool) {
 				return false, n < 2 && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE))
 			}}
--- a/internal/localfleet/drill.go
+++ b/internal/localfleet/drill.go
@@ -140,9 +140,9 @@
 			l = append(l, m.Web)
 		}
 	}
-	e := standin.Call(ctx, l[i%len(l)], standin.Ask{Sort: standin.Sort{Path: d.probeTarget, LeftMs: 4000, Pieces: 3},
+	e := standin.Send(ctx, l[i%len(l)], standin.Request{RequestKind: standin.RequestKind{Path: d.probeTarget, TimeLeftMs: 4000, Pieces: 3},
 		Job: fmt.Sprintf("drill-%d-%d", standin.Now(), i), Prompt: fmt.Sprintf("drill %d", i)}, "")
-	return e.Status == 200 && e.Whole
+	return e.Status == 200 && e.Complete
 }
 
 func (d *Drill) setZoneOut(out bool) error {
--- a/internal/localfleet/drill_check.go
+++ b/internal/localfleet/drill_check.go
@@ -26,7 +26,7 @@
 	if d.JournalDir == "" || d.Method != "evacuate" {
 		return
 	}
-	if j, err := standin.Open(filepath.Join(d.JournalDir, "drill.jsonl")); err == nil {
+	if j, err := standin.OpenJournal(filepath.Join(d.JournalDir, "drill.jsonl")); err == nil {
 		j.Write(standin.Entry{Kind: "event", At: standin.Now(), How: how, Target: d.Zone})
 		j.Close()
 	}
--- a/internal/localfleet/events.go
+++ b/internal/localfleet/events.go
@@ -78,7 +78,7 @@
 	case "leave", "drop":
 		return f.drainOrRemove(e)
 	case "mood":
-		f.Platform.SetMood(e.Target)
+		f.Platform.SetFailureMode(e.Target)
 	case "wipe":
 		return f.replaceController(e.Target)
 	case "apply":
@@ -152,16 +152,16 @@
 }
 
 func (f *Fleet) drainOrRemove(e Event) error {
-	w, ok := f.Platform.Get(f.Deployment.Pool, e.Target)
+	w, ok := f.Platform.FindWorker(f.Deployment.Pool, e.Target)
 	if !ok {
 		return fmt.Errorf("localfleet: no worker %s", e.Target)
 	}
 	if e.Verb == "drop" {
-		f.Platform.Remove(f.Deployment.Pool, e.Target)
+		f.Platform.RemoveWorker(f.Deployment.Pool, e.Target)
 		return nil
 	}
 	w.Draining = true
-	f.Platform.Set(f.Deployment.Pool, w)
+	f.Platform.SetWorker(f.Deployment.Pool, w)
 	return nil
 }
 
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"seamshunt/internal/config"
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 	"seamshunt/internal/standin"
 	"seamshunt/internal/tasks"
 )
@@ -61,7 +61,7 @@
 	}
 	f := &Fleet{Dir: dir, BinDir: bin, processes: map[string]*process{}, WorkerFaults: map[string]string{}, Tasks: tasks.New(clockwork.NewRealClock(), 1)}
 	var err error
-	f.Journal, err = standin.Open(filepath.Join(dir, "harness.jsonl"))
+	f.Journal, err = standin.OpenJournal(filepath.Join(dir, "harness.jsonl"))
 	return f, err
 }
 
@@ -122,7 +122,7 @@
 	p := &process{name: name, zone: zone, kind: "worker", httpAddr: addr}
 	p.args = []string{"worker", "--name", name, "--pool", f.Deployment.Pool, "--zone", zone, "--listen", addr, "--journal", filepath.Join(f.Dir, name+".jsonl")}
 	f.register(p)
-	f.Platform.Set(f.Deployment.Pool, config.Worker{ID: name, Addr: addr, Zone: zone, Age: age})
+	f.Platform.SetWorker(f.Deployment.Pool, config.Worker{ID: name, Addr: addr, Zone: zone, Age: age})
 }
 
 // writeSettings writes a process's settings file.
@@ -186,7 +186,7 @@
 	defer out.Close()
 	c := exec.Command(filepath.Join(f.BinDir, bin), args...)
 	c.Stdout, c.Stderr = out, out
-	c.Env = append(append(os.Environ(), shield.Env+"="+f.partitionFile(name)), p.env...)
+	c.Env = append(append(os.Environ(), partition.FileEnv+"="+f.partitionFile(name)), p.env...)
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("localfleet: %w", err)
--- a/internal/localfleet/partition.go
+++ b/internal/localfleet/partition.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 	"seamshunt/internal/standin"
 )
 
@@ -95,7 +95,7 @@
 
 // writePartitions writes each process's outbound loss to its partition file. Callers hold f.mu.
 func (f *Fleet) writePartitions() error {
-	if !shield.Cuts {
+	if !partition.Enabled {
 		return errors.New("localfleet: these programs can't be partitioned: build them with -tags cuts")
 	}
 	to := []*process{{name: platformProcess, kind: platformProcess, httpAddr: f.listener.Addr().String()}}
@@ -175,7 +175,7 @@
 				err = fmt.Errorf("the platform knows no mood %q", e.Target)
 			}
 		}
-		if err == nil && (e.Verb == "cut" || e.Verb == "lossy") && !shield.Cuts {
+		if err == nil && (e.Verb == "cut" || e.Verb == "lossy") && !partition.Enabled {
 			err = errors.New("these programs can't be partitioned: build them with -tags cuts")
 		}
 		if err != nil {
@@ -190,7 +190,7 @@
 	if err := f.kill(name); err != nil {
 		return err
 	}
-	f.Platform.Born(name)
+	f.Platform.RecordRestart(name)
 	f.RecordEvent("born", name)
 	return f.Start(name)
 }
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -43,7 +43,7 @@
 	fmt.Fprintf(out, "configuration acknowledged %.1f s after the start\n", time.Since(start).Seconds())
 	traffic := NewTraffic(f, p.Seed, p.Topics)
 	traffic.SetRate(p.Rate)
-	f.Platform.Control = func(s string) error {
+	f.Platform.HandleEvent = func(s string) error {
 		l, err := ParseEvents("0:" + s)
 		if err == nil && len(l) == 1 {
 			err = f.Execute(l[0], traffic)
--- a/internal/localfleet/traffic.go
+++ b/internal/localfleet/traffic.go
@@ -14,7 +14,7 @@
 // Traffic sends requests at a given rate, evenly from all zones, to routers whose health check succeeds.
 type Traffic struct {
 	fleet *Fleet
-	mix   *standin.Mix
+	mix   *standin.RequestGenerator
 	rng   *rand.Rand
 	rate  atomic.Uint64 // requests per thousand seconds
 	zones []string
@@ -26,7 +26,7 @@
 
 // NewTraffic prepares traffic; the same seed gives the same requests.
 func NewTraffic(f *Fleet, seed uint64, topics int) *Traffic {
-	t := &Traffic{fleet: f, mix: standin.NewMix(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
+	t := &Traffic{fleet: f, mix: standin.NewRequestGenerator(seed, topics), rng: rand.New(rand.NewPCG(seed, 9)), ready: map[string][]string{}}
 	for _, m := range f.Deployment.Machines {
 		if !slices.Contains(t.zones, m.Zone) {
 			t.zones = append(t.zones, m.Zone)
@@ -54,17 +54,17 @@
 	})
 	for ctx.Err() == nil {
 		a := t.mix.Next()
-		gap := t.mix.Gap(float64(t.rate.Load()) / 1000)
+		gap := t.mix.NextDelay(float64(t.rate.Load()) / 1000)
 		zone := t.zones[t.rng.IntN(len(t.zones))]
 		key := ""
-		if a.Once {
+		if a.AtMostOnce {
 			key = a.Job
 		}
 		t.Sent++
 		t.wg.Add(1)
 		t.fleet.Tasks.Go(func() {
 			defer t.wg.Done()
-			t.fleet.Journal.Write(standin.Call(context.WithoutCancel(ctx), t.pickRouter(zone), a, key))
+			t.fleet.Journal.Write(standin.Send(context.WithoutCancel(ctx), t.pickRouter(zone), a, key))
 		})
 		select {
 		case <-ctx.Done():
--- a/internal/node/serve_test.go
+++ b/internal/node/serve_test.go
@@ -16,7 +16,7 @@
 func TestServerThatEndsIsStartedAgain(t *testing.T) {
 	b := New(&settings.Settings{Name: "n"}, 1, membership.Router)
 	defer b.Tasks.Stop(time.Second)
-	addr := testutil.Addr(t)
+	addr := testutil.FreeAddr(t)
 	ln, err := listener.Listen(addr)
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	<-serving
 	b.StopServing()
 	result <- nil
-	testutil.Until(t, "the address is free", func() bool {
+	testutil.WaitUntil(t, "the address is free", func() bool {
 		free, err := net.Listen("tcp", addr)
 		if err == nil {
 			free.Close()
--- a/internal/shield/cuts.go
+++ b/internal/partition/cuts.go
@@ -1,6 +1,6 @@
 //go:build cuts
 
-package shield
+package partition
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Cuts says that this build can be cut off.
-const Cuts = true
+// Enabled says that this build can be cut off.
+const Enabled = true
 
 // mark stands in every program built so, and in no other.
 const mark = "seamshunt: built for being cut off"
@@ -29,7 +29,7 @@
 
 // share gives the percentage of what is lost on the way to an address. The file is read again every 50 ms.
 func share(addr string) int {
-	path := os.Getenv(Env)
+	path := os.Getenv(FileEnv)
 	if path == "" {
 		return 0
 	}
@@ -54,8 +54,8 @@
 	return table.lost[addr]
 }
 
-// Lost says whether a note to an address is lost on its way.
-func Lost(addr string) bool {
+// ShouldDrop says whether a note to an address is lost on its way.
+func ShouldDrop(addr string) bool {
 	n := share(addr)
 	return n > 0 && rand.IntN(100) < n
 }
@@ -119,5 +119,5 @@
 	return w.TCPConn.Write(b)
 }
 
-// Bare is the wire itself, for an event loop that wants its descriptor; Lost drops what is cut off there.
-func Bare(c net.Conn) net.Conn { return c.(*wire).TCPConn }
+// Unwrap is the wire itself, for an event loop that wants its descriptor; Lost drops what is cut off there.
+func Unwrap(c net.Conn) net.Conn { return c.(*wire).TCPConn }
--- a/internal/shield/open.go
+++ b/internal/partition/open.go
@@ -1,6 +1,6 @@
 //go:build !cuts
 
-package shield
+package partition
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Cuts says whether this build can be cut off; shipped programs can't.
-const Cuts = false
+// Enabled says whether this build can be cut off; shipped programs can't.
+const Enabled = false
 
-// Lost says whether a note to an address is lost on its way.
-func Lost(string) bool { return false }
+// ShouldDrop says whether a note to an address is lost on its way.
+func ShouldDrop(string) bool { return false }
 
 // Dial opens a connection.
 func Dial(addr string, limit time.Duration) (net.Conn, error) {
@@ -25,5 +25,5 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Bare is the wire itself, for an event loop that wants its descriptor.
-func Bare(c net.Conn) net.Conn { return c }
+// Unwrap is the wire itself, for an event loop that wants its descriptor.
+func Unwrap(c net.Conn) net.Conn { return c }
--- a/internal/router/cancellation_test.go
+++ b/internal/router/cancellation_test.go
@@ -15,7 +15,7 @@
 // dials and waits without a context, and direct checks of the client's connection.
 var uncancellable = []string{
 	"context.Background", "context.TODO", "context.WithoutCancel",
-	"net.Dial", "net.DialTimeout", "shield.Dial",
+	"net.Dial", "net.DialTimeout", "partition.Dial",
 	"time.Sleep", "Tasks.Sleep", "socket.PeerClosed",
 }
 
--- a/internal/router/client_disconnect_harness_test.go
+++ b/internal/router/client_disconnect_harness_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	client, router := c.LocalAddr().(*net.TCPAddr), c.RemoteAddr().(*net.TCPAddr)
 	c.Close()
-	testutil.Until(t, "the client's connection is closed at the router", func() bool {
+	testutil.WaitUntil(t, "the client's connection is closed at the router", func() bool {
 		const closeWait = "08"
 		state, ok := socketState(t, router, client)
 		return ok && state == closeWait || !ok
@@ -84,18 +84,18 @@
 // awaitInFlight waits until a request is in flight at the router, and awaitIdle until none is.
 func awaitInFlight(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "a request is in flight", func() bool { return v.inFlight.Load() > 0 })
+	testutil.WaitUntil(t, "a request is in flight", func() bool { return v.inFlight.Load() > 0 })
 }
 
 func awaitIdle(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
+	testutil.WaitUntil(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 }
 
 // awaitPermit waits until the router holds a permit.
 func awaitPermit(t testing.TB, v *Router) {
 	t.Helper()
-	testutil.Until(t, "a permit is held", func() bool {
+	testutil.WaitUntil(t, "a permit is held", func() bool {
 		v.queueMu.Lock()
 		defer v.queueMu.Unlock()
 		n := 0
--- a/internal/router/config_update_test.go
+++ b/internal/router/config_update_test.go
@@ -36,7 +36,7 @@
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "zone/" + marker, Version: 1, Data: []byte(`{"evacuated":true}`)})
 	v.FeedMu.Unlock()
-	testutil.Until(t, "the updates are applied", func() bool {
+	testutil.WaitUntil(t, "the updates are applied", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return v.view.evacuatedZones[marker]
@@ -52,7 +52,7 @@
 	v := newTestRouter(t, a)
 	applyUpdates(t, v, configpush.Item{Key: "config", Version: 2, Data: []byte(fallbackConfig)},
 		configpush.Item{Key: "workers/side", Version: 1, Data: config.MarshalWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: 1 << 40}})})
-	testutil.Until(t, "the router coordinates both workers", func() bool {
+	testutil.WaitUntil(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		statuses := v.coordinator.Status(v.Tasks.Now())
@@ -63,7 +63,7 @@
 	defer first.Close()
 	queued := sendPrompt(t, v, "/stepped") // waits for big, whose waiting queue has room
 	defer queued.Close()
-	testutil.Until(t, "one request waits", func() bool {
+	testutil.WaitUntil(t, "one request waits", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		return v.coordinator.Status(v.Tasks.Now())[0].Waiting == 1
--- a/internal/router/connection_limit_test.go
+++ b/internal/router/connection_limit_test.go
@@ -18,7 +18,7 @@
 // room.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	const files = 8
-	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, MaxDescriptors: files}
+	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, MaxDescriptors: files}
 	v := New(s, nil)
 	v.OnResume = nil
 	if err := v.Start(); err != nil {
@@ -61,7 +61,7 @@
 		t.Errorf("one beyond the limit: %s", got)
 	}
 	held[0].Close()
-	testutil.Until(t, "a closed connection makes room", func() bool {
+	testutil.WaitUntil(t, "a closed connection makes room", func() bool {
 		c := connect()
 		defer c.Close()
 		return readAnswer(c, request) == served
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -208,7 +208,7 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	testutil.Until(t, "all durations are recorded", func() bool {
+	testutil.WaitUntil(t, "all durations are recorded", func() bool {
 		observed := v.mappingStats.durations(v.Tasks.Now(), mapping)
 		return observed.longest > 0 && observed.observedFor > observed.longest
 	})
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -92,7 +92,7 @@
 // newTestRouterWithConfig is newTestRouter with another configuration.
 func newTestRouterWithConfig(t testing.TB, configText string, workers ...string) *Router {
 	t.Helper()
-	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
+	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1}}
 	s.Seeds = []string{s.Addr}
 	v := New(s, nil)
 	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
@@ -109,7 +109,7 @@
 	v.Feed.Apply(configpush.Item{Key: "workers/main", Version: 1, Data: config.MarshalWorkers(list)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
-	testutil.Until(t, "the router coordinates its workers", func() bool {
+	testutil.WaitUntil(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		statuses := v.coordinator.Status(v.Tasks.Now())
@@ -120,7 +120,7 @@
 		}
 		return len(statuses) == len(workers)
 	})
-	testutil.Until(t, "the router takes part in claims", func() bool {
+	testutil.WaitUntil(t, "the router takes part in claims", func() bool {
 		v.claimantMu.Lock()
 		defer v.claimantMu.Unlock()
 		return v.claimant.Complete()
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -28,7 +28,7 @@
 	k.request()
 	c.Close()
 	k.closedByRouter()
-	testutil.Until(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
+	testutil.WaitUntil(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 	text := metricsText(v)
 	for _, want := range []string{
 		`seamshunt_results_total{code="403"} 1`,
--- a/internal/router/native_api_test.go
+++ b/internal/router/native_api_test.go
@@ -178,7 +178,7 @@
 			}
 			c.Close()
 			awaitWorkerDisconnect(t, h)
-			testutil.Until(t, "the slot is free", func() bool {
+			testutil.WaitUntil(t, "the slot is free", func() bool {
 				v.coordinatorMu.Lock()
 				defer v.coordinatorMu.Unlock()
 				return v.coordinator.Status(v.Tasks.Now())[0].InUse == 0 && v.inFlight.Load() == 0
@@ -208,12 +208,12 @@
 		return v.coordinator.Status(v.Tasks.Now())[0].Waiting
 	}
 	c := sendPrompt(t, v, "/chat")
-	testutil.Until(t, "the third waits", func() bool { return waiting() == 1 })
+	testutil.WaitUntil(t, "the third waits", func() bool { return waiting() == 1 })
 	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"retry_after_ms"`) {
 		t.Errorf("the fourth finds the waiting queue full: %d %s", status, body)
 	}
 	c.Close()
-	testutil.Until(t, "the third has left", func() bool { return waiting() == 0 })
+	testutil.WaitUntil(t, "the third has left", func() bool { return waiting() == 0 })
 	if len(conns) > 0 {
 		t.Error("more requests than the worker's slots reached it")
 	}
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -69,7 +69,7 @@
 	case h = <-ha:
 	case h = <-hb:
 	}
-	testutil.Until(t, "the worker is marked down", func() bool {
+	testutil.WaitUntil(t, "the worker is marked down", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 1
@@ -78,7 +78,7 @@
 	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) || len(ha)+len(hb) > 0 {
 		t.Errorf("%d %s", status, body)
 	}
-	testutil.Until(t, "the worker is no longer marked down", func() bool {
+	testutil.WaitUntil(t, "the worker is no longer marked down", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 0
@@ -109,7 +109,7 @@
 	if !ready() {
 		t.Fatal("a single router is not ready")
 	}
-	peer := membership.New(membership.Member{Node: 9, Incarnation: 1, Role: membership.Controller, Addr: testutil.Addr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
+	peer := membership.New(membership.Member{Node: 9, Incarnation: 1, Role: membership.Controller, Addr: testutil.FreeAddr(t), Zone: "z2"}, []string{v.Settings.Addr}, rand.New(rand.NewPCG(1, 1)))
 	v.GossipMu.Lock()
 	for _, n := range peer.Tick(0).Messages {
 		n.From = 9
@@ -119,5 +119,5 @@
 	if !ready() {
 		t.Error("not ready although it reaches another member")
 	}
-	testutil.Until(t, "it is isolated and not ready", func() bool { return !ready() })
+	testutil.WaitUntil(t, "it is isolated and not ready", func() bool { return !ready() })
 }
--- a/internal/router/overhead_test.go
+++ b/internal/router/overhead_test.go
@@ -15,7 +15,7 @@
 
 // startInstantWorker starts a stand-in worker that answers at once, so that the benchmark measures only the path to it.
 func startInstantWorker(b *testing.B) string {
-	journal, err := standin.Open(filepath.Join(b.TempDir(), "w.jsonl"))
+	journal, err := standin.OpenJournal(filepath.Join(b.TempDir(), "w.jsonl"))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	worker := &standin.Worker{Name: "w1", Pool: "main", Zone: "z1", Journal: journal, Model: standin.Model{Knee: 64, Blocks: 64, BatchMost: 4096}}
+	worker := &standin.Worker{Name: "w1", Pool: "main", Zone: "z1", Journal: journal, Model: standin.LoadModel{Knee: 64, CacheBlocks: 64, MaxBatch: 4096}}
 	go func() { _ = worker.Serve(ln) }()
 	b.Cleanup(func() { ln.Close(); journal.Close() })
 	return ln.Addr().String()
--- a/internal/router/pause_test.go
+++ b/internal/router/pause_test.go
@@ -29,7 +29,7 @@
 	if v.ready.Load() {
 		t.Error("a resumed router accepts prompts before its configuration is confirmed")
 	}
-	testutil.Until(t, "the coordinator lends again", func() bool { n, open := lentPermits(v); return open && n == 1 })
+	testutil.WaitUntil(t, "the coordinator lends again", func() bool { n, open := lentPermits(v); return open && n == 1 })
 }
 
 // The slot of an aborted run becomes free only after its worker has had time to notice the closed connection.
@@ -42,7 +42,7 @@
 	startedAt := v.Tasks.Now()
 	c.Close()
 	awaitWorkerDisconnect(t, h)
-	testutil.Until(t, "the slot is free", func() bool { n, _ := lentPermits(v); return n == 0 })
+	testutil.WaitUntil(t, "the slot is free", func() bool { n, _ := lentPermits(v); return n == 0 })
 	if d := v.Tasks.Now().Sub(startedAt); d < 250_000_000 {
 		t.Errorf("the slot was free after %v, when the worker may still have been running", d)
 	}
--- a/internal/router/relay_client_test.go
+++ b/internal/router/relay_client_test.go
@@ -126,7 +126,7 @@
 				if got := c.receive(); half && got.status != 502 && got.status != 499 && got.status != 0 {
 					t.Errorf("answered %+v", got)
 				}
-				testutil.Until(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
+				testutil.WaitUntil(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 				if !noMoreConns(a, b) {
 					t.Error("the request was retried")
 				}
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -107,7 +107,7 @@
 // budget allows retries.
 func newRelayRouter(t testing.TB, workers ...*scriptedWorker) *Router {
 	t.Helper()
-	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.Addr(t), HTTPAddr: testutil.Addr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
+	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, Bounds: settings.Bounds{WarmUpFactor: 1, RetryRatio: 1}}
 	s.Seeds = []string{s.Addr}
 	v := New(s, platform.New("", "router"))
 	v.OnResume = nil // a single router can't confirm its configuration again if the machine pauses for a second
@@ -124,7 +124,7 @@
 	v.Feed.Apply(configpush.Item{Key: "workers/" + platform.Pool, Version: 1, Data: config.MarshalWorkers(list)})
 	v.FeedMu.Unlock()
 	v.ready.Store(true)
-	testutil.Until(t, "the router coordinates its workers", func() bool {
+	testutil.WaitUntil(t, "the router coordinates its workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		open := 0
--- a/internal/router/routing_rules_test.go
+++ b/internal/router/routing_rules_test.go
@@ -29,7 +29,7 @@
 	v.FeedMu.Lock()
 	v.Feed.Apply(configpush.Item{Key: "workers/side", Version: 1, Data: config.MarshalWorkers([]config.Worker{{ID: "s1", Addr: b, Zone: "z1", Age: time.Hour}})})
 	v.FeedMu.Unlock()
-	testutil.Until(t, "the router coordinates both workers", func() bool {
+	testutil.WaitUntil(t, "the router coordinates both workers", func() bool {
 		v.coordinatorMu.Lock()
 		defer v.coordinatorMu.Unlock()
 		statuses := v.coordinator.Status(v.Tasks.Now())
--- a/internal/router/upstream/attempt.go
+++ b/internal/router/upstream/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 // Outcome classifies an event of an attempt, or the result of an exchange.
@@ -104,7 +104,7 @@
 
 func (t *Attempt) execute() Event {
 	deadline := time.Now().Add(t.TimeLeft)
-	nc, err := shield.DialContext(t.ctx, t.Addr, min(t.TimeLeft, dialTimeout))
+	nc, err := partition.DialContext(t.ctx, t.Addr, min(t.TimeLeft, dialTimeout))
 	if err != nil {
 		return Event{Outcome: NotSent, Err: err, Unreachable: t.ctx.Err() == nil}
 	}
--- a/internal/router/upstream/dial.go
+++ b/internal/router/upstream/dial.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 	"seamshunt/internal/socket"
 )
 
@@ -32,7 +32,7 @@
 	if left <= 0 {
 		return nil, fmt.Errorf("upstream: no time left to dial %s", dispatch.Addr)
 	}
-	netConn, err := shield.DialContext(ctx, dispatch.Addr, min(dialTimeout, left))
+	netConn, err := partition.DialContext(ctx, dispatch.Addr, min(dialTimeout, left))
 	if err != nil {
 		return nil, p.dialError(ctx, err, left)
 	}
--- a/internal/router/upstream/pool_test.go
+++ b/internal/router/upstream/pool_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 func TestPoolReusesConnections(t *testing.T) {
@@ -205,7 +205,7 @@
 	addr := serveScript(t, echo)
 	wantAnswer(t, p, newDispatch(addr, "a"), "a")
 	c := p.workers["w"].idle[0]
-	c.Conn = failingWriteConn{shield.Bare(c.Conn).(*net.TCPConn)}
+	c.Conn = failingWriteConn{partition.Unwrap(c.Conn).(*net.TCPConn)}
 	if x := wantAnswer(t, p, newDispatch(addr, "b"), "b"); x.Reused {
 		t.Fatal("reused")
 	}
--- a/internal/router/upstream/surplus_answer_test.go
+++ b/internal/router/upstream/surplus_answer_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"seamshunt/internal/shield"
+	"seamshunt/internal/partition"
 )
 
 // A connection that carried a request is never used for the same id again, however many others it carried meanwhile. A
@@ -127,7 +127,7 @@
 			p := NewPool(names)
 			wantAnswer(t, p, newDispatch(addr, "a"), "")
 			c := p.workers["w"].idle[0]
-			c.Conn = &truncatingConn{shield.Bare(c.Conn).(*net.TCPConn), 4000, errno, full}
+			c.Conn = &truncatingConn{partition.Unwrap(c.Conn).(*net.TCPConn), 4000, errno, full}
 			o := newDispatch(addr, "b")
 			o.Request.SetBodyString(strings.Repeat("x", 1<<16))
 			y := p.Do(waitingCaller(t), o)
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Conn = &pausedConn{shield.Bare(c.Conn).(*net.TCPConn), func() { <-written; <-due.Done() }}
+	c.Conn = &pausedConn{partition.Unwrap(c.Conn).(*net.TCPConn), func() { <-written; <-due.Done() }}
 	p.putBack(c, time.Now().Add(testTimeout))
 	if x := wantOutcome(t, p, o, Unknown); !errors.Is(x.Err, os.ErrDeadlineExceeded) || !x.Reused {
 		t.Fatal(x.Err, x.Reused)
--- a/internal/hollow/bound.go
+++ b/internal/scaletest/bound.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"bufio"
@@ -15,25 +15,25 @@
 	perPair = 4 << 10
 )
 
-// Need is about how much memory a run of n routers takes.
-func Need(n int) uint64 {
-	k := uint64(n + Aside)
+// RequiredMemory is about how much memory a run of n routers takes.
+func RequiredMemory(n int) uint64 {
+	k := uint64(n + ControllerCount)
 	return 2 * (k*perNode + k*k*perPair)
 }
 
-// Most is the largest site that fits into so much memory.
-func Most(memory uint64) int {
+// MaxRouters is the largest site that fits into so much memory.
+func MaxRouters(memory uint64) int {
 	n := 0
 	for step := 1 << 20; step > 0; step /= 2 {
-		if Need(n+step) <= memory {
+		if RequiredMemory(n+step) <= memory {
 			n += step
 		}
 	}
 	return n
 }
 
-// Half is half of this machine's memory.
-func Half() (uint64, error) {
+// HalfOfMemory is half of this machine's memory.
+func HalfOfMemory() (uint64, error) {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return 0, fmt.Errorf("hollow: %w", err)
@@ -52,7 +52,7 @@
 
 // CheckSizes says whether sizes can be run here, and else what the bounds are.
 func CheckSizes(sizes []int, memory uint64) error {
-	most := Most(memory)
+	most := MaxRouters(memory)
 	if len(sizes) == 0 {
 		return fmt.Errorf("--sizes names no size: 1 to %d fit here", most)
 	}
--- a/internal/hollow/core.go
+++ b/internal/scaletest/core.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"math/rand/v2"
@@ -18,9 +18,9 @@
 
 // Founders vote; the other machines that are set aside for control stand by.
 const (
-	Founders = 5
-	Aside    = 8
-	pollGap  = 500 * time.Millisecond
+	VoterCount      = 5
+	ControllerCount = 8
+	pollGap         = 500 * time.Millisecond
 )
 
 // core is package controller without its web side, its locks and its file.
@@ -39,7 +39,7 @@
 func newCore(n *node) *core {
 	w := n.w
 	c := &core{n: n, replica: register.New(n.self, units.NodeID(w.rng.Uint64())), roll: idempotency.LoadRegistry(n.self, w.Now, nil), sky: discovery.New(),
-		turn: map[string]*discovery.Schedule{}, planner: register.Planner{FixedSize: Founders, ReplaceAfter: register.ReplaceFixedAfter}}
+		turn: map[string]*discovery.Schedule{}, planner: register.Planner{FixedSize: VoterCount, ReplaceAfter: register.ReplaceFixedAfter}}
 	c.duty = lease.New(n.self, "platform", func() []units.NodeID { return c.replica.Quorum().Members }, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
 	c.iso = antientropy.New(n.self, w.Now, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
 	n.bull.StoredVersions = func() map[string]units.Version { return c.replica.KnownVersions() }
@@ -87,7 +87,7 @@
 	}
 	c.n.bull.Changes = nil
 	c.replica.SetEligible(look.Eligible, look.Draining...)
-	c.replica.BootstrapFixed(Founders, look)
+	c.replica.BootstrapFixed(VoterCount, look)
 	c.replica.ChangeMembers(c.planner.NextMembers(now, c.replica.Quorum(), look))
 	out.Append(c.replica.Tick(now))
 	out.Append(c.roll.Tick(now, c.replica.Quorum()))
@@ -124,7 +124,7 @@
 
 func (c *core) drain(now units.Time, out *message.Effects) {
 	for _, r := range c.replica.Results {
-		c.n.w.Done[r.Code]++
+		c.n.w.ChangeResults[r.Code]++
 	}
 	c.replica.Results = nil
 	fresh := c.replica.Chosen
--- a/internal/hollow/frames.go
+++ b/internal/scaletest/frames.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"errors"
@@ -15,9 +15,9 @@
 	"seamshunt/internal/units"
 )
 
-// Frames sends real frames of some size over loopback by the daemons' own wires, one at a time as a quiet node's go,
+// MeasureFrames sends real frames of some size over loopback by the daemons' own wires, one at a time as a quiet node's go,
 // and gives the processor time of one, sent and taken.
-func Frames(n, size int) (time.Duration, error) {
+func MeasureFrames(n, size int) (time.Duration, error) {
 	c := tasks.New(clockwork.NewRealClock(), 4)
 	defer c.Stop(time.Second)
 	var came atomic.Int64
--- a/internal/hollow/load.go
+++ b/internal/scaletest/load.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"fmt"
@@ -25,24 +25,24 @@
 
 // load is what the world asks of its nodes, and what came of it.
 type load struct {
-	workers   []config.Worker
-	pool      map[string][]int
-	poolNames []string
-	traffic   bool
-	claims    bool
-	Polls     int
-	Done      map[resultcode.Code]int // operators' changes by their outcome
-	Verdicts  map[resultcode.Code]int
-	Claimed   map[resultcode.Code]int
-	asked     map[units.Version]units.Time
-	taken     map[units.Version]int
-	Force     time.Duration // the longest from an operator's change to its being in force on the last router
-	changes   int
-	serial    int
+	workers       []config.Worker
+	pool          map[string][]int
+	poolNames     []string
+	traffic       bool
+	claims        bool
+	Polls         int
+	ChangeResults map[resultcode.Code]int // operators' changes by their outcome
+	Decisions     map[resultcode.Code]int
+	ClaimResults  map[resultcode.Code]int
+	asked         map[units.Version]units.Time
+	taken         map[units.Version]int
+	MaxApplyTime  time.Duration // the longest from an operator's change to its being in force on the last router
+	changes       int
+	serial        int
 }
 
-func newLoad(s Shape) *load {
-	l := &load{pool: map[string][]int{}, Done: map[resultcode.Code]int{}, Verdicts: map[resultcode.Code]int{}, Claimed: map[resultcode.Code]int{},
+func newLoad(s SiteSize) *load {
+	l := &load{pool: map[string][]int{}, ChangeResults: map[resultcode.Code]int{}, Decisions: map[resultcode.Code]int{}, ClaimResults: map[resultcode.Code]int{},
 		asked: map[units.Version]units.Time{}, taken: map[units.Version]int{}}
 	for i := range s.Models {
 		l.poolNames = append(l.poolNames, fmt.Sprintf("pool%02d", i))
@@ -61,7 +61,7 @@
 }
 
 // listed is the platform's answer for one pool.
-func (w *World) listed(p string) []config.Worker {
+func (w *Simulation) listed(p string) []config.Worker {
 	l := make([]config.Worker, len(w.pool[p]))
 	for i, x := range w.pool[p] {
 		l[i] = w.workers[x]
@@ -70,8 +70,8 @@
 	return l
 }
 
-// Config lays out a configuration of a service for each model and a mapping for each tenant.
-func Config(models, tenants int, note string) []byte {
+// ConfigDocument lays out a configuration of a service for each model and a mapping for each tenant.
+func ConfigDocument(models, tenants int, note string) []byte {
 	var s, m []string
 	for i := range models {
 		s = append(s, fmt.Sprintf(`{"name":"m%02d","pool":"pool%02d","cap":%d,"waitlist":%d,"warm_ms":0,"spread":4,"first_ms":160}`, i, i, knee, 2*knee))
@@ -83,22 +83,22 @@
 		strings.Join(s, ",\n"), deadline.Milliseconds(), note, strings.Join(m, ",\n")))
 }
 
-// Change has the first voter's operator write a new configuration.
-func (w *World) Change() {
+// WriteConfig has the first voter's operator write a new configuration.
+func (w *Simulation) WriteConfig() {
 	w.changes++
 	w.asked[units.Version(w.changes)] = w.Now
 	for _, n := range w.nodes {
 		if n.role == membership.Controller {
-			n.prog.(*core).change(Config(w.Models, w.Tenants, fmt.Sprintf("change %d", w.changes)))
+			n.prog.(*core).change(ConfigDocument(w.Models, w.Tenants, fmt.Sprintf("change %d", w.changes)))
 			return
 		}
 	}
 }
 
 // inForce is told that one more router has a configuration in force.
-func (w *World) inForce(num units.Version, now units.Time) {
+func (w *Simulation) inForce(num units.Version, now units.Time) {
 	if w.taken[num]++; w.taken[num] == w.Routers {
-		w.Force = max(w.Force, now.Sub(w.asked[num]))
+		w.MaxApplyTime = max(w.MaxApplyTime, now.Sub(w.asked[num]))
 	}
 }
 
@@ -106,7 +106,7 @@
 func (v *router) prompts() {
 	w, life := v.n.w, v.n.life
 	gap := float64(w.Routers) / w.Rate * 1e9
-	w.After(time.Duration(w.rng.ExpFloat64()*gap), func() {
+	w.Schedule(time.Duration(w.rng.ExpFloat64()*gap), func() {
 		if !v.n.up || v.n.life != life || !(w.traffic || w.claims) {
 			return
 		}
@@ -143,12 +143,12 @@
 func (v *router) tell() {
 	w, life := v.n.w, v.n.life
 	for _, x := range v.queue.Decisions {
-		w.Verdicts[x.Code]++
+		w.Decisions[x.Code]++
 		if x.Code != resultcode.OK {
 			continue
 		}
 		run := min(time.Duration(w.rng.ExpFloat64()*float64(meanRun)), deadline-time.Second)
-		w.After(run, func() {
+		w.Schedule(run, func() {
 			if v.n.up && v.n.life == life {
 				v.n.timed(message.KindCapacity, func() message.Effects { return v.queue.Done(w.Now, x.Tag, false) })
 			}
@@ -156,7 +156,7 @@
 	}
 	v.queue.Decisions = v.queue.Decisions[:0]
 	for _, r := range v.claimant.Results {
-		w.Claimed[r.Code]++
+		w.ClaimResults[r.Code]++
 	}
 	v.claimant.Results = v.claimant.Results[:0]
 }
--- a/internal/hollow/measure.go
+++ b/internal/scaletest/measure.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"fmt"
@@ -15,33 +15,33 @@
 
 // Experiment is one thing that a site does while it is measured.
 type Experiment struct {
-	Name, What string
-	span       time.Duration
-	before     func(*World) // after all serve, before the measuring
-	during     func(*World, time.Duration)
+	Name, Description string
+	span              time.Duration
+	before            func(*Simulation) // after all serve, before the measuring
+	during            func(*Simulation, time.Duration)
 }
 
 // settle is how long it takes after the start until no change rides on notes any more.
 const settle = 8 * time.Second
 
-func quiet(w *World) { w.Run(settle) }
+func quiet(w *Simulation) { w.Advance(settle) }
 
 // Experiments in the order of the table.
 var Experiments = []Experiment{
 	{"start", "all routers started at once, from their start on", 10 * time.Second, nil, nil},
 	{"rest", "nothing happens", 10 * time.Second, quiet, nil},
-	{"serve", "requests at the peak, long streams", 20 * time.Second, func(w *World) { w.serve(true, false); w.Run(45 * time.Second) }, nil},
-	{"claim", "a key claimed for every request of the peak, no permits", 10 * time.Second, func(w *World) { quiet(w); w.serve(false, true) }, nil},
-	{"config", "a change of the configuration every 2 s", 10 * time.Second, quiet, func(w *World, d time.Duration) { w.every(2*time.Second, d, w.Change) }},
-	{"workers", "a worker listed and one taken off, every 2 s", 10 * time.Second, quiet, func(w *World, d time.Duration) { w.every(2*time.Second, d, w.turnover) }},
-	{"restart", "a router restarted every 4 s", 20 * time.Second, quiet, func(w *World, d time.Duration) { w.every(4*time.Second, d, w.restart) }},
-	{"region", "a region cut off: its first 20 s", 20 * time.Second, quiet, func(w *World, _ time.Duration) { w.cut = "c" }},
-	{"heal", "the 20 s after a region was cut off for 20 s", 20 * time.Second, func(w *World) { quiet(w); w.cut = "c"; w.Run(20 * time.Second) },
-		func(w *World, _ time.Duration) { w.cut = "" }},
+	{"serve", "requests at the peak, long streams", 20 * time.Second, func(w *Simulation) { w.serve(true, false); w.Advance(45 * time.Second) }, nil},
+	{"claim", "a key claimed for every request of the peak, no permits", 10 * time.Second, func(w *Simulation) { quiet(w); w.serve(false, true) }, nil},
+	{"config", "a change of the configuration every 2 s", 10 * time.Second, quiet, func(w *Simulation, d time.Duration) { w.every(2*time.Second, d, w.WriteConfig) }},
+	{"workers", "a worker listed and one taken off, every 2 s", 10 * time.Second, quiet, func(w *Simulation, d time.Duration) { w.every(2*time.Second, d, w.turnover) }},
+	{"restart", "a router restarted every 4 s", 20 * time.Second, quiet, func(w *Simulation, d time.Duration) { w.every(4*time.Second, d, w.restart) }},
+	{"region", "a region cut off: its first 20 s", 20 * time.Second, quiet, func(w *Simulation, _ time.Duration) { w.cut = "c" }},
+	{"heal", "the 20 s after a region was cut off for 20 s", 20 * time.Second, func(w *Simulation) { quiet(w); w.cut = "c"; w.Advance(20 * time.Second) },
+		func(w *Simulation, _ time.Duration) { w.cut = "" }},
 }
 
-// Find gives the experiments of these names, or the ones that there are.
-func Find(names []string) (l []Experiment, err error) {
+// FindExperiments gives the experiments of these names, or the ones that there are.
+func FindExperiments(names []string) (l []Experiment, err error) {
 	for _, n := range names {
 		i := slices.IndexFunc(Experiments, func(e Experiment) bool { return e.Name == n })
 		if i < 0 {
@@ -58,17 +58,17 @@
 
 // Row is what one part of one role cost, per node and second of virtual time.
 type Row struct {
-	Experiment string
-	Size       int
-	Role       string
-	Part       string
-	Notes      float64 // sent
-	Out, In    float64 // bytes
-	Most       float64 // of one node: bytes sent or taken, whichever is more
-	Core       float64 // percent of a core
-	HeapKB     float64
-	Writes     float64 // syncs of a controller's disk
-	Disk       float64 // bytes of its records
+	Experiment        string
+	Size              int
+	Role              string
+	Part              string
+	Messages          float64 // sent
+	BytesOut, BytesIn float64 // bytes
+	MaxNodeBytes      float64 // of one node: bytes sent or taken, whichever is more
+	CorePercent       float64 // percent of a core
+	HeapKB            float64
+	DiskSyncs         float64 // syncs of a controller's disk
+	DiskBytes         float64 // bytes of its records
 }
 
 var partNames = map[message.Kind]string{0: "loop", message.KindMembership: "membership", message.KindRegister: "control state", message.KindConfigPush: "news",
@@ -76,26 +76,26 @@
 
 // Result is one run: its rows, and what the page wants to know besides.
 type Result struct {
-	Rows     []Row
-	Ready    time.Duration // until all served and all knew all
-	Force    time.Duration // the longest until a change was in force everywhere
-	Changes  map[resultcode.Code]int
-	Verdicts map[resultcode.Code]int
-	Claimed  map[resultcode.Code]int
-	Polls    int
-	Real     time.Duration // processor time of the measured span
+	Rows          []Row
+	ReadyAfter    time.Duration // until all served and all knew all
+	MaxApplyTime  time.Duration // the longest until a change was in force everywhere
+	ChangeResults map[resultcode.Code]int
+	Decisions     map[resultcode.Code]int
+	ClaimResults  map[resultcode.Code]int
+	Polls         int
+	CPUTime       time.Duration // processor time of the measured span
 }
 
 // Measure runs one experiment at one size.
-func Measure(e Experiment, s Shape) (Result, error) {
+func Measure(e Experiment, s SiteSize) (Result, error) {
 	var r Result
 	base := heap()
-	w, err := NewWorld(s)
+	w, err := NewSimulation(s)
 	if err != nil {
 		return r, err
 	}
 	if e.Name != "start" {
-		if r.Ready, err = w.Start(); err != nil {
+		if r.ReadyAfter, err = w.StartRouters(); err != nil {
 			return r, err
 		}
 	}
@@ -103,44 +103,44 @@
 		e.before(w)
 	}
 	clear(w.counts)
-	w.Writes, w.Synced = 0, 0
+	w.DiskSyncs, w.SyncedBytes = 0, 0
 	for _, n := range w.nodes {
 		n.bytes, n.in = 0, 0
 	}
 	runtime.GC()
 	from, began := cpu(), w.Now
 	if e.Name == "start" {
-		if r.Ready, err = w.Start(); err != nil {
+		if r.ReadyAfter, err = w.StartRouters(); err != nil {
 			return r, err
 		}
 	}
 	if e.during != nil {
 		e.during(w, e.span)
 	}
-	w.Run(e.span - w.Now.Sub(began))
-	r.Real = cpu() - from
+	w.Advance(e.span - w.Now.Sub(began))
+	r.CPUTime = cpu() - from
 	r.rows(w, e, w.Now.Sub(began).Seconds(), heap()-base)
-	r.Force, r.Changes, r.Verdicts, r.Claimed, r.Polls = w.Force, w.Done, w.Verdicts, w.Claimed, w.Polls
+	r.MaxApplyTime, r.ChangeResults, r.Decisions, r.ClaimResults, r.Polls = w.MaxApplyTime, w.ChangeResults, w.Decisions, w.ClaimResults, w.Polls
 	return r, nil
 }
 
 // rows puts processor time down to parts in the measure of the time that their calls took: so the calls' share of the
 // collector, and of this package's own net, is in it.
-func (r *Result) rows(w *World, e Experiment, secs float64, held float64) {
+func (r *Result) rows(w *Simulation, e Experiment, secs float64, held float64) {
 	var busy time.Duration
 	for _, c := range w.counts {
 		busy += c.Busy
 	}
-	share := r.Real.Seconds() / max(busy.Seconds(), 1e-9)
+	share := r.CPUTime.Seconds() / max(busy.Seconds(), 1e-9)
 	for _, role := range []membership.Role{membership.Router, membership.Controller} {
 		nodes, name := float64(w.Routers), "router"
 		if role == membership.Controller {
-			nodes, name = Aside, "controller"
+			nodes, name = ControllerCount, "controller"
 		}
 		all := Row{Experiment: e.Name, Size: w.Routers, Role: name, Part: "all"}
 		for _, n := range w.nodes {
 			if n.role == role {
-				all.Most = max(all.Most, float64(max(n.bytes, n.in))/secs)
+				all.MaxNodeBytes = max(all.MaxNodeBytes, float64(max(n.bytes, n.in))/secs)
 			}
 		}
 		for _, k := range []message.Kind{0, message.KindMembership, message.KindConfigPush, message.KindCapacity, message.KindClaim, message.KindRegister, message.KindLease, message.KindAntiEntropy} {
@@ -149,14 +149,14 @@
 				continue
 			}
 			per := secs * nodes
-			x := Row{Experiment: e.Name, Size: w.Routers, Role: name, Part: partNames[k], Notes: float64(c.Notes) / per, Out: float64(c.Bytes) / per, In: float64(c.In) / per,
-				Core: 100 * c.Busy.Seconds() * share / per}
-			all.Notes, all.Out, all.In, all.Core = all.Notes+x.Notes, all.Out+x.Out, all.In+x.In, all.Core+x.Core
+			x := Row{Experiment: e.Name, Size: w.Routers, Role: name, Part: partNames[k], Messages: float64(c.Notes) / per, BytesOut: float64(c.Bytes) / per, BytesIn: float64(c.In) / per,
+				CorePercent: 100 * c.Busy.Seconds() * share / per}
+			all.Messages, all.BytesOut, all.BytesIn, all.CorePercent = all.Messages+x.Messages, all.BytesOut+x.BytesOut, all.BytesIn+x.BytesIn, all.CorePercent+x.CorePercent
 			r.Rows = append(r.Rows, x)
 		}
-		all.HeapKB = held / 1024 / float64(w.Routers+Aside) // of both roles alike: one heap holds them all
+		all.HeapKB = held / 1024 / float64(w.Routers+ControllerCount) // of both roles alike: one heap holds them all
 		if role == membership.Controller {
-			all.Writes, all.Disk = float64(w.Writes)/secs/nodes, float64(w.Synced)/secs/nodes
+			all.DiskSyncs, all.DiskBytes = float64(w.DiskSyncs)/secs/nodes, float64(w.SyncedBytes)/secs/nodes
 		}
 		r.Rows = append(r.Rows, all)
 	}
--- a/internal/hollow/net.go
+++ b/internal/scaletest/net.go
@@ -1,7 +1,7 @@
-// Package hollow runs many nodes in one process to measure what each role costs at a size: the daemons' own step
+// Package scaletest runs many nodes in one process to measure what each role costs at a size: the daemons' own step
 // machines for membership, news, keepers, claims and control state, with no engine behind and frames counted instead
 // of sent (docs/CAPACITY.md).
-package hollow
+package scaletest
 
 import (
 	"math/rand/v2"
@@ -41,24 +41,24 @@
 	kind message.Kind // zero for ticks of the program, and for disk work
 }
 
-// World is one site of hollow nodes, on a virtual clock.
-type World struct {
-	Now    units.Time
-	rng    *rand.Rand
-	nodes  []*node
-	byID   map[units.NodeID]*node
-	byAddr map[string]*node
-	slots  map[int64][]event
-	counts map[partKey]*count
-	cut    string // a region that nothing gets into or out of
-	Writes int
-	Synced int // bytes of records
-	Shape
+// Simulation is one site of hollow nodes, on a virtual clock.
+type Simulation struct {
+	Now         units.Time
+	rng         *rand.Rand
+	nodes       []*node
+	byID        map[units.NodeID]*node
+	byAddr      map[string]*node
+	slots       map[int64][]event
+	counts      map[partKey]*count
+	cut         string // a region that nothing gets into or out of
+	DiskSyncs   int
+	SyncedBytes int // bytes of records
+	SiteSize
 	*load
 }
 
-// Shape says how large a site is.
-type Shape struct {
+// SiteSize says how large a site is.
+type SiteSize struct {
 	Routers, Workers, Models, Tenants int
 	Rate                              float64 // requests a second
 	Seed                              uint64
@@ -69,16 +69,16 @@
 	{"a1", "a"}, {"a2", "a"}, {"a3", "a"}, {"a4", "a"}, {"b1", "b"}, {"b2", "b"}, {"b3", "b"}, {"b4", "b"}, {"c1", "c"}, {"c2", "c"}, {"c3", "c"},
 }
 
-func (w *World) at(t units.Time, e event) {
+func (w *Simulation) at(t units.Time, e event) {
 	ms := max(int64(t)/1e6, int64(w.Now)/1e6+1)
 	w.slots[ms] = append(w.slots[ms], e)
 }
 
-// After plans a thing for a span from now.
-func (w *World) After(d time.Duration, do func()) { w.at(w.Now.Add(d), event{do: do}) }
+// Schedule plans a thing for a span from now.
+func (w *Simulation) Schedule(d time.Duration, do func()) { w.at(w.Now.Add(d), event{do: do}) }
 
-// Run lets virtual time go on for a span.
-func (w *World) Run(d time.Duration) {
+// Advance lets virtual time go on for a span.
+func (w *Simulation) Advance(d time.Duration) {
 	for end := w.Now.Add(d); w.Now < end; {
 		ms := int64(w.Now)/1e6 + 1
 		w.Now = units.Time(ms * 1e6)
@@ -95,7 +95,7 @@
 	}
 }
 
-func (w *World) part(r membership.Role, k message.Kind) *count {
+func (w *Simulation) part(r membership.Role, k message.Kind) *count {
 	c := w.counts[partKey{r, k}]
 	if c == nil {
 		c = &count{}
@@ -105,7 +105,7 @@
 }
 
 // send counts one frame and brings it to where it goes.
-func (w *World) send(from *node, n message.Message) {
+func (w *Simulation) send(from *node, n message.Message) {
 	n.From = from.self
 	to := w.byID[n.To]
 	if n.Addr != "" {
@@ -134,9 +134,9 @@
 }
 
 // refuse tells a sender that nobody listens at an address, as the kernel does when its wire is dialled.
-func (w *World) refuse(from *node, addr string) {
+func (w *Simulation) refuse(from *node, addr string) {
 	life := from.life
-	w.After(time.Millisecond, func() {
+	w.Schedule(time.Millisecond, func() {
 		if from.up && from.life == life {
 			if l := from.membership.ConnectionRefused(w.Now, addr); len(l) > 0 {
 				from.prog.gone(w.Now, l)
@@ -145,7 +145,7 @@
 	})
 }
 
-func (w *World) delay(a, b *node) time.Duration {
+func (w *Simulation) delay(a, b *node) time.Duration {
 	d := time.Duration(w.rng.Int64N(int64(time.Millisecond)))
 	switch {
 	case a.region != b.region:
--- a/internal/hollow/node.go
+++ b/internal/scaletest/node.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"bytes"
@@ -24,7 +24,7 @@
 
 // node is one hollow process: what package node holds, and a program.
 type node struct {
-	w          *World
+	w          *Simulation
 	self       units.NodeID
 	addr       string
 	zone       string
@@ -40,7 +40,7 @@
 }
 
 // add puts a machine into the world; its process starts at once.
-func (w *World) add(i int, role membership.Role) *node {
+func (w *Simulation) add(i int, role membership.Role) *node {
 	z := site[i%len(site)]
 	n := &node{w: w, zone: z.zone, region: z.region, role: role}
 	name := "v"
@@ -54,7 +54,7 @@
 	return n
 }
 
-func (w *World) seeds() (l []string) {
+func (w *Simulation) seeds() (l []string) {
 	for _, n := range w.nodes {
 		if n.role == membership.Controller && len(l) < 3 {
 			l = append(l, n.addr)
@@ -97,9 +97,9 @@
 			return
 		}
 		n.timed(kind, func() message.Effects { return f(n.w.Now) })
-		n.w.After(gap, tick)
+		n.w.Schedule(gap, tick)
 	}
-	n.w.After(time.Duration(n.w.rng.Int64N(int64(gap))), tick)
+	n.w.Schedule(time.Duration(n.w.rng.Int64N(int64(gap))), tick)
 }
 
 // beat is package node's: membership, then news.
@@ -150,13 +150,13 @@
 		return
 	}
 	if len(out.Writes) > 0 {
-		n.w.Writes++
+		n.w.DiskSyncs++
 	}
 	for _, r := range out.Writes {
-		n.w.Synced += len(r.Key) + len(r.Data)
+		n.w.SyncedBytes += len(r.Key) + len(r.Data)
 	}
 	life := n.life
-	n.w.After(syncTime, func() {
+	n.w.Schedule(syncTime, func() {
 		if n.up && n.life == life {
 			for _, x := range out.AfterSync {
 				n.w.send(n, x)
--- a/internal/hollow/plot.go
+++ b/internal/scaletest/plot.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"fmt"
@@ -12,16 +12,16 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Plot draws four panels, bytes, notes, processor time and memory of a router against the size of its site, a line for
+// WritePlot draws four panels, bytes, notes, processor time and memory of a router against the size of its site, a line for
 // each experiment, and the ceilings.
-func Plot(path string, rows []Row) error {
+func WritePlot(path string, rows []Row) error {
 	const side = 12 * vg.Centimeter
 	c := vgsvg.New(2*side, 2*side)
 	tiles := draw.Tiles{Rows: 2, Cols: 2, PadX: vg.Centimeter / 2, PadY: vg.Centimeter / 2, PadTop: vg.Centimeter / 4, PadRight: vg.Centimeter / 4}
 	panels := []struct {
 		measure, title string
 		most           float64
-	}{{"out_bytes_s", "bytes sent a second", BytesMost}, {"notes_s", "notes sent a second", 0}, {"core_pct", "percent of a core", CoreMost}, {"heap_kb", "heap, KB", 0}}
+	}{{"out_bytes_s", "bytes sent a second", MaxBytesPerSecond}, {"notes_s", "notes sent a second", 0}, {"core_pct", "percent of a core", MaxCorePercent}, {"heap_kb", "heap, KB", 0}}
 	var grid [][]*plot.Plot
 	for i := range 2 {
 		var l []*plot.Plot
@@ -63,7 +63,7 @@
 		var xy plotter.XYs
 		for _, r := range rows {
 			if r.Experiment == e.Name && r.Role == "router" && r.Part == "all" {
-				xy = append(xy, plotter.XY{X: float64(r.Size), Y: at(rows, Line{Experiment: e.Name, Role: "router", Part: "all", Measure: measure}, r.Size)})
+				xy = append(xy, plotter.XY{X: float64(r.Size), Y: at(rows, FittedLine{Experiment: e.Name, Role: "router", Part: "all", Measure: measure}, r.Size)})
 				last = max(last, r.Size)
 			}
 		}
--- a/internal/hollow/table.go
+++ b/internal/scaletest/table.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"encoding/csv"
@@ -12,11 +12,11 @@
 
 // Ceilings of control on one node.
 const (
-	CoreMost  = 4.2            // percent of a core
-	BytesMost = 9 * 1024       // a second
-	HeapMost  = 256 * 1024     // KB
-	sizeMost  = 100 * FullSize // beyond it a line that was fitted says nothing
-	FullSize  = 400
+	MaxCorePercent    = 4.2            // percent of a core
+	MaxBytesPerSecond = 9 * 1024       // a second
+	MaxHeapKB         = 256 * 1024     // KB
+	sizeMost          = 100 * FullSize // beyond it a line that was fitted says nothing
+	FullSize          = 400
 )
 
 // measures are the columns that lines are fitted to.
@@ -25,18 +25,18 @@
 	most float64
 	of   func(Row) float64
 }{
-	{"notes_s", 0, func(r Row) float64 { return r.Notes }},
-	{"out_bytes_s", BytesMost, func(r Row) float64 { return r.Out }},
-	{"in_bytes_s", BytesMost, func(r Row) float64 { return r.In }},
-	{"most_bytes_s", BytesMost, func(r Row) float64 { return r.Most }},
-	{"core_pct", CoreMost, func(r Row) float64 { return r.Core }},
-	{"heap_kb", HeapMost, func(r Row) float64 { return r.HeapKB }},
-	{"syncs_s", 0, func(r Row) float64 { return r.Writes }},
-	{"disk_bytes_s", 0, func(r Row) float64 { return r.Disk }},
+	{"notes_s", 0, func(r Row) float64 { return r.Messages }},
+	{"out_bytes_s", MaxBytesPerSecond, func(r Row) float64 { return r.BytesOut }},
+	{"in_bytes_s", MaxBytesPerSecond, func(r Row) float64 { return r.BytesIn }},
+	{"most_bytes_s", MaxBytesPerSecond, func(r Row) float64 { return r.MaxNodeBytes }},
+	{"core_pct", MaxCorePercent, func(r Row) float64 { return r.CorePercent }},
+	{"heap_kb", MaxHeapKB, func(r Row) float64 { return r.HeapKB }},
+	{"syncs_s", 0, func(r Row) float64 { return r.DiskSyncs }},
+	{"disk_bytes_s", 0, func(r Row) float64 { return r.DiskBytes }},
 }
 
-// Table writes all rows as CSV.
-func Table(w io.Writer, rows []Row) error {
+// WriteCSV writes all rows as CSV.
+func WriteCSV(w io.Writer, rows []Row) error {
 	c := csv.NewWriter(w)
 	head := []string{"experiment", "role", "part", "size"}
 	for _, m := range measures {
@@ -67,18 +67,18 @@
 	return num(x)
 }
 
-// Line is a straight line through one measure of one part at all sizes.
-type Line struct {
+// FittedLine is a straight line through one measure of one part at all sizes.
+type FittedLine struct {
 	Experiment, Role, Part, Measure string
-	Base, Slope, R2                 float64 // per node of the site
-	At                              float64 // the full size
-	Ran                             bool    // the full size was run: At is what was measured there
-	Cross                           float64 // the size at which the line meets the ceiling; 0 for never, or none
-	Most                            float64 // the larger of At and what the largest size that ran came to
+	Intercept, Slope, R2            float64 // per node of the site
+	AtFullSize                      float64 // the full size
+	FullSizeMeasured                bool    // the full size was run: At is what was measured there
+	CeilingSize                     float64 // the size at which the line meets the ceiling; 0 for never, or none
+	Max                             float64 // the larger of At and what the largest size that ran came to
 }
 
-// Fit puts lines through rows; a single size gives none.
-func Fit(rows []Row) (l []Line) {
+// FitLines puts lines through rows; a single size gives none.
+func FitLines(rows []Row) (l []FittedLine) {
 	type key struct{ e, r, p string }
 	var order []key
 	by := map[key][]Row{}
@@ -92,24 +92,24 @@
 	for _, k := range order {
 		for _, m := range measures {
 			var x, y []float64
-			n := Line{Experiment: k.e, Role: k.r, Part: k.p, Measure: m.name}
+			n := FittedLine{Experiment: k.e, Role: k.r, Part: k.p, Measure: m.name}
 			for _, r := range by[k] {
 				x, y = append(x, float64(r.Size)), append(y, m.of(r))
 				if r.Size == FullSize {
-					n.Ran, n.At = true, m.of(r)
+					n.FullSizeMeasured, n.AtFullSize = true, m.of(r)
 				}
 			}
 			if len(x) < 3 || slices.Max(y) == 0 {
 				continue
 			}
-			n.Base, n.Slope = stat.LinearRegression(x, y, nil, false)
-			n.R2 = stat.RSquared(x, y, nil, n.Base, n.Slope)
-			if !n.Ran {
-				n.At = n.Base + n.Slope*FullSize
+			n.Intercept, n.Slope = stat.LinearRegression(x, y, nil, false)
+			n.R2 = stat.RSquared(x, y, nil, n.Intercept, n.Slope)
+			if !n.FullSizeMeasured {
+				n.AtFullSize = n.Intercept + n.Slope*FullSize
 			}
 			if m.most > 0 && k.p == "all" && n.Slope > 0 {
-				if at := (m.most - n.Base) / n.Slope; at > 0 && at < sizeMost {
-					n.Cross = at
+				if at := (m.most - n.Intercept) / n.Slope; at > 0 && at < sizeMost {
+					n.CeilingSize = at
 				}
 			}
 			l = append(l, n)
@@ -118,8 +118,8 @@
 	return l
 }
 
-// Markdown writes, for each experiment and role, what the whole of it cost at each size, with the fitted lines.
-func Markdown(w io.Writer, rows []Row, lines []Line) error {
+// WriteMarkdown writes, for each experiment and role, what the whole of it cost at each size, with the fitted lines.
+func WriteMarkdown(w io.Writer, rows []Row, lines []FittedLine) error {
 	var sizes []int
 	for _, r := range rows {
 		if !slices.Contains(sizes, r.Size) {
@@ -134,7 +134,7 @@
 	}
 	b += " slope per node | R^2 | ceiling met at |\n" + rule + "---|---|---|\n"
 	for _, n := range lines {
-		if n.Most = max(n.At, at(rows, n, slices.Max(sizes))); !shown(n) {
+		if n.Max = max(n.AtFullSize, at(rows, n, slices.Max(sizes))); !shown(n) {
 			continue
 		}
 		b += fmt.Sprintf("| %s | %s | %s | %s |", n.Experiment, n.Role, n.Part, n.Measure)
@@ -142,8 +142,8 @@
 			b += " " + whole(at(rows, n, s)) + " |"
 		}
 		cross := ""
-		if n.Cross > 0 {
-			cross = fmt.Sprintf("%.0f", n.Cross)
+		if n.CeilingSize > 0 {
+			cross = fmt.Sprintf("%.0f", n.CeilingSize)
 		}
 		b += fmt.Sprintf(" %s | %.3f | %s |\n", num(n.Slope), n.R2, cross)
 	}
@@ -155,14 +155,14 @@
 
 // shown says which lines the page's table has: the whole of each role, and the parts that send the most at the largest
 // size that ran or, by the line, at the full one.
-func shown(n Line) bool {
+func shown(n FittedLine) bool {
 	if n.Part == "all" {
-		return n.Measure != "notes_s" || n.At > 0.01
+		return n.Measure != "notes_s" || n.AtFullSize > 0.01
 	}
-	return n.Measure == "out_bytes_s" && n.Most > 200 || n.Measure == "core_pct" && n.Most > 0.2
+	return n.Measure == "out_bytes_s" && n.Max > 200 || n.Measure == "core_pct" && n.Max > 0.2
 }
 
-func at(rows []Row, n Line, size int) float64 {
+func at(rows []Row, n FittedLine, size int) float64 {
 	for _, r := range rows {
 		if r.Experiment == n.Experiment && r.Role == n.Role && r.Part == n.Part && r.Size == size {
 			for _, m := range measures {
--- a/internal/hollow/vane.go
+++ b/internal/scaletest/vane.go
@@ -1,4 +1,4 @@
-package hollow
+package scaletest
 
 import (
 	"slices"
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -16,33 +16,33 @@
 	"seamshunt/internal/router/upstream"
 )
 
-// Sort is one kind of request that callers send.
-type Sort struct {
-	Mapping string
-	Path    string
-	Once    bool
-	LeftMs  int
-	Prefix  int // bytes shared by all of a topic
-	Own     int // bytes of the session's own
-	Pieces  int
+// RequestKind is one kind of request that callers send.
+type RequestKind struct {
+	Mapping      string
+	Path         string
+	AtMostOnce   bool
+	TimeLeftMs   int
+	PrefixBytes  int // bytes shared by all of a topic
+	SessionBytes int // bytes of the session's own
+	Pieces       int
 }
 
-// Sorts are the three of the brief, in like measure.
-var Sorts = []Sort{
-	{Mapping: "briefing", Path: "/v1/briefing", LeftMs: 6000, Prefix: 8192, Own: 768, Pieces: 30},
-	{Mapping: "notice", Path: "/v1/notice", Once: true, LeftMs: 4000, Prefix: 2048, Own: 256, Pieces: 8},
-	{Mapping: "chat", Path: "/v1/chat", LeftMs: 20000, Prefix: 4096, Own: 512, Pieces: 70},
+// RequestKinds are the three of the brief, in like measure.
+var RequestKinds = []RequestKind{
+	{Mapping: "briefing", Path: "/v1/briefing", TimeLeftMs: 6000, PrefixBytes: 8192, SessionBytes: 768, Pieces: 30},
+	{Mapping: "notice", Path: "/v1/notice", AtMostOnce: true, TimeLeftMs: 4000, PrefixBytes: 2048, SessionBytes: 256, Pieces: 8},
+	{Mapping: "chat", Path: "/v1/chat", TimeLeftMs: 20000, PrefixBytes: 4096, SessionBytes: 512, Pieces: 70},
 }
 
-// Ask is one request, ready to be sent.
-type Ask struct {
-	Sort
+// Request is one request, ready to be sent.
+type Request struct {
+	RequestKind
 	Job    string
 	Prompt string
 }
 
-// Mix draws requests: sorts in like measure, topics by a steep popularity.
-type Mix struct {
+// RequestGenerator draws requests: sorts in like measure, topics by a steep popularity.
+type RequestGenerator struct {
 	rng    *rand.Rand
 	zipf   *rand.Zipf
 	seed   uint64
@@ -50,39 +50,39 @@
 	topics int
 }
 
-// NewMix gives the same requests for the same seed. Hot is the share of the one most popular topic's steepness.
-func NewMix(seed uint64, topics int) *Mix {
+// NewRequestGenerator gives the same requests for the same seed. Hot is the share of the one most popular topic's steepness.
+func NewRequestGenerator(seed uint64, topics int) *RequestGenerator {
 	r := rand.New(rand.NewPCG(seed, 7))
-	return &Mix{rng: r, zipf: rand.NewZipf(r, 1.3, 4, uint64(topics-1)), seed: seed, topics: topics}
+	return &RequestGenerator{rng: r, zipf: rand.NewZipf(r, 1.3, 4, uint64(topics-1)), seed: seed, topics: topics}
 }
 
 // Next draws one request.
-func (m *Mix) Next() Ask {
+func (m *RequestGenerator) Next() Request {
 	m.n++
-	s := Sorts[m.rng.IntN(len(Sorts))]
+	s := RequestKinds[m.rng.IntN(len(RequestKinds))]
 	topic := m.zipf.Uint64()
 	head := fmt.Sprintf("%s topic %d. ", s.Mapping, topic)
 	own := fmt.Sprintf(" session %d of %d: ", m.n, m.seed)
-	return Ask{Sort: s, Job: fmt.Sprintf("j%d-%d", m.seed, m.n),
-		Prompt: fill(head, s.Prefix) + fill(own, s.Own)}
+	return Request{RequestKind: s, Job: fmt.Sprintf("j%d-%d", m.seed, m.n),
+		Prompt: fill(head, s.PrefixBytes) + fill(own, s.SessionBytes)}
 }
 
 func fill(s string, n int) string { return strings.Repeat(s, n/len(s)+1)[:n] }
 
-// Gap draws the time to the next request at a rate.
-func (m *Mix) Gap(perSec float64) time.Duration {
+// NextDelay draws the time to the next request at a rate.
+func (m *RequestGenerator) NextDelay(perSec float64) time.Duration {
 	return time.Duration(m.rng.ExpFloat64() / perSec * float64(time.Second))
 }
 
-// Call sends a request to one router and judges what comes back.
-func Call(ctx context.Context, router string, a Ask, key string) Entry {
-	e := Entry{Kind: "call", At: Now(), Job: a.Job, Mapping: a.Mapping, Router: router, LeftMs: a.LeftMs}
+// Send sends a request to one router and judges what comes back.
+func Send(ctx context.Context, router string, a Request, key string) Entry {
+	e := Entry{Kind: "call", At: Now(), Job: a.Job, Mapping: a.Mapping, Router: router, TimeLeftMs: a.TimeLeftMs}
 	call(ctx, router, a, key, &e)
 	e.End = Now()
 	return e
 }
 
-func call(ctx context.Context, router string, a Ask, key string, e *Entry) {
+func call(ctx context.Context, router string, a Request, key string, e *Entry) {
 	d := net.Dialer{Timeout: time.Second}
 	c, err := d.DialContext(ctx, "tcp", router)
 	if err != nil {
@@ -92,13 +92,13 @@
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	_ = c.SetDeadline(time.Now().Add(time.Duration(a.LeftMs+3000) * time.Millisecond))
+	_ = c.SetDeadline(time.Now().Add(time.Duration(a.TimeLeftMs+3000) * time.Millisecond))
 	body, _ := json.Marshal(map[string]any{"prompt": a.Prompt, "job": a.Job, "pieces": a.Pieces})
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + router + a.Path)
 	req.Header.SetMethod("POST")
-	req.Header.Set("Time-Left-Ms", strconv.Itoa(a.LeftMs))
+	req.Header.Set("Time-Left-Ms", strconv.Itoa(a.TimeLeftMs))
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
@@ -142,11 +142,11 @@
 		}
 		e.Pieces++
 	}
-	e.Whole = lines.Err() == nil
-	if e.Whole && e.Fault == "" && !seal.Complete() {
+	e.Complete = lines.Err() == nil
+	if e.Complete && e.Fault == "" && !seal.Complete() {
 		e.Fault = "it ends properly without a seal"
 	}
-	if !e.Whole {
+	if !e.Complete {
 		e.Fault = ""
 	}
 }
@@ -161,5 +161,5 @@
 		e.Fault = "a refusal that can't be read"
 		return
 	}
-	e.Code, e.NotRun, e.BackMs = x.Code, x.NotRun, x.Back
+	e.Code, e.NotRun, e.RetryAfterMs = x.Code, x.NotRun, x.Back
 }
--- a/internal/standin/journal.go
+++ b/internal/standin/journal.go
@@ -11,38 +11,38 @@
 
 // Entry is one line of a journal; the observer judges a run by them alone.
 type Entry struct {
-	Kind    string  `json:"kind"` // start, end, turn, call, event
-	At      int64   `json:"at"`   // microseconds of the wall clock, one machine's for all
-	Job     string  `json:"job,omitempty"`
-	Worker  string  `json:"worker,omitempty"`
-	Pool    string  `json:"pool,omitempty"`
-	Zone    string  `json:"zone,omitempty"`
-	ID      string  `json:"id,omitempty"`
-	How     string  `json:"how,omitempty"` // end: done or cut; event: what was done
-	Hit     float64 `json:"hit,omitempty"` // share of the prompt found in the prefix cache
-	Flight  int     `json:"flight,omitempty"`
-	Mapping string  `json:"mapping,omitempty"`
-	Router  string  `json:"router,omitempty"`
-	End     int64   `json:"end,omitempty"`
-	FirstUs int64   `json:"first_us,omitempty"`
-	LeftMs  int     `json:"left_ms,omitempty"`
-	Status  int     `json:"status,omitempty"`
-	Code    int     `json:"code,omitempty"`
-	NotRun  bool    `json:"not_run,omitempty"`
-	BackMs  int     `json:"back_ms,omitempty"`
-	Whole   bool    `json:"whole,omitempty"` // ended properly, as HTTP has it
-	Fault   string  `json:"fault,omitempty"` // what the caller found wrong in an answer that ended properly
-	Pieces  int     `json:"pieces,omitempty"`
-	Target  string  `json:"target,omitempty"`
-	Bytes   int     `json:"bytes,omitempty"`
-	Sum     string  `json:"sum,omitempty"`   // of method, path and body: as sent, as arrived
-	Order   string  `json:"order,omitempty"` // what is wrong in the order of a stream's pieces, whole or not
-	Cold    bool    `json:"cold,omitempty"`
-	Came    int64   `json:"came,omitempty"` // when the request had arrived at the worker
+	Kind         string  `json:"kind"` // start, end, turn, call, event
+	At           int64   `json:"at"`   // microseconds of the wall clock, one machine's for all
+	Job          string  `json:"job,omitempty"`
+	Worker       string  `json:"worker,omitempty"`
+	Pool         string  `json:"pool,omitempty"`
+	Zone         string  `json:"zone,omitempty"`
+	ID           string  `json:"id,omitempty"`
+	How          string  `json:"how,omitempty"` // end: done or cut; event: what was done
+	CacheHit     float64 `json:"hit,omitempty"` // share of the prompt found in the prefix cache
+	InFlight     int     `json:"flight,omitempty"`
+	Mapping      string  `json:"mapping,omitempty"`
+	Router       string  `json:"router,omitempty"`
+	End          int64   `json:"end,omitempty"`
+	FirstUs      int64   `json:"first_us,omitempty"`
+	TimeLeftMs   int     `json:"left_ms,omitempty"`
+	Status       int     `json:"status,omitempty"`
+	Code         int     `json:"code,omitempty"`
+	NotRun       bool    `json:"not_run,omitempty"`
+	RetryAfterMs int     `json:"back_ms,omitempty"`
+	Complete     bool    `json:"whole,omitempty"` // ended properly, as HTTP has it
+	Fault        string  `json:"fault,omitempty"` // what the caller found wrong in an answer that ended properly
+	Pieces       int     `json:"pieces,omitempty"`
+	Target       string  `json:"target,omitempty"`
+	Bytes        int     `json:"bytes,omitempty"`
+	Fingerprint  string  `json:"sum,omitempty"`   // of method, path and body: as sent, as arrived
+	OrderFault   string  `json:"order,omitempty"` // what is wrong in the order of a stream's pieces, whole or not
+	WarmingUp    bool    `json:"cold,omitempty"`
+	ArrivedAt    int64   `json:"came,omitempty"` // when the request had arrived at the worker
 }
 
-// Left is the fault of a call whose caller left before its end.
-const Left = "the caller left"
+// FaultClientDisconnected is the fault of a call whose caller left before its end.
+const FaultClientDisconnected = "the caller left"
 
 // Journal is a file of entries.
 type Journal struct {
@@ -50,8 +50,8 @@
 	f  *os.File
 }
 
-// Open makes or continues a journal.
-func Open(path string) (*Journal, error) {
+// OpenJournal makes or continues a journal.
+func OpenJournal(path string) (*Journal, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,26 +13,26 @@
 
 // Platform lists workers, marks leaving ones, and limits how often it may be asked.
 type Platform struct {
-	mu      sync.Mutex
-	pools   map[string][]config.Worker
-	born    map[string]time.Time
-	Mood    string            // "", refuse, empty, slow, bad, old
-	before  map[string][]byte // what it answers while it is old
-	PerSec  int               // questions allowed in a second; 0 for any number
-	second  int64
-	asked   int
-	Asked   int
-	Denied  int
-	Control func(event string) error // what the harness does on a drill's wish
+	mu               sync.Mutex
+	pools            map[string][]config.Worker
+	born             map[string]time.Time
+	FailureMode      string            // "", refuse, empty, slow, bad, old
+	before           map[string][]byte // what it answers while it is old
+	MaxPerSecond     int               // questions allowed in a second; 0 for any number
+	second           int64
+	asked            int
+	RequestCount     int
+	RateLimitedCount int
+	HandleEvent      func(event string) error // what the harness does on a drill's wish
 }
 
 // NewPlatform gives one without workers.
 func NewPlatform(perSec int) *Platform {
-	return &Platform{pools: map[string][]config.Worker{}, born: map[string]time.Time{}, PerSec: perSec}
+	return &Platform{pools: map[string][]config.Worker{}, born: map[string]time.Time{}, MaxPerSecond: perSec}
 }
 
-// Set adds a worker or replaces its entry; age is how long it has been warm already.
-func (p *Platform) Set(pool string, w config.Worker) {
+// SetWorker adds a worker or replaces its entry; age is how long it has been warm already.
+func (p *Platform) SetWorker(pool string, w config.Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.born[w.ID]; !ok {
@@ -47,15 +47,15 @@
 	p.pools[pool] = append(p.pools[pool], w)
 }
 
-// Born says that a worker has just started again in its place.
-func (p *Platform) Born(id string) {
+// RecordRestart says that a worker has just started again in its place.
+func (p *Platform) RecordRestart(id string) {
 	p.mu.Lock()
 	p.born[id] = time.Now()
 	p.mu.Unlock()
 }
 
-// Remove takes a worker off the list.
-func (p *Platform) Remove(pool, id string) {
+// RemoveWorker takes a worker off the list.
+func (p *Platform) RemoveWorker(pool, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var l []config.Worker
@@ -67,8 +67,8 @@
 	p.pools[pool] = l
 }
 
-// Get finds a worker.
-func (p *Platform) Get(pool, id string) (config.Worker, bool) {
+// FindWorker finds a worker.
+func (p *Platform) FindWorker(pool, id string) (config.Worker, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range p.pools[pool] {
@@ -79,10 +79,10 @@
 	return config.Worker{}, false
 }
 
-// SetMood changes how the platform answers.
-func (p *Platform) SetMood(m string) {
+// SetFailureMode changes how the platform answers.
+func (p *Platform) SetFailureMode(m string) {
 	p.mu.Lock()
-	p.Mood, p.before = m, map[string][]byte{}
+	p.FailureMode, p.before = m, map[string][]byte{}
 	for pool := range p.pools {
 		p.before[pool] = p.list(pool)
 	}
@@ -95,8 +95,8 @@
 }
 
 func (p *Platform) handle(ctx *fasthttp.RequestCtx) {
-	if string(ctx.Path()) == "/harness" && p.Control != nil {
-		if err := p.Control(string(ctx.QueryArgs().Peek("event"))); err != nil {
+	if string(ctx.Path()) == "/harness" && p.HandleEvent != nil {
+		if err := p.HandleEvent(string(ctx.QueryArgs().Peek("event"))); err != nil {
 			ctx.SetStatusCode(400)
 			ctx.SetBodyString(err.Error())
 		}
@@ -109,29 +109,29 @@
 		return
 	}
 	p.mu.Lock()
-	slow := p.Mood == "slow"
+	slow := p.FailureMode == "slow"
 	p.mu.Unlock()
 	if slow {
 		time.Sleep(800 * time.Millisecond)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Asked++
+	p.RequestCount++
 	if now := time.Now().Unix(); now != p.second {
 		p.second, p.asked = now, 0
 	}
 	p.asked++
 	switch {
-	case p.PerSec > 0 && p.asked > p.PerSec:
-		p.Denied++
+	case p.MaxPerSecond > 0 && p.asked > p.MaxPerSecond:
+		p.RateLimitedCount++
 		ctx.SetStatusCode(429)
-	case p.Mood == "refuse":
+	case p.FailureMode == "refuse":
 		ctx.SetStatusCode(503)
-	case p.Mood == "bad":
+	case p.FailureMode == "bad":
 		ctx.SetBodyString(`{"workers": [`)
-	case p.Mood == "empty":
+	case p.FailureMode == "empty":
 		ctx.SetBodyString(`{"workers": []}`)
-	case p.Mood == "old":
+	case p.FailureMode == "old":
 		ctx.SetBody(p.before[pool])
 	default:
 		ctx.SetContentType("application/json")
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -17,24 +17,24 @@
 	"seamshunt/internal/socket"
 )
 
-// Model says how a stand-in worker behaves. Its shape is the source's: a batch that slows with its size, a
+// LoadModel says how a stand-in worker behaves. Its shape is the source's: a batch that slows with its size, a
 // prefix cache, and past the knee recomputation that makes everything late.
-type Model struct {
-	Knee      int
-	Blocks    int           // prefix cache, in blocks
-	PerByte   time.Duration // prefill of a byte that isn't cached
-	PerPiece  time.Duration
-	BatchMost int // what it refuses beyond, sealed as not run
+type LoadModel struct {
+	Knee           int
+	CacheBlocks    int           // prefix cache, in blocks
+	PrefillPerByte time.Duration // prefill of a byte that isn't cached
+	TimePerPiece   time.Duration
+	MaxBatch       int // what it refuses beyond, sealed as not run
 }
 
-// DefaultModel is the one that the docs' measurements use.
-var DefaultModel = Model{Knee: 4, Blocks: 400, PerByte: 40 * time.Microsecond, PerPiece: 20 * time.Millisecond, BatchMost: 64}
+// DefaultLoadModel is the one that the docs' measurements use.
+var DefaultLoadModel = LoadModel{Knee: 4, CacheBlocks: 400, PrefillPerByte: 40 * time.Microsecond, TimePerPiece: 20 * time.Millisecond, MaxBatch: 64}
 
 // Worker is one stand-in back end.
 type Worker struct {
 	Name, Pool, Zone string
-	Model            Model
-	Wrong            string // how it answers wrongly; empty for rightly
+	Model            LoadModel
+	FaultMode        string // how it answers wrongly; empty for rightly
 	Journal          *Journal
 	mu               sync.Mutex
 	flight           int
@@ -43,7 +43,7 @@
 
 // Serve answers on ln until it is closed.
 func (w *Worker) Serve(ln net.Listener) error {
-	w.cache = newCache(w.Model.Blocks)
+	w.cache = newCache(w.Model.CacheBlocks)
 	s := &fasthttp.Server{Handler: w.handle, Name: "worker", MaxRequestBodySize: 8 << 20, NoDefaultDate: true, Concurrency: 65536}
 	return s.Serve(ln)
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	w.mu.Lock()
-	full := w.flight >= w.Model.BatchMost
+	full := w.flight >= w.Model.MaxBatch
 	if !full {
 		w.flight++
 	}
@@ -81,15 +81,15 @@
 		ctx.SetBodyString(fmt.Sprintf(`{"id":%q,"ran":false}`, id))
 		return
 	}
-	w.Journal.Write(Entry{Kind: "start", At: Now(), Job: j.Job, Worker: w.Name, Pool: w.Pool, Zone: w.Zone, ID: id, Hit: hit, Flight: n, Bytes: len(j.Prompt)})
+	w.Journal.Write(Entry{Kind: "start", At: Now(), Job: j.Job, Worker: w.Name, Pool: w.Pool, Zone: w.Zone, ID: id, CacheHit: hit, InFlight: n, Bytes: len(j.Prompt)})
 	pieces := j.Pieces
 	if pieces <= 0 {
 		pieces = 10
 	}
 	conn := ctx.Conn()
 	due := time.Now().Add(time.Duration(left) * time.Millisecond)
-	miss := time.Duration(float64(len(j.Prompt)) * (1 - hit) * float64(w.Model.PerByte))
-	if w.Wrong == "id" {
+	miss := time.Duration(float64(len(j.Prompt)) * (1 - hit) * float64(w.Model.PrefillPerByte))
+	if w.FaultMode == "id" {
 		id = "somebody-else"
 	}
 	ctx.Response.Header.Set("Request-Id", id)
@@ -136,32 +136,32 @@
 
 func (w *Worker) run(b *bufio.Writer, conn net.Conn, id string, j job, pieces int, miss time.Duration, due time.Time) string {
 	sum, bytes := sha256.New(), 0
-	if w.Wrong == "dark" {
+	if w.FaultMode == "dark" {
 		return w.dark(due)
 	}
 	if !w.pause(conn, miss, due) {
 		conn.Close()
 		return "cut"
 	}
-	for i := 0; i < pieces || w.Wrong == "endless"; i++ {
-		if !w.pause(conn, w.Model.PerPiece, due) {
+	for i := 0; i < pieces || w.FaultMode == "endless"; i++ {
+		if !w.pause(conn, w.Model.TimePerPiece, due) {
 			conn.Close()
 			return "cut"
 		}
 		text := fmt.Sprintf("%s:%d %s", j.Job, i, strings.Repeat("word ", 4))
 		n := i
 		switch {
-		case w.Wrong == "mute" && i == 2:
+		case w.FaultMode == "mute" && i == 2:
 			return w.dark(due)
-		case w.Wrong == "gap" && i >= 2:
+		case w.FaultMode == "gap" && i >= 2:
 			n++
-		case w.Wrong == "double" && i == 2:
+		case w.FaultMode == "double" && i == 2:
 			n--
-		case w.Wrong == "cut" && i == 2:
+		case w.FaultMode == "cut" && i == 2:
 			conn.Close()
 			return "cut"
 		}
-		if w.Wrong == "text" && i == 1 {
+		if w.FaultMode == "text" && i == 1 {
 			sum.Write([]byte("other"))
 		}
 		sum.Write([]byte(text))
@@ -171,9 +171,9 @@
 			return "cut"
 		}
 	}
-	if w.Wrong != "seal" {
+	if w.FaultMode != "seal" {
 		fmt.Fprintf(b, "{\"seal\":{\"id\":%q,\"pieces\":%d,\"bytes\":%d,\"digest\":%q}}\n", id, pieces, bytes, hex.EncodeToString(sum.Sum(nil)))
-		if w.Wrong == "more" {
+		if w.FaultMode == "more" {
 			fmt.Fprintf(b, "{\"n\":%d,\"text\":\"more\"}\n", pieces)
 		}
 	}
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -8,8 +8,8 @@
 	"seamshunt/internal/standin"
 )
 
-// Until looks again and again until f holds.
-func Until(t testing.TB, what string, f func() bool) {
+// WaitUntil looks again and again until f holds.
+func WaitUntil(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	end := time.After(60 * time.Second) // only to give up on what never comes: a full machine takes its time
 	tick := time.NewTicker(5 * time.Millisecond)
@@ -23,8 +23,8 @@
 	}
 }
 
-// Addr gives an address that nothing else takes.
-func Addr(t testing.TB) string {
+// FreeAddr gives an address that nothing else takes.
+func FreeAddr(t testing.TB) string {
 	t.Helper()
 	a, err := standin.FreeAddr()
 	if err != nil {
