--- a/cmd/testbed/fault_schedule.go
+++ b/cmd/testbed/fault_schedule.go
@@ -92,18 +92,18 @@
 	}
 }
 
-func (p *faultSchedule) add(at time.Duration, verb, on string) {
-	p.events = append(p.events, localfleet.Event{At: at, Verb: verb, Target: on})
+func (p *faultSchedule) add(at time.Duration, verb, target string) {
+	p.events = append(p.events, localfleet.Event{At: at, Verb: verb, Target: target})
 }
 
 // addPair adds the begin and end events of a fault, unless its target is already affected by one.
-func (p *faultSchedule) addPair(at, duration time.Duration, on, begin, end string) bool {
-	if p.faultedUntil[on] > at {
+func (p *faultSchedule) addPair(at, duration time.Duration, target, begin, end string) bool {
+	if p.faultedUntil[target] > at {
 		return false
 	}
-	p.faultedUntil[on] = at + duration
-	p.add(at, begin, on)
-	p.add(at+duration, end, on)
+	p.faultedUntil[target] = at + duration
+	p.add(at, begin, target)
+	p.add(at+duration, end, target)
 	return true
 }
 
--- a/cmd/testbed/fault_schedule_test.go
+++ b/cmd/testbed/fault_schedule_test.go
@@ -14,8 +14,8 @@
 var endVerb = map[string]string{"kill": "start", "freeze": "thaw", "evacuate": "readmit", "silence": "wake", "slow": "fast"}
 
 // affectsController reports whether a fault affects a controller; a fault of the machine's router alone doesn't.
-func affectsController(disk map[string]bool, on string) bool {
-	machine, program, _ := strings.Cut(on, ".")
+func affectsController(disk map[string]bool, target string) bool {
+	machine, program, _ := strings.Cut(target, ".")
 	return disk[machine] && program != "router"
 }
 
--- a/cmd/testbed/partial_faults.go
+++ b/cmd/testbed/partial_faults.go
@@ -50,12 +50,12 @@
 
 // addPartialFault adds a fault of a machine or of one of its programs, unless the machine is already affected by a fault or too
 // few controllers would remain.
-func (p *faultSchedule) addPartialFault(at, duration time.Duration, machine, on, begin, end string) {
-	controllerAffected := on != machine+".router" && p.isController(machine)
+func (p *faultSchedule) addPartialFault(at, duration time.Duration, machine, target, begin, end string) {
+	controllerAffected := target != machine+".router" && p.isController(machine)
 	if p.faultedUntil[machine] > at || at+duration > p.duration-lastReadmission || controllerAffected && !p.toleratesControllerLoss(at) {
 		return
 	}
-	p.addPair(at, duration, on, begin, end)
+	p.addPair(at, duration, target, begin, end)
 	p.faultedUntil[machine] = at + duration
 	if controllerAffected {
 		p.controllersLostUntil = append(p.controllersLostUntil, at+duration+catchUpTime)
--- a/internal/checker/invariants.go
+++ b/internal/checker/invariants.go
@@ -148,15 +148,15 @@
 }
 
 func (r *Run) checkDraining(u Rules) Finding {
-	m := r.intervals("leave", "stay")
+	draining := r.intervals("leave", "stay")
 	neverExcused := func(standin.Entry) bool { return false }
-	bad, worst := r.overdueStarts(m, func(s standin.Entry) string { return s.Worker }, u.DrainDelay.Microseconds(), neverExcused)
-	return newFinding(WorkerDraining, bad, fmt.Sprintf("%d left; the last new run came after %s", len(m), ms(worst)))
+	bad, worst := r.overdueStarts(draining, func(s standin.Entry) string { return s.Worker }, u.DrainDelay.Microseconds(), neverExcused)
+	return newFinding(WorkerDraining, bad, fmt.Sprintf("%d left; the last new run came after %s", len(draining), ms(worst)))
 }
 
 // checkEvacuation ignores requests from routers that were paused until a moment ago: they may not know of the evacuation yet.
 func (r *Run) checkEvacuation(u Rules, calls map[string]standin.Entry) Finding {
-	m, paused := r.intervals("evacuate", "readmit"), r.intervals("freeze", "thaw")
+	evacuations, paused := r.intervals("evacuate", "readmit"), r.intervals("freeze", "thaw")
 	recentlyPaused := func(s standin.Entry) bool {
 		for _, x := range paused[calls[s.Job].Router] {
 			if s.At >= x[0] && s.At-x[1] < u.ReconnectDelay.Microseconds() {
@@ -165,19 +165,19 @@
 		}
 		return false
 	}
-	bad, worst := r.overdueStarts(m, func(s standin.Entry) string { return s.Zone }, u.EvacuationDelay.Microseconds(), recentlyPaused)
-	return newFinding(ZoneEvacuation, bad, fmt.Sprintf("%d evacuated; the last new run came after %s", len(m), ms(worst)))
+	bad, worst := r.overdueStarts(evacuations, func(s standin.Entry) string { return s.Zone }, u.EvacuationDelay.Microseconds(), recentlyPaused)
+	return newFinding(ZoneEvacuation, bad, fmt.Sprintf("%d evacuated; the last new run came after %s", len(evacuations), ms(worst)))
 }
 
 // checkRetries counts, in every window of ten seconds, the runs that were not the first of their job.
 func (r *Run) checkRetries(u Rules) Finding {
 	const window = 10_000_000
 	seen := map[string]bool{}
-	retriesBefore := make([]int, len(r.Starts)+1)
+	retriesUpTo := make([]int, len(r.Starts)+1)
 	for i, s := range r.Starts {
-		retriesBefore[i+1] = retriesBefore[i]
+		retriesUpTo[i+1] = retriesUpTo[i]
 		if seen[s.Job] {
-			retriesBefore[i+1]++
+			retriesUpTo[i+1]++
 		}
 		seen[s.Job] = true
 	}
@@ -187,11 +187,11 @@
 		for r.Starts[from].At <= s.At-window {
 			from++
 		}
-		n, a := i+1-from, retriesBefore[i+1]-retriesBefore[from]
-		x := float64(a) / float64(max(n, 20))
-		worst = max(worst, x)
-		if x > u.RetryBudget {
-			bad = append(bad, fmt.Sprintf("%d of %d runs in ten seconds were further tries", a, n))
+		runs, retries := i+1-from, retriesUpTo[i+1]-retriesUpTo[from]
+		share := float64(retries) / float64(max(runs, 20))
+		worst = max(worst, share)
+		if share > u.RetryBudget {
+			bad = append(bad, fmt.Sprintf("%d of %d runs in ten seconds were further tries", retries, runs))
 		}
 	}
 	return newFinding("retries stay within a fifth over any ten seconds", bad, fmt.Sprintf("at most %.1f%%", 100*worst))
--- a/internal/localfleet/drill.go
+++ b/internal/localfleet/drill.go
@@ -35,7 +35,7 @@
 	Draining, Unfit, Ready             bool
 }
 
-// ErrNotReady is returned if the fleet can't tolerate the loss of the zone.
+// ErrNotReady is returned if the fleet is degraded already or can't tolerate the loss of the zone.
 var ErrNotReady = errors.New("drill refused")
 
 func (d *Drill) fetchStatus() (l []member, voters []string, err error) {
@@ -48,19 +48,19 @@
 		Voters  []string
 	}
 	if err := json.Unmarshal(b, &x); err != nil {
-		return nil, nil, fmt.Errorf("drill: %s is no controller: %w", d.ControllerAddr, err)
+		return nil, nil, fmt.Errorf("drill: %s is not a controller: %w", d.ControllerAddr, err)
 	}
 	return x.Members, x.Voters, nil
 }
 
-// checkReady returns ErrNotReady if the fleet can't tolerate the loss of the zone.
+// checkReady returns ErrNotReady if the fleet is degraded already or can't tolerate the loss of the zone.
 func (d *Drill) checkReady() error {
-	l, voters, err := d.fetchStatus()
+	members, voters, err := d.fetchStatus()
 	if err != nil {
 		return err
 	}
 	alive, zones, remainingVoters := map[string]bool{}, map[string]int{}, 0
-	for _, m := range l {
+	for _, m := range members {
 		if m.State == "alive" {
 			alive[m.Addr] = true
 			if m.Role == "router" && m.Ready {
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	for _, m := range l {
+	for _, m := range members {
 		switch {
 		case m.State != "alive" && m.State != "left" && !alive[m.Addr]:
 			return fmt.Errorf("%w: %s in zone %s is %s", ErrNotReady, m.Addr, m.Zone, m.State)
@@ -93,7 +93,7 @@
 			return fmt.Errorf("%w: zone %s is in state %s %v", ErrNotReady, z, b, err)
 		}
 	}
-	d.members = l
+	d.members = members
 	return d.findProbePath()
 }
 
@@ -176,7 +176,7 @@
 		state, remedy = "DOWN", "start its processes"
 	}
 	fmt.Fprintf(d.Output, "zone %s MAY STILL BE %s: %s\n", d.Zone, state, remedy)
-	return fmt.Errorf("drill: zone %s could not be given back: %w", d.Zone, err)
+	return fmt.Errorf("drill: zone %s could not be restored: %w", d.Zone, err)
 }
 
 // Run runs the drill. It returns the findings, or the error that prevented them.
@@ -219,7 +219,7 @@
 		return nil, err
 	}
 	if ctx.Err() != nil {
-		return nil, errors.New("drill: interrupted; the zone was given back, and nothing was judged")
+		return nil, errors.New("drill: interrupted; the zone was restored, and nothing was checked")
 	}
 	if d.Method == "evacuate" {
 		l = append(l, checker.Finding{Invariant: "the zone gets nothing new after 5 s", Holds: countAt5s >= 0 && finalCount == countAt5s,
--- a/internal/localfleet/drill_check.go
+++ b/internal/localfleet/drill_check.go
@@ -14,11 +14,11 @@
 
 // readConfig returns a fingerprint of the configuration in force.
 func (d *Drill) readConfig() (string, error) {
-	code, b, num, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/config", nil, nil, 8*time.Second)
+	code, b, version, err := transport.HTTPRequest("GET", d.ControllerAddr, "/v1/config", nil, nil, 8*time.Second)
 	if err != nil || code != 200 {
 		return "", fmt.Errorf("drill: no configuration can be read: %d %v", code, err)
 	}
-	return fmt.Sprintf("%s/%x", num, units.Mix(string(b))), nil
+	return fmt.Sprintf("%s/%x", version, units.Mix(string(b))), nil
 }
 
 // recordEvacuation records an evacuation in a local run's journals, so that the workers' entries are checked against it.
--- a/internal/localfleet/partition.go
+++ b/internal/localfleet/partition.go
@@ -48,20 +48,20 @@
 	}
 	f.partitioned = append(f.partitioned, e.Target)
 	f.Journal.Write(standin.Entry{Kind: "event", At: standin.Now(), How: "cut", Target: e.Target})
-	in := f.sideOf(e.Target)
+	inside := f.sideOf(e.Target)
 	f.lossRules = append(f.lossRules, func(from, to *process) int {
-		cut := in(from) != in(to)
+		lost := inside(from) != inside(to)
 		switch {
 		case e.Arg == platformProcess:
-			cut = in(from) && to.kind == platformProcess
+			lost = inside(from) && to.kind == platformProcess
 		case e.Target == "core":
-			cut = cut && from.kind == "controller" && to.kind == "controller"
+			lost = lost && from.kind == "controller" && to.kind == "controller"
 		case e.Target == "control":
-			cut = cut && to.kind != "worker" && to.kind != platformProcess
+			lost = lost && to.kind != "worker" && to.kind != platformProcess
 		case to.kind == platformProcess:
-			cut = cut && !f.isZone(e.Target) // the platform is outside the zones
+			lost = lost && !f.isZone(e.Target) // the platform is outside the zones
 		}
-		if cut && (e.Arg != "out" || in(from)) && (e.Arg != "in" || in(to)) {
+		if lost && (e.Arg != "out" || inside(from)) && (e.Arg != "in" || inside(to)) {
 			return 100
 		}
 		return 0
@@ -76,15 +76,15 @@
 // sideOf returns a test for the processes on one side of a partition: a zone, the first half of the controllers, all of them,
 // or one process.
 func (f *Fleet) sideOf(name string) func(*process) bool {
-	var core []string
+	var controllers []string
 	for _, n := range f.startOrder {
 		if f.processes[n].kind == "controller" {
-			core = append(core, n)
+			controllers = append(controllers, n)
 		}
 	}
 	switch {
 	case name == "core":
-		return func(p *process) bool { return slices.Contains(core[:len(core)/2], p.name) }
+		return func(p *process) bool { return slices.Contains(controllers[:len(controllers)/2], p.name) }
 	case name == "control":
 		return func(p *process) bool { return p.kind == "controller" }
 	case f.isZone(name):
@@ -106,8 +106,8 @@
 		var b strings.Builder
 		for _, p := range to {
 			lost := 0
-			for _, g := range f.lossRules {
-				lost = max(lost, g(f.processes[n], p))
+			for _, rule := range f.lossRules {
+				lost = max(lost, rule(f.processes[n], p))
 			}
 			for _, a := range []string{p.addr, p.httpAddr} {
 				if lost > 0 && a != "" && p.name != n {
