--- a/internal/config/document_parts.go
+++ b/internal/config/document_parts.go
@@ -44,9 +44,9 @@
 	if c.Services[s.Name] != nil {
 		faults.add(resultcode.Duplicate, path+".name", "service "+s.Name+" given twice")
 	}
-	for _, x := range c.Services {
-		if x.Pool == s.Pool {
-			faults.add(resultcode.Duplicate, path+".pool", "pool "+s.Pool+" already serves "+x.Name)
+	for _, other := range c.Services {
+		if other.Pool == s.Pool {
+			faults.add(resultcode.Duplicate, path+".pool", "pool "+s.Pool+" already serves "+other.Name)
 		}
 	}
 	c.Services[s.Name] = s
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -16,10 +16,10 @@
 	Zone         string
 	Draining     bool
 	Age          time.Duration // how long it had run when it was listed; a worker that started recently is still warming up
-	Service      string        // the service that it serves, if the list holds several
-	Slots        int           // requests that it processes at once; 0 if the list doesn't say
+	Service      string        // the service that it serves, if the list has workers of several services
+	Slots        int           // requests that it processes at once; 0 if the list doesn't contain it
 	WarmingUpFor time.Duration // remaining warm-up time, as listed
-	Incarnation  uint64        // incremented by the controllers whenever they see that it restarted; not a field of the platform
+	Incarnation  uint64        // incremented by the controllers at each restart of the worker; not in the platform's own list
 }
 
 // ParseWorkers parses the platform's worker list of a pool.
@@ -41,7 +41,7 @@
 			Service: string(entry.GetStringBytes("service")), Slots: entry.GetInt("slots"),
 			WarmingUpFor: time.Duration(entry.GetInt64("cold_ms")) * time.Millisecond}
 		if worker.ID == "" || worker.Addr == "" || seen[worker.ID] {
-			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or stands twice", i)
+			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or appears twice", i)
 		}
 		seen[worker.ID] = true
 		workers = append(workers, worker)
--- a/internal/control/antientropy/antientropy.go
+++ b/internal/control/antientropy/antientropy.go
@@ -1,6 +1,6 @@
 // Package antientropy compares the voters' copies of the control state by digests over ranges of keys, and repairs older copies
 // from newer ones (docs/design.md, section 2). A voter that may have missed writes compares with every other voter at once, one
-// after the other; a voter that has nothing to catch up with compares with one other voter each Interval.
+// after the other; a voter that has nothing to catch up with compares with one other voter every Interval.
 package antientropy
 
 import (
@@ -39,7 +39,7 @@
 	isVoter   bool           // was in the quorum set at the last tick
 	healthy   bool           // could take part in comparisons at the last tick
 	catchUp   *catchUp       // the catch-up in progress, if any
-	Repaired  int            // copies of other voters that were older than the own ones
+	Repaired  int            // copies of other voters that were older than this node's
 	Ignored   int            // messages from nodes that aren't voters
 }
 
@@ -118,7 +118,7 @@
 }
 
 // compareRoot answers with the digests if the sums over all keys differ, and with an outcome if they are equal and the sender
-// asked for one.
+// requested one.
 func compareRoot(m message.Message, states map[string]*register.State, out *message.Effects) error {
 	var request rootRequest
 	if err := message.Unpack(m.Body, &request); err != nil {
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// compareRanges repairs the sender's older copies, and sends the own versions back if some of the own copies are older.
+// compareRanges repairs the sender's older copies, and sends this node's versions back if some of its own copies are
+// older.
 func (s *Syncer) compareRanges(m message.Message, states map[string]*register.State, repair Repair,
 	out *message.Effects) error {
 	header, remote, err := unpackRanges(m.Body)
--- a/internal/control/antientropy/digest.go
+++ b/internal/control/antientropy/digest.go
@@ -18,13 +18,13 @@
 	ReplyIfEqual uint8
 }
 
-// outcomeBody reports whether anything newer than the receiver's copies was found, which is in transit then.
+// outcomeBody ends a comparison. Newer is 1 if the sender has copies newer than the receiver's; they are in transit then.
 type outcomeBody struct{ Newer uint8 }
 
 // rangesHeader contains the ranges that a list of keys covers, as a bit mask.
 type rangesHeader struct {
 	Mask    uint64
-	IsReply uint8 // sent in return for Ranges: the receiver must not return its own again
+	IsReply uint8 // sent in return for Ranges: the receiver must not send its own in reply
 }
 
 // copyVersion is the version of the copy of one key: the epoch's number and node, and the sequence number.
@@ -33,7 +33,7 @@
 // rangeOf returns the index of a key's range.
 func rangeOf(key string) int { return int(units.Mix(key) % RangeCount) }
 
-// hasCopy reports whether a value was accepted on this node; a promise alone is no copy.
+// hasCopy reports whether a value was accepted on this node; a promise alone is not a copy.
 func hasCopy(s *register.State) bool { return s != nil && s.Accepted != (units.Epoch{}) }
 
 // rangeSums returns the checksums of all ranges.
@@ -58,9 +58,9 @@
 
 // differing returns the ranges whose checksums differ.
 func (d digests) differing(other digests) (mask uint64) {
-	for p := range RangeCount {
-		if d.Sum[p] != other.Sum[p] {
-			mask |= 1 << p
+	for i := range RangeCount {
+		if d.Sum[i] != other.Sum[i] {
+			mask |= 1 << i
 		}
 	}
 	return mask
@@ -77,7 +77,7 @@
 	return message.Pack(header, message.PackList(packed))
 }
 
-// unpackRanges is the inverse of list.
+// unpackRanges is the inverse of packRanges.
 func unpackRanges(body []byte) (header rangesHeader, versions map[string]copyVersion, err error) {
 	var packed []byte
 	if err := message.Unpack(body, &header, &packed); err != nil {
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -73,12 +73,12 @@
 		delete(v.pendingClaims, token)
 		v.claimantMu.Unlock()
 		w.checkCancelled()
-		w.knownNotRun = false // the claim may have been granted, so the answer must not say "not run"
+		w.knownNotRun = false // the claim may have been granted, so the answer must not report "not run"
 		return w.endWithRefusal()
 	}
 }
 
-// handleClaimResult refuses the request unless its claim was granted. It reports whether it did.
+// handleClaimResult refuses the request unless its claim was granted. It reports whether it refused the request.
 func (w *nativeRequest) handleClaimResult(code resultcode.Code) bool {
 	switch code {
 	case resultcode.OK:
--- a/internal/router/client_disconnect_harness_test.go
+++ b/internal/router/client_disconnect_harness_test.go
@@ -21,7 +21,7 @@
 func newSilentWorker(t testing.TB, id string) *silentWorker {
 	t.Helper()
 	l := netfault.BlackholeListener(t)
-	return &silentWorker{&scriptedWorker{id: id, addr: l.Addr().String(), conns: make(chan *workerConn, 256)}, l}
+	return &silentWorker{&scriptedWorker{id: id, addr: l.Addr().String(), conns: make(chan *testConn, 256)}, l}
 }
 
 // startAccepting makes the worker accept connections from now on.
@@ -51,7 +51,7 @@
 }
 
 // disconnect closes a client's connection and waits until the router's kernel has seen the FIN.
-func (c *workerConn) disconnect(t testing.TB) {
+func (c *testConn) disconnect(t testing.TB) {
 	t.Helper()
 	client, router := c.LocalAddr().(*net.TCPAddr), c.RemoteAddr().(*net.TCPAddr)
 	c.Close()
--- a/internal/router/connection_limit_test.go
+++ b/internal/router/connection_limit_test.go
@@ -14,8 +14,8 @@
 )
 
 // Guards against clients using up all file descriptors, after which the router received no configuration updates any more.
-// Clients may hold at most half of the descriptors. A connection beyond that is refused at once, and a closed one makes
-// room.
+// Clients may hold at most half of the descriptors. A connection beyond that is refused at once, and closing one makes
+// room for another.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	const files = 8
 	s := &settings.Settings{Name: "n1", Zone: "z1", Addr: testutil.FreeAddr(t), HTTPAddr: testutil.FreeAddr(t), DrainMs: 1000, MaxDescriptors: files}
@@ -48,6 +48,7 @@
 		text, _ := io.ReadAll(r.Body)
 		return string(text)
 	}
+	// The router has no configuration, so a connection that is served gets the answer that it is not ready.
 	const request, served = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n", "not ready\n"
 	var held []net.Conn
 	for range files / 2 {
--- a/internal/router/drain_random_test.go
+++ b/internal/router/drain_random_test.go
@@ -45,7 +45,7 @@
 				c.writeText("HTTP/1.1 200 OK\nAttempt-Id: %s\nWorker-Seal: s\nTransfer-Encoding: chunked\n\n", q.id)
 				_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(oneEvent), oneEvent)
 				if rng.IntN(12) == 0 && tryAcquire(endless) {
-					c.closedByRouter()
+					c.awaitClose()
 					<-endless
 					return
 				}
@@ -71,7 +71,7 @@
 // sendUntilClosed sends requests one after another, reusing its connection where possible, until the router stops listening.
 func sendUntilClosed(v *Router, rng *rand.Rand, client int, record func(drainRequest)) {
 	routes := []string{"pure", "effectful", "resumable", "streaming"}
-	var c *workerConn
+	var c *testConn
 	for n := 0; ; n++ {
 		if c == nil {
 			nc, err := net.Dial("tcp", v.Settings.HTTPAddr)
@@ -79,7 +79,7 @@
 				return
 			}
 			_ = nc.SetDeadline(time.Now().Add(30 * time.Second))
-			c = &workerConn{nc, bufio.NewReader(nc)}
+			c = &testConn{nc, bufio.NewReader(nc)}
 		}
 		a := drainRequest{route: routes[rng.IntN(len(routes))], timeLeft: time.Duration(50+rng.IntN(4000)) * time.Millisecond, sentAt: v.Tasks.Now()}
 		text := requestText(a.route, fmt.Sprintf("c%d-%d", client, n), "")
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -111,7 +111,7 @@
 					recordDurations(t, v, route, minDurationSamples, time.Second, time.Minute)
 				}
 				setDraining(v, x.elapsed, x.remaining)
-				for name, c := range map[string]*workerConn{"kept": kept, "new": dialRelayClient(t, v)} {
+				for name, c := range map[string]*testConn{"kept": kept, "new": dialRelayClient(t, v)} {
 					text := strings.Replace(requestText(route, name, ""), "Time-Left-Ms: 15000", "Time-Left-Ms: "+x.timeLeft, 1)
 					_, _ = c.Write([]byte(text))
 					head, got := c.receiveWithHeader()
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -17,7 +17,7 @@
 // stats counts results and dispatches.
 type stats struct {
 	mu             sync.Mutex
-	codes          map[resultcode.Code]uint64
+	resultCounts   map[resultcode.Code]uint64
 	dispatches     map[string]uint64  // dispatches by the worker's zone
 	crossZoneBytes uint64             // bytes of prompts dispatched to another zone
 	disconnects    [stageCount]uint64 // requests whose client disconnected, by stage
@@ -50,10 +50,10 @@
 func (s *stats) countResult(c resultcode.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.codes == nil {
-		s.codes = map[resultcode.Code]uint64{}
+	if s.resultCounts == nil {
+		s.resultCounts = map[resultcode.Code]uint64{}
 	}
-	s.codes[c]++
+	s.resultCounts[c]++
 }
 
 func (s *stats) countDispatch(zone, own string, bytes int) {
@@ -74,8 +74,8 @@
 	s := &v.stats
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range slices.Sorted(maps.Keys(s.codes)) {
-		fmt.Fprintf(ctx, "seamshunt_results_total{code=\"%d\"} %d\n", c, s.codes[c])
+	for _, c := range slices.Sorted(maps.Keys(s.resultCounts)) {
+		fmt.Fprintf(ctx, "seamshunt_results_total{code=\"%d\"} %d\n", c, s.resultCounts[c])
 	}
 	for at := range stageCount {
 		fmt.Fprintf(ctx, "seamshunt_client_left_total{stage=%q} %d\n", at, s.disconnects[at])
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -27,7 +27,7 @@
 	k := <-w.conns
 	k.request()
 	c.Close()
-	k.closedByRouter()
+	k.awaitClose()
 	testutil.WaitUntil(t, "no request is in flight", func() bool { return v.inFlight.Load() == 0 })
 	text := metricsText(v)
 	for _, want := range []string{
--- a/internal/router/native_api_test.go
+++ b/internal/router/native_api_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// A broken answer never ends like a complete one: it has no final chunk and no seal, whatever the worker did wrong.
+// A broken answer never ends like a complete one: it has no final chunk and no seal, whatever the worker's fault was.
 func TestBrokenStreamIsUnterminated(t *testing.T) {
 	t.Parallel()
 	end := "0\r\n\r\n"
@@ -145,7 +145,7 @@
 				t.Fatalf("the first piece did not arrive: %q", got)
 			}
 			if strings.HasSuffix(got, end) || strings.Contains(got, `"seal"`) {
-				t.Errorf("it looks complete: %q", got)
+				t.Errorf("a broken answer looks complete: %q", got)
 			}
 		})
 	}
@@ -185,7 +185,7 @@
 			})
 			v.stats.mu.Lock()
 			defer v.stats.mu.Unlock()
-			if n := v.stats.codes[resultcode.ClientDisconnected]; n != 1 {
+			if n := v.stats.resultCounts[resultcode.ClientDisconnected]; n != 1 {
 				t.Errorf("%d disconnects were counted; the run ended for another reason", n)
 			}
 		})
@@ -210,7 +210,7 @@
 	c := sendPrompt(t, v, "/chat")
 	testutil.WaitUntil(t, "the third waits", func() bool { return waiting() == 1 })
 	if status, body := sendPrompt(t, v, "/chat").readResponse(t); status != 503 || !strings.Contains(body, `"code":301`) || !strings.Contains(body, `"retry_after_ms"`) {
-		t.Errorf("the fourth finds the waiting queue full: %d %s", status, body)
+		t.Errorf("the fourth request, with a full waiting queue: %d %s", status, body)
 	}
 	c.Close()
 	testutil.WaitUntil(t, "the third has left", func() bool { return waiting() == 0 })
--- a/internal/router/native_request.go
+++ b/internal/router/native_request.go
@@ -47,15 +47,17 @@
 	overdueCheckInterval = 50 * time.Millisecond  // how often an attempt without output is checked
 )
 
-// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's.
+// applyTimeLimit sets the deadline to the client's time left, but at most limitMs, the mapping's limit. It returns false: the
+// request has not been answered.
 func (w *nativeRequest) applyTimeLimit(limitMs int) bool {
 	w.knownNotRun = true
 	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
 	return false
 }
 
-// chooseService picks one of the services that share the mapping and tries it. The client's key decides, so that all
-// copies of the request pick the same service.
+// chooseService picks one of the services that share the mapping and attempts the request on it. The choice depends on
+// the client's key, so that all copies of the request use the same service. It reports whether the request has been
+// answered.
 func (w *nativeRequest) chooseService() bool {
 	id := w.key
 	if id == "" {
--- a/internal/router/native_stream.go
+++ b/internal/router/native_stream.go
@@ -16,8 +16,8 @@
 	return true
 }
 
-// refuse sends the final refusal. It says "not run" only if no byte of the prompt can still reach a worker; in doubt it says
-// "outcome unknown".
+// refuse sends the final refusal. It reports "not run" only if no byte of the prompt can still reach a worker, and
+// "outcome unknown" otherwise.
 func (w *nativeRequest) refuse() {
 	c := w.reason
 	if c == 0 {
--- a/internal/router/overdue_worker_test.go
+++ b/internal/router/overdue_worker_test.go
@@ -20,28 +20,28 @@
 	for _, path := range []string{"/chat", "/notice"} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			a, ha := startNativeWorker(t)
-			b, hb := startNativeWorker(t)
-			v := newTestRouter(t, a, b)
+			addrA, connsA := startNativeWorker(t)
+			addrB, connsB := startNativeWorker(t)
+			v := newTestRouter(t, addrA, addrB)
 			for range 40 {
 				v.firstTokenLatencyOf("advice").Add(10 * time.Millisecond)
 				v.retryBudgetOf("advice").RecordFirstAttempt(v.Tasks.Now())
 			}
-			c := sendPrompt(t, v, path)
-			other := hb
+			client := sendPrompt(t, v, path)
+			other := connsB
 			select {
-			case <-ha:
-			case <-hb:
-				other = ha
+			case <-connsA:
+			case <-connsB:
+				other = connsA
 			}
 			if path == "/chat" {
-				h := <-other
-				h.respond(2)
-				if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) {
+				conn := <-other
+				conn.respond(2)
+				if status, body := client.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) {
 					t.Errorf("%d %s", status, body)
 				}
-			} else if status, body := c.readResponse(t); status != 502 || !strings.Contains(body, `"code":401`) || len(ha)+len(hb) > 0 {
-				t.Errorf("%d %s, dispatched %d more times", status, body, len(ha)+len(hb))
+			} else if status, body := client.readResponse(t); status != 502 || !strings.Contains(body, `"code":401`) || len(connsA)+len(connsB) > 0 {
+				t.Errorf("%d %s, dispatched %d more times", status, body, len(connsA)+len(connsB))
 			}
 			v.viewMu.Lock()
 			down := len(v.view.outages)
@@ -57,25 +57,25 @@
 // an overdue worker, which may still answer.
 func TestOverdueWorkerIsAwaited(t *testing.T) {
 	t.Parallel()
-	a, ha := startNativeWorker(t)
-	b, hb := startNativeWorker(t)
-	v := newTestRouter(t, a, b)
+	addrA, connsA := startNativeWorker(t)
+	addrB, connsB := startNativeWorker(t)
+	v := newTestRouter(t, addrA, addrB)
 	for range 40 {
-		v.firstTokenLatencyOf("advice").Add(10 * time.Millisecond) // and no retry in the budget
+		v.firstTokenLatencyOf("advice").Add(10 * time.Millisecond) // no first attempts are recorded, so the budget has no retry
 	}
-	c := sendPrompt(t, v, "/chat")
-	var h nativeWorkerConn
+	client := sendPrompt(t, v, "/chat")
+	var conn nativeWorkerConn
 	select {
-	case h = <-ha:
-	case h = <-hb:
+	case conn = <-connsA:
+	case conn = <-connsB:
 	}
 	testutil.WaitUntil(t, "the worker is marked down", func() bool {
 		v.viewMu.Lock()
 		defer v.viewMu.Unlock()
 		return len(v.view.outages) == 1
 	})
-	h.respond(2)
-	if status, body := c.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) || len(ha)+len(hb) > 0 {
+	conn.respond(2)
+	if status, body := client.readResponse(t); status != 200 || !strings.Contains(body, `"seal"`) || len(connsA)+len(connsB) > 0 {
 		t.Errorf("%d %s", status, body)
 	}
 	testutil.WaitUntil(t, "the worker is no longer marked down", func() bool {
@@ -96,8 +96,8 @@
 	}
 }
 
-// A router that can reach no other known member reports that it is not ready. A router that never knew another member is
-// ready.
+// A router that can reach no other known member reports that it is not ready. A router that has never had another member
+// is ready.
 func TestIsolatedRouterIsNotReady(t *testing.T) {
 	t.Parallel()
 	a, _ := startNativeWorker(t)
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -138,8 +138,8 @@
 // drainRetryAfter is the Retry-After of a draining node. It is short, since the client's retry reaches another node.
 const drainRetryAfter = 100 * time.Millisecond
 
-// applyTimeLimit sets the deadline from the client's time left, limited by the mapping's. A draining node refuses a
-// request that might outlast it; applyTimeLimit reports whether it did.
+// applyTimeLimit sets the deadline to the client's time left, but at most limitMs, the mapping's limit. A draining node
+// refuses a request that might take longer than the node will run; applyTimeLimit reports whether it did.
 func (w *relayRequest) applyTimeLimit(limitMs int) bool {
 	w.deadline = w.startedAt.Add(min(w.timeLeft, time.Duration(limitMs)*time.Millisecond))
 	if w.router.mayStart(w.router.Tasks.Now(), w.deadline, w.mapping) {
--- a/internal/router/relay_client_test.go
+++ b/internal/router/relay_client_test.go
@@ -17,7 +17,7 @@
 	worker := newScriptedWorker(t, "i-1")
 	v := newRelayRouter(t, worker)
 	c := dialRelayClient(t, v)
-	var conn *workerConn
+	var conn *testConn
 	for _, later := range []int{0, 1, len("two"), len("two") + 1, 40, 1 << 20} { // bytes of the second request that are sent later
 		id1, id2 := fmt.Sprint("first", later), fmt.Sprint("second", later)
 		first, second := requestText("pure", id1, "one"), requestText("pure", id2, "two")
@@ -81,7 +81,7 @@
 	inChunks := strings.Replace(strings.Replace(text, "Content-Length: 6", "Transfer-Encoding: chunked", 1), "prompt", "3\r\npro\r\n3\r\nmpt\r\n0\r\n\r\n", 1)
 	for _, text := range []string{text, inChunks} {
 		for i := 0; i < len(text); i += 3 {
-			for _, end := range []func(*workerConn){closeConn, resetConn, func(c *workerConn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }} {
+			for _, end := range []func(*testConn){closeConn, resetConn, func(c *testConn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }} {
 				c := dialRelayClient(t, v)
 				_, _ = io.WriteString(c, text[:i])
 				end(c)
@@ -104,7 +104,7 @@
 }
 
 // A client closes its connection, or only its write side, while a worker runs its request. The run is aborted and not
-// retried, and a half-closed client is not told that the request did not run.
+// retried, and a half-closed client receives no answer that the request did not run.
 func TestClientDisconnectsWhileRequestRuns(t *testing.T) {
 	t.Parallel()
 	for _, route := range []string{"effectful", "pure", "streaming", "resumable"} {
@@ -122,7 +122,7 @@
 				} else {
 					c.Close()
 				}
-				conn.closedByRouter()
+				conn.awaitClose()
 				if got := c.receive(); half && got.status != 502 && got.status != 499 && got.status != 0 {
 					t.Errorf("answered %+v", got)
 				}
@@ -169,7 +169,7 @@
 // its outcome is reported as unknown. A pure one is retried on a new connection.
 func TestKeepAliveConnectionEndsOnNextRequest(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(*workerConn){"closed": closeConn, "reset": resetConn} {
+	for name, end := range map[string]func(*testConn){"closed": closeConn, "reset": resetConn} {
 		for _, route := range []string{"effectful", "pure"} {
 			t.Run(name+" "+route, func(t *testing.T) {
 				t.Parallel()
@@ -202,12 +202,12 @@
 
 // sendOnKeptConnection sends requests until one arrives on a kept connection, which it returns. On a busy machine a
 // connection may have been idle for too long to be used for a non-repeatable request.
-func sendOnKeptConnection(c *workerConn, w *scriptedWorker, kept *workerConn, route string) *workerConn {
+func sendOnKeptConnection(c *testConn, w *scriptedWorker, kept *testConn, route string) *testConn {
 	for n := 0; ; n++ {
 		id := fmt.Sprint("b", n)
 		c.send(route, id, "prompt")
 		arrived := make(chan struct{})
-		go func(k *workerConn) {
+		go func(k *testConn) {
 			if k.request() != nil {
 				close(arrived)
 			}
--- a/internal/router/relay_descriptors_test.go
+++ b/internal/router/relay_descriptors_test.go
@@ -35,7 +35,7 @@
 	if a := established.receive(); a.status != 200 {
 		t.Fatalf("before: %+v", a)
 	}
-	conn.closedByRouter()
+	conn.awaitClose()
 	conn.Close()
 	held := exhaustDescriptors(t)
 	releaseOne := func() {
@@ -55,7 +55,7 @@
 		releaseOne()
 	}
 	_ = pending.SetDeadline(time.Now().Add(30 * time.Second))
-	pendingClient := &workerConn{pending, bufio.NewReader(pending)}
+	pendingClient := &testConn{pending, bufio.NewReader(pending)}
 	pendingClient.send("unknown", "c", "prompt")
 	if a := pendingClient.receive(); a.status != 404 {
 		t.Fatalf("the client that waited to be accepted: %+v", a)
--- a/internal/router/relay_harness_test.go
+++ b/internal/router/relay_harness_test.go
@@ -18,7 +18,7 @@
 	"seamshunt/platform"
 )
 
-// relayConfig has one route of each variant, all with the same target.
+// relayConfig has one route of each variant and a resumable streaming route, all with the same target.
 const relayConfig = `{"generation":1,"targets":[{"name":"svc","probe_path":"/health","max_conns":0}],"routes":[
 {"name":"pure","domain":"x","path_prefix":"/pure/","variant":"pure","deadline_ms":20000,"goal_ms":20000,"tries":2,"target":"svc"},
 {"name":"effectful","domain":"x","path_prefix":"/effectful/","variant":"effectful","deadline_ms":20000,"goal_ms":20000,"tries":2,"target":"svc"},
@@ -28,15 +28,15 @@
 // relaySlots is more than any test needs, since a run of unknown outcome holds its slot until its deadline.
 const relaySlots = 1 << 14
 
-// scriptedWorker accepts connections and leaves each of them to the test. The router knows it by its id.
+// scriptedWorker accepts connections and passes each of them to the test. Its id is its name in the router's worker list.
 type scriptedWorker struct {
 	id    string
 	addr  string
-	conns chan *workerConn
+	conns chan *testConn
 }
 
-// workerConn is a worker's or a client's end of one connection.
-type workerConn struct {
+// testConn is the test's end of one connection: as the worker or as the client.
+type testConn struct {
 	net.Conn
 	r *bufio.Reader
 }
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	w := &scriptedWorker{id: id, addr: ln.Addr().String(), conns: make(chan *workerConn, 256)}
+	w := &scriptedWorker{id: id, addr: ln.Addr().String(), conns: make(chan *testConn, 256)}
 	go w.accept(ln)
 	return w
 }
@@ -61,7 +61,7 @@
 			return
 		}
 		_ = c.SetDeadline(time.Now().Add(30 * time.Second)) // only so that a failing test does not hang
-		w.conns <- &workerConn{c, bufio.NewReader(c)}
+		w.conns <- &testConn{c, bufio.NewReader(c)}
 	}
 }
 
@@ -73,7 +73,7 @@
 }
 
 // request reads one complete request. It returns nil if the router has closed the connection.
-func (c *workerConn) request() *workerRequest {
+func (c *testConn) request() *workerRequest {
 	q, err := http.ReadRequest(c.r)
 	if err != nil {
 		return nil
@@ -86,22 +86,22 @@
 }
 
 // writeText writes formatted text with LF replaced by CRLF.
-func (c *workerConn) writeText(format string, args ...any) {
+func (c *testConn) writeText(format string, args ...any) {
 	_, _ = io.WriteString(c, strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\r\n"))
 }
 
-// responseText returns a complete worker's answer to the request id.
+// responseText returns a worker's complete answer to the request with this ID.
 func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\nAttempt-Id: %s\nWorker-Seal: s\nContent-Length: %d\n\n%s", id, len(body), body)
 }
 
-func (c *workerConn) reset() {
+func (c *testConn) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// closedByRouter waits until the router has closed the connection.
-func (c *workerConn) closedByRouter() { _, _ = io.Copy(io.Discard, c.r) }
+// awaitClose waits until the router has closed the connection.
+func (c *testConn) awaitClose() { _, _ = io.Copy(io.Discard, c.r) }
 
 // newRelayRouter starts a single router with the platform's adapter. It coordinates all workers itself, and its retry
 // budget allows retries.
@@ -147,7 +147,7 @@
 }
 
 // dialRelayClient connects a client to the router.
-func dialRelayClient(t testing.TB, v *Router) *workerConn {
+func dialRelayClient(t testing.TB, v *Router) *testConn {
 	t.Helper()
 	c, err := net.Dial("tcp", v.Settings.HTTPAddr)
 	if err != nil {
@@ -155,11 +155,11 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-	return &workerConn{c, bufio.NewReader(c)}
+	return &testConn{c, bufio.NewReader(c)}
 }
 
 // send writes one request.
-func (c *workerConn) send(route, id, body string) {
+func (c *testConn) send(route, id, body string) {
 	_, _ = io.WriteString(c, requestText(route, id, body))
 }
 
@@ -173,13 +173,13 @@
 }
 
 // receive reads one response. Its status is 0 if the connection ended instead.
-func (c *workerConn) receive() clientResponse {
+func (c *testConn) receive() clientResponse {
 	_, a := c.receiveWithHeader()
 	return a
 }
 
-// receiveWithHeader is receive with the response's headers.
-func (c *workerConn) receiveWithHeader() (http.Header, clientResponse) {
+// receiveWithHeader reads one response and returns its headers as well.
+func (c *testConn) receiveWithHeader() (http.Header, clientResponse) {
 	r, err := http.ReadResponse(c.r, &http.Request{Method: "POST"})
 	if err != nil {
 		return nil, clientResponse{}
@@ -190,7 +190,7 @@
 }
 
 // firstConn returns the first connection that one of the workers accepts, and the other worker.
-func firstConn(a, b *scriptedWorker) (first *workerConn, other *scriptedWorker) {
+func firstConn(a, b *scriptedWorker) (first *testConn, other *scriptedWorker) {
 	select {
 	case c := <-a.conns:
 		return c, b
--- a/internal/router/relay_random_worker_test.go
+++ b/internal/router/relay_random_worker_test.go
@@ -47,7 +47,7 @@
 
 // connState is a connection with the bytes that the worker still has to write to it.
 type connState struct {
-	*workerConn
+	*testConn
 	delayed string // written before the next response
 }
 
@@ -55,7 +55,7 @@
 	for c := range s.conns {
 		go func() {
 			defer c.Close()
-			k := &connState{workerConn: c}
+			k := &connState{testConn: c}
 			for q := c.request(); q != nil; q = c.request() {
 				if !w.handle(s, k, q) {
 					return
--- a/internal/router/relay_response.go
+++ b/internal/router/relay_response.go
@@ -10,14 +10,14 @@
 )
 
 // maxBufferedResponse is the size up to which a worker's answer is read completely before its first byte goes to the client,
-// so that a broken answer does not appear as a success.
+// so that an answer that breaks off is not passed on as a success.
 const maxBufferedResponse = 64 << 10
 
 // respondFromWorker passes a worker's answer to the client.
 func (w *relayRequest) respondFromWorker(response *workerResponse) {
 	v := w.router
 	if c := response.Response.StatusCode(); c == 408 || c == 421 || c == 429 || c == 503 {
-		response.End() // a refusal without proof that the request has not run must not be passed on as one
+		response.End() // these don't prove that the request has not run, so they must not be passed on as refusals
 		v.release(response.tag, false)
 		w.respond(resultcode.OutcomeUnknown, 0)
 		return
@@ -38,7 +38,7 @@
 	if err != nil {
 		body.Close()
 		w.failedWorker = response.worker
-		if w.tryService(response.service.Name) { // which takes the retry from the budget
+		if w.tryService(response.service.Name) { // takes the retry from the retry budget
 			return
 		}
 		w.respond(resultcode.OutcomeUnknown, 0)
@@ -152,7 +152,7 @@
 func (r *responseBody) recordBreak(err error) {
 	v := r.request.router
 	if r.request.client.Err() != nil {
-		return // aborted here
+		return // aborted by this node
 	}
 	v.stats.countResult(resultcode.StreamBroken)
 	v.markDown(r.worker)
--- a/internal/router/relay_streams_test.go
+++ b/internal/router/relay_streams_test.go
@@ -20,17 +20,17 @@
 }
 
 // writeChunk writes text as one chunk. Its lines end with LF only: writeText would change its length.
-func (c *workerConn) writeChunk(s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
+func (c *testConn) writeChunk(s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
 // streamBreaks are the ways in which a stream breaks after its second event.
-var streamBreaks = map[string]func(c *workerConn){
-	"closed":            func(c *workerConn) { c.Close() },
-	"reset":             func(c *workerConn) { c.reset() },
-	"closed in a chunk": func(c *workerConn) { _, _ = c.Write([]byte("40\r\nid: 3\n")); c.Close() },
-	"garbled chunk":     func(c *workerConn) { _, _ = c.Write([]byte("zz\r\n")) },
-	"event doubled":     func(c *workerConn) { c.writeChunk(event(2)); _, _ = c.Write([]byte("0\r\n\r\n")) },
-	"ended in an event": func(c *workerConn) { c.writeChunk("id: 3\ndata"); _, _ = c.Write([]byte("0\r\n\r\n")) },
-	"no last line":      func(c *workerConn) { _, _ = c.Write([]byte("0\r\n")); c.Close() },
+var streamBreaks = map[string]func(c *testConn){
+	"closed":            func(c *testConn) { c.Close() },
+	"reset":             func(c *testConn) { c.reset() },
+	"closed in a chunk": func(c *testConn) { _, _ = c.Write([]byte("40\r\nid: 3\n")); c.Close() },
+	"garbled chunk":     func(c *testConn) { _, _ = c.Write([]byte("zz\r\n")) },
+	"event doubled":     func(c *testConn) { c.writeChunk(event(2)); _, _ = c.Write([]byte("0\r\n\r\n")) },
+	"ended in an event": func(c *testConn) { c.writeChunk("id: 3\ndata"); _, _ = c.Write([]byte("0\r\n\r\n")) },
+	"no last line":      func(c *testConn) { _, _ = c.Write([]byte("0\r\n")); c.Close() },
 }
 
 // A resumable stream continues on another worker, with each event once and in order. Any other stream ends there, does not
--- a/internal/router/relay_worker_failures_test.go
+++ b/internal/router/relay_worker_failures_test.go
@@ -10,15 +10,15 @@
 type workerFailure struct {
 	name    string
 	text    string // what the worker writes
-	closing func(*workerConn)
+	closing func(*testConn)
 	// expected for an effectful request: its status, and whether it is retried on another worker
 	status  int
 	retried bool
 }
 
-func closeConn(c *workerConn) { c.Close() }
-func resetConn(c *workerConn) { c.reset() }
-func keepOpen(*workerConn)    {}
+func closeConn(c *testConn) { c.Close() }
+func resetConn(c *testConn) { c.reset() }
+func keepOpen(*testConn)    {}
 
 const (
 	okHeader      = "HTTP/1.1 200 OK\nAttempt-Id: ID\nWorker-Seal: s\n"
--- a/internal/router/retries_test.go
+++ b/internal/router/retries_test.go
@@ -9,7 +9,7 @@
 	"seamshunt/internal/units"
 )
 
-// A non-repeatable request of unknown outcome is not retried, and the answer says that the outcome is unknown.
+// A non-repeatable request of unknown outcome is not retried, and the answer reports that the outcome is unknown.
 func TestNonRepeatableIsNeverRetried(t *testing.T) {
 	t.Parallel()
 	a, ha := startNativeWorker(t)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A refusal that does not name the request or does not say that it did not run is no proof of that.
+// A refusal that does not contain the request's ID or does not state that it did not run is no proof that it did not run.
 func TestUnprovenRefusals(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{`{"id":"other","ran":false}`, `{"ran":false}`, `{"id":"ID"}`, `{"id":"ID","ran":true}`, `{"id":"ID","ran":0}`, `busy`, ``} {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -161,7 +161,7 @@
 	v.queue.Decisions = v.queue.Decisions[:0]
 }
 
-// onResume runs after the process was paused: waiting requests ask for permits again, and no new request is accepted until
+// onResume runs after the process was paused: waiting requests request permits again, and no new request is accepted until
 // the configuration is confirmed to be up to date.
 func (v *Router) onResume(now units.Time) {
 	v.markNotReady()
--- a/internal/router/tick.go
+++ b/internal/router/tick.go
@@ -35,8 +35,8 @@
 	return node.IdleInterval
 }
 
-// tickInterval is the delay until the next tick while work is pending: waiting requests, coordinators that take over,
-// changes of the membership.
+// tickInterval is the delay until the next tick while work is pending: requests wait, a coordinator takes over, or the
+// membership changes.
 const tickInterval = 20 * time.Millisecond
 
 // scheduleTick makes the next tick run within tickInterval.
--- a/internal/socket/options_test.go
+++ b/internal/socket/options_test.go
@@ -10,7 +10,7 @@
 
 // The option is set in milliseconds; a connection without a socket is ignored.
 func TestSetUserTimeout(t *testing.T) {
-	local, _ := pair(t)
+	local, _ := tcpPair(t)
 	SetUserTimeout(local, 1500*time.Millisecond)
 	raw, err := local.SyscallConn()
 	if err != nil {
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -21,7 +21,7 @@
 )
 
 // Peek returns the state of a connection's socket without blocking and without consuming data. It ignores deadlines, because a
-// read deadline that has passed says nothing about the peer.
+// read deadline that has passed does not show the state of the peer.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -8,8 +8,8 @@
 
 const waitTimeout = 10 * time.Second // not reached in a test that passes
 
-// pair returns both ends of a TCP connection.
-func pair(t *testing.T) (local, remote *net.TCPConn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 // PeerClosed reports a close, also of the write side alone, and a reset, but neither a read deadline that has passed, as that of
 // a request read long ago, nor the data of a next request.
 func TestPeerClosed(t *testing.T) {
-	local, remote := pair(t)
+	local, remote := tcpPair(t)
 	_ = local.SetReadDeadline(time.Now().Add(-time.Hour))
 	if PeerClosed(local) || Peek(local) != Idle {
 		t.Error("a passed deadline is reported as closed")
@@ -53,14 +53,14 @@
 	}
 	_ = remote.CloseWrite()
 	waitForState(t, local, Closed) // after unread data
-	local, remote = pair(t)
+	local, remote = tcpPair(t)
 	_ = remote.CloseWrite()
 	waitForState(t, local, Closed)
-	local, remote = pair(t)
+	local, remote = tcpPair(t)
 	_ = remote.SetLinger(0)
 	remote.Close()
 	waitForState(t, local, Closed)
-	local, _ = pair(t)
+	local, _ = tcpPair(t)
 	local.Close()
 	if !PeerClosed(local) {
 		t.Error("a connection closed locally is reported as open")
--- a/internal/storage/wal/recovery_test.go
+++ b/internal/storage/wal/recovery_test.go
@@ -8,7 +8,7 @@
 	"seamshunt/internal/cluster/message"
 )
 
-// pageCache simulates the kernel's page cache: it remembers what was synced of the log, which is all that survives a power loss.
+// pageCache simulates the kernel's page cache: it holds the synced part of the log, which is all that survives a power loss.
 type pageCache struct {
 	synced []byte
 	fault  error
@@ -30,9 +30,9 @@
 // Guards against data loss when a process is killed between the write of a change and its sync: what the next process reads
 // and acknowledges must survive a power loss.
 func TestWhatIsReadBackAfterAKillIsSynced(t *testing.T) {
-	log, mark, writing := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7), testRecord("b", 7)})
-	for cut := 0; cut <= len(writing); cut++ {
-		dir := testDir(t, append(append([]byte(nil), log...), writing[:cut]...), mark)
+	log, mark, unsynced := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7), testRecord("b", 7)})
+	for cut := 0; cut <= len(unsynced); cut++ {
+		dir := testDir(t, append(append([]byte(nil), log...), unsynced[:cut]...), mark)
 		disk := &pageCache{synced: log}
 		a, err := openWithSync(dir, 0, disk.sync)
 		if err != nil {
@@ -53,8 +53,8 @@
 // first append is synced before the second is written.
 func TestAppendAfterAKillLeavesNoGap(t *testing.T) {
 	const batches = 2
-	log, mark, writing := unsyncedAppend(t, batches, []message.Record{testRecord("d", 7)})
-	dir := testDir(t, append(append([]byte(nil), log...), writing...), mark)
+	log, mark, unsynced := unsyncedAppend(t, batches, []message.Record{testRecord("d", 7)})
+	dir := testDir(t, append(append([]byte(nil), log...), unsynced...), mark)
 	disk := &pageCache{synced: log}
 	a, err := openWithSync(dir, 0, disk.sync)
 	if err != nil {
@@ -66,7 +66,8 @@
 	}
 	a.Close()
 	image := readFile(t, dir, logName)
-	clear(image[syncedLen : len(log)+len(writing)]) // what wasn't synced before the second append is missing, the second append is there
+	// What wasn't synced before the second append is lost; the second append isn't.
+	clear(image[syncedLen : len(log)+len(unsynced)])
 	checkSurvives(t, "a second append", image, mark, batches)
 }
 
@@ -79,20 +80,20 @@
 	}
 }
 
-// What Open syncs is recorded in the mark: a file that lacks it later is damaged.
+// What Open syncs is recorded in the mark: a file in which it is missing later is damaged.
 func TestWhatIsSyncedAtAStartIsMarked(t *testing.T) {
-	log, mark, writing := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7)})
-	dir := testDir(t, append(append([]byte(nil), log...), writing...), mark)
+	log, mark, unsynced := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7)})
+	dir := testDir(t, append(append([]byte(nil), log...), unsynced...), mark)
 	openLog(t, dir).Close()
 	if _, err := Open(testDir(t, log, readFile(t, dir, markName)), 0); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a file that lacks what was synced at a start: %v", err)
 	}
 }
 
-// After a failed sync the log is rewritten, because only the sync of a new file proves anything.
-func TestRenewedAfterAFailedSync(t *testing.T) {
-	log, mark, writing := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7)})
-	dir := testDir(t, append(append([]byte(nil), log...), writing...), mark)
+// After a failed sync the log is rewritten, because only the sync of a new file proves that its content is on the disk.
+func TestRewriteAfterAFailedSync(t *testing.T) {
+	log, mark, unsynced := unsyncedAppend(t, 2, []message.Record{testRecord("a", 7)})
+	dir := testDir(t, append(append([]byte(nil), log...), unsynced...), mark)
 	disk := &pageCache{}
 	a, err := openWithSync(dir, 0, disk.sync)
 	if err != nil {
--- a/internal/storage/wal/scan.go
+++ b/internal/storage/wal/scan.go
@@ -15,7 +15,7 @@
 // Reasons why parseRecord rejects bytes.
 var (
 	errTooShort  = errors.New("too short for a record")
-	errBadHeader = errors.New("bad length or number")
+	errBadHeader = errors.New("bad length or sequence number")
 	errChecksum  = errors.New("bad checksum")
 )
 
@@ -88,16 +88,16 @@
 
 // checkSnapshot compares a compacted file with its snapshot header.
 func (c *scanResult) checkSnapshot(b []byte) error {
-	first, at, err := parseRecord(b, 0)
+	first, start, err := parseRecord(b, 0)
 	if err != nil || first.Kind != kindSnapshot {
 		return nil // never compacted
 	}
 	var h snapshotHeader
 	if _, err := binary.Decode(first.Data, binary.LittleEndian, &h); err != nil {
-		return fmt.Errorf("%w: the snapshot's head: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: the snapshot's header: %w", ErrDamaged, err)
 	}
 	c.generation = h.Generation
-	end := at
+	end := start
 	for seq := uint32(1); seq <= h.Count; seq++ {
 		_, n, err := parseRecord(b[end:], seq)
 		if err != nil {
@@ -105,7 +105,7 @@
 		}
 		end += n
 	}
-	if crc32.Checksum(b[at:end], crcTable) != h.Checksum {
+	if crc32.Checksum(b[start:end], crcTable) != h.Checksum {
 		return fmt.Errorf("%w: the snapshot's checksum", ErrDamaged)
 	}
 	return nil
--- a/internal/storage/wal/sync_mark.go
+++ b/internal/storage/wal/sync_mark.go
@@ -26,7 +26,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
-// parseMark parses a mark; ok is false if it is incomplete or its checksum is wrong, and it is ignored then.
+// parseMark parses a mark; ok is false if it is incomplete or its checksum is wrong, and the mark is ignored then.
 func parseMark(b []byte) (m syncMark, ok bool) {
 	if len(b) != markLen || binary.LittleEndian.Uint32(b[markLen-4:]) != crc32.Checksum(b[:markLen-4], crcTable) {
 		return m, false
--- a/internal/storage/wal/wal_test.go
+++ b/internal/storage/wal/wal_test.go
@@ -75,8 +75,8 @@
 // looks like a torn write of that append, and no record before it is lost.
 func TestDamageAtEveryByte(t *testing.T) {
 	whole := threeBatches(t, t.TempDir())
-	second := len(whole) - headerLen - 1 - len("value 2 of b")
-	first := second - headerLen - 1 - len("value 2 of a")
+	lastRecord := len(whole) - headerLen - 1 - len("value 2 of b")
+	lastAppend := lastRecord - headerLen - 1 - len("value 2 of a")
 	for at := range whole {
 		dir := t.TempDir()
 		b := append([]byte(nil), whole...)
@@ -85,14 +85,14 @@
 			t.Fatal(err)
 		}
 		a, err := Open(dir, 0)
-		if at < first {
+		if at < lastAppend {
 			if !errors.Is(err, ErrDamaged) {
 				t.Fatalf("byte %d changed: %v", at, err)
 			}
 			continue
 		}
 		want := "value 1 of a"
-		if at >= second {
+		if at >= lastRecord {
 			want = "value 2 of a"
 		}
 		if err != nil || storedValue(a, "a") != want || storedValue(a, "b") != "value 1 of b" {
@@ -122,7 +122,7 @@
 	}
 }
 
-// After a failed write the file is never trusted again, not even for a write that would succeed.
+// After a failed write the log accepts no further write, not even one that would succeed.
 func TestFailedWriteIsFinal(t *testing.T) {
 	dir := t.TempDir()
 	a := openLog(t, dir)
@@ -144,7 +144,7 @@
 	}
 }
 
-// On a full disk Append returns ErrFull, keeps what it had, and accepts writes again once there is space.
+// On a full disk Append returns ErrFull, keeps the earlier records, and accepts writes again once there is space.
 func TestFullDisk(t *testing.T) {
 	a := openLog(t, t.TempDir())
 	if err := a.Append([]message.Record{testRecord("a", 1)}); err != nil {
@@ -171,8 +171,9 @@
 	}
 }
 
-// When the disk becomes full, the reserve takes as many changes as docs/design.md says, and each accepted one is read back from
-// the disk. Then a compaction frees the space of old records, and once the disk has space again writes succeed as before.
+// When the disk becomes full, the reserve has space for as many changes as docs/design.md states, and each accepted one is
+// read back from the disk. Then a compaction frees the space of old records, and once the disk has space again writes succeed
+// as before.
 func TestReserveOfAFullDisk(t *testing.T) {
 	const reserveSize = 64 << 10
 	dir := t.TempDir()
@@ -231,6 +232,6 @@
 		t.Errorf("with space again: %v, disk full %v", err, a.DiskFull())
 	}
 	if err := a.Append([]message.Record{big("b", 2)}); err != nil || storedValue(a, "b")[:2] != "2 " {
-		t.Errorf("with room again: %v", err)
+		t.Errorf("a second write with space again: %v", err)
 	}
 }
