--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -41,7 +41,7 @@
 			Service: string(entry.GetStringBytes("service")), Slots: entry.GetInt("slots"),
 			WarmingUpFor: time.Duration(entry.GetInt64("cold_ms")) * time.Millisecond}
 		if worker.ID == "" || worker.Addr == "" || seen[worker.ID] {
-			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or appears twice", i)
+			return nil, fmt.Errorf("config: worker list: entry %d lacks its id or address, or stands twice", i)
 		}
 		seen[worker.ID] = true
 		workers = append(workers, worker)
--- a/internal/storage/wal/scan.go
+++ b/internal/storage/wal/scan.go
@@ -15,7 +15,7 @@
 // Reasons why parseRecord rejects bytes.
 var (
 	errTooShort  = errors.New("too short for a record")
-	errBadHeader = errors.New("bad length or sequence number")
+	errBadHeader = errors.New("bad length or number")
 	errChecksum  = errors.New("bad checksum")
 )
 
@@ -94,7 +94,7 @@
 	}
 	var h snapshotHeader
 	if _, err := binary.Decode(first.Data, binary.LittleEndian, &h); err != nil {
-		return fmt.Errorf("%w: the snapshot's header: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: the snapshot's head: %w", ErrDamaged, err)
 	}
 	c.generation = h.Generation
 	end := start
