--- a/internal/netfault/deferred.go
+++ b/internal/netfault/deferred.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// deferSeconds is how long the kernel waits for the first data on a connection before it completes it without data.
+// deferSeconds is how long the kernel waits for the first data on a connection before it completes the connection without.
 const deferSeconds = 60
 
-// DeferredListener is a loopback listener that delays connections between the reply to their first packet and their
-// completion, as packet loss does. Clients see the connection as established and send data. The listener gets it only after
-// the first call of Accept, when the client's kernel retransmits.
+// DeferredListener is a loopback listener that holds connections between the SYN-ACK and the completion of their
+// handshake, as packet loss does. Clients see the connection as established and send data. The listener receives the data
+// only after the first call of Accept, when the client's kernel retransmits it.
 type DeferredListener struct {
 	net.Listener
 	mu          sync.Mutex
--- a/internal/netfault/listener.go
+++ b/internal/netfault/listener.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// queueFull asks the kernel whether the queue of new connections is full. For a listener, TCP_INFO has their number in
+// queueFull reports whether the queue of new connections is full in the kernel. For a listener, TCP_INFO has their number in
 // Unacked and the limit in Sacked.
 func (l *Listener) queueFull() (bool, error) {
 	raw, err := l.Listener.(syscall.Conn).SyscallConn()
--- a/internal/partition/enabled.go
+++ b/internal/partition/enabled.go
@@ -122,5 +122,5 @@
 }
 
 // Unwrap returns the TCP connection itself, for an event loop that needs its descriptor. Its bytes are not delayed:
-// the event loop asks ShouldDrop instead.
+// the event loop calls ShouldDrop instead.
 func Unwrap(c net.Conn) net.Conn { return c.(*conn).TCPConn }
--- a/internal/scaletest/controller.go
+++ b/internal/scaletest/controller.go
@@ -23,7 +23,7 @@
 	pollInterval    = 500 * time.Millisecond
 )
 
-// controller is package controller without its HTTP interface, its locks and its disk.
+// controller runs the state machines of package controller without its HTTP interface, locks and disk.
 type controller struct {
 	node          *node
 	replica       *register.Replica
--- a/internal/scaletest/limits.go
+++ b/internal/scaletest/limits.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// The live heap of a run is about bytesPerNode for each node plus bytesPerPair for each node that it knows of, measured
-// at sizes 12 to 400 (docs/CAPACITY.md) and rounded up. The garbage collector lets the heap grow to twice that.
+// The live heap of a run is about bytesPerNode for each node plus bytesPerPair for each node in its membership. Both are
+// rounded up and hold for sizes 12 to 400 (docs/CAPACITY.md). The garbage collector lets the heap grow to twice that.
 const (
 	bytesPerNode = 256 << 10
 	bytesPerPair = 4 << 10
 )
 
-// RequiredMemory returns about how many bytes of memory a run takes.
+// RequiredMemory returns the approximate memory that a run takes, in bytes.
 func RequiredMemory(routers int) uint64 {
 	nodes := uint64(routers + ControllerCount)
 	return 2 * (nodes*bytesPerNode + nodes*nodes*bytesPerPair)
--- a/internal/scaletest/node.go
+++ b/internal/scaletest/node.go
@@ -89,7 +89,7 @@
 	n.runLoop(interval, 0, func(now units.Time) message.Effects { return n.program.tick(now, nil) })
 }
 
-// runLoop runs a loop of the process as long as it lives, and adds its time to the part that kind names.
+// runLoop runs a step of the process at an interval until the process stops, and adds the steps' time to the usage of kind.
 func (n *node) runLoop(interval time.Duration, kind message.Kind, step func(units.Time) message.Effects) {
 	generation := n.generation
 	var tick func()
@@ -111,7 +111,7 @@
 	return out
 }
 
-// runTimed runs one step, adds its time to the part that kind names, and sends its effects.
+// runTimed runs one step, adds its time to the usage of kind, and sends its effects.
 func (n *node) runTimed(kind message.Kind, step func() message.Effects) {
 	start := time.Now()
 	out := step()
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -26,15 +26,15 @@
 		{"core_pct", "percent of a core", MaxCorePercent}, {"heap_kb", "heap, KB", 0}}
 	var grid [][]*plot.Plot
 	for i := range 2 {
-		var l []*plot.Plot
+		var row []*plot.Plot
 		for _, x := range panels[2*i : 2*i+2] {
 			p, err := panel(rows, x.measure, x.title, x.ceiling)
 			if err != nil {
 				return err
 			}
-			l = append(l, p)
+			row = append(row, p)
 		}
-		grid = append(grid, l)
+		grid = append(grid, row)
 	}
 	canvases := plot.Align(grid, tiles, draw.New(canvas))
 	for i := range grid {
@@ -55,6 +55,7 @@
 	return nil
 }
 
+// panel returns the chart of one measure, with a line at the ceiling if there is one.
 func panel(rows []Row, measure, title string, ceiling float64) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text = "a router: "+title, "routers of the site"
--- a/internal/scaletest/simulation.go
+++ b/internal/scaletest/simulation.go
@@ -40,8 +40,8 @@
 	return s, nil
 }
 
-// StartRouters starts all routers at once, and returns how long it takes until all of them serve and every node knows
-// all others.
+// StartRouters starts all routers at once, and returns how long it takes until all of them serve and every node has
+// all others in its membership.
 func (s *Simulation) StartRouters() (time.Duration, error) {
 	startedAt := s.Now
 	for i := range s.Routers {
--- a/internal/simulator/anti_entropy_test.go
+++ b/internal/simulator/anti_entropy_test.go
@@ -7,7 +7,7 @@
 	"seamshunt/internal/units"
 )
 
-// A voter that missed writes is repaired even if nobody writes those keys again (docs/design.md, section 2).
+// A voter that missed writes is repaired even if those keys are never written again (docs/design.md, section 2).
 func TestAntiEntropyRepair(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+3; seed++ {
@@ -23,11 +23,11 @@
 		w.change("config", configText(1), nil)
 		w.Run(w.Now.Add(2 * time.Second))
 		w.Start(lost)
-		behind := len(w.controllers[lost].Replica.StoredVersions())
+		restarted := len(w.controllers[lost].Replica.StoredVersions())
 		w.Run(w.Now.Add(20 * time.Second))
 		w.checkReplicasAgree()
-		if now := len(w.controllers[lost].Replica.StoredVersions()); behind >= now || now != 5 {
-			t.Errorf("seed %d: %d keys after its restart, %d after the repair, want 5", seed, behind, now)
+		if repaired := len(w.controllers[lost].Replica.StoredVersions()); restarted >= repaired || repaired != 5 {
+			t.Errorf("seed %d: %d keys after its restart, %d after the repair, want 5", seed, restarted, repaired)
 		}
 		if len(w.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, w.Violations)
--- a/internal/simulator/catch_up_test.go
+++ b/internal/simulator/catch_up_test.go
@@ -16,7 +16,7 @@
 
 var (
 	catchUpSeeds   = flag.Int("catch-up-seeds", 5, "seeds for each deployment and kind of loss in TestCatchUp")
-	catchUpChanges = flag.Int("catch-up-changes", 50, "changes of each such seed")
+	catchUpChanges = flag.Int("catch-up-changes", 50, "changes in each seed of TestCatchUp")
 	catchUpLong    = flag.Int("catch-up-long", 0, "seeds of each deployment with a thousand changes")
 )
 
@@ -30,19 +30,20 @@
 	heal   func(w *World, i int)
 }
 
-func startStopped(w *World, i int) {
+// startIfStopped starts a member that is not running.
+func startIfStopped(w *World, i int) {
 	if h := w.controllerHosts[i]; h.Proc == nil {
 		w.Start(h)
 	}
 }
 
 var memberLosses = []memberLoss{
-	{"down", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.RefuseConnections(w.controllerHosts[i]) }, startStopped},
-	{"power lost", func(w *World, i int) { w.Kill(w.controllerHosts[i]) }, startStopped},
-	{"wiped", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.controllerHosts[i].Disk.Wipe() }, startStopped},
+	{"down", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.RefuseConnections(w.controllerHosts[i]) }, startIfStopped},
+	{"power lost", func(w *World, i int) { w.Kill(w.controllerHosts[i]) }, startIfStopped},
+	{"wiped", func(w *World, i int) { w.Kill(w.controllerHosts[i]); w.controllerHosts[i].Disk.Wipe() }, startIfStopped},
 	{"replaced at another address", func(w *World, i int) {
 		w.loseDisk(i, time.Hour, true) // the test starts it
-	}, startStopped},
+	}, startIfStopped},
 	{"slow disk", func(w *World, i int) { w.controllerHosts[i].Disk.Delay = 150 * time.Millisecond },
 		func(w *World, i int) { w.controllerHosts[i].Disk.Delay = NewDisk().Delay }},
 	{"stalled disk", func(w *World, i int) { w.controllerHosts[i].Disk.Stalled = true },
@@ -58,9 +59,9 @@
 	{"restarted repeatedly", func(w *World, i int) {
 		for k := range 4 {
 			w.After(time.Duration(k)*250*time.Millisecond, func() { w.Kill(w.controllerHosts[i]) })
-			w.After(time.Duration(k)*250*time.Millisecond+120*time.Millisecond, func() { startStopped(w, i) })
+			w.After(time.Duration(k)*250*time.Millisecond+120*time.Millisecond, func() { startIfStopped(w, i) })
 		}
-	}, startStopped},
+	}, startIfStopped},
 }
 
 // A catchUpRun has operators change the configuration and zones while members are lost and return.
@@ -86,7 +87,7 @@
 	return r
 }
 
-// randomValue returns values of mixed sizes: mostly small, some of a page, few like a large configuration.
+// randomValue returns a value of random size: mostly small, sometimes 4 KB, rarely 100 KB like a large configuration.
 func (r *catchUpRun) randomValue() string {
 	r.lastSerial++
 	size := 50 + r.Rng.IntN(800)
@@ -117,7 +118,8 @@
 	r.After(20*time.Millisecond+time.Duration(r.Rng.Int64N(int64(60*time.Millisecond))), r.runOperator)
 }
 
-// readFromReturned reads through the returned member, at once and a little later. It must not answer from old state.
+// readFromReturned reads through the returned member, immediately and up to a second later. The member must not answer from
+// old state.
 func (r *catchUpRun) readFromReturned(i int) {
 	for _, d := range []time.Duration{0, 20 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		r.After(d, func() {
@@ -128,7 +130,7 @@
 	}
 }
 
-// runRound takes some members away, heals them, and measures the time until each has caught up.
+// runRound injects a loss on one or two members, ends it, and measures the time until all of them have caught up.
 func (r *catchUpRun) runRound(t *testing.T, loss memberLoss) {
 	t.Helper()
 	lost := []int{r.Rng.IntN(len(r.controllerHosts))}
@@ -200,28 +202,28 @@
 		for _, l := range memberLosses {
 			t.Run(fmt.Sprintf("%d disks %s", disks, l.name), func(t *testing.T) {
 				t.Parallel()
-				var took []time.Duration
+				var times []time.Duration
 				for seed := range uint64(*catchUpSeeds) {
 					r := newCatchUpRun(*firstSeed+seed, disks, *catchUpChanges)
 					r.runAndCheck(t, l)
-					took = append(took, r.catchUpTimes...)
+					times = append(times, r.catchUpTimes...)
 				}
-				t.Logf("%d disks, %s: time to catch up after the return %s", disks, l.name, Percentiles(took))
+				t.Logf("%d disks, %s: time to catch up after the return %s", disks, l.name, Percentiles(times))
 			})
 		}
 	}
 }
 
-// The same with a thousand changes and every kind of loss. CI skips it; -catch-up-long sets the number of seeds.
+// TestCatchUp with a thousand changes and every kind of loss in each run. CI skips it; -catch-up-long sets the number of seeds.
 func TestCatchUpAfterAThousandChanges(t *testing.T) {
 	if *catchUpLong == 0 {
 		t.Skip("-catch-up-long 0")
 	}
 	for _, disks := range []int{3, 4, 5, 6} {
 		var mu sync.Mutex
-		var took []time.Duration
+		var times []time.Duration
 		t.Cleanup(func() {
-			t.Logf("%d disks, a thousand changes: time to catch up after the return %s", disks, Percentiles(took))
+			t.Logf("%d disks, a thousand changes: time to catch up after the return %s", disks, Percentiles(times))
 		})
 		for seed := range uint64(*catchUpLong) {
 			t.Run(fmt.Sprintf("%d disks seed %d", disks, *firstSeed+seed), func(t *testing.T) {
@@ -230,7 +232,7 @@
 				r.runAndCheck(t, memberLosses...)
 				mu.Lock()
 				defer mu.Unlock()
-				took = append(took, r.catchUpTimes...)
+				times = append(times, r.catchUpTimes...)
 			})
 		}
 	}
--- a/internal/simulator/interleaving_controller_test.go
+++ b/internal/simulator/interleaving_controller_test.go
@@ -12,7 +12,7 @@
 	"seamshunt/internal/units"
 )
 
-// Two nodes write one key at once, each as its owner. In no order of messages do two values get one version, and a third
+// Two nodes write one key together, each as its owner. In no order of messages do two values get one version, and a third
 // owner reads the acknowledged value (docs/design.md, section 2).
 func TestInterleavingsOfTwoOwners(t *testing.T) {
 	n := interleavings(6, func(choose func(int) int) {
--- a/internal/simulator/interleaving_helpers_test.go
+++ b/internal/simulator/interleaving_helpers_test.go
@@ -57,6 +57,7 @@
 	delayed   []message.Message
 }
 
+// send adds the messages of a step to those in flight.
 func (b *messageBag) send(from units.NodeID, effects message.Effects) {
 	for _, m := range append(effects.Messages, effects.AfterSync...) {
 		m.From = from
@@ -67,6 +68,7 @@
 	}
 }
 
+// deliverAll delivers messages in the chosen order, up to 400, and calls each after every delivery.
 func (b *messageBag) deliverAll(choose func(int) int, each func()) {
 	for k := 0; len(b.inFlight) > 0 && k < 400; k++ {
 		i := choose(len(b.inFlight))
@@ -83,18 +85,18 @@
 
 var threeNodes = []units.NodeID{1, 2, 3}
 
-// newVoters returns three voters of one quorum set, each of which sees the owner given for it.
+// newVoters returns three voters of one quorum set. ownerSeenBy has the owner that each voter's membership shows.
 func newVoters(b *messageBag, ownerSeenBy map[units.NodeID]units.NodeID) map[units.NodeID]*register.Replica {
-	m := map[units.NodeID]*register.Replica{}
+	replicas := map[units.NodeID]*register.Replica{}
 	set := register.QuorumSet{Version: 1, Members: threeNodes}
 	for _, n := range threeNodes {
-		x := register.New(n, n+100)
-		if err := x.Load([]message.Record{{Kind: register.RecordQuorum, Data: set.Pack()}}); err != nil {
+		replica := register.New(n, n+100)
+		if err := replica.Load([]message.Record{{Kind: register.RecordQuorum, Data: set.Pack()}}); err != nil {
 			panic(err)
 		}
-		x.SetEligible([]units.NodeID{ownerSeenBy[n]})
-		m[n] = x
-		b.handlers[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
+		replica.SetEligible([]units.NodeID{ownerSeenBy[n]})
+		replicas[n] = replica
+		b.handlers[n] = func(msg message.Message) message.Effects { return replica.Step(b.now, msg) }
 	}
-	return m
+	return replicas
 }
--- a/internal/simulator/interleaving_test.go
+++ b/internal/simulator/interleaving_test.go
@@ -21,20 +21,20 @@
 	n := interleavings(6, func(choose func(int) int) {
 		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		now := units.Time(5 * time.Second)
-		m := map[units.NodeID]*lease.Lease{}
+		leases := map[units.NodeID]*lease.Lease{}
 		for _, x := range threeNodes {
-			y := lease.New(x, "d", func() []units.NodeID { return threeNodes }, 0, rand.New(rand.NewPCG(uint64(x), 1)))
-			m[x] = y
-			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
+			member := lease.New(x, "d", func() []units.NodeID { return threeNodes }, 0, rand.New(rand.NewPCG(uint64(x), 1)))
+			leases[x] = member
+			b.handlers[x] = func(msg message.Message) message.Effects { return member.Step(now, msg) }
 		}
-		b.send(1, m[1].Tick(now, true))
-		b.send(2, m[2].Tick(now, true))
+		b.send(1, leases[1].Tick(now, true))
+		b.send(2, leases[2].Tick(now, true))
 		b.deliverAll(choose, func() {
-			if m[1].Holds(now) && m[2].Holds(now) {
+			if leases[1].Holds(now) && leases[2].Holds(now) {
 				t.Fatal("two nodes hold one lease")
 			}
 		})
-		if m[1].Holds(now) || m[2].Holds(now) {
+		if leases[1].Holds(now) || leases[2].Holds(now) {
 			won++
 		}
 	})
@@ -43,36 +43,36 @@
 	}
 }
 
-// A split vote between two candidates must not last: a lost round releases its votes, and one candidate wins in the end.
+// A split vote between two candidates must not last: a lost round releases its votes, and one candidate eventually wins.
 func TestSplitVoteEnds(t *testing.T) {
 	four := []units.NodeID{1, 2, 3, 4}
 	for seed := range uint64(50) {
 		b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
 		now := units.Time(5 * time.Second)
-		m := map[units.NodeID]*lease.Lease{}
+		leases := map[units.NodeID]*lease.Lease{}
 		for _, x := range four {
-			y := lease.New(x, "d", func() []units.NodeID { return four }, 0, rand.New(rand.NewPCG(seed, uint64(x))))
-			m[x] = y
-			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(now, k) }
+			member := lease.New(x, "d", func() []units.NodeID { return four }, 0, rand.New(rand.NewPCG(seed, uint64(x))))
+			leases[x] = member
+			b.handlers[x] = func(msg message.Message) message.Effects { return member.Step(now, msg) }
 		}
 		// Both request votes at the same time, and each reaches two voters first.
-		one, two := m[1].Tick(now, true), m[2].Tick(now, true)
+		one, two := leases[1].Tick(now, true), leases[2].Tick(now, true)
 		b.send(1, message.Effects{Messages: []message.Message{one.Messages[0], one.Messages[2]}})
 		b.send(2, message.Effects{Messages: []message.Message{two.Messages[1], two.Messages[3]}})
 		b.send(1, message.Effects{Messages: []message.Message{one.Messages[1], one.Messages[3]}})
 		b.send(2, message.Effects{Messages: []message.Message{two.Messages[0], two.Messages[2]}})
 		b.deliverAll(func(int) int { return 0 }, func() {})
-		if m[1].Holds(now) || m[2].Holds(now) {
+		if leases[1].Holds(now) || leases[2].Holds(now) {
 			t.Fatal("the votes of this round were not split")
 		}
 		held := false
 		for range 200 {
 			now = now.Add(25 * time.Millisecond)
 			for _, x := range four[:2] {
-				b.send(x, m[x].Tick(now, true))
+				b.send(x, leases[x].Tick(now, true))
 			}
 			b.deliverAll(func(int) int { return 0 }, func() {})
-			held = held || m[1].Holds(now) || m[2].Holds(now)
+			held = held || leases[1].Holds(now) || leases[2].Holds(now)
 		}
 		if !held {
 			t.Fatalf("seed %d: no candidate won", seed)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Two copies of a request that claim its key through two routers never both get it.
+// Two copies of a request that claim its key through two routers never both get the key.
 func TestInterleavingsOfClaims(t *testing.T) {
 	won := 0
 	n := interleavings(6, func(choose func(int) int) {
@@ -88,7 +88,7 @@
 		m := map[units.NodeID]*idempotency.Claimant{}
 		for _, x := range threeNodes {
 			y := idempotency.New(x, 0)
-			y.Tick(units.Time(time.Minute), nil, time.Second) // completes its start
+			y.Tick(units.Time(time.Minute), nil, time.Second) // ends its startup phase
 			m[x] = y
 			b.handlers[x] = func(k message.Message) message.Effects { return y.Step(0, k) }
 		}
@@ -178,7 +178,7 @@
 		}
 		submit(1, coordinator)
 		submit(2, coordinator)
-		// The other takes over the worker while the requests are in flight.
+		// The other router takes over the worker while the requests are in flight.
 		ledgers[other].SetWorkers(workers)
 		ledgers[other].SetRouters(peers, nil)
 		b.send(other, ledgers[other].TakeOver(0, "s/w"))
@@ -195,26 +195,26 @@
 	}
 }
 
-// A controller reaches only one router. The other routers must get its update from that one, by comparing versions.
+// A controller reaches only one router. The other routers must pull the update from that router when they compare versions.
 func TestConfigUpdatesRouteAroundPartition(t *testing.T) {
 	b := &messageBag{handlers: map[units.NodeID]func(message.Message) message.Effects{}}
-	m := map[units.NodeID]*configpush.Feed{}
+	feeds := map[units.NodeID]*configpush.Feed{}
 	for n := units.NodeID(1); n <= 6; n++ {
 		x := configpush.New(n)
-		m[n] = x
-		b.handlers[n] = func(k message.Message) message.Effects { return x.Step(b.now, k) }
+		feeds[n] = x
+		b.handlers[n] = func(msg message.Message) message.Effects { return x.Step(b.now, msg) }
 	}
-	b.send(1, m[1].Publish(0, configpush.Item{Key: "workers/main/1", Version: 7, Data: []byte("x")}, []units.NodeID{2}))
-	for range 3 { // heartbeats
+	b.send(1, feeds[1].Publish(0, configpush.Item{Key: "workers/main/1", Version: 7, Data: []byte("x")}, []units.NodeID{2}))
+	for range 3 { // heartbeat rounds
 		b.deliverAll(func(int) int { return 0 }, func() {})
 		b.now = b.now.Add(400 * time.Millisecond)
 		for n := units.NodeID(2); n <= 6; n++ {
-			b.send(n, m[n].Tick(b.now, []units.NodeID{2, 3, 4, 5, 6}))
+			b.send(n, feeds[n].Tick(b.now, []units.NodeID{2, 3, 4, 5, 6}))
 		}
 	}
-	for n, x := range m {
+	for n, x := range feeds {
 		if it := x.Items["workers/main/1"]; it == nil || it.Version != 7 {
-			t.Errorf("node %d has not got the update", n)
+			t.Errorf("node %d did not receive the update", n)
 		}
 	}
 }
--- a/internal/simulator/replace_member_test.go
+++ b/internal/simulator/replace_member_test.go
@@ -30,7 +30,7 @@
 	return h
 }
 
-// drainAndRemove drains a controller, as Controller.Drain does, and removes it for good.
+// drainAndRemove drains a controller, as Controller.Drain does, and removes it permanently.
 func (w *World) drainAndRemove(h *Host) { w.drainController(h, func() { w.removeController(h) }) }
 
 // drainAndReturn drains a controller and restarts it a second after it has ended.
@@ -128,7 +128,7 @@
 }
 
 // replaceGracefully adds a controller and drains an old one a second later. One of these two, or the owner of the quorum set,
-// is killed at a random moment and restarts at once with its disk.
+// is killed at a random moment and restarts immediately with its disk.
 func (w *World) replaceGracefully() {
 	old := pick(w, w.controllerHosts)
 	added := w.addController(old.Zone, true)
--- a/internal/simulator/resend_test.go
+++ b/internal/simulator/resend_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-// send sends one copy of a request, and the next after a random time unless a final answer has been received.
+// send sends one copy of a request, and another one after a random time unless a final answer has been received by then.
 func (p *operators) send(sent *request, lossRate float64, done func()) {
 	w := p.w
 	if c := w.anyController(); c != nil {
@@ -71,7 +71,7 @@
 	})
 }
 
-// runOperator makes one change after the other.
+// runOperator makes changes one after another, with a pause in between.
 func (p *operators) runOperator(lossRate float64, pause time.Duration) {
 	if p.w.Now >= p.until {
 		return
@@ -87,7 +87,7 @@
 
 // checkAnswers checks all answers, also lost ones. The run makes fewer than register.MaxOutcomes requests, so the outcome of
 // each must still be known at the end.
-func (p *operators) checkAnswers() (bad []string) {
+func (p *operators) checkAnswers() (violations []string) {
 	writtenBy := map[units.Version]int{}
 	for i, x := range p.requests {
 		var version units.Version
@@ -97,28 +97,28 @@
 			case r.Code == resultcode.VersionConflict:
 				refused = true
 			case r.Code == resultcode.OK && (r.Version != x.body.ExpectedVersion+1 || version != 0 && r.Version != version):
-				bad = append(bad, fmt.Sprintf("request %d with expected version %d got versions %d and %d", i,
+				violations = append(violations, fmt.Sprintf("request %d with expected version %d got versions %d and %d", i,
 					x.body.ExpectedVersion, version, r.Version))
 			case r.Code == resultcode.OK:
 				version = r.Version
 			}
 		}
 		if !isFinal(x.finalAnswer.Code) {
-			bad = append(bad, fmt.Sprintf("request %d has no final answer after all faults have ended: %d", i,
+			violations = append(violations, fmt.Sprintf("request %d has no final answer after all faults have ended: %d", i,
 				x.finalAnswer.Code))
 		}
 		if version != 0 && refused {
-			bad = append(bad, fmt.Sprintf("request %d was accepted as version %d, and refused", i, version))
+			violations = append(violations, fmt.Sprintf("request %d was accepted as version %d, and refused", i, version))
 		}
 		if other, ok := writtenBy[version]; ok && version != 0 {
-			bad = append(bad, fmt.Sprintf("requests %d and %d both got version %d", other, i, version))
+			violations = append(violations, fmt.Sprintf("requests %d and %d both got version %d", other, i, version))
 		}
 		writtenBy[version] = i
 	}
-	return append(bad, p.checkLinearizable()...)
+	return append(violations, p.checkLinearizable()...)
 }
 
-// checkLinearizable checks the answers that the operators received.
+// checkLinearizable checks that the history of the answers that the operators received is linearizable.
 func (p *operators) checkLinearizable() []string {
 	calls := p.reads
 	for _, x := range p.requests {
@@ -155,7 +155,7 @@
 	return w.controllerHosts[0]
 }
 
-// injectRandomFault injects a fault, mostly on the owner.
+// injectRandomFault injects a fault, in most cases on the owner of the configuration.
 func (w *World) injectRandomFault() {
 	h := w.configOwner()
 	if w.Rng.IntN(3) == 0 {
@@ -177,8 +177,8 @@
 		w.partition(duration, func(a, b *Host) bool { return a.Disk != nil && b.Disk != nil && (a == h || both && b == h) })
 	case 4:
 		w.slowDisk(h, 150*time.Millisecond, duration)
-	case 5: // disk lost: adding its successor and removing it are two changes of the quorum set
-		if w.quorumComplete() { // one at a time, as the deployments tolerate
+	case 5: // disk lost: adding its replacement and removing the lost one are two changes of the quorum set
+		if w.quorumComplete() { // the deployments tolerate only one lost disk at a time
 			w.loseDisk(int(w.lastSerial)%len(w.controllerHosts), duration, w.Rng.IntN(2) == 0)
 		}
 	}
--- a/internal/simulator/simulate_test.go
+++ b/internal/simulator/simulate_test.go
@@ -35,13 +35,13 @@
 // Each seed picks several faults and runs them with client requests and operators' changes (docs/promises.md).
 func TestSeeds(t *testing.T) {
 	for _, p := range []Deployment{Vatuloa, Council} {
-		var f Statistics
+		var total Statistics
 		var mu sync.Mutex
 		t.Cleanup(func() {
 			t.Logf("%s, %d seeds: %d runs, at most %d at once; median / 99th percentile / maximum: last run after draining %s, after evacuation %s, configuration applied %s, recovery after a full loss %s, without a coordinator %s; of %d claims %d not durable, %d failed",
-				p.Name, *seedCount, f.Runs, f.MaxConcurrent, Percentiles(f.LastRunsAfterDraining),
-				Percentiles(f.LastRunsAfterEvacuation), Percentiles(f.ConfigDelays), Percentiles(f.RecoveryTimes),
-				Percentiles(f.CoordinatorGaps), f.Claims, f.NonDurableClaims, f.FailedClaims)
+				p.Name, *seedCount, total.Runs, total.MaxConcurrent, Percentiles(total.LastRunsAfterDraining),
+				Percentiles(total.LastRunsAfterEvacuation), Percentiles(total.ConfigDelays), Percentiles(total.RecoveryTimes),
+				Percentiles(total.CoordinatorGaps), total.Claims, total.NonDurableClaims, total.FailedClaims)
 		})
 		for s := *firstSeed; s < *firstSeed+uint64(*seedCount); s++ {
 			t.Run(fmt.Sprint(p.Name, s), func(t *testing.T) {
@@ -49,13 +49,13 @@
 				w := simulate(t, p, s)
 				mu.Lock()
 				defer mu.Unlock()
-				f.add(&w.Stats)
+				total.add(&w.Stats)
 			})
 		}
 	}
 }
 
-// Every pair of faults at once. CI skips it; -pairs sets the number of seeds (docs/promises.md).
+// Both faults of every pair are injected in the same run. CI skips it; -pairs sets the number of seeds (docs/promises.md).
 func TestPairs(t *testing.T) {
 	if *pairSeeds == 0 {
 		t.Skip("-pairs 0")
@@ -73,7 +73,7 @@
 	}
 }
 
-// Each fault alone.
+// Each fault is injected alone.
 func TestEachFault(t *testing.T) {
 	for _, x := range Faults {
 		t.Run(x.Name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 		t.Errorf("two runs of one seed differ:\n%s\n%s", first.fingerprint(), second.fingerprint())
 	}
 	if other := Simulate(Council, 6); other.fingerprint() == first.fingerprint() {
-		t.Error("two seeds give the same run")
+		t.Error("two seeds have the same run")
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 }
 
-// All controllers are killed at an acknowledgement. The acknowledged value must be read back after the restart.
+// All controllers are killed as soon as a write is acknowledged. The acknowledged value must be read back after the restart.
 func TestPowerLostAfterAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for _, p := range []Deployment{Vatuloa, Council} {
@@ -161,8 +161,8 @@
 	}
 }
 
-// Routers are drained while all slots are in demand. Those that take over their workers must count the permits that the
-// draining routers still hold.
+// Routers are drained while all slots are in demand. Routers that take over the coordination of their workers must
+// count the permits that the draining routers still hold.
 func TestDrainUnderFullLoad(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+4; seed++ {
--- a/internal/simulator/statistics.go
+++ b/internal/simulator/statistics.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkRunStart checks the worker's capacity and warm-up limit, and that neither its draining nor the evacuation of its
-// zone is too old for a new run.
+// checkRunStart checks a run that starts on a worker: against the worker's capacity and warm-up limit, and that it does not
+// start too long after the worker was marked as draining or its zone was evacuated.
 func (w *World) checkRunStart(router *Router, target *worker) {
 	running := len(target.runs)
 	w.Stats.MaxConcurrent = max(w.Stats.MaxConcurrent, running)
@@ -54,7 +54,7 @@
 	CrossZone                 int
 	Claims, NonDurableClaims  int // all claims, and those granted without the controllers' disks
 	FailedClaims              int
-	LastRunsAfterDraining     []time.Duration // per draining worker: from its mark to the start of its last run
+	LastRunsAfterDraining     []time.Duration // per draining worker: from its marking as draining to the start of its last run
 	LastRunsAfterEvacuation   []time.Duration // per evacuated zone: from the acknowledgement to the start of its last run
 	ConfigDelays              []time.Duration // from an acknowledgement until each ready, connected router has the configuration
 	CoordinatorGaps           []time.Duration // how long a listed worker had no coordinator that granted permits
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -86,6 +86,7 @@
 	return entry
 }
 
+// exchange sends a request, verifies the streamed answer and records the outcome in entry.
 func exchange(ctx context.Context, router string, request Request, key string, entry *Entry) {
 	dialer := net.Dialer{Timeout: time.Second}
 	conn, err := dialer.DialContext(ctx, "tcp", router)
@@ -155,7 +156,7 @@
 	}
 }
 
-// recordRefusal records the reason, and whether the request may be sent again, of an answer other than 200.
+// recordRefusal records why a request was refused (status other than 200) and whether it may be sent again.
 func recordRefusal(lines *bufio.Scanner, entry *Entry) {
 	var answer struct {
 		Code         int  `json:"code"`
--- a/internal/standin/journal.go
+++ b/internal/standin/journal.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Entry is one line of a journal. The checker checks a run by these entries alone.
+// Entry is one line of a journal. The checker uses only these entries to check a run.
 type Entry struct {
 	Kind         string  `json:"kind"` // start, end, turn, call, event
 	At           int64   `json:"at"`   // wall clock in microseconds; all processes share one machine's clock
@@ -18,7 +18,7 @@
 	Pool         string  `json:"pool,omitempty"`
 	Zone         string  `json:"zone,omitempty"`
 	ID           string  `json:"id,omitempty"`
-	How          string  `json:"how,omitempty"` // end: done, cut or dark; event: what was done
+	How          string  `json:"how,omitempty"` // end: done, cut (closed early) or dark (hung until the deadline); event: what was done
 	CacheHit     float64 `json:"hit,omitempty"` // fraction of the prompt found in the prefix cache
 	InFlight     int     `json:"flight,omitempty"`
 	Mapping      string  `json:"mapping,omitempty"`
@@ -59,7 +59,7 @@
 	return &Journal{file: file}, nil
 }
 
-// Now returns the current time as journals have it.
+// Now returns the current time in the unit of Entry.At.
 func Now() int64 { return time.Now().UnixMicro() }
 
 // Write appends an entry without buffering, so that a killed process loses none that it wrote.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,13 +11,13 @@
 	"seamshunt/internal/config"
 )
 
-// Platform serves the lists of workers, marks draining ones and limits its request rate.
+// Platform serves the lists of workers, in which draining ones are marked, and limits the rate of requests.
 type Platform struct {
 	mu                 sync.Mutex
 	pools              map[string][]config.Worker
 	startedAt          map[string]time.Time // by worker
 	FailureMode        string               // "" (none), refuse, empty, slow, bad or old
-	staleAnswers       map[string][]byte    // by pool: the answers of the failure mode old
+	staleAnswers       map[string][]byte    // by pool: the answers in failure mode old
 	MaxPerSecond       int                  // rate limit; 0 for none
 	currentSecond      int64
 	requestsThisSecond int
@@ -31,7 +31,7 @@
 	return &Platform{pools: map[string][]config.Worker{}, startedAt: map[string]time.Time{}, MaxPerSecond: maxPerSecond}
 }
 
-// SetWorker adds a worker or replaces its entry. The age of a new worker is how long ago it started.
+// SetWorker adds a worker or replaces its entry. For a new worker, w.Age is the time since its start.
 func (p *Platform) SetWorker(pool string, w config.Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 	return config.Worker{}, false
 }
 
-// SetFailureMode changes how the platform answers. In the mode old it answers with its lists of this moment.
+// SetFailureMode changes how the platform answers. In mode old it keeps answering with its lists at the time of this call.
 func (p *Platform) SetFailureMode(mode string) {
 	p.mu.Lock()
 	p.FailureMode, p.staleAnswers = mode, map[string][]byte{}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -21,10 +21,10 @@
 // with its size, a prefix cache shortens the prefill, and past the knee recomputation delays all requests.
 type LoadModel struct {
 	Knee           int           // requests in flight above which recomputation sets in
-	CacheBlocks    int           // of the prefix cache
+	CacheBlocks    int           // size of the prefix cache
 	PrefillPerByte time.Duration // for bytes that aren't cached
 	TimePerPiece   time.Duration
-	MaxBatch       int // requests in flight; it refuses further ones as not run
+	MaxBatch       int // max requests in flight; further ones are refused as not run
 }
 
 // DefaultLoadModel is the model that the measurements in the documentation use.
@@ -35,7 +35,7 @@
 type Worker struct {
 	Name, Pool, Zone string
 	Model            LoadModel
-	FaultMode        string // how its answers are wrong; empty for correct answers
+	FaultMode        string // fault of its answers, see streamAnswer and handle; empty for correct answers
 	Journal          *Journal
 	mu               sync.Mutex
 	inFlight         int
@@ -109,7 +109,7 @@
 	w.mu.Unlock()
 }
 
-// slowdown returns the factor by which a step takes longer at the current load. Past the knee, recomputation sets in.
+// slowdown returns the factor by which a step takes longer at the current load. Above the knee, recomputation adds to it.
 func (w *Worker) slowdown() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -131,14 +131,14 @@
 	return true
 }
 
-// hang sends and notices nothing until the deadline, like a worker whose machine hangs.
+// hang sends nothing and ignores disconnects until the deadline, like a worker whose machine hangs.
 func (w *Worker) hang(deadline time.Time) string {
 	time.Sleep(time.Until(deadline))
 	return "dark"
 }
 
-// streamAnswer streams the pieces of an answer and its seal, with the faults of the fault mode, and returns how it ended:
-// done, cut or dark.
+// streamAnswer streams the pieces of an answer and its seal (the last line, with counts and digest), with the faults of the
+// fault mode. It returns how the answer ended: done, cut or dark (see Entry.How).
 func (w *Worker) streamAnswer(out *bufio.Writer, conn net.Conn, id string, request generateRequest, pieces int,
 	prefill time.Duration, deadline time.Time) string {
 	digest, bytes := sha256.New(), 0
